--- /dev/null
+++ b/internal/load/golden_test.go
@@ -0,0 +1,56 @@
+package load
+
+import (
+	"testing"
+
+	"nickelline/internal/admission"
+	"nickelline/internal/golden"
+)
+
+// The golden files record the protocol as it was when they were written. Processes of different releases must understand
+// each other's messages, so a test that fails here has found a change of the protocol.
+
+var goldenLoads = []admission.BackendLoad{
+	{Backend: 0x80000001, InFlight: 301, Batch: 202, Unanswered: 73, Pending: 7.25},
+	{Backend: 0x00020003, InFlight: 14, Batch: 5, Unanswered: 6, Pending: 1.5},
+}
+
+func TestGoldenReport(t *testing.T) {
+	message := &report{service: "search", loads: goldenLoads, complete: true, unasking: true}
+	golden.RoundTrip(t, "report.hex", message, encodeReport, decodeReport)
+}
+
+func TestGoldenReportFlags(t *testing.T) {
+	complete := &report{service: "search", loads: goldenLoads, complete: true}
+	golden.RoundTrip(t, "report_complete.hex", complete, encodeReport, decodeReport)
+	unasking := &report{service: "search", loads: goldenLoads, unasking: true}
+	golden.RoundTrip(t, "report_unasking.hex", unasking, encodeReport, decodeReport)
+}
+
+func TestGoldenAnswer(t *testing.T) {
+	message := &answer{service: "search", table: 0x0a0b0c0d, loads: withoutBackends(goldenLoads)}
+	golden.RoundTrip(t, "answer.hex", message, encodeAnswer, decodeAnswer)
+}
+
+func TestGoldenSummary(t *testing.T) {
+	message := &summary{service: "search", zone: "north", loads: goldenLoads, part: 9}
+	golden.RoundTrip(t, "summary.hex", message, encodeSummary, decodeSummary)
+}
+
+// The hash of a list of backends goes over the wire in place of the list, so all releases have to compute the same one.
+func TestGoldenTable(t *testing.T) {
+	const want = 0xefa3aeee
+	if got := tableOf([]uint32{0x80000001, 0x00020003, 7}); got != want {
+		t.Errorf("tableOf: got %#x, want %#x", got, want)
+	}
+}
+
+// withoutBackends returns the loads as an answer carries them, which does not name the backends.
+func withoutBackends(loads []admission.BackendLoad) []admission.BackendLoad {
+	var unnamed []admission.BackendLoad
+	for _, load := range loads {
+		load.Backend = 0
+		unnamed = append(unnamed, load)
+	}
+	return unnamed
+}
