--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -161,48 +161,50 @@
 	return fmt.Sprintf(`{"version":3,"routes":[%s],"services":[{"name":"s"},{"name":"z"}],"limits":{},"tenants":[%s]}`, routes, tenants)
 }
 
+// invalidDocuments break one rule each.
+var invalidDocuments = []struct{ name, text, problem string }{
+	{"unknown service", whole(route(`{"service":"x"}`), ""), `routes[0].service: there is no service named "x"`},
+	{"unknown service in a split", whole(route(`{"service":null,"trafficSplit":[{"service":"x","weight":1}]}`), ""), `no service named "x"`},
+	{"unknown service of weight 0", whole(route(`{"service":null,"trafficSplit":[{"service":"s","weight":1},{"service":"x","weight":0}]}`), ""), `no service named "x"`},
+	{"unknown service beside a split", whole(route(`{"service":"x","trafficSplit":[{"service":"s","weight":1}]}`), ""), `no service named "x"`},
+	{"same host and prefix", whole(route(`{}`)+","+route(`{"name":"q"}`), ""), `route "q" has the host and the prefix of route "r"`},
+	{"same host in other letters", whole(route(`{}`)+","+route(`{"name":"q","hostname":"H"}`), ""), `host and the prefix`},
+	{"same name of routes", whole(route(`{}`)+","+route(`{"pathPrefix":"/q/"}`), ""), `two routes are named "r"`},
+	{"weights sum to 0", whole(route(`{"service":null,"trafficSplit":[{"service":"s","weight":0},{"service":"z","weight":0}]}`), ""), `the weights sum to 0`},
+	{"weights sum to 0 beside a service", whole(route(`{"trafficSplit":[{"service":"z","weight":0}]}`), ""), `the weights sum to 0`},
+	{"empty split", whole(route(`{"service":null,"trafficSplit":[]}`), ""), `the weights sum to 0`},
+	{"no service", whole(route(`{"service":null}`), ""), `the weights sum to 0`},
+	{"negative weight", whole(route(`{"service":null,"trafficSplit":[{"service":"s","weight":-1},{"service":"z","weight":2}]}`), ""), `must not be negative`},
+	{"time-out 0", whole(route(`{"timeoutMs":0}`), ""), `routes[0].timeoutMs: it must be above 0`},
+	{"time-out 0.0", whole(route(`{"timeoutMs":0.0}`), ""), `must be above 0`},
+	{"time-out 0 of batch jobs", whole(route(`{"timeoutMs":0,"routeKind":"batch_processing"}`), ""), `must be above 0`},
+	{"negative time-out", whole(route(`{"timeoutMs":-5}`), ""), `must not be negative`},
+	{"no time-out", whole(route(`{"timeoutMs":null}`), ""), `routes[0].timeoutMs: it is missing`},
+	{"time-out as text", whole(route(`{"timeoutMs":"100"}`), ""), `a number is needed`},
+	{"prefix without a first slash", whole(route(`{"pathPrefix":"p/"}`), ""), `must start and end with a slash`},
+	{"prefix without a last slash", whole(route(`{"pathPrefix":"/p"}`), ""), `must start and end with a slash`},
+	{"no prefix", whole(route(`{"pathPrefix":null}`), ""), `routes[0].pathPrefix: it is missing`},
+	{"no host", whole(route(`{"hostname":null}`), ""), `routes[0].hostname: it is missing`},
+	{"no name", whole(route(`{"name":null}`), ""), `routes[0].name: it is missing`},
+	{"empty name", whole(route(`{"name":""}`), ""), `must not be empty`},
+	{"attempts as text", whole(route(`{"maxAttempts":"1"}`), ""), `a number is needed`},
+	{"fraction of an attempt", whole(route(`{"maxAttempts":1.5}`), ""), `not a whole number`},
+	{"public as text", whole(route(`{"public":"no"}`), ""), `true or false is needed`},
+	{"a route that is no object", whole(`"r"`, ""), `an object is needed`},
+	{"shared key", whole(route(`{}`), `{"name":"a","apiKeys":["k","l"]},{"name":"b","apiKeys":["m","k"]}`), `tenant "b" shares a key with tenant "a"`},
+	{"same name of tenants", whole(route(`{}`), `{"name":"a","apiKeys":["k"]},{"name":"a","apiKeys":["l"]}`), `two tenants are named "a"`},
+	{"tenant without a name", whole(route(`{}`), `{"apiKeys":["k"]}`), `tenants[0].name: it is missing`},
+	{"key that is no text", whole(route(`{}`), `{"name":"a","apiKeys":[5]}`), `a string is needed`},
+	{"negative rate", whole(route(`{}`), `{"name":"a","ratePerS":-1}`), `must not be negative`},
+	{"no routes", `{"version":1,"services":[]}`, `routes: it is missing`},
+	{"no services", `{"version":1,"routes":[]}`, `services: it is missing`},
+	{"routes that are no list", `{"version":1,"routes":{},"services":[]}`, `routes: a list is needed`},
+	{"same name of services", `{"version":1,"routes":[],"services":[{"name":"s"},{"name":"s"}]}`, `two services are named "s"`},
+	{"limits that are no object", `{"version":1,"routes":[],"services":[],"limits":[]}`, `limits: an object is needed`},
+}
+
 func TestInvalidDocuments(t *testing.T) {
-	cases := []struct{ name, text, problem string }{
-		{"unknown service", whole(route(`{"service":"x"}`), ""), `routes[0].service: there is no service named "x"`},
-		{"unknown service in a split", whole(route(`{"service":null,"trafficSplit":[{"service":"x","weight":1}]}`), ""), `no service named "x"`},
-		{"unknown service of weight 0", whole(route(`{"service":null,"trafficSplit":[{"service":"s","weight":1},{"service":"x","weight":0}]}`), ""), `no service named "x"`},
-		{"unknown service beside a split", whole(route(`{"service":"x","trafficSplit":[{"service":"s","weight":1}]}`), ""), `no service named "x"`},
-		{"same host and prefix", whole(route(`{}`)+","+route(`{"name":"q"}`), ""), `route "q" has the host and the prefix of route "r"`},
-		{"same host in other letters", whole(route(`{}`)+","+route(`{"name":"q","hostname":"H"}`), ""), `host and the prefix`},
-		{"same name of routes", whole(route(`{}`)+","+route(`{"pathPrefix":"/q/"}`), ""), `two routes are named "r"`},
-		{"weights sum to 0", whole(route(`{"service":null,"trafficSplit":[{"service":"s","weight":0},{"service":"z","weight":0}]}`), ""), `the weights sum to 0`},
-		{"weights sum to 0 beside a service", whole(route(`{"trafficSplit":[{"service":"z","weight":0}]}`), ""), `the weights sum to 0`},
-		{"empty split", whole(route(`{"service":null,"trafficSplit":[]}`), ""), `the weights sum to 0`},
-		{"no service", whole(route(`{"service":null}`), ""), `the weights sum to 0`},
-		{"negative weight", whole(route(`{"service":null,"trafficSplit":[{"service":"s","weight":-1},{"service":"z","weight":2}]}`), ""), `must not be negative`},
-		{"time-out 0", whole(route(`{"timeoutMs":0}`), ""), `routes[0].timeoutMs: it must be above 0`},
-		{"time-out 0.0", whole(route(`{"timeoutMs":0.0}`), ""), `must be above 0`},
-		{"time-out 0 of batch jobs", whole(route(`{"timeoutMs":0,"routeKind":"batch_processing"}`), ""), `must be above 0`},
-		{"negative time-out", whole(route(`{"timeoutMs":-5}`), ""), `must not be negative`},
-		{"no time-out", whole(route(`{"timeoutMs":null}`), ""), `routes[0].timeoutMs: it is missing`},
-		{"time-out as text", whole(route(`{"timeoutMs":"100"}`), ""), `a number is needed`},
-		{"prefix without a first slash", whole(route(`{"pathPrefix":"p/"}`), ""), `must start and end with a slash`},
-		{"prefix without a last slash", whole(route(`{"pathPrefix":"/p"}`), ""), `must start and end with a slash`},
-		{"no prefix", whole(route(`{"pathPrefix":null}`), ""), `routes[0].pathPrefix: it is missing`},
-		{"no host", whole(route(`{"hostname":null}`), ""), `routes[0].hostname: it is missing`},
-		{"no name", whole(route(`{"name":null}`), ""), `routes[0].name: it is missing`},
-		{"empty name", whole(route(`{"name":""}`), ""), `must not be empty`},
-		{"attempts as text", whole(route(`{"maxAttempts":"1"}`), ""), `a number is needed`},
-		{"fraction of an attempt", whole(route(`{"maxAttempts":1.5}`), ""), `not a whole number`},
-		{"public as text", whole(route(`{"public":"no"}`), ""), `true or false is needed`},
-		{"a route that is no object", whole(`"r"`, ""), `an object is needed`},
-		{"shared key", whole(route(`{}`), `{"name":"a","apiKeys":["k","l"]},{"name":"b","apiKeys":["m","k"]}`), `tenant "b" shares a key with tenant "a"`},
-		{"same name of tenants", whole(route(`{}`), `{"name":"a","apiKeys":["k"]},{"name":"a","apiKeys":["l"]}`), `two tenants are named "a"`},
-		{"tenant without a name", whole(route(`{}`), `{"apiKeys":["k"]}`), `tenants[0].name: it is missing`},
-		{"key that is no text", whole(route(`{}`), `{"name":"a","apiKeys":[5]}`), `a string is needed`},
-		{"negative rate", whole(route(`{}`), `{"name":"a","ratePerS":-1}`), `must not be negative`},
-		{"no routes", `{"version":1,"services":[]}`, `routes: it is missing`},
-		{"no services", `{"version":1,"routes":[]}`, `services: it is missing`},
-		{"routes that are no list", `{"version":1,"routes":{},"services":[]}`, `routes: a list is needed`},
-		{"same name of services", `{"version":1,"routes":[],"services":[{"name":"s"},{"name":"s"}]}`, `two services are named "s"`},
-		{"limits that are no object", `{"version":1,"routes":[],"services":[],"limits":[]}`, `limits: an object is needed`},
-	}
-	for _, c := range cases {
+	for _, c := range invalidDocuments {
 		t.Run(c.name, func(t *testing.T) {
 			err := Check(mustParse(t, c.text))
 			if fault.KindOf(err) != fault.InvalidConfiguration {
@@ -215,14 +217,16 @@
 	}
 }
 
+// unreadableDocuments are not one JSON object with a version.
+var unreadableDocuments = []string{
+	"", " ", "null", "[]", "7", `"text"`, "{", "{}", `{"version":7`, `{"version":7}}`, `{"version":7} {}`, `{"version":7}x`,
+	`{"version":null}`, `{"version":"7"}`, `{"version":-1}`, `{"version":7.5}`, `{"version":18446744073709551616}`,
+	`{"version":1e999999999}`, `{"version":7e-999999999}`, "{\"version\":7,\"name\":\"\xff\"}", example[:len(example)-1],
+	example[:len(example)/2],
+}
+
 func TestUnreadableDocuments(t *testing.T) {
-	texts := []string{
-		"", " ", "null", "[]", "7", `"text"`, "{", "{}", `{"version":7`, `{"version":7}}`, `{"version":7} {}`, `{"version":7}x`,
-		`{"version":null}`, `{"version":"7"}`, `{"version":-1}`, `{"version":7.5}`, `{"version":18446744073709551616}`,
-		`{"version":1e999999999}`, `{"version":7e-999999999}`, "{\"version\":7,\"name\":\"\xff\"}", example[:len(example)-1],
-		example[:len(example)/2],
-	}
-	for _, text := range texts {
+	for _, text := range unreadableDocuments {
 		_, err := Parse([]byte(text))
 		if fault.KindOf(err) != fault.InvalidConfiguration {
 			t.Errorf("%.40q: %v", text, err)
