--- a/cmd/nickelline/control.go
+++ b/cmd/nickelline/control.go
@@ -114,9 +114,9 @@
 // holderRegister keeps the proxies that may hold leases in the control state.
 type holderRegister struct{ role *control.Control }
 
-func (r holderRegister) Current() quota.Registration { return registrationOf(r.role.State().Holders) }
+func (r holderRegister) Current() quota.RegistryState { return registrationOf(r.role.State().Holders) }
 
-func (r holderRegister) Change(ctx context.Context, c quota.RegisterChange) (quota.Registration, error) {
+func (r holderRegister) Change(ctx context.Context, c quota.RegistryChange) (quota.RegistryState, error) {
 	set, err := r.role.ChangeHolders(ctx, &control.Holders{
 		Epoch:            c.Epoch,
 		ExpectedRevision: c.ExpectedRevision,
@@ -126,15 +126,15 @@
 	return registrationOf(set), err
 }
 
-func registrationOf(set control.HolderSet) quota.Registration {
-	registration := quota.Registration{Revision: set.Revision}
+func registrationOf(set control.HolderSet) quota.RegistryState {
+	registration := quota.RegistryState{Revision: set.Revision}
 	for _, member := range set.Members {
-		registration.Members = append(registration.Members, quota.Holder(member))
+		registration.Leaseholders = append(registration.Leaseholders, quota.Leaseholder(member))
 	}
 	return registration
 }
 
-func holdersOf(lives []quota.Holder) []control.Holder {
+func holdersOf(lives []quota.Leaseholder) []control.Holder {
 	var holders []control.Holder
 	for _, life := range lives {
 		holders = append(holders, control.Holder(life))
@@ -157,7 +157,7 @@
 }
 
 var (
-	_ control.Topic  = topic{}
-	_ quota.Headship = (*control.Headship)(nil)
-	_ quota.Register = holderRegister{}
+	_ control.Topic    = topic{}
+	_ quota.HeadStatus = (*control.Headship)(nil)
+	_ quota.Registry   = holderRegister{}
 )
--- a/cmd/nickelline/proxy.go
+++ b/cmd/nickelline/proxy.go
@@ -45,7 +45,7 @@
 	}
 	state := n.newState()
 	limiter := quota.NewLimiter(quota.PolicyOf(&p.settings.Bounds), n.transport, n.controlNodes, p.log)
-	limiter.Receive(n.transport)
+	limiter.HandleAnnouncements(n.transport)
 	sender := forward.NewClient(forward.Options{
 		Connections: int(serverDescriptors * float64(p.settings.Limits.FileDescriptors)),
 		Log:         p.log,
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -416,7 +416,7 @@
 	return nil
 }
 
-func (q *fakeQuota) GiveBack(*configuration.Tenant) {
+func (q *fakeQuota) Refund(*configuration.Tenant) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.tokens++
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -70,8 +70,8 @@
 // QuotaLimiter takes a request out of a tenant's budget. It is a *quota.Limiter.
 type QuotaLimiter interface {
 	Take(ctx context.Context, tenant *configuration.Tenant) error
-	// GiveBack returns what Take has taken for a request that did not run.
-	GiveBack(tenant *configuration.Tenant)
+	// Refund returns what Take has taken for a request that did not run.
+	Refund(tenant *configuration.Tenant)
 }
 
 // Options set up a Proxy.
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -65,13 +65,13 @@
 		p.exchange(ctx, r, w, route, tenant)
 		return
 	}
-	limited := quota.WithLongestWait(ctx, time.Duration(quotaWaitPart*float64(route.TargetLatency)))
+	limited := quota.WithMaxWait(ctx, time.Duration(quotaWaitPart*float64(route.TargetLatency)))
 	if err := p.options.Quota.Take(limited, tenant); err != nil {
 		w.fault(err)
 		return
 	}
 	if ran := p.exchange(ctx, r, w, route, tenant); !ran {
-		p.options.Quota.GiveBack(tenant)
+		p.options.Quota.Refund(tenant)
 	}
 }
 
--- a/internal/quota/codec.go
+++ b/internal/quota/codec.go
@@ -11,15 +11,6 @@
 	"nickelline/internal/quota/quotawire"
 )
 
-// answer is what a control node says to a renewal: grants, or where the allocator is.
-type answer struct {
-	grants    []Grant
-	moved     bool
-	allocator netip.AddrPort
-	epoch     uint64 // of the allocator that gives the grants
-	unheard   bool   // the allocator does not know all leases of the proxy
-}
-
 func encodeRenewal(r *Renewal) ([]byte, error) {
 	data, err := capnpcodec.Marshal(0, quotawire.NewRootRequest, func(root quotawire.Request) error {
 		root.SetLife(r.Life)
@@ -86,7 +77,7 @@
 		}
 		entries[i] = Entry{
 			Tenant: tenant,
-			Held:   Holding{Rate: entry.Rate(), Depth: entry.Depth()},
+			Held:   Share{Rate: entry.Rate(), Depth: entry.Depth()},
 			Demand: entry.Demand(),
 			Need:   int(entry.Need()),
 
@@ -100,7 +91,7 @@
 	data, err := capnpcodec.Marshal(0, quotawire.NewRootAnswer, func(root quotawire.Answer) error {
 		root.SetMoved(a.moved)
 		root.SetEpoch(a.epoch)
-		root.SetUnheard(a.unheard)
+		root.SetUnheard(a.mustReclaim)
 		if a.allocator.IsValid() {
 			if err := root.SetAllocator(addressBytes(a.allocator)); err != nil {
 				return err
@@ -140,11 +131,11 @@
 		return nil, merry.Prepend(err, "decode quota answer")
 	}
 	return &answer{
-		moved:     root.Moved(),
-		allocator: addressOf(address),
-		epoch:     root.Epoch(),
-		unheard:   root.Unheard(),
-		grants:    grants,
+		moved:       root.Moved(),
+		allocator:   addressOf(address),
+		epoch:       root.Epoch(),
+		mustReclaim: root.Unheard(),
+		grants:      grants,
 	}, nil
 }
 
@@ -159,7 +150,7 @@
 	for i := range grants {
 		entry := list.At(i)
 		grants[i] = Grant{
-			Lease:      Holding{Rate: entry.Rate(), Depth: entry.Depth()},
+			Lease:      Share{Rate: entry.Rate(), Depth: entry.Depth()},
 			Granted:    int(entry.Granted()),
 			RetryAfter: time.Duration(entry.RetryMs()) * time.Millisecond,
 		}
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -19,8 +19,8 @@
 		Complete: true,
 		Leaving:  true,
 		Entries: []Entry{
-			{Tenant: "alpha", Held: Holding{Rate: 1.5, Depth: 2.5}, Demand: 3.5, Need: 4, Returned: 5.5},
-			{Tenant: "beta", Held: Holding{Rate: 6.5, Depth: 7.5}, Demand: 8.5, Need: 9, Returned: 10.5},
+			{Tenant: "alpha", Held: Share{Rate: 1.5, Depth: 2.5}, Demand: 3.5, Need: 4, Returned: 5.5},
+			{Tenant: "beta", Held: Share{Rate: 6.5, Depth: 7.5}, Demand: 8.5, Need: 9, Returned: 10.5},
 		},
 	}
 	golden.RoundTrip(t, "renewal.hex", want, encodeRenewal, decodeRenewal)
@@ -33,13 +33,13 @@
 
 func TestGoldenAnswer(t *testing.T) {
 	want := &answer{
-		moved:     true,
-		allocator: netip.MustParseAddrPort("10.20.30.40:5060"),
-		epoch:     13,
-		unheard:   true,
+		moved:       true,
+		allocator:   netip.MustParseAddrPort("10.20.30.40:5060"),
+		epoch:       13,
+		mustReclaim: true,
 		grants: []Grant{
-			{Lease: Holding{Rate: 1.25, Depth: 2.25}, Granted: 3, RetryAfter: 4 * time.Millisecond},
-			{Lease: Holding{Rate: 5.25, Depth: 6.25}, Granted: 7, RetryAfter: 8 * time.Millisecond},
+			{Lease: Share{Rate: 1.25, Depth: 2.25}, Granted: 3, RetryAfter: 4 * time.Millisecond},
+			{Lease: Share{Rate: 5.25, Depth: 6.25}, Granted: 7, RetryAfter: 8 * time.Millisecond},
 		},
 	}
 	golden.RoundTrip(t, "answer.hex", want, encodeAnswer, decodeAnswer)
@@ -47,7 +47,7 @@
 
 func TestGoldenAnswerFlags(t *testing.T) {
 	golden.RoundTrip(t, "answer_moved.hex", &answer{moved: true, grants: []Grant{}}, encodeAnswer, decodeAnswer)
-	golden.RoundTrip(t, "answer_unheard.hex", &answer{unheard: true, grants: []Grant{}}, encodeAnswer, decodeAnswer)
+	golden.RoundTrip(t, "answer_unheard.hex", &answer{mustReclaim: true, grants: []Grant{}}, encodeAnswer, decodeAnswer)
 }
 
 func TestGoldenAnnouncement(t *testing.T) {
--- a/internal/quota/leave_test.go
+++ b/internal/quota/leave_test.go
@@ -13,45 +13,45 @@
 	"nickelline/internal/configuration"
 )
 
-func TestLeavingLifeIsForgottenAtOnce(t *testing.T) {
-	a, now := settledAllocator(testLimit)
-	mustRenew(t, a, now, testHolder, 1, Entry{Tenant: "t", Demand: 100})
-	if _, err := a.Renew(now, testHolder, &Renewal{Life: 1, Sequence: 2, Complete: true, Leaving: true}); err != nil {
+func TestLeavingLeaseholderIsRemovedAtOnce(t *testing.T) {
+	a, now := allocatorAfterGrace(testLimit)
+	mustRenew(t, a, now, testLeaseholder, 1, Entry{Tenant: "t", Demand: 100})
+	if _, err := a.Renew(now, testLeaseholder, &Renewal{Life: 1, Sequence: 2, Complete: true, Leaving: true}); err != nil {
 		t.Fatal(err)
 	}
-	if !a.HasSilent() {
+	if !a.HasRemovable() {
 		t.Error("no removal is called for")
 	}
-	if silent := a.TakeSilent(now); !slices.Equal(silent, []Holder{testHolder}) {
+	if silent := a.TakeRemovable(now); !slices.Equal(silent, []Leaseholder{testLeaseholder}) {
 		t.Errorf("to be removed: %v", silent)
 	}
-	if g := mustRenew(t, a, now, otherHolder, 1, Entry{Tenant: "t", Demand: 100})[0]; g.Lease.Rate < 40 {
+	if g := mustRenew(t, a, now, otherLeaseholder, 1, Entry{Tenant: "t", Demand: 100})[0]; g.Lease.Rate < 40 {
 		t.Errorf("%+v though the only other holder has left", g)
 	}
 }
 
 // A new allocator does not wait for one that left while its leases were not all known.
-func TestAllocatorDoesNotWaitForOneThatLeaves(t *testing.T) {
-	a := NewAllocator(rulePolicy, oneLimit(testLimit), []Holder{testHolder}, testStart)
-	if _, err := a.Renew(after(0), testHolder, &Renewal{Life: 1, Sequence: 1, Complete: true, Leaving: true}); err != nil {
+func TestGraceDoesNotWaitForLeavingProxy(t *testing.T) {
+	a := NewAllocator(rulePolicy, oneLimit(testLimit), []Leaseholder{testLeaseholder}, testStart)
+	if _, err := a.Renew(after(0), testLeaseholder, &Renewal{Life: 1, Sequence: 1, Complete: true, Leaving: true}); err != nil {
 		t.Fatal(err)
 	}
-	registerLife(a, after(0), otherHolder)
-	if g := mustRenew(t, a, after(0), otherHolder, 1, Entry{Tenant: "t", Demand: 100})[0]; g.Lease.Rate < 40 {
+	register(a, after(0), otherLeaseholder)
+	if g := mustRenew(t, a, after(0), otherLeaseholder, 1, Entry{Tenant: "t", Demand: 100})[0]; g.Lease.Rate < 40 {
 		t.Errorf("%+v though the only holder has left", g)
 	}
 }
 
-func TestLimiterThatLeavesIsNotRegisteredAnyMore(t *testing.T) {
+func TestLeaveUnregistersLimiter(t *testing.T) {
 	head := &fakeHead{}
 	head.fresh.Store(true)
 	transport := startTransport(t)
-	register := &fakeRegister{}
+	register := &fakeRegistry{}
 	service := newServiceAt(t, transport, head, register, Limit{Rate: 100, Burst: 40})
-	settle(t, service)
+	endGrace(t, service)
 	own := startTransport(t)
 	limiter := NewLimiter(rulePolicy, own, func() []netip.AddrPort { return []netip.AddrPort{transport.Address()} }, zap.NewNop())
-	limiter.Receive(own)
+	limiter.HandleAnnouncements(own)
 	own.Start()
 	ctx, stop := context.WithCancel(t.Context())
 	var running sync.WaitGroup
@@ -61,40 +61,40 @@
 	}
 	stop()
 	running.Wait()
-	if len(register.Current().Members) != 1 {
-		t.Fatalf("registered: %v", register.Current().Members)
+	if len(register.Current().Leaseholders) != 1 {
+		t.Fatalf("registered: %v", register.Current().Leaseholders)
 	}
 	bounded, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	limiter.Leave(bounded)
-	for len(register.Current().Members) > 0 {
+	for len(register.Current().Leaseholders) > 0 {
 		service.mutex.Lock()
-		changed := service.registrar.start()
+		changed := service.updater.startUpdates()
 		service.mutex.Unlock()
 		select {
 		case <-changed:
 		case <-bounded.Done():
-			t.Fatalf("still registered: %v", register.Current().Members)
+			t.Fatalf("still registered: %v", register.Current().Leaseholders)
 		}
 	}
 }
 
 // A life that is gone is forgotten when its leases have ended; one that runs without a renewal stays registered for longer.
-func TestGoneLifeIsForgottenWithItsLeases(t *testing.T) {
+func TestDownLeaseholderIsRemovedOnceItsLeasesExpire(t *testing.T) {
 	for _, gone := range []bool{false, true} {
-		a, now := settledAllocator(testLimit)
-		a.gone = func(address netip.AddrPort) bool { return gone && address == testHolder.Address }
-		mustRenew(t, a, now, testHolder, 1, Entry{Tenant: "t", Demand: 100})
+		a, now := allocatorAfterGrace(testLimit)
+		a.isDown = func(address netip.AddrPort) bool { return gone && address == testLeaseholder.Address }
+		mustRenew(t, a, now, testLeaseholder, 1, Entry{Tenant: "t", Demand: 100})
 		renewedAgain := now.Add(rulePolicy.Lease)
-		mustRenew(t, a, renewedAgain, otherHolder, 1, Entry{Tenant: "t", Demand: 100})
-		if a.HasSilent() {
+		mustRenew(t, a, renewedAgain, otherLeaseholder, 1, Entry{Tenant: "t", Demand: 100})
+		if a.HasRemovable() {
 			t.Error("a life that holds a lease is to be removed")
 		}
-		ended := now.Add(rulePolicy.Lease + HeadshipProof + time.Second)
-		mustRenew(t, a, ended, otherHolder, 2, Entry{Tenant: "t", Demand: 100})
-		mustRenew(t, a, ended.Add(sweepInterval), otherHolder, 3, Entry{Tenant: "t", Demand: 100})
-		if a.HasSilent() != gone {
-			t.Errorf("gone is %v, to be removed %v", gone, a.HasSilent())
+		ended := now.Add(rulePolicy.Lease + HeadProofLifetime + time.Second)
+		mustRenew(t, a, ended, otherLeaseholder, 2, Entry{Tenant: "t", Demand: 100})
+		mustRenew(t, a, ended.Add(sweepInterval), otherLeaseholder, 3, Entry{Tenant: "t", Demand: 100})
+		if a.HasRemovable() != gone {
+			t.Errorf("gone is %v, to be removed %v", gone, a.HasRemovable())
 		}
 	}
 }
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -29,40 +29,40 @@
 func (h *fakeHead) Epoch() uint64                { return h.epoch.Load() }
 func (h *fakeHead) Head() (netip.AddrPort, bool) { return h.head, h.head.IsValid() }
 
-// fakeRegister is a register that commits at once.
-type fakeRegister struct {
+// fakeRegistry is a register that commits at once.
+type fakeRegistry struct {
 	mutex   sync.Mutex
 	epoch   uint64
-	current Registration
+	current RegistryState
 	fault   error
 }
 
-func (r *fakeRegister) Current() Registration {
+func (r *fakeRegistry) Current() RegistryState {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.current
 }
 
-func (r *fakeRegister) Change(_ context.Context, c RegisterChange) (Registration, error) {
+func (r *fakeRegistry) Change(_ context.Context, c RegistryChange) (RegistryState, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.fault != nil {
-		return Registration{}, r.fault
+		return RegistryState{}, r.fault
 	}
 	if c.Epoch < r.epoch || c.ExpectedRevision != r.current.Revision {
-		return Registration{}, fault.New(fault.VersionConflict, "revision %d", r.current.Revision)
+		return RegistryState{}, fault.New(fault.VersionConflict, "revision %d", r.current.Revision)
 	}
 	r.epoch = c.Epoch
 	r.current.Revision++
-	r.current.Members = changedMembers(r.current.Members, c)
+	r.current.Leaseholders = changedMembers(r.current.Leaseholders, c)
 	return r.current, nil
 }
 
 // changedMembers applies a change to the members of a register.
-func changedMembers(members []Holder, c RegisterChange) []Holder {
-	var changed []Holder
+func changedMembers(members []Leaseholder, c RegistryChange) []Leaseholder {
+	var changed []Leaseholder
 	for _, m := range members {
-		replaced := slices.ContainsFunc(c.Add, func(added Holder) bool { return added.Address == m.Address })
+		replaced := slices.ContainsFunc(c.Add, func(added Leaseholder) bool { return added.Address == m.Address })
 		if !replaced && !slices.Contains(c.Remove, m) {
 			changed = append(changed, m)
 		}
@@ -83,25 +83,25 @@
 func newControl(t *testing.T, h *fakeHead, l Limit) (*peer.Transport, *Service) {
 	t.Helper()
 	transport := startTransport(t)
-	return transport, newServiceAt(t, transport, h, &fakeRegister{}, l)
+	return transport, newServiceAt(t, transport, h, &fakeRegistry{}, l)
 }
 
-func newServiceAt(t *testing.T, transport *peer.Transport, h *fakeHead, r Register, l Limit) *Service {
+func newServiceAt(t *testing.T, transport *peer.Transport, h *fakeHead, r Registry, l Limit) *Service {
 	t.Helper()
 	s := NewService(rulePolicy, h, r, oneLimit(l), nil, transport, zap.NewNop())
 	transport.Start()
 	return s
 }
 
-// prepare lets a service whose node is head begin its allocator.
-func prepare(t *testing.T, s *Service) {
+// activate lets a service whose node is head begin its allocator.
+func activate(t *testing.T, s *Service) {
 	t.Helper()
 	for range 1000 {
 		s.mutex.Lock()
-		begun := s.current() != nil
+		begun := s.activeAllocator() != nil
 		var changed <-chan struct{}
 		if !begun {
-			changed = s.registrar.start()
+			changed = s.updater.startUpdates()
 		}
 		s.mutex.Unlock()
 		if begun {
@@ -119,20 +119,20 @@
 	return s.allocator
 }
 
-// settle lets a service's allocator know all leases for some time.
-func settle(t *testing.T, s *Service) {
+// endGrace lets a service's allocator know all leases for some time.
+func endGrace(t *testing.T, s *Service) {
 	t.Helper()
-	prepare(t, s)
+	activate(t, s)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.allocator.settled = s.allocator.settled.Add(-2 * rulePolicy.Lease)
+	s.allocator.graceEndsAt = s.allocator.graceEndsAt.Add(-2 * rulePolicy.Lease)
 }
 
 func startLimiter(t *testing.T, controls ...netip.AddrPort) *Limiter {
 	t.Helper()
 	transport := startTransport(t)
 	l := NewLimiter(rulePolicy, transport, func() []netip.AddrPort { return controls }, zap.NewNop())
-	l.Receive(transport)
+	l.HandleAnnouncements(transport)
 	transport.Start()
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
@@ -145,7 +145,7 @@
 	head := &fakeHead{}
 	head.fresh.Store(true)
 	control, service := newControl(t, head, Limit{Rate: 100, Burst: 40})
-	settle(t, service)
+	endGrace(t, service)
 	standby, _ := newControl(t, &fakeHead{head: control.Address()}, Limit{})
 	limiter := startLimiter(t, standby.Address())
 	tenant := &configuration.Tenant{Name: "t", RatePerSecond: 100, Burst: 40}
@@ -202,16 +202,16 @@
 	head.fresh.Store(true)
 	head.epoch.Store(3)
 	_, service := newControl(t, head, Limit{Rate: 10})
-	prepare(t, service)
+	activate(t, service)
 	first := allocatorOf(service)
 	service.ObserveView(4, true)
 	head.epoch.Store(4)
-	prepare(t, service)
+	activate(t, service)
 	if allocatorOf(service) != first {
 		t.Error("a head that stays begins anew")
 	}
 	head.epoch.Store(6)
-	prepare(t, service)
+	activate(t, service)
 	if allocatorOf(service) == first {
 		t.Error("a head that may have been another in between goes on")
 	}
@@ -221,45 +221,45 @@
 	}
 }
 
-func TestHeadBeginsWithoutBeingAsked(t *testing.T) {
+func TestHeadActivatesWithoutARequest(t *testing.T) {
 	head := &fakeHead{}
 	_, service := newControl(t, head, Limit{Rate: 10})
-	prepareOnce(service)
+	activateOnce(service)
 	if allocatorOf(service) != nil {
 		t.Error("an allocator without a proof of headship")
 	}
 	head.fresh.Store(true)
 	for tries := 0; tries < 100 && allocatorOf(service) == nil; tries++ {
-		prepareOnce(service)
+		activateOnce(service)
 	}
 	if allocatorOf(service) == nil {
 		t.Error("no allocator though the node is proven to be the head")
 	}
 }
 
-// prepareOnce lets a service look for a proof of headship, and waits for what it does then.
-func prepareOnce(s *Service) {
+// activateOnce lets a service look for a proof of headship, and waits for what it does then.
+func activateOnce(s *Service) {
 	s.mutex.Lock()
-	changed := s.registrar.finished
+	changed := s.updater.finished
 	s.mutex.Unlock()
-	s.prepare(1)
+	s.activate(1)
 	<-changed
 }
 
-func TestAllocatorDoesNotBeginWithoutTheRegister(t *testing.T) {
+func TestAllocatorDoesNotStartWithoutTheRegistry(t *testing.T) {
 	head := &fakeHead{}
 	head.fresh.Store(true)
-	register := &fakeRegister{fault: fault.New(fault.NotReady, "no commit")}
+	register := &fakeRegistry{fault: fault.New(fault.NotReady, "no commit")}
 	service := newServiceAt(t, startTransport(t), head, register, Limit{Rate: 10})
-	prepareOnce(service)
+	activateOnce(service)
 	if allocatorOf(service) != nil {
 		t.Error("an allocator begins that has not shut out its predecessors")
 	}
 	head.fresh.Store(false) // ends the tries
 }
 
-func TestLaterAllocatorHearsOfTheLeases(t *testing.T) {
-	register := &fakeRegister{}
+func TestNextAllocatorReclaimsTheLeases(t *testing.T) {
+	register := &fakeRegistry{}
 	first, second := &fakeHead{}, &fakeHead{}
 	first.fresh.Store(true)
 	first.epoch.Store(1)
@@ -267,24 +267,24 @@
 	firstTransport, secondTransport := startTransport(t), startTransport(t)
 	firstService := newServiceAt(t, firstTransport, first, register, limit)
 	limiter := startLimiter(t, firstTransport.Address())
-	prepare(t, firstService)
+	activate(t, firstService)
 	tenant := &configuration.Tenant{Name: "t", RatePerSecond: limit.Rate, Burst: limit.Burst}
 	takeOnce(t, limiter, tenant)
 
 	second.epoch.Store(2)
 	secondService := newServiceAt(t, secondTransport, second, register, limit)
 	second.fresh.Store(true)
-	prepare(t, secondService)
-	waitUntilHeard(t, limiter, secondTransport.Address())
+	activate(t, secondService)
+	waitUntilReclaimed(t, limiter, secondTransport.Address())
 	allocator := allocatorOf(secondService)
 	secondService.mutex.Lock()
-	settled := allocator.isSettled(time.Now())
+	settled := allocator.graceEnded(time.Now())
 	secondService.mutex.Unlock()
 	if !settled {
 		t.Error("the allocator still waits though the only holder has presented its leases")
 	}
 	takeOnce(t, limiter, tenant)
-	if got := len(register.Current().Members); got != 1 {
+	if got := len(register.Current().Leaseholders); got != 1 {
 		t.Errorf("%d registered", got)
 	}
 }
@@ -300,13 +300,13 @@
 	t.Fatal("no request is admitted")
 }
 
-// waitUntilHeard waits until a limiter has presented its leases to an allocator.
-func waitUntilHeard(t *testing.T, l *Limiter, allocator netip.AddrPort) {
+// waitUntilReclaimed waits until a limiter has presented its leases to an allocator.
+func waitUntilReclaimed(t *testing.T, l *Limiter, allocator netip.AddrPort) {
 	t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
 	for time.Now().Before(deadline) {
 		l.mutex.Lock()
-		heard := !l.unheard && l.allocator == allocator
+		heard := !l.mustReclaim && l.allocator == allocator
 		l.mutex.Unlock()
 		if heard {
 			return
@@ -316,37 +316,37 @@
 	t.Fatal("the limiter does not follow the allocator")
 }
 
-func TestAnswersOfFormerAllocatorsAreNotTaken(t *testing.T) {
+func TestAnswersOfFormerAllocatorsAreRejected(t *testing.T) {
 	l := NewLimiter(rulePolicy, nil, nil, zap.NewNop())
-	old, next := proxyAddress, otherHolder.Address
-	if err := l.accept(old, &answer{epoch: 3}, 0); err != nil {
+	old, next := proxyAddress, otherLeaseholder.Address
+	if err := l.checkAnswer(old, &answer{epoch: 3}, 0); err != nil {
 		t.Fatal(err)
 	}
-	l.follow(next, 4)
-	if err := l.accept(old, &answer{epoch: 3}, 0); fault.KindOf(err) != fault.NotReady {
+	l.followAllocator(next, 4)
+	if err := l.checkAnswer(old, &answer{epoch: 3}, 0); fault.KindOf(err) != fault.NotReady {
 		t.Errorf("the answer of a former allocator: %v", err)
 	}
-	if err := l.accept(old, &answer{moved: true}, 0); err != nil || l.allocator != next {
+	if err := l.checkAnswer(old, &answer{moved: true}, 0); err != nil || l.allocator != next {
 		t.Errorf("the allocator is %v after a late answer, error %v", l.allocator, err)
 	}
-	l.follow(old, 3)
+	l.followAllocator(old, 3)
 	if l.allocator != next {
 		t.Error("a former allocator is followed")
 	}
 }
 
-func TestLimiterTakenForAFormerLifeBeginsANewOne(t *testing.T) {
+func TestLimiterTakenForAFormerProcessStartsAnew(t *testing.T) {
 	l := NewLimiter(rulePolicy, nil, nil, zap.NewNop())
 	life := l.life
-	l.budgets.arrive(time.Now(), "t")
-	entries := l.budgets.renewal(time.Now(), nil, true)
-	l.budgets.apply(time.Now(), time.Now(), entries, []Grant{{Lease: Holding{Rate: 1e9, Depth: 9}}})
-	l.giveUp(proxyAddress, fault.New(fault.NotReady, "out of reach"))
-	if l.life != life || l.budgets.of(time.Now(), "t").lease.Rate == 0 {
+	l.buckets.takeOnArrival(time.Now(), "t")
+	entries := l.buckets.renewalEntries(time.Now(), nil, true)
+	l.buckets.apply(time.Now(), time.Now(), entries, []Grant{{Lease: Share{Rate: 1e9, Depth: 9}}})
+	l.dropAllocator(proxyAddress, fault.New(fault.NotReady, "out of reach"))
+	if l.life != life || l.buckets.bucket(time.Now(), "t").lease.Rate == 0 {
 		t.Error("a failed call ends the leases")
 	}
-	l.giveUp(proxyAddress, fault.New(fault.Conflict, "a former life"))
-	if l.life == life || l.budgets.of(time.Now(), "t").lease.Rate != 0 {
+	l.dropAllocator(proxyAddress, fault.New(fault.Conflict, "a former life"))
+	if l.life == life || l.buckets.bucket(time.Now(), "t").lease.Rate != 0 {
 		t.Error("the life or a lease has stayed")
 	}
 }
@@ -354,9 +354,9 @@
 func TestTakeWaitsForTheLease(t *testing.T) {
 	l := NewLimiter(rulePolicy, nil, nil, zap.NewNop())
 	l.failedAt = time.Now().Add(time.Hour) // the allocator is out of reach
-	l.budgets.arrive(time.Now(), "t")
-	entries := l.budgets.renewal(time.Now(), nil, true)
-	l.budgets.apply(time.Now(), time.Now(), entries, []Grant{{Lease: Holding{Rate: 100, Depth: 1}}})
+	l.buckets.takeOnArrival(time.Now(), "t")
+	entries := l.buckets.renewalEntries(time.Now(), nil, true)
+	l.buckets.apply(time.Now(), time.Now(), entries, []Grant{{Lease: Share{Rate: 100, Depth: 1}}})
 	tenant := &configuration.Tenant{Name: "t", RatePerSecond: 100}
 	for range 5 {
 		if err := l.Take(t.Context(), tenant); err != nil {
@@ -367,7 +367,7 @@
 	if err := l.Take(t.Context(), slow); fault.KindOf(err) != fault.NotReady {
 		t.Errorf("a request of a tenant without a lease: %v", err)
 	}
-	impatient := WithLongestWait(t.Context(), time.Microsecond)
+	impatient := WithMaxWait(t.Context(), time.Microsecond)
 	refusals := 0
 	for range 5 {
 		if l.Take(impatient, tenant) != nil {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -17,33 +17,33 @@
 func after(d time.Duration) time.Time { return testStart.Add(d) }
 
 var (
-	proxyAddress = netip.MustParseAddrPort("10.1.0.7:7661")
-	otherHolder  = Holder{netip.MustParseAddrPort("10.3.0.7:7661"), 3}
+	proxyAddress     = netip.MustParseAddrPort("10.1.0.7:7661")
+	otherLeaseholder = Leaseholder{netip.MustParseAddrPort("10.3.0.7:7661"), 3}
 )
 
 func oneLimit(l Limit) func(string) Limit { return func(string) Limit { return l } }
 
-// settledAllocator gives an allocator that knows all leases.
-func settledAllocator(l Limit) (*Allocator, time.Time) {
+// allocatorAfterGrace gives an allocator that knows all leases.
+func allocatorAfterGrace(l Limit) (*Allocator, time.Time) {
 	return NewAllocator(rulePolicy, oneLimit(l), nil, testStart), testStart
 }
 
-// registerLife adds a life to those that an allocator knows to be registered.
-func registerLife(a *Allocator, now time.Time, added Holder) {
-	members := []Holder{added}
-	for address, h := range a.holders {
+// register adds a life to those that an allocator knows to be registered.
+func register(a *Allocator, now time.Time, added Leaseholder) {
+	members := []Leaseholder{added}
+	for address, h := range a.leaseholders {
 		if h.registered && address != added.Address {
-			members = append(members, Holder{Address: address, Life: h.life})
+			members = append(members, Leaseholder{Address: address, Life: h.life})
 		}
 	}
 	a.SetRegistered(now, members)
 }
 
 // mustRenew renews leases for a life, which it has registered before.
-func mustRenew(t *testing.T, a *Allocator, now time.Time, h Holder, sequence uint64, entries ...Entry) []Grant {
+func mustRenew(t *testing.T, a *Allocator, now time.Time, h Leaseholder, sequence uint64, entries ...Entry) []Grant {
 	t.Helper()
-	if a.Admit(h) == Unregistered {
-		registerLife(a, now, h)
+	if a.StatusOf(h) == Unregistered {
+		register(a, now, h)
 	}
 	grants, err := a.Renew(now, h, &Renewal{Life: h.Life, Sequence: sequence, Entries: entries})
 	if err != nil {
@@ -62,23 +62,23 @@
 	}
 }
 
-func TestNewAllocatorGrantsNothing(t *testing.T) {
-	h := Holder{proxyAddress, 1}
-	a := NewAllocator(rulePolicy, oneLimit(Limit{Rate: 50, Burst: 50}), []Holder{h, otherHolder}, testStart)
-	held := Holding{Rate: 20, Depth: 5}
+func TestNewAllocatorGrantsNothingInGracePeriod(t *testing.T) {
+	h := Leaseholder{proxyAddress, 1}
+	a := NewAllocator(rulePolicy, oneLimit(Limit{Rate: 50, Burst: 50}), []Leaseholder{h, otherLeaseholder}, testStart)
+	held := Share{Rate: 20, Depth: 5}
 	g := mustRenew(t, a, after(0), h, 1, Entry{Tenant: "t", Held: held, Demand: 40, Need: 3})[0]
 	if g.Granted != 0 || g.Lease.Rate > held.Rate || g.Lease.Depth > held.Depth || g.RetryAfter == 0 {
 		t.Errorf("%+v before the leases of a former allocator have ended", g)
 	}
-	g = mustRenew(t, a, a.settled.Add(time.Second), h, 2, Entry{Tenant: "t", Held: g.Lease, Demand: 40, Need: 3})[0]
+	g = mustRenew(t, a, a.graceEndsAt.Add(time.Second), h, 2, Entry{Tenant: "t", Held: g.Lease, Demand: 40, Need: 3})[0]
 	if g.Granted != 3 || g.Lease.Rate <= 20 {
 		t.Errorf("%+v with all leases known", g)
 	}
 }
 
-func TestReductionCountsUntilConfirmed(t *testing.T) {
-	a, now := settledAllocator(Limit{Rate: 50, Burst: 50})
-	first, second := Holder{proxyAddress, 1}, Holder{netip.MustParseAddrPort("10.2.0.7:7661"), 2}
+func TestReductionStaysOutstandingUntilConfirmed(t *testing.T) {
+	a, now := allocatorAfterGrace(Limit{Rate: 50, Burst: 50})
+	first, second := Leaseholder{proxyAddress, 1}, Leaseholder{netip.MustParseAddrPort("10.2.0.7:7661"), 2}
 	g := mustRenew(t, a, now, first, 1, Entry{Tenant: "t", Demand: 100})[0]
 	held := g.Lease
 	if held.Rate < 40 {
@@ -104,37 +104,37 @@
 }
 
 func TestLeaseEndsUnlessRenewed(t *testing.T) {
-	a, now := settledAllocator(Limit{Rate: 50, Burst: 50})
-	mustRenew(t, a, now, Holder{proxyAddress, 1}, 1, Entry{Tenant: "t", Demand: 100})
-	other := Holder{netip.MustParseAddrPort("10.2.0.7:7661"), 2}
-	late := now.Add(rulePolicy.Lease + HeadshipProof/2) // a successor may have extended it meanwhile
+	a, now := allocatorAfterGrace(Limit{Rate: 50, Burst: 50})
+	mustRenew(t, a, now, Leaseholder{proxyAddress, 1}, 1, Entry{Tenant: "t", Demand: 100})
+	other := Leaseholder{netip.MustParseAddrPort("10.2.0.7:7661"), 2}
+	late := now.Add(rulePolicy.Lease + HeadProofLifetime/2) // a successor may have extended it meanwhile
 	g := mustRenew(t, a, late, other, 1, Entry{Tenant: "t", Demand: 100})[0]
 	if g.Lease.Rate > 10 {
 		t.Errorf("%+v while a successor may have renewed the other lease", g)
 	}
-	late = now.Add(rulePolicy.Lease + HeadshipProof + time.Millisecond)
+	late = now.Add(rulePolicy.Lease + HeadProofLifetime + time.Millisecond)
 	g = mustRenew(t, a, late, other, 2, Entry{Tenant: "t", Held: g.Lease, Demand: 100})[0]
 	if g.Lease.Rate < 40 {
 		t.Errorf("%+v after the other lease has ended", g)
 	}
 }
 
-func TestNewLifeEndsTheFormerLeases(t *testing.T) {
-	a, now := settledAllocator(Limit{Rate: 50, Burst: 50})
-	mustRenew(t, a, now, Holder{proxyAddress, 1}, 7, Entry{Tenant: "t", Demand: 100})
-	g := mustRenew(t, a, now, Holder{proxyAddress, 2}, 1, Entry{Tenant: "t", Demand: 100})[0]
+func TestRestartEndsTheFormerLeases(t *testing.T) {
+	a, now := allocatorAfterGrace(Limit{Rate: 50, Burst: 50})
+	mustRenew(t, a, now, Leaseholder{proxyAddress, 1}, 7, Entry{Tenant: "t", Demand: 100})
+	g := mustRenew(t, a, now, Leaseholder{proxyAddress, 2}, 1, Entry{Tenant: "t", Demand: 100})[0]
 	if g.Lease.Rate < 40 {
 		t.Errorf("a restarted proxy gets %+v", g)
 	}
-	_, err := a.Renew(now, Holder{proxyAddress, 1}, &Renewal{Life: 1, Sequence: 8})
+	_, err := a.Renew(now, Leaseholder{proxyAddress, 1}, &Renewal{Life: 1, Sequence: 8})
 	if fault.KindOf(err) != fault.Conflict {
 		t.Errorf("a message of a former life: %v", err)
 	}
 }
 
 func TestStaleSequenceIsRefused(t *testing.T) {
-	a, now := settledAllocator(Limit{Rate: 50, Burst: 50})
-	h := Holder{proxyAddress, 1}
+	a, now := allocatorAfterGrace(Limit{Rate: 50, Burst: 50})
+	h := Leaseholder{proxyAddress, 1}
 	mustRenew(t, a, now, h, 2, Entry{Tenant: "t", Demand: 10})
 	for _, sequence := range []uint64{1, 2} {
 		_, err := a.Renew(now, h, &Renewal{Life: 1, Sequence: sequence})
@@ -145,71 +145,71 @@
 }
 
 func TestUnlimitedTenantGetsAll(t *testing.T) {
-	a, now := settledAllocator(Limit{})
-	g := mustRenew(t, a, now, Holder{proxyAddress, 1}, 1, Entry{Tenant: "t", Need: 9})[0]
+	a, now := allocatorAfterGrace(Limit{})
+	g := mustRenew(t, a, now, Leaseholder{proxyAddress, 1}, 1, Entry{Tenant: "t", Need: 9})[0]
 	if g.Granted != 9 {
 		t.Errorf("%+v", g)
 	}
 }
 
-func TestBudgetNeedsALease(t *testing.T) {
-	b := newBudgets(rulePolicy)
-	if b.arrive(after(0), "t") {
+func TestBucketNeedsALease(t *testing.T) {
+	b := newLeasedBuckets(rulePolicy)
+	if b.takeOnArrival(after(0), "t") {
 		t.Fatal("a token without a lease")
 	}
-	entries := b.renewal(after(0), map[string]int{"t": 1}, false)
-	b.apply(after(time.Second), after(0), entries, []Grant{{Lease: Holding{Rate: 10, Depth: 3}}})
-	if b.arrive(after(time.Second), "t") {
+	entries := b.renewalEntries(after(0), map[string]int{"t": 1}, false)
+	b.apply(after(time.Second), after(0), entries, []Grant{{Lease: Share{Rate: 10, Depth: 3}}})
+	if b.takeOnArrival(after(time.Second), "t") {
 		t.Error("a new lease must begin with an empty bucket")
 	}
-	if !b.arrive(after(1200*time.Millisecond), "t") {
+	if !b.takeOnArrival(after(1200*time.Millisecond), "t") {
 		t.Error("no token after 0.2 s of 10 a second")
 	}
-	if b.arrive(after(rulePolicy.Lease), "t") {
+	if b.takeOnArrival(after(rulePolicy.Lease), "t") {
 		t.Error("a token after the end of the lease, counted from when it was asked for")
 	}
 }
 
-func TestBudgetHandsBackWhatItCannotSave(t *testing.T) {
-	b := newBudgets(rulePolicy)
-	b.arrive(after(0), "t")
-	entries := b.renewal(after(0), nil, true)
-	b.apply(after(0), after(0), entries, []Grant{{Lease: Holding{Rate: 10, Depth: 3}}})
-	entries = b.renewal(after(time.Second), nil, true)
+func TestBucketReturnsItsSurplus(t *testing.T) {
+	b := newLeasedBuckets(rulePolicy)
+	b.takeOnArrival(after(0), "t")
+	entries := b.renewalEntries(after(0), nil, true)
+	b.apply(after(0), after(0), entries, []Grant{{Lease: Share{Rate: 10, Depth: 3}}})
+	entries = b.renewalEntries(after(time.Second), nil, true)
 	if got := entries[0].Returned; math.Abs(got-5) > 1e-9 { // of 10 given 3 are saved, 5 come in a period
 		t.Errorf("%v returned", got)
 	}
-	if again := b.renewal(after(time.Second), nil, true)[0].Returned; again != 0 {
+	if again := b.renewalEntries(after(time.Second), nil, true)[0].Returned; again != 0 {
 		t.Errorf("%v returned once more", again)
 	}
 }
 
-func TestGiveBackReturnsAToken(t *testing.T) {
-	b := newBudgets(rulePolicy)
-	b.arrive(after(0), "t")
-	entries := b.renewal(after(0), nil, true)
-	b.apply(after(0), after(0), entries, []Grant{{Lease: Holding{Rate: 1, Depth: 1}}})
+func TestRefundReturnsAToken(t *testing.T) {
+	b := newLeasedBuckets(rulePolicy)
+	b.takeOnArrival(after(0), "t")
+	entries := b.renewalEntries(after(0), nil, true)
+	b.apply(after(0), after(0), entries, []Grant{{Lease: Share{Rate: 1, Depth: 1}}})
 	now := after(time.Second)
-	if !b.arrive(now, "t") || b.arrive(now, "t") {
+	if !b.takeOnArrival(now, "t") || b.takeOnArrival(now, "t") {
 		t.Fatal("one token expected")
 	}
-	b.giveBack(now, "t")
-	if !b.arrive(now, "t") {
+	b.refund(now, "t")
+	if !b.takeOnArrival(now, "t") {
 		t.Error("the token is lost")
 	}
 }
 
 func TestIdleTenantsAreForgotten(t *testing.T) {
-	b := newBudgets(rulePolicy)
-	b.arrive(after(0), "t")
-	if entries := b.renewal(after(activeSpan+time.Second), nil, true); len(entries) != 0 || len(b.tenants) != 0 {
-		t.Errorf("%d entries, %d tenants", len(entries), len(b.tenants))
+	b := newLeasedBuckets(rulePolicy)
+	b.takeOnArrival(after(0), "t")
+	if entries := b.renewalEntries(after(idleTimeout+time.Second), nil, true); len(entries) != 0 || len(b.byTenant) != 0 {
+		t.Errorf("%d entries, %d tenants", len(entries), len(b.byTenant))
 	}
 }
 
 func TestCodec(t *testing.T) {
 	r := &Renewal{Life: 1 << 63, Sequence: 7, Epoch: 1 << 62, Complete: true, Entries: []Entry{
-		{Tenant: "a", Held: Holding{Rate: 1.5, Depth: 2.5}, Demand: 3.5, Need: 4, Returned: 0.5},
+		{Tenant: "a", Held: Share{Rate: 1.5, Depth: 2.5}, Demand: 3.5, Need: 4, Returned: 0.5},
 		{Tenant: "b"},
 	}}
 	data, err := encodeRenewal(r)
@@ -221,11 +221,11 @@
 		t.Errorf("%v, want %v (error %v)", got, r, err)
 	}
 	a := &answer{
-		grants:    []Grant{{Lease: Holding{Rate: 1, Depth: 2}, Granted: 3, RetryAfter: 40 * time.Millisecond}},
-		moved:     true,
-		allocator: proxyAddress,
-		epoch:     5,
-		unheard:   true,
+		grants:      []Grant{{Lease: Share{Rate: 1, Depth: 2}, Granted: 3, RetryAfter: 40 * time.Millisecond}},
+		moved:       true,
+		allocator:   proxyAddress,
+		epoch:       5,
+		mustReclaim: true,
 	}
 	if data, err = encodeAnswer(a); err != nil {
 		t.Fatal(err)
@@ -247,8 +247,8 @@
 	}
 }
 
-func TestRefusalTellsWhenToRetry(t *testing.T) {
-	err := refused(fault.QuotaExceeded, "t", 70*time.Millisecond)
+func TestRefusalCarriesRetryAfter(t *testing.T) {
+	err := newRefusal(fault.QuotaExceeded, "t", 70*time.Millisecond)
 	if fault.KindOf(err) != fault.QuotaExceeded || RetryAfter(err) != 70*time.Millisecond {
 		t.Errorf("kind %v, retry after %v", fault.KindOf(err), RetryAfter(err))
 	}
@@ -261,8 +261,8 @@
 func BenchmarkRenew(b *testing.B) {
 	for _, tenants := range []int{8, 100, 940} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
-			a, now := settledAllocator(Limit{Rate: 50, Burst: 50})
-			registerLife(a, now, Holder{proxyAddress, 1})
+			a, now := allocatorAfterGrace(Limit{Rate: 50, Burst: 50})
+			register(a, now, Leaseholder{proxyAddress, 1})
 			entries := make([]Entry, tenants)
 			for i := range entries {
 				entries[i] = Entry{Tenant: fmt.Sprintf("tenant-%d", i), Demand: 3, Need: 1}
@@ -279,7 +279,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				grants, err := a.Renew(now, Holder{proxyAddress, 1}, r)
+				grants, err := a.Renew(now, Leaseholder{proxyAddress, 1}, r)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/quota/registrar.go
+++ b/internal/quota/registry.go
@@ -8,28 +8,28 @@
 	"go.uber.org/zap"
 )
 
-// Register is the register of the lives that may hold leases, a part of the control state.
-type Register interface {
+// Registry is the register of the lives that may hold leases, a part of the control state.
+type Registry interface {
 	// Current gives the register with all changes that were committed before the headship of this node was proven.
-	Current() Registration
+	Current() RegistryState
 	// Change commits a change and gives the register after it. A change that fails may still be made later, unless another
 	// one is made before it.
-	Change(ctx context.Context, c RegisterChange) (Registration, error)
+	Change(ctx context.Context, c RegistryChange) (RegistryState, error)
 }
 
-// Registration is the register after some change.
-type Registration struct {
-	Revision uint64
-	Members  []Holder
+// RegistryState is the register after some change.
+type RegistryState struct {
+	Revision     uint64
+	Leaseholders []Leaseholder
 }
 
-// RegisterChange is a change that the allocator of an epoch makes to the register at a revision. Once an allocator has
+// RegistryChange is a change that the allocator of an epoch makes to the register at a revision. Once an allocator has
 // made a change, also an empty one, former ones can make none.
-type RegisterChange struct {
+type RegistryChange struct {
 	Epoch, ExpectedRevision uint64
 	// Add holds lives that take the place of former ones at their addresses.
-	Add    []Holder
-	Remove []Holder
+	Add    []Leaseholder
+	Remove []Leaseholder
 }
 
 const (
@@ -37,27 +37,27 @@
 	changePause   = 20 * time.Millisecond // after a change that failed
 )
 
-// registrar changes the register for the allocator of a node: one change at a time, each for all lives that wait. Its
+// registryUpdater changes the register for the allocator of a node: one change at a time, each for all lives that wait. Its
 // fields are guarded by the lock of the service.
-type registrar struct {
+type registryUpdater struct {
 	service  *Service
-	register Register
+	registry Registry
 	running  bool
 	waiting  map[netip.AddrPort]uint64 // lives, by address
 	finished chan struct{}             // closed after the next change
 }
 
-// add has a life registered. The channel that it gives is closed after the next change. The caller holds the lock.
-func (r *registrar) add(h Holder) <-chan struct{} {
+// register has a life registered. The channel that it gives is closed after the next change. The caller holds the lock.
+func (r *registryUpdater) register(h Leaseholder) <-chan struct{} {
 	if r.waiting == nil {
 		r.waiting = make(map[netip.AddrPort]uint64)
 	}
 	r.waiting[h.Address] = h.Life
-	return r.start()
+	return r.startUpdates()
 }
 
-// start has changes made if there are any to make. The caller holds the lock.
-func (r *registrar) start() <-chan struct{} {
+// startUpdates has changes made if there are any to make. The caller holds the lock.
+func (r *registryUpdater) startUpdates() <-chan struct{} {
 	if !r.running {
 		r.running = true
 		go r.run()
@@ -66,14 +66,14 @@
 }
 
 // run makes changes until there are none to make.
-func (r *registrar) run() {
+func (r *registryUpdater) run() {
 	for {
 		change, begins, any := r.next()
 		if !any {
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
-		after, err := r.register.Change(ctx, change)
+		after, err := r.registry.Change(ctx, change)
 		cancel()
 		r.finish(change, begins, after, err)
 		if err != nil {
@@ -84,25 +84,25 @@
 
 // next gives the change to make. The first one of an allocator is empty: it shuts out former allocators, and after it
 // the allocator begins.
-func (r *registrar) next() (c RegisterChange, begins, any bool) {
+func (r *registryUpdater) next() (c RegistryChange, begins, any bool) {
 	s := r.service
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.headship.Fresh() {
 		return r.stop()
 	}
-	c = RegisterChange{Epoch: s.headship.Epoch(), ExpectedRevision: r.register.Current().Revision}
-	allocator := s.current()
+	c = RegistryChange{Epoch: s.headship.Epoch(), ExpectedRevision: r.registry.Current().Revision}
+	allocator := s.activeAllocator()
 	if allocator == nil {
 		return c, true, true
 	}
 	for address, life := range r.waiting {
-		if h := (Holder{Address: address, Life: life}); allocator.Admit(h) == Unregistered {
+		if h := (Leaseholder{Address: address, Life: life}); allocator.StatusOf(h) == Unregistered {
 			c.Add = append(c.Add, h)
 		}
 	}
 	r.waiting = nil
-	c.Remove = allocator.TakeSilent(time.Now())
+	c.Remove = allocator.TakeRemovable(time.Now())
 	if len(c.Add)+len(c.Remove) == 0 {
 		return r.stop()
 	}
@@ -110,30 +110,30 @@
 }
 
 // stop ends the run and lets those that wait look again. The caller holds the lock.
-func (r *registrar) stop() (c RegisterChange, begins, any bool) {
+func (r *registryUpdater) stop() (c RegistryChange, begins, any bool) {
 	r.running = false
 	r.waiting = nil
-	r.wake()
+	r.notifyWaiting()
 	return c, false, false
 }
 
-func (r *registrar) wake() {
+func (r *registryUpdater) notifyWaiting() {
 	close(r.finished)
 	r.finished = make(chan struct{})
 }
 
 // finish takes over the register after a change.
-func (r *registrar) finish(c RegisterChange, begins bool, after Registration, err error) {
+func (r *registryUpdater) finish(c RegistryChange, begins bool, after RegistryState, err error) {
 	s := r.service
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	defer r.wake()
+	defer r.notifyWaiting()
 	switch {
 	case err != nil:
 		s.log.Info("register of quota holders not changed", zap.Uint64("epoch", c.Epoch), zap.Error(err))
 	case begins:
-		s.begin(time.Now(), c.Epoch, after.Members)
+		s.startAllocator(time.Now(), c.Epoch, after.Leaseholders)
 	case s.allocator != nil:
-		s.allocator.SetRegistered(time.Now(), after.Members)
+		s.allocator.SetRegistered(time.Now(), after.Leaseholders)
 	}
 }
--- a/internal/quota/scenarios_test.go
+++ b/internal/quota/scenarios_test.go
@@ -19,8 +19,8 @@
 
 const lead = 10 * time.Second // before traffic
 
-// idealPart is the part that one bucket would have refused.
-func idealPart(tenants []*simulatedTenant) float64 {
+// idealRefusedFraction is the part that one bucket would have refused.
+func idealRefusedFraction(tenants []*simulatedTenant) float64 {
 	sent, refused := 0, 0
 	for _, t := range tenants {
 		sent += t.sent
@@ -29,7 +29,7 @@
 	return float64(refused) / float64(sent)
 }
 
-func refusedPart(tenants []*simulatedTenant) float64 {
+func refusedFraction(tenants []*simulatedTenant) float64 {
 	sent, refused := 0, 0
 	for _, t := range tenants {
 		sent += t.sent
@@ -46,7 +46,7 @@
 			s.traffic(tenant, tenant.demand, lead, lead+30*time.Second)
 		}
 		s.runUntil(lead + 31*time.Second)
-		worst = max(worst, refusedPart(s.tenants))
+		worst = max(worst, refusedFraction(s.tenants))
 		t.Logf("seed %d: %d calls in 30 s", seed, s.calls)
 	}
 	t.Logf("refused under the limit: %.4f at worst", worst)
@@ -71,8 +71,8 @@
 			t.Errorf("seed %d: %.1f a second of the hot tenant admitted, its rate is %v", seed, served, hot.limit.Rate)
 		}
 		others := append(append([]*simulatedTenant{}, s.tenants[:2]...), s.tenants[3:]...)
-		if part := refusedPart(others); part > idealPart(others)+0.005 {
-			t.Errorf("seed %d: %.4f refused of the other tenants, by one bucket %.4f", seed, part, idealPart(others))
+		if part := refusedFraction(others); part > idealRefusedFraction(others)+0.005 {
+			t.Errorf("seed %d: %.4f refused of the other tenants, by one bucket %.4f", seed, part, idealRefusedFraction(others))
 		}
 	}
 }
@@ -86,7 +86,7 @@
 		}
 		s.failOver(lead+5*time.Second, 2500*time.Millisecond, 0)
 		s.runUntil(lead + 21*time.Second)
-		worst = max(worst, refusedPart(s.tenants))
+		worst = max(worst, refusedFraction(s.tenants))
 	}
 	t.Logf("refused under the limit over a fail-over: %.4f at worst", worst)
 	if worst > 0.1 {
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestSimulatedTroubles keeps the rule's window through everything at once, with all tenants beyond their limits.
-func TestSimulatedTroubles(t *testing.T) {
+// TestSimulatedFaults keeps the rule's window through everything at once, with all tenants beyond their limits.
+func TestSimulatedFaults(t *testing.T) {
 	for seed := range uint64(12) {
 		s := newSimulation(t, seed, 10, eightTenants(3))
 		s.lossy = true
@@ -106,12 +106,12 @@
 			at := lead + time.Duration(s.random.Int64N(int64(20*time.Second)))
 			span := time.Duration(s.random.Int64N(int64(6 * time.Second)))
 			s.proxies[s.random.IntN(10)].freeze(at, at+span)
-			s.proxies[s.random.IntN(10)].cutOff(at, at+span)
+			s.proxies[s.random.IntN(10)].partition(at, at+span)
 			s.proxies[s.random.IntN(10)].restart(at)
 		}
 		s.failOver(lead+3*time.Second, time.Second, 0)
-		s.failOver(lead+11*time.Second, 0, HeadshipProof)
-		s.failOver(lead+18*time.Second, 0, HeadshipProof)
+		s.failOver(lead+11*time.Second, 0, HeadProofLifetime)
+		s.failOver(lead+18*time.Second, 0, HeadProofLifetime)
 		s.runUntil(lead + 26*time.Second)
 	}
 }
@@ -127,7 +127,7 @@
 			s.proxies[i].restart(lead + 6*time.Second)
 		}
 		s.runUntil(lead + 13*time.Second)
-		if part := refusedPart(s.tenants); part > 0.05 {
+		if part := refusedFraction(s.tenants); part > 0.05 {
 			t.Errorf("seed %d: %.4f refused", seed, part)
 		}
 	}
@@ -143,34 +143,34 @@
 			s.traffic(tenant, tenant.demand, lead/2, lead+25*time.Second)
 		}
 		for at := lead + 2*time.Second; at < lead+24*time.Second; at += 2500 * time.Millisecond {
-			s.failOver(at, 0, HeadshipProof)
-			s.at(at, s.divide)
-			s.at(at+time.Duration(s.random.Int64N(int64(6*time.Second))), s.unite)
+			s.failOver(at, 0, HeadProofLifetime)
+			s.at(at, s.partitionHeads)
+			s.at(at+time.Duration(s.random.Int64N(int64(6*time.Second))), s.healHeads)
 			for range 4 {
-				within := at + time.Duration(s.random.Int64N(int64(HeadshipProof)))
+				within := at + time.Duration(s.random.Int64N(int64(HeadProofLifetime)))
 				span := time.Duration(s.random.Int64N(int64(3 * time.Second)))
 				s.proxies[s.random.IntN(10)].restart(within)
 				s.proxies[s.random.IntN(10)].freeze(within-span, within)
-				s.proxies[s.random.IntN(10)].cutOff(within-span, within)
+				s.proxies[s.random.IntN(10)].partition(within-span, within)
 			}
 		}
 		s.runUntil(lead + 26*time.Second)
 	}
 }
 
-// divide lets some proxies reach the oldest or the newest head only, and cuts some off from all.
-func (s *simulation) divide() {
+// partitionHeads lets some proxies reach the oldest or the newest head only, and cuts some off from all.
+func (s *simulation) partitionHeads() {
 	for _, p := range s.proxies {
 		p.reach = reach(s.random.IntN(int(reachNewest) + 1))
-		p.cut = s.random.IntN(3) == 0
+		p.partitioned = s.random.IntN(3) == 0
 	}
 }
 
-// unite lets all proxies reach all heads.
-func (s *simulation) unite() {
+// healHeads lets all proxies reach all heads.
+func (s *simulation) healHeads() {
 	for _, p := range s.proxies {
 		p.reach = reachAll
-		p.cut = false
+		p.partitioned = false
 	}
 }
 
@@ -200,9 +200,9 @@
 	}
 }
 
-// TestSimulatedGoneProxies has proxies go for good together with the head: the new allocator waits for their leases no
+// TestSimulatedDownProxies has proxies go for good together with the head: the new allocator waits for their leases no
 // longer than these may last, and later ones do not wait for them.
-func TestSimulatedGoneProxies(t *testing.T) {
+func TestSimulatedDownProxies(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newSimulation(t, seed, 10, eightTenants(0.62))
 		for _, tenant := range s.tenants {
@@ -213,13 +213,13 @@
 			p.kill(at, at+time.Hour)
 		}
 		s.failOver(at, time.Second, 0)
-		s.runUntil(at + time.Second + rulePolicy.Lease + HeadshipProof + 100*time.Millisecond)
-		if a := s.heads[0].allocator; a == nil || !a.isSettled(s.now) {
+		s.runUntil(at + time.Second + rulePolicy.Lease + HeadProofLifetime + 100*time.Millisecond)
+		if a := s.heads[0].allocator; a == nil || !a.graceEnded(s.now) {
 			t.Errorf("seed %d: the allocator waits longer than leases may last", seed)
 		}
 		s.failOver(at+30*time.Second, time.Second, 0)
 		s.runUntil(at + 31500*time.Millisecond)
-		if a := s.heads[0].allocator; a == nil || !a.isSettled(s.now) {
+		if a := s.heads[0].allocator; a == nil || !a.graceEnded(s.now) {
 			t.Errorf("seed %d: the second allocator waits for proxies that have gone", seed)
 		}
 		s.runUntil(lead + 46*time.Second)
--- a/internal/quota/simulation_head_test.go
+++ b/internal/quota/simulation_head_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// simulatedRegister is the register in the control state.
-type simulatedRegister struct {
+// simulatedRegistry is the register in the control state.
+type simulatedRegistry struct {
 	epoch   uint64
-	current Registration
+	current RegistryState
 }
 
 // commit applies a change, and tells whether it was allowed.
-func (r *simulatedRegister) commit(c RegisterChange) bool {
+func (r *simulatedRegistry) commit(c RegistryChange) bool {
 	if c.Epoch < r.epoch || c.ExpectedRevision != r.current.Revision {
 		return false
 	}
 	r.epoch = c.Epoch
-	r.current = Registration{Revision: r.current.Revision + 1, Members: changedMembers(r.current.Members, c)}
+	r.current = RegistryState{Revision: r.current.Revision + 1, Leaseholders: changedMembers(r.current.Leaseholders, c)}
 	return true
 }
 
@@ -71,7 +71,7 @@
 }
 
 // receive answers a renewal, after the allocator has begun and the proxy is registered.
-func (h *simulatedHead) receive(from Holder, r *Renewal, reply func(*answer)) {
+func (h *simulatedHead) receive(from Leaseholder, r *Renewal, reply func(*answer)) {
 	switch {
 	case h.ended:
 		return
@@ -81,7 +81,7 @@
 	case h.allocator == nil:
 		h.afterChange(func() { h.receive(from, r, reply) })
 		return
-	case h.allocator.Admit(from) == Unregistered:
+	case h.allocator.StatusOf(from) == Unregistered:
 		h.waiting[from.Address] = from.Life
 		h.afterChange(func() { h.receive(from, r, reply) })
 		return
@@ -90,10 +90,10 @@
 	if err != nil {
 		return
 	}
-	if h.allocator.HasSilent() {
+	if h.allocator.HasRemovable() {
 		h.change()
 	}
-	reply(&answer{epoch: h.epoch, unheard: !h.allocator.Heard(from), grants: grants})
+	reply(&answer{epoch: h.epoch, mustReclaim: !h.allocator.HasReclaimed(from), grants: grants})
 }
 
 func (h *simulatedHead) afterChange(run func()) {
@@ -107,7 +107,7 @@
 		return
 	}
 	begins := h.allocator == nil
-	c := RegisterChange{Epoch: h.epoch, ExpectedRevision: h.s.register.current.Revision}
+	c := RegistryChange{Epoch: h.epoch, ExpectedRevision: h.s.registry.current.Revision}
 	if !begins {
 		c.Add, c.Remove = h.changes()
 	}
@@ -116,26 +116,26 @@
 	}
 	h.changing = true
 	h.s.after(5*h.s.trip(), func() {
-		committed := !h.cut && h.s.register.commit(c)
-		after := h.s.register.current
+		committed := !h.cut && h.s.registry.commit(c)
+		after := h.s.registry.current
 		heard := committed && h.s.random.IntN(20) > 0
 		h.s.after(2*h.s.trip(), func() { h.finish(begins, heard, after) })
 	})
 }
 
 // changes gives the lives to add and to remove.
-func (h *simulatedHead) changes() (added, removed []Holder) {
+func (h *simulatedHead) changes() (added, removed []Leaseholder) {
 	for address, life := range h.waiting {
-		if holder := (Holder{Address: address, Life: life}); h.allocator.Admit(holder) == Unregistered {
+		if holder := (Leaseholder{Address: address, Life: life}); h.allocator.StatusOf(holder) == Unregistered {
 			added = append(added, holder)
 		}
 	}
 	clear(h.waiting)
-	return added, h.allocator.TakeSilent(h.s.now)
+	return added, h.allocator.TakeRemovable(h.s.now)
 }
 
 // finish takes over the register after a change, or tries again.
-func (h *simulatedHead) finish(begins, done bool, after Registration) {
+func (h *simulatedHead) finish(begins, done bool, after RegistryState) {
 	h.changing = false
 	switch {
 	case h.ended:
@@ -144,10 +144,10 @@
 		h.s.after(changePause, h.retry)
 		return
 	case begins:
-		h.allocator = NewAllocator(h.s.policy, h.s.limitOf, after.Members, h.s.now)
+		h.allocator = NewAllocator(h.s.policy, h.s.limitOf, after.Leaseholders, h.s.now)
 		h.announce()
 	default:
-		h.allocator.SetRegistered(h.s.now, after.Members)
+		h.allocator.SetRegistered(h.s.now, after.Leaseholders)
 	}
 	h.runLater()
 }
@@ -171,7 +171,7 @@
 
 // announce tells proxies of a new allocator until they have presented their leases.
 func (h *simulatedHead) announce() {
-	addresses := h.allocator.Unheard(h.s.now)
+	addresses := h.allocator.Unreclaimed(h.s.now)
 	if h.ended || len(addresses) == 0 {
 		return
 	}
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -58,21 +58,21 @@
 }
 
 type simulatedProxy struct {
-	s        *simulation
-	address  netip.AddrPort
-	life     uint64
-	sequence uint64
-	budgets  *budgets
-	waiting  map[string]int
-	calling  bool
-	frozen   bool
-	cut      bool
-	down     bool
-	reach    reach
-	epoch    uint64   // the newest that is known
-	unheard  bool     // the allocator may not know all leases
-	held     []func() // what happens when the proxy wakes
-	failedAt time.Time
+	s           *simulation
+	address     netip.AddrPort
+	life        uint64
+	sequence    uint64
+	buckets     *leasedBuckets
+	waiting     map[string]int
+	calling     bool
+	frozen      bool
+	partitioned bool
+	down        bool
+	reach       reach
+	epoch       uint64   // the newest that is known
+	mustReclaim bool     // the allocator may not know all leases
+	deferred    []func() // what happens when the proxy wakes
+	failedAt    time.Time
 }
 
 type simulation struct {
@@ -85,9 +85,9 @@
 	proxies    []*simulatedProxy
 	heads      []*simulatedHead // those that think themselves head
 	epoch      uint64           // of the newest view
-	register   simulatedRegister
+	registry   simulatedRegistry
 	calls      int
-	broken     bool
+	violated   bool
 	lossy      bool // some answers are lost
 }
 
@@ -177,8 +177,8 @@
 		t.first++
 	}
 	count := len(t.admitted) - t.first
-	if float64(count) > most && !s.broken {
-		s.broken = true
+	if float64(count) > most && !s.violated {
+		s.violated = true
 		s.t.Errorf("%s: %d requests in a window at %v, at most %.1f", t.name, count, s.now.Sub(s.start), most)
 	}
 }
@@ -187,17 +187,17 @@
 func (s *simulation) checkLeases(renewed []Entry) {
 	for _, e := range renewed {
 		t := s.tenantOf(e.Tenant)
-		sum := Holding{}
+		sum := Share{}
 		for _, p := range s.proxies {
-			b := p.budgets.tenants[t.name]
-			if b != nil && !p.down && s.now.Before(b.ends) {
+			b := p.buckets.byTenant[t.name]
+			if b != nil && !p.down && s.now.Before(b.expiresAt) {
 				sum.Rate += b.lease.Rate
 				sum.Depth += b.lease.Depth
 			}
 		}
 		const rounding = 1e-6
-		if over := sum.Rate > t.limit.Rate+rounding || sum.Depth > s.policy.capacity(t.limit)+rounding; over && !s.broken {
-			s.broken = true
+		if over := sum.Rate > t.limit.Rate+rounding || sum.Depth > s.policy.capacity(t.limit)+rounding; over && !s.violated {
+			s.violated = true
 			s.t.Errorf("%s: leases of %+v at %v, limit %+v", t.name, sum, s.now.Sub(s.start), t.limit)
 		}
 	}
@@ -206,21 +206,21 @@
 func (p *simulatedProxy) reset() {
 	p.life = p.s.random.Uint64()
 	p.sequence = 0
-	p.budgets = newBudgets(p.s.policy)
+	p.buckets = newLeasedBuckets(p.s.policy)
 	p.waiting = map[string]int{}
 	p.calling = false
 	p.failedAt = time.Time{}
 	p.epoch = 0
-	p.unheard = true
+	p.mustReclaim = true
 	p.call(true)
 }
 
-// live runs something now, or when the proxy wakes. What a former life was to do is dropped.
-func (p *simulatedProxy) live(life uint64, run func()) {
+// whileRunning runs something now, or when the proxy wakes. What a former life was to do is dropped.
+func (p *simulatedProxy) whileRunning(life uint64, run func()) {
 	switch {
 	case life != p.life, p.down:
 	case p.frozen:
-		p.held = append(p.held, func() { p.live(life, run) })
+		p.deferred = append(p.deferred, func() { p.whileRunning(life, run) })
 	default:
 		run()
 	}
@@ -232,11 +232,11 @@
 	}
 	t.sent++
 	t.ideal.arrive(p.s.now, t.limit)
-	p.live(p.life, func() {
+	p.whileRunning(p.life, func() {
 		switch {
-		case p.budgets.arrive(p.s.now, t.name):
+		case p.buckets.takeOnArrival(p.s.now, t.name):
 			p.s.admit(t)
-		case p.s.now.Sub(p.failedAt) < unreachableFor, p.budgets.emptyFor(p.s.now, t.name) > 0:
+		case p.s.now.Sub(p.failedAt) < unreachableSpan, p.buckets.exhaustedFor(p.s.now, t.name) > 0:
 			t.refused++
 		default:
 			p.waiting[t.name]++
@@ -247,7 +247,7 @@
 
 func (p *simulatedProxy) periodic() {
 	p.s.after(renewPeriod, p.periodic)
-	p.live(p.life, func() { p.call(true) })
+	p.whileRunning(p.life, func() { p.call(true) })
 }
 
 // call sends a renewal to one of the heads, unless one is under way.
@@ -256,9 +256,9 @@
 		return
 	}
 	needs := p.waiting
-	complete := all || p.unheard
-	entries := p.budgets.renewal(p.s.now, needs, complete)
-	if len(entries) == 0 && !p.unheard {
+	complete := all || p.mustReclaim
+	entries := p.buckets.renewalEntries(p.s.now, needs, complete)
+	if len(entries) == 0 && !p.mustReclaim {
 		return
 	}
 	p.waiting = map[string]int{}
@@ -269,7 +269,7 @@
 	r := &Renewal{Life: life, Sequence: p.sequence, Epoch: p.epoch, Complete: complete, Entries: entries}
 	answered := false
 	finish := func(a *answer) {
-		p.live(life, func() {
+		p.whileRunning(life, func() {
 			if !answered {
 				answered = true
 				p.answer(askedAt, needs, r, a)
@@ -277,13 +277,13 @@
 		})
 	}
 	p.s.after(callTimeout, func() { finish(nil) })
-	if p.cut || len(p.s.heads) == 0 {
+	if p.partitioned || len(p.s.heads) == 0 {
 		return
 	}
 	head := p.reachedHead()
 	p.s.after(p.s.trip(), func() {
-		head.receive(Holder{Address: p.address, Life: life}, r, func(a *answer) {
-			if !p.cut && !(p.s.lossy && p.s.random.IntN(200) == 0) {
+		head.receive(Leaseholder{Address: p.address, Life: life}, r, func(a *answer) {
+			if !p.partitioned && !(p.s.lossy && p.s.random.IntN(200) == 0) {
 				p.s.after(p.s.trip(), func() { finish(a) })
 			}
 		})
@@ -312,13 +312,13 @@
 
 // follow has the proxy present its leases to a new allocator.
 func (p *simulatedProxy) follow(epoch uint64) {
-	if p.cut || p.reach == reachOldest || p.s.lossy && p.s.random.IntN(10) == 0 {
+	if p.partitioned || p.reach == reachOldest || p.s.lossy && p.s.random.IntN(10) == 0 {
 		return
 	}
-	p.live(p.life, func() {
+	p.whileRunning(p.life, func() {
 		if epoch >= p.epoch {
 			p.epoch = epoch
-			p.unheard = true
+			p.mustReclaim = true
 			p.call(true)
 		}
 	})
@@ -336,15 +336,15 @@
 	if p.acceptable(a) {
 		p.epoch = a.epoch
 		p.failedAt = time.Time{}
-		p.unheard = a.unheard || p.unheard && !r.Complete
-		granted = p.budgets.apply(p.s.now, askedAt, r.Entries, a.grants)
+		p.mustReclaim = a.mustReclaim || p.mustReclaim && !r.Complete
+		granted = p.buckets.apply(p.s.now, askedAt, r.Entries, a.grants)
 	} else {
 		p.failedAt = p.s.now
 		pause = failurePause
 	}
 	for _, t := range p.s.tenants {
 		for range needs[t.name] {
-			b := p.budgets.of(p.s.now, t.name)
+			b := p.buckets.bucket(p.s.now, t.name)
 			switch {
 			case granted[t.name] > 0:
 				granted[t.name]--
@@ -359,9 +359,9 @@
 	p.s.checkLeases(r.Entries)
 	life := p.life
 	p.s.after(pause, func() {
-		p.live(life, func() {
+		p.whileRunning(life, func() {
 			p.calling = false
-			if len(p.waiting) > 0 || p.unheard {
+			if len(p.waiting) > 0 || p.mustReclaim {
 				p.call(false)
 			}
 		})
@@ -372,17 +372,17 @@
 	p.s.at(from, func() { p.frozen = true })
 	p.s.at(to, func() {
 		p.frozen = false
-		held := p.held
-		p.held = nil
+		held := p.deferred
+		p.deferred = nil
 		for _, run := range held {
 			run()
 		}
 	})
 }
 
-func (p *simulatedProxy) cutOff(from, to time.Duration) {
-	p.s.at(from, func() { p.cut = true })
-	p.s.at(to, func() { p.cut = false })
+func (p *simulatedProxy) partition(from, to time.Duration) {
+	p.s.at(from, func() { p.partitioned = true })
+	p.s.at(to, func() { p.partitioned = false })
 }
 
 func (p *simulatedProxy) restart(at time.Duration) { p.s.at(at, p.reset) }
--- a/internal/quota/size_bench_test.go
+++ b/internal/quota/size_bench_test.go
@@ -10,8 +10,8 @@
 func BenchmarkRenewalSize(b *testing.B) {
 	for _, tenants := range []int{8, 100, 940} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
-			a, now := settledAllocator(Limit{Rate: 50, Burst: 50})
-			registerLife(a, now, Holder{proxyAddress, 1})
+			a, now := allocatorAfterGrace(Limit{Rate: 50, Burst: 50})
+			register(a, now, Leaseholder{proxyAddress, 1})
 			entries := make([]Entry, tenants)
 			for i := range entries {
 				entries[i] = Entry{Tenant: fmt.Sprintf("tenant-%d", i), Demand: 3, Need: 1}
@@ -26,7 +26,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				grants, err := a.Renew(now, Holder{proxyAddress, 1}, renewal)
+				grants, err := a.Renew(now, Leaseholder{proxyAddress, 1}, renewal)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/quota/stats.go
+++ b/internal/quota/stats.go
@@ -15,8 +15,8 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var stats Stats
-	for _, b := range l.budgets.tenants {
-		if now.Before(b.ends) {
+	for _, b := range l.buckets.byTenant {
+		if now.Before(b.expiresAt) {
 			stats.Leases++
 			stats.Rate += b.lease.Rate
 		}
--- a/internal/quota/stats_test.go
+++ b/internal/quota/stats_test.go
@@ -10,10 +10,10 @@
 func TestStatsCountLeasesInForce(t *testing.T) {
 	l := NewLimiter(Policy{}, nil, nil, zap.NewNop())
 	now := time.Now()
-	l.budgets.tenants = map[string]*budget{
-		"one":  {lease: Holding{Rate: 3}, ends: now.Add(time.Second)},
-		"two":  {lease: Holding{Rate: 4}, ends: now.Add(time.Second)},
-		"late": {lease: Holding{Rate: 9}, ends: now},
+	l.buckets.byTenant = map[string]*leasedBucket{
+		"one":  {lease: Share{Rate: 3}, expiresAt: now.Add(time.Second)},
+		"two":  {lease: Share{Rate: 4}, expiresAt: now.Add(time.Second)},
+		"late": {lease: Share{Rate: 9}, expiresAt: now},
 	}
 	l.waiting["one"] = []*waiter{{}, {}}
 	if stats := l.Stats(now); stats != (Stats{Leases: 2, Waiting: 2, Rate: 7}) {
