--- a/internal/store/appender.go
+++ b/internal/store/appender.go
@@ -14,26 +14,29 @@
 const (
 	// appendWindow is how long results are gathered before they are appended together.
 	appendWindow = 60 * time.Millisecond
-	// appendBytes bounds the contents of one command.
-	appendBytes = 1 << 20
-	// appendRetry is the pause after a failed append.
-	appendRetry = 100 * time.Millisecond
+	// maxAppendBytes bounds the contents of one command.
+	maxAppendBytes = 1 << 20
+	// appendRetryPause is the pause after a failed append.
+	appendRetryPause = 100 * time.Millisecond
 )
 
-// appender appends results in batches: what finishes within a window, or while an append is under way, goes out together. It
-// works only while there are results, and tries until they are committed or its context ends: an item is listed once however often
-// its result is appended.
+// appender has results and checkpoints committed in batches: what comes within a window, or while an append is under way, goes
+// out together. It tries until they are committed or its context ends. Appending again is safe when the outcome of an append is
+// not known: an item is listed once, and a checkpoint added once, however often they are appended.
+//
+// It has a goroutine only while there are results, which add starts, and which ends with the context or when nothing is pending.
+// close waits for it.
 type appender struct {
 	partition *partition
 	log       *zap.Logger
 	mutex     sync.Mutex
 	pending   []batch.Result
-	working   bool
-	ended     chan struct{} // closed when the work that was begun last has ended
+	working   bool          // a goroutine works
+	ended     chan struct{} // closed when the last goroutine has ended
 	closed    bool
 }
 
-// add hands in a result or a checkpoint. After close it does nothing.
+// add adds a result or a checkpoint to what is pending. It does not block. After close it does nothing.
 func (a *appender) add(ctx context.Context, r batch.Result) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -48,8 +51,8 @@
 	}
 }
 
-// close waits until nothing more is appended, which is soon once the context has ended. Otherwise a checkpoint could be
-// committed after the next runner of the partition has read how far each text is, and has gone on from there.
+// close returns once nothing more is appended, which is soon after the context has ended. Without that a checkpoint could be
+// committed after the next runner of the partition has read how many events each text has, and has continued there.
 func (a *appender) close() {
 	a.mutex.Lock()
 	a.closed = true
@@ -79,20 +82,17 @@
 		if err == nil {
 			return
 		}
-		a.log.Debug("append results", zap.Int("results", len(results)), zap.Error(err))
-		pause.For(ctx, appendRetry)
+		a.log.Debug("append results failed", zap.Uint32("partition", a.partition.number),
+			zap.Int("results", len(results)), zap.Error(err))
+		pause.For(ctx, appendRetryPause)
 	}
 }
 
-// take gives what is to be appended next, and ends the work if there is nothing.
+// take removes and returns the results that are appended next. If there are none the work ends.
 func (a *appender) take() []batch.Result {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	bytes, count := 0, 0
-	for count < len(a.pending) && (count == 0 || bytes+len(a.pending[count].Content) <= appendBytes) {
-		bytes += len(a.pending[count].Content)
-		count++
-	}
+	count := a.fitting()
 	results := a.pending[:count:count]
 	a.pending = a.pending[count:]
 	if count == 0 {
@@ -101,3 +101,15 @@
 	}
 	return results
 }
+
+// fitting returns how many of the pending results go into one command: one at least, if there is any.
+func (a *appender) fitting() int {
+	bytes := 0
+	for i, result := range a.pending {
+		bytes += len(result.Content)
+		if i > 0 && bytes > maxAppendBytes {
+			return i
+		}
+	}
+	return len(a.pending)
+}
--- a/internal/store/clock.go
+++ b/internal/store/clock.go
@@ -7,7 +7,8 @@
 	"nickelline/internal/batch"
 )
 
-// headClock gives readings of this process's steady clock under a source number of its own.
+// headClock reads the monotonic clock of this process. Its source number is random, so that the state machine tells readings of
+// different heads apart and never compares them.
 type headClock struct {
 	source uint64
 	start  time.Time
@@ -17,6 +18,7 @@
 	return &headClock{source: rand.Uint64() | 1, start: time.Now()}
 }
 
+// reading returns what the clock shows at a time.
 func (c *headClock) reading(now time.Time) batch.Reading {
 	return batch.Reading{Source: c.source, Elapsed: now.Sub(c.start)}
 }
--- a/internal/store/handlers.go
+++ b/internal/store/handlers.go
@@ -10,8 +10,10 @@
 	"nickelline/internal/view"
 )
 
-// register sets the handlers of the proxies' calls.
-func (s *Service) register() {
+var errNoView = fault.New(fault.NotReady, "no view of the partition is known here")
+
+// registerHandlers sets the handlers of the proxies' calls.
+func (s *Service) registerHandlers() {
 	t := s.options.Transport
 	t.Handle(batchcall.KindSubmit, handler(s, batchcall.DecodeSubmitRequest, (*partition).submit,
 		func(r *batchcall.SubmitRequest) uint32 { return r.Partition }))
@@ -25,8 +27,8 @@
 		func(r *batchcall.OfferRequest) uint32 { return r.Partition }))
 }
 
-// handler answers one kind of call: it reads the request, finds the partition that the request names, and has it act. A
-// request that cannot be read, or for a partition that is not kept here, has changed nothing.
+// handler returns the handler of one kind of call: it decodes the request, finds the partition that the request names, and has it
+// act. A request that cannot be decoded, or for a partition that is not hosted here, changes nothing.
 func handler[R any](
 	s *Service,
 	decode func(body []byte) (*R, error),
@@ -38,16 +40,16 @@
 		if err != nil {
 			return peer.Message{}, fault.Wrap(fault.NotReady, err)
 		}
-		found, elsewhere := s.find(partitionOf(request))
+		found, hostedElsewhere := s.find(partitionOf(request))
 		if found == nil {
-			return redirectTo(elsewhere, m.Kind)
+			return redirectTo(hostedElsewhere, m.Kind)
 		}
 		reply, err := act(found, ctx, request)
 		return encodeReply(reply, m.Kind, err)
 	}
 }
 
-// redirectTo answers a call for a partition that is not kept here.
+// redirectTo answers a call for a partition that is not hosted here, with the head of its view.
 func redirectTo(v view.View, kind peer.Kind) (peer.Message, error) {
 	head, ok := v.Head()
 	if !ok {
--- /dev/null
+++ b/internal/store/hosted.go
@@ -0,0 +1,100 @@
+package store
+
+import (
+	"context"
+	"sync"
+	"sync/atomic"
+
+	"nickelline/internal/chain"
+	"nickelline/internal/view"
+)
+
+// hostedPartition is a partition that this store hosts: its replica, and its runner while the replica is the head.
+//
+// Goroutines: each runner has one, which viewChanged starts when the replica becomes the head. It ends when the replica is no
+// longer head or the partition is closed; the next runner, and close, wait for it. While the replica is a learner another
+// goroutine follows the members, which setLearner starts and ends, as does close; nobody waits for it.
+type hostedPartition struct {
+	service      *Service
+	partition    *partition
+	node         *chain.Node
+	stopLearning context.CancelFunc // not nil while the replica is a learner; guarded by the service's mutex
+	runner       atomic.Pointer[runner]
+
+	mutex       sync.Mutex
+	stopRunning context.CancelFunc // not nil while there is a runner that has not been stopped
+	runnerEnded chan struct{}      // closed when the last runner has ended; nil if there was none
+	closed      bool
+}
+
+func newHostedPartition(s *Service, number uint32) *hostedPartition {
+	p := &partition{number: number, state: newState(), clock: newHeadClock(), readConfirmationAge: s.readConfirmationAge}
+	return &hostedPartition{service: s, partition: p}
+}
+
+// start puts the replica to use.
+func (h *hostedPartition) start(node *chain.Node) {
+	h.node = node
+	h.partition.replica = node
+	node.OnView(func(v view.View) {
+		h.viewChanged()
+		h.service.reportSoon()
+		if !v.Has(h.service.options.Self.Replica) {
+			go h.service.reapplyPlacement(h.partition.number)
+		}
+	})
+	h.viewChanged()
+}
+
+// viewChanged starts a runner when the replica has become the head, and stops it when it is no longer.
+func (h *hostedPartition) viewChanged() {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	isHead := h.node.IsHead()
+	switch {
+	case isHead && h.stopRunning == nil && !h.closed:
+		h.startRunner()
+	case !isHead && h.stopRunning != nil:
+		h.stopRunner()
+	}
+}
+
+// startRunner starts a runner, which begins when the one before has ended. The caller holds the mutex.
+func (h *hostedPartition) startRunner() {
+	ctx, cancel := context.WithCancel(h.service.ctx)
+	previous, ended := h.runnerEnded, make(chan struct{})
+	h.stopRunning, h.runnerEnded = cancel, ended
+	go func() {
+		defer close(ended)
+		if previous != nil {
+			<-previous
+		}
+		r := newRunner(h.service.runnerConfig, h.partition)
+		h.runner.Store(r)
+		r.run(ctx)
+		h.runner.CompareAndSwap(r, nil)
+	}()
+}
+
+// stopRunner has the runner end, and forgets the confirmation by which it ran items. The caller holds the mutex.
+func (h *hostedPartition) stopRunner() {
+	h.stopRunning()
+	h.stopRunning = nil
+	h.partition.confirmation.reset()
+}
+
+// close ends all goroutines of the partition, waits for the runner, and closes the replica.
+func (h *hostedPartition) close() {
+	h.setLearner(false)
+	h.mutex.Lock()
+	h.closed = true
+	if h.stopRunning != nil {
+		h.stopRunner()
+	}
+	ended := h.runnerEnded
+	h.mutex.Unlock()
+	if ended != nil {
+		<-ended
+	}
+	h.node.Close()
+}
--- /dev/null
+++ b/internal/store/placement.go
@@ -0,0 +1,89 @@
+package store
+
+import (
+	"slices"
+
+	"go.uber.org/zap"
+
+	"nickelline/internal/placement"
+	"nickelline/internal/view"
+)
+
+// role is what the placement asks of this store for a partition.
+type role uint8
+
+const (
+	noRole role = iota
+	learnerRole
+	memberRole
+)
+
+func (s *Service) roleIn(p *placement.Partition) role {
+	self := s.options.Self.Replica
+	isSelf := func(m view.Member) bool { return m.Replica == self }
+	switch {
+	case p.View.Has(self):
+		return memberRole
+	case slices.ContainsFunc(p.Learners, isSelf):
+		return learnerRole
+	}
+	return noRole
+}
+
+// SetPlacement applies a placement. Partitions whose view is older than the newest known one are left out.
+func (s *Service) SetPlacement(table *placement.Table) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.closed {
+		return
+	}
+	for i := range table.Partitions {
+		placed := &table.Partitions[i]
+		if known := s.placed[placed.View.Chain]; known != nil && known.View.Epoch > placed.View.Epoch {
+			continue
+		}
+		s.placed[placed.View.Chain] = placed
+		s.apply(placed)
+	}
+}
+
+// apply opens the replica of a partition, installs the view there, or discards it. A replica that is no longer placed here is kept
+// until it knows that: it may be needed by the views before. The caller holds the mutex.
+func (s *Service) apply(p *placement.Partition) {
+	wanted := s.roleIn(p)
+	hosted := s.partitions[p.View.Chain]
+	if hosted == nil && wanted == noRole {
+		return
+	}
+	if hosted == nil {
+		var err error
+		if hosted, err = s.open(p.View.Chain); err != nil {
+			s.options.Log.Error("open partition failed", zap.Uint32("partition", p.View.Chain), zap.Error(err))
+			return
+		}
+	}
+	hosted.node.Install(p.View)
+	hosted.setLearner(wanted == learnerRole)
+	if wanted == noRole && hosted.node.View().Epoch >= p.View.Epoch {
+		s.discard(hosted)
+	}
+}
+
+// reapplyPlacement applies the placement of a partition again, after a view without this replica has come into force here.
+func (s *Service) reapplyPlacement(number uint32) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if placed := s.placed[number]; placed != nil && !s.closed && s.partitions[number] != nil {
+		s.apply(placed)
+	}
+}
+
+// membersOf returns the members of a partition by the placement, or nil if it is not known.
+func (s *Service) membersOf(number uint32) []view.Member {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if placed := s.placed[number]; placed != nil {
+		return placed.View.Members
+	}
+	return nil
+}
--- a/internal/store/report.go
+++ b/internal/store/progress.go
@@ -14,13 +14,14 @@
 const (
 	// reportTimeout bounds one report.
 	reportTimeout = 500 * time.Millisecond
-	// reportPause gathers changes that come together, and is the pause before another control node is told.
-	reportPause = 50 * time.Millisecond
+	// reportDelay is how long changes are gathered before they are reported together, and the pause before another control node is
+	// tried.
+	reportDelay = 50 * time.Millisecond
 	// maxReportTries bounds the control nodes that are tried for one report.
 	maxReportTries = 3
 )
 
-// Run tells the control nodes how far the partitions are here, at intervals and after changes, until ctx ends.
+// Run reports the progress of the partitions to the control nodes, at intervals and after changes, until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -30,14 +31,14 @@
 			return
 		case <-timer.C:
 		case <-s.changed:
-			pause.For(ctx, reportPause)
+			pause.For(ctx, reportDelay)
 		}
 		s.report(ctx)
 		timer.Reset(s.options.ReportInterval)
 	}
 }
 
-// reportSoon has the control nodes told of a change.
+// reportSoon has Run report a change. It does not block.
 func (s *Service) reportSoon() {
 	select {
 	case s.changed <- struct{}{}:
@@ -45,8 +46,7 @@
 	}
 }
 
-// report tells a control node how far the partitions are here, or that the disk does not work, so that this store is
-// taken out of the views.
+// report reports to the first control node that answers.
 func (s *Service) report(ctx context.Context) {
 	report := s.currentReport()
 	for try, to := range s.options.ControlNodes() {
@@ -56,7 +56,7 @@
 		if s.sendReport(ctx, to, report) {
 			return
 		}
-		pause.For(ctx, reportPause)
+		pause.For(ctx, reportDelay)
 	}
 }
 
@@ -65,26 +65,28 @@
 	defer cancel()
 	err := control.ReportReplicas(ctx, s.options.Transport, to, report)
 	if err != nil {
-		s.options.Log.Debug("report to a control node", zap.Stringer("to", to), zap.Error(err))
+		s.options.Log.Debug("report progress failed", zap.Stringer("peer", to), zap.Error(err))
 	}
 	return err == nil
 }
 
-func (s *Service) impaired() bool {
+// isImpaired reports whether the disk of any partition does not work properly.
+func (s *Service) isImpaired() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, opened := range s.partitions {
-		if opened.node.Impaired() {
+	for _, hosted := range s.partitions {
+		if hosted.node.Impaired() {
 			return true
 		}
 	}
 	return false
 }
 
+// currentReport returns the progress of the partitions, or that the store is impaired, by which it is taken out of the views.
 func (s *Service) currentReport() control.Report {
 	report := control.Report{
 		Store:    control.Store{Name: s.options.Self.Name, Replica: uint64(s.options.Self.Replica)},
-		Impaired: s.impaired(),
+		Impaired: s.isImpaired(),
 	}
 	if !report.Impaired {
 		report.Chains = s.progress()
@@ -92,19 +94,19 @@
 	return report
 }
 
-// progress tells how far all partitions are here.
+// progress returns how far each partition is here.
 func (s *Service) progress() []control.ChainStatus {
 	var chains []control.ChainStatus
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for number, opened := range s.partitions {
-		status := opened.node.Status()
+	for number, hosted := range s.partitions {
+		status := hosted.node.Status()
 		chains = append(chains, control.ChainStatus{
 			Chain:    number,
 			Epoch:    status.Epoch,
 			Complete: status.Complete,
 			CaughtUp: status.CaughtUp,
-			Running:  uint32(opened.partition.running.Load()),
+			Running:  uint32(hosted.partition.running.Load()),
 		})
 	}
 	return chains
--- /dev/null
+++ b/internal/store/scheduler/item.go
@@ -0,0 +1,56 @@
+package scheduler
+
+import (
+	"slices"
+
+	"nickelline/internal/batch"
+	"nickelline/internal/store/itemtext"
+)
+
+// Item is an item that has not ended, with what its attempts have brought so far. While an attempt runs, that alone uses the
+// fields below Open; otherwise they are guarded like the schedule.
+type Item struct {
+	Job  *Job
+	Open batch.OpenItem
+	Text itemtext.Text
+	// AvoidBackend is the id of the backend of the last attempt, if that failed.
+	AvoidBackend string
+
+	serverErrors  int // attempts that were answered by an internal server error
+	emptyAttempts int // attempts in a row that brought nothing
+}
+
+// begun reports whether an earlier attempt has brought a part of the text.
+func (i *Item) begun() bool { return i.Text.Events() > 0 }
+
+// Job is a job that has items which have not ended.
+type Job struct {
+	Open    batch.Open
+	Urgency Urgency
+
+	waiting   []*Item // in the order in which they are to run
+	remaining int     // items that have not ended: waiting, delayed or running
+}
+
+func newJob(open batch.Open) *Job {
+	j := &Job{Open: open, remaining: len(open.Items)}
+	for _, item := range open.Items {
+		j.waiting = append(j.waiting, &Item{
+			Job:  j,
+			Open: item,
+			Text: itemtext.FromCheckpoint(item.Events, item.LastEvent),
+		})
+	}
+	slices.SortStableFunc(j.waiting, begunFirst)
+	return j
+}
+
+func begunFirst(a, b *Item) int {
+	switch {
+	case a.begun() == b.begun():
+		return 0
+	case a.begun():
+		return -1
+	}
+	return 1
+}
--- /dev/null
+++ b/internal/store/scheduler/schedule.go
@@ -0,0 +1,123 @@
+package scheduler
+
+import (
+	"iter"
+	"maps"
+	"time"
+
+	"nickelline/internal/batch"
+)
+
+// Schedule holds the jobs of one partition that have items which have not ended, and decides which item runs next. It is not
+// safe for concurrent use. Running items are known to the caller alone, until it calls DelayItem or Complete.
+type Schedule struct {
+	jobs      map[batch.Key]*Job
+	queue     queue
+	delayed   []delayedItem
+	paused    map[string]time.Time // by route: no item of it runs before
+	suspended time.Time            // no item at all runs before
+}
+
+// NewSchedule returns a schedule without jobs.
+func NewSchedule() *Schedule {
+	return &Schedule{jobs: map[batch.Key]*Job{}, paused: map[string]time.Time{}}
+}
+
+// Add adds a job behind the others of its tenant. A job that is already there is not changed.
+func (s *Schedule) Add(open batch.Open) {
+	if s.jobs[open.Key] != nil {
+		return
+	}
+	added := newJob(open)
+	s.jobs[open.Key] = added
+	s.queue.add(added)
+}
+
+// Job returns the job with a key, or nil if it is not in the schedule.
+func (s *Schedule) Job(key batch.Key) *Job { return s.jobs[key] }
+
+// Contains reports whether a job is still in the schedule: it was neither removed nor have all of its items been completed.
+func (s *Schedule) Contains(j *Job) bool { return s.jobs[j.Open.Key] == j }
+
+// Jobs returns all jobs, in no particular order.
+func (s *Schedule) Jobs() iter.Seq[*Job] { return maps.Values(s.jobs) }
+
+// Len returns the number of jobs.
+func (s *Schedule) Len() int { return len(s.jobs) }
+
+// Waiting returns the number of items that are neither running nor delayed.
+func (s *Schedule) Waiting() int { return s.queue.waiting }
+
+// Delayed returns the number of items that wait for their delay to end.
+func (s *Schedule) Delayed() int { return len(s.delayed) }
+
+// Remove removes a job with its waiting and delayed items.
+func (s *Schedule) Remove(j *Job) {
+	delete(s.jobs, j.Open.Key)
+	s.queue.remove(j)
+	s.takeDelayed(j)
+}
+
+// Next removes and returns the item that runs next, or nil if none may run now. Items whose results are late run only while no
+// other may.
+func (s *Schedule) Next(now time.Time) *Item {
+	mayRun := func(j *Job) bool { return !s.paused[j.Open.Route].After(now) }
+	inTime := func(j *Job) bool { return !j.Urgency.Late && mayRun(j) }
+	if item := s.queue.pop(inTime); item != nil {
+		return item
+	}
+	return s.queue.pop(mayRun)
+}
+
+// GiveBack returns an item that Next returned and that was not run. It goes before the others of its job.
+func (s *Schedule) GiveBack(item *Item) { s.queue.pushFront(item) }
+
+// Complete notes that an item has ended. A job all of whose items have ended is removed.
+func (s *Schedule) Complete(item *Item) {
+	j := item.Job
+	j.remaining--
+	if j.remaining == 0 && s.Contains(j) {
+		s.Remove(j)
+	}
+}
+
+// TakeWaiting removes and returns the waiting and delayed items of a job, which stays in the schedule. The caller has to call
+// Complete for each.
+func (s *Schedule) TakeWaiting(j *Job) []*Item {
+	return append(s.queue.takeWaiting(j), s.takeDelayed(j)...)
+}
+
+// MostUrgent returns the urgency of the most urgent job that has waiting items of a route. It returns false if there is none.
+func (s *Schedule) MostUrgent(route string) (Urgency, bool) {
+	if j := s.queue.mostUrgent(route); j != nil {
+		return j.Urgency, true
+	}
+	return Urgency{}, false
+}
+
+// RouteCounts are the numbers of items of one route in a schedule.
+type RouteCounts struct {
+	// Waiting items are not running; delayed ones are included.
+	Waiting int
+	// Late items are those of Waiting whose job's completion target has passed. Delayed ones are not included.
+	Late int
+}
+
+// CountByRoute returns the numbers of items of each route that has any jobs.
+func (s *Schedule) CountByRoute() map[string]RouteCounts {
+	counts := map[string]RouteCounts{}
+	for _, j := range s.jobs {
+		count := counts[j.Open.Route]
+		count.Waiting += len(j.waiting)
+		if j.Urgency.Late {
+			count.Late += len(j.waiting)
+		}
+		counts[j.Open.Route] = count
+	}
+	for _, d := range s.delayed {
+		count := counts[d.item.Job.Open.Route]
+		count.Waiting++
+		counts[d.item.Job.Open.Route] = count
+	}
+	return counts
+}
--- a/internal/store/service.go
+++ b/internal/store/service.go
@@ -4,23 +4,15 @@
 	"context"
 	"errors"
 	"fmt"
-	"net/netip"
 	"path"
-	"slices"
 	"strconv"
 	"strings"
 	"sync"
 	"time"
 
 	"github.com/ansel1/merry/v2"
-	"go.uber.org/zap"
 
-	"nickelline/internal/admission"
 	"nickelline/internal/chain"
-	"nickelline/internal/configuration"
-	"nickelline/internal/discovery"
-	"nickelline/internal/fault"
-	"nickelline/internal/peer"
 	"nickelline/internal/placement"
 	"nickelline/internal/segment"
 	"nickelline/internal/settings"
@@ -28,112 +20,77 @@
 )
 
 const (
-	// partitionDirectory begins the name of the directory of a partition.
-	partitionDirectory = "partition-"
-	// Parts of the bounds of the deployment that proofs may be old.
-	sendProofParts = 3
-	readProofParts = 3
-	// Bounds where the deployment sets none.
-	defaultCancellation   = 3 * time.Second
-	defaultSettlement     = time.Second
-	defaultStatusInterval = 120 * time.Second
-	// paceInterval is the rhythm in which running items are read.
-	paceInterval = 100 * time.Millisecond
-	// checkpointInterval is how much of the making of a text may be lost with a head.
-	checkpointInterval = 1500 * time.Millisecond
-	// statusMargin is kept on top of the time for which closed jobs are kept.
-	statusMargin = 5 * time.Second
-	// Items that run at one time may take a part of the memory.
-	itemMemory      = 128 << 10
-	itemMemoryParts = 4
-	mostRunning     = 1000
+	// partitionDirectoryPrefix begins the name of the directory of a partition.
+	partitionDirectoryPrefix = "partition-"
+	// A confirmation for reads has to be younger than this share of the time within which what is committed has to show.
+	readConfirmationShare = 3
+	// defaultSettlement is that time where the deployment sets none.
+	defaultSettlement = time.Second
 )
 
-// Options set up the store role.
-type Options struct {
-	// Self names this store's replica, with the identity on its disk.
-	Self            view.Member
-	Transport       *peer.Transport
-	Registry        *chain.Registry
-	FileSystem      segment.FileSystem
-	Directory       string
-	MinimumReplicas int
-	Bounds          settings.Bounds
-	MemoryMB        int
-	Admission       Admission
-	Sender          Sender
-	// Configuration gives the configuration, and whether it is proven to be current as closely as for live requests.
-	Configuration func() (*configuration.Snapshot, bool)
-	// ControlNodes gives the internal addresses of the control nodes that are alive, those of the own zone first.
-	ControlNodes func() []netip.AddrPort
-	// ReportInterval is how often the control nodes are told how far the partitions are here, besides all changes.
-	ReportInterval time.Duration
-	// OnFailure is called if a disk fails.
-	OnFailure func(error)
-	Log       *zap.Logger
-}
-
-// PoolAdmission admits items through the pools of their services.
-type PoolAdmission func(service string) *admission.Pool
-
-// Pick implements Admission.
-func (p PoolAdmission) Pick(service string, now time.Time, r admission.Request) (discovery.Backend, Permit, *admission.Refusal) {
-	pool := p(service)
-	if pool == nil {
-		return discovery.Backend{}, nil, &admission.Refusal{}
-	}
-	ticket, refusal := pool.Pick(now, r)
-	if refusal != nil {
-		return discovery.Backend{}, nil, refusal
-	}
-	return ticket.Backend, ticket, nil
-}
-
-// Service is the store role of a process.
+// Service is the store role of a process: it hosts partitions by the placement, and answers the calls of the proxies for them.
+//
+// Goroutines: those of the hosted partitions (see hostedPartition), and that of Run, which the caller starts. Close ends the
+// former and waits for the runners.
 type Service struct {
-	options   Options
-	execution *Execution
-	readBound time.Duration
+	options             Options
+	runnerConfig        *runnerConfig
+	readConfirmationAge time.Duration
 
-	ctx     context.Context
+	ctx     context.Context // of all that runs for partitions; ended by Close
 	cancel  context.CancelFunc
-	changed chan struct{} // what is to be reported to the control nodes
+	changed chan struct{} // holds one element if there are changes to report to the control nodes
 
 	mutex      sync.Mutex
-	partitions map[uint32]*served
-	placed     map[uint32]*placement.Partition // the newest of each partition
+	partitions map[uint32]*hostedPartition
+	placed     map[uint32]*placement.Partition // the newest placement of each partition
 	closed     bool
 }
 
-// New opens the partitions that the directory holds and sets the handlers on a transport that has not been started. If a
-// log is damaged the replica is lost: its files and its identity are removed, and the next start makes a new one.
+// New opens the partitions in the directory, and sets the handlers on a transport that has not been started. If a log is damaged
+// the replica is lost: its files and its identity are removed, the error is segment.ErrDamaged, and the next start makes a new
+// replica.
 func New(options Options) (*Service, error) {
+	settlement := durationOr(settings.Milliseconds(options.Bounds.SettlementMs), defaultSettlement)
 	s := &Service{
-		options:    options,
-		execution:  newExecution(&options),
-		readBound:  boundOr(settings.Milliseconds(options.Bounds.SettlementMs), defaultSettlement) / readProofParts,
-		partitions: map[uint32]*served{},
-		placed:     map[uint32]*placement.Partition{},
-		changed:    make(chan struct{}, 1),
+		options:             options,
+		runnerConfig:        newRunnerConfig(&options),
+		readConfirmationAge: settlement / readConfirmationShare,
+		partitions:          map[uint32]*hostedPartition{},
+		placed:              map[uint32]*placement.Partition{},
+		changed:             make(chan struct{}, 1),
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	if err := options.FileSystem.MakeDirectory(options.Directory); err != nil {
-		return nil, err
+	if err := s.openDirectories(); err != nil {
+		s.Close()
+		return nil, s.openFailed(err)
+	}
+	s.registerHandlers()
+	return s, nil
+}
+
+// openDirectories opens the partitions that are in the directory.
+func (s *Service) openDirectories() error {
+	if err := s.options.FileSystem.MakeDirectory(s.options.Directory); err != nil {
+		return fmt.Errorf("make directory of partitions: %w", err)
 	}
-	names, err := options.FileSystem.List(options.Directory)
+	names, err := s.options.FileSystem.List(s.options.Directory)
 	if err != nil {
-		return nil, err
+		return fmt.Errorf("list directory of partitions: %w", err)
 	}
 	for _, name := range names {
-		if err := s.openDirectory(name); err != nil {
-			s.Close()
-			return nil, s.openFailed(err)
+		number, ok := partitionOfDirectory(name)
+		if !ok {
+			continue
+		}
+		if _, err := s.open(number); err != nil {
+			return err
 		}
 	}
-	s.register()
-	return s, nil
+	return nil
 }
 
+// openFailed returns the error with which New fails. If a log is damaged it discards the replica.
 func (s *Service) openFailed(err error) error {
 	if !errors.Is(err, segment.ErrDamaged) {
 		return err
@@ -141,166 +98,50 @@
 	return errors.Join(merry.Prepend(err, "the replica is lost, the next start makes a new one"), s.discardAll())
 }
 
-// boundOr gives a bound, or what is taken where the deployment sets none.
-func boundOr(bound, otherwise time.Duration) time.Duration {
-	if bound > 0 {
-		return bound
-	}
-	return otherwise
-}
-
-func newExecution(o *Options) *Execution {
-	cancellation := boundOr(settings.Milliseconds(o.Bounds.CancellationMs), defaultCancellation)
-	status := boundOr(settings.Seconds(o.Bounds.StatusIntervalS), defaultStatusInterval)
-	running := min(o.MemoryMB<<20/itemMemoryParts/itemMemory, mostRunning)
-	return &Execution{
-		Admission:          o.Admission,
-		Sender:             o.Sender,
-		Configuration:      known(o.Configuration),
-		ProofBound:         cancellation / sendProofParts,
-		LostBound:          cancellation,
-		StatusInterval:     status + statusMargin,
-		CheckpointInterval: checkpointInterval,
-		Slots:              newSlots(max(running, 1)),
-		Turns:              newTurns(),
-		Pacer:              &pacer{interval: paceInterval},
-		Log:                o.Log,
-	}
-}
-
-// known takes a configuration that has not come yet for one that is not current.
-func known(configured func() (*configuration.Snapshot, bool)) func() (*configuration.Snapshot, bool) {
-	return func() (*configuration.Snapshot, bool) {
-		snapshot, current := configured()
-		return snapshot, current && snapshot != nil
-	}
-}
-
-func (s *Service) openDirectory(name string) error {
-	digits, ok := strings.CutPrefix(name, partitionDirectory)
+// partitionOfDirectory returns the partition whose directory has a name. It returns false if that is no partition's.
+func partitionOfDirectory(name string) (uint32, bool) {
+	digits, ok := strings.CutPrefix(name, partitionDirectoryPrefix)
 	if !ok {
-		return nil
+		return 0, false
 	}
 	number, err := strconv.ParseUint(digits, 10, 32)
-	if err != nil {
-		return nil
-	}
-	_, err = s.open(uint32(number))
-	return err
+	return uint32(number), err == nil
+}
+
+func (s *Service) directoryOf(number uint32) string {
+	return path.Join(s.options.Directory, fmt.Sprintf("%s%d", partitionDirectoryPrefix, number))
 }
 
-// open restores the replica of a partition, or makes an empty one.
-func (s *Service) open(number uint32) (*served, error) {
-	opened := newServed(s, number)
+// open opens the replica of a partition, which is empty if there is none on the disk, and puts it to use. The caller holds the
+// mutex, or is New.
+func (s *Service) open(number uint32) (*hostedPartition, error) {
+	hosted := newHostedPartition(s, number)
 	node, err := chain.Open(chain.Options{
 		Chain:           number,
 		Self:            s.options.Self,
 		Registry:        s.options.Registry,
 		FileSystem:      s.options.FileSystem,
-		Directory:       s.directory(number),
-		Machine:         opened.partition.state,
+		Directory:       s.directoryOf(number),
+		Machine:         hosted.partition.state,
 		MinimumReplicas: s.options.MinimumReplicas,
 		OnFailure:       s.options.OnFailure,
 		OnStall:         s.reportSoon,
 		Log:             s.options.Log,
 	})
 	if err != nil {
-		return nil, err
-	}
-	opened.start(node)
-	s.partitions[number] = opened
-	return opened, nil
-}
-
-// duty is what the placement asks of this store for a partition.
-type duty uint8
-
-const (
-	noDuty duty = iota
-	learnerDuty
-	memberDuty
-)
-
-func (s *Service) dutyIn(p *placement.Partition) duty {
-	self := s.options.Self.Replica
-	switch {
-	case p.View.Has(self):
-		return memberDuty
-	case slices.ContainsFunc(p.Learners, func(m view.Member) bool { return m.Replica == self }):
-		return learnerDuty
-	}
-	return noDuty
-}
-
-// SetPlacement takes over a placement. Of views that are older than those known nothing is taken.
-func (s *Service) SetPlacement(table *placement.Table) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if s.closed {
-		return
-	}
-	for i := range table.Partitions {
-		placed := &table.Partitions[i]
-		if known := s.placed[placed.View.Chain]; known != nil && known.View.Epoch > placed.View.Epoch {
-			continue
-		}
-		s.placed[placed.View.Chain] = placed
-		s.place(placed)
-	}
-}
-
-// place opens, informs or discards the replica of a partition.
-func (s *Service) place(p *placement.Partition) {
-	asked := s.dutyIn(p)
-	opened := s.partitions[p.View.Chain]
-	if opened == nil && asked == noDuty {
-		return
-	}
-	if opened == nil {
-		var err error
-		if opened, err = s.open(p.View.Chain); err != nil {
-			s.options.Log.Error("open partition", zap.Uint32("partition", p.View.Chain), zap.Error(err))
-			return
-		}
-	}
-	opened.node.Install(p.View)
-	opened.learn(asked == learnerDuty)
-	if asked == noDuty && opened.node.View().Epoch >= p.View.Epoch {
-		s.discard(opened)
-	}
-}
-
-// review looks again at the placement of a partition, after another view came into force here.
-func (s *Service) review(number uint32) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if placed := s.placed[number]; placed != nil && !s.closed && s.partitions[number] != nil {
-		s.place(placed)
+		return nil, fmt.Errorf("open partition %d: %w", number, err)
 	}
+	hosted.start(node)
+	s.partitions[number] = hosted
+	return hosted, nil
 }
 
-func (s *Service) directory(number uint32) string {
-	return path.Join(s.options.Directory, fmt.Sprintf("%s%d", partitionDirectory, number))
-}
-
-// Close calls off all that runs and closes the partitions.
-func (s *Service) Close() {
-	s.cancel()
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.closed = true
-	for number, p := range s.partitions {
-		delete(s.partitions, number)
-		p.close()
-	}
-}
-
-// find gives a partition that is kept here, or where it is.
+// find returns a partition that is hosted here, or nil and the view by which it is hosted elsewhere, if that is known.
 func (s *Service) find(number uint32) (*partition, view.View) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if p := s.partitions[number]; p != nil {
-		return p.partition, view.View{}
+	if hosted := s.partitions[number]; hosted != nil {
+		return hosted.partition, view.View{}
 	}
 	if placed := s.placed[number]; placed != nil {
 		return nil, placed.View
@@ -308,14 +149,14 @@
 	return nil, view.View{}
 }
 
-// membersOf gives the members of a partition, as the placement tells.
-func (s *Service) membersOf(number uint32) []view.Member {
+// Close cancels all that runs, waits for it, and closes the partitions.
+func (s *Service) Close() {
+	s.cancel()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if placed := s.placed[number]; placed != nil {
-		return placed.View.Members
+	s.closed = true
+	for number, hosted := range s.partitions {
+		delete(s.partitions, number)
+		hosted.close()
 	}
-	return nil
 }
-
-var errNoView = fault.New(fault.NotReady, "no view of the partition is known here")
--- a/internal/store/state.go
+++ b/internal/store/state.go
@@ -6,43 +6,47 @@
 	"nickelline/internal/batch"
 )
 
-// listener is told of changes after they were applied. It must not block.
-type listener interface {
-	jobTaken(batch.Key)
+// stateListener is notified of changes after they were applied, without the lock of the state. Its methods must not block.
+type stateListener interface {
+	// jobAdded: a job was submitted, and its items wait.
+	jobAdded(batch.Key)
+	// jobEnded: a job was ended, and none of its items may run any longer.
 	jobEnded(batch.Key)
+	// stateRestored: the whole state was replaced by a snapshot.
 	stateRestored()
 }
 
-// state is a partition's machine, guarded for readers beside the chain, with watchers of single jobs.
+// state is the state machine of a partition. The chain applies committed commands to it, while others read it; it notifies one
+// listener, and wakes those who wait for results of a job. It is safe for concurrent use.
 type state struct {
 	mutex    sync.RWMutex
 	machine  *batch.Machine
-	changes  changes // since the last notification
-	watchers map[batch.Key]chan struct{}
-	listener listener
+	changes  changes                     // since the last notification
+	watchers map[batch.Key]chan struct{} // closed when the job changes
+	listener stateListener
 }
 
-// changes is what one command changed.
+// changes are the jobs that one command changed.
 type changes struct {
-	taken    []batch.Key
-	listed   []batch.Key
+	added    []batch.Key
+	listed   []batch.Key // got results
 	ended    []batch.Key
 	restored bool
 }
 
 func newState() *state {
 	s := &state{watchers: map[batch.Key]chan struct{}{}}
-	s.machine = batch.New((*collector)(s))
+	s.machine = batch.New((*changeCollector)(s))
 	return s
 }
 
-// collector notes changes while the machine is locked.
-type collector state
+// changeCollector is the machine's observer: it collects changes while the machine is locked.
+type changeCollector state
 
-func (c *collector) Taken(key batch.Key)  { c.changes.taken = append(c.changes.taken, key) }
-func (c *collector) Listed(key batch.Key) { c.changes.listed = append(c.changes.listed, key) }
-func (c *collector) Ended(key batch.Key)  { c.changes.ended = append(c.changes.ended, key) }
-func (c *collector) Restored()            { c.changes.restored = true }
+func (c *changeCollector) Taken(key batch.Key)  { c.changes.added = append(c.changes.added, key) }
+func (c *changeCollector) Listed(key batch.Key) { c.changes.listed = append(c.changes.listed, key) }
+func (c *changeCollector) Ended(key batch.Key)  { c.changes.ended = append(c.changes.ended, key) }
+func (c *changeCollector) Restored()            { c.changes.restored = true }
 
 // Apply implements chain.Machine.
 func (s *state) Apply(sequence uint64, command []byte) []byte {
@@ -67,63 +71,64 @@
 	return err
 }
 
-// notify unlocks the machine and tells of what changed.
+// notify unlocks the machine and notifies all of what changed.
 func (s *state) notify() {
 	changed := s.changes
 	s.changes = changes{}
-	s.wake(changed)
-	told := s.listener
+	s.wakeWatchers(changed)
+	listener := s.listener
 	s.mutex.Unlock()
-	if told == nil {
+	if listener == nil {
 		return
 	}
 	if changed.restored {
-		told.stateRestored()
+		listener.stateRestored()
 	}
-	for _, key := range changed.taken {
-		told.jobTaken(key)
+	for _, key := range changed.added {
+		listener.jobAdded(key)
 	}
 	for _, key := range changed.ended {
-		told.jobEnded(key)
+		listener.jobEnded(key)
 	}
 }
 
-func (s *state) wake(changed changes) {
+func (s *state) wakeWatchers(changed changes) {
 	if changed.restored {
 		for key := range s.watchers {
-			s.wakeJob(key)
+			s.wakeWatcher(key)
 		}
 	}
 	for _, key := range changed.listed {
-		s.wakeJob(key)
+		s.wakeWatcher(key)
 	}
 	for _, key := range changed.ended {
-		s.wakeJob(key)
+		s.wakeWatcher(key)
 	}
 }
 
-func (s *state) wakeJob(key batch.Key) {
+func (s *state) wakeWatcher(key batch.Key) {
 	if watcher, ok := s.watchers[key]; ok {
 		close(watcher)
 		delete(s.watchers, key)
 	}
 }
 
-// listen replaces the listener. Changes that are being applied may still reach the former one.
-func (s *state) listen(l listener) {
+// setListener replaces the listener; nil removes it. Changes that are being applied may still reach the former one.
+func (s *state) setListener(l stateListener) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.listener = l
 }
 
-// read calls a function while nothing is applied.
+// read calls a function that reads the machine, while nothing is applied.
 func (s *state) read(f func(*batch.Machine)) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	f(s.machine)
 }
 
-// results reads a page, and gives with it a channel that is closed when the job changes after that.
+// results reads a page of a job's results, and reports whether the job is known. If the page is empty but may not stay so, changed
+// is closed when the job changes; otherwise it is nil.
 func (s *state) results(key batch.Key, from, maxBytes int) (page batch.Page, known bool, changed <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -139,6 +144,7 @@
 	return page, known, watcher
 }
 
+// body reads the body of an item that is still kept.
 func (s *state) body(key batch.Key, identifier string) (body []byte, ok bool) {
 	s.read(func(m *batch.Machine) { body, ok = m.Body(key, identifier) })
 	return body, ok
--- /dev/null
+++ b/internal/store/upkeep.go
@@ -0,0 +1,119 @@
+package store
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"nickelline/internal/batch"
+	"nickelline/internal/configuration"
+	"nickelline/internal/store/scheduler"
+)
+
+const (
+	// dropInterval is how often closed jobs are looked for that need not be kept any longer, while any jobs are kept.
+	dropInterval = 5 * time.Second
+	// retentionMargin is kept on top of the time after which an item may be abandoned.
+	retentionMargin = time.Second
+)
+
+// cancelAttempts cancels attempts whose backend is unresponsive, or all if this store may no longer be the head.
+func (r *runner) cancelAttempts(ctx context.Context, now time.Time) {
+	r.renewConfirmation(ctx)
+	mayBeDeposed := !r.partition.confirmation.isYoungerThan(r.config.stepDownAfter)
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	for _, a := range r.running {
+		switch {
+		case mayBeDeposed:
+			a.cancel(errNotHead)
+		case a.isUnresponsive(now):
+			a.cancel(errUnresponsive)
+		}
+	}
+}
+
+// renewConfirmation renews the confirmation that this store is the head, if items run and commits have not done so lately.
+func (r *runner) renewConfirmation(ctx context.Context) {
+	r.mutex.Lock()
+	busy := len(r.running) > 0
+	r.mutex.Unlock()
+	if !busy {
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, r.config.sendConfirmationAge)
+	defer cancel()
+	if err := r.partition.confirm(ctx, r.config.sendConfirmationAge); err != nil {
+		r.config.log.Debug("confirm head failed", zap.Uint32("partition", r.partition.number), zap.Error(err))
+	}
+}
+
+// reviewJobs renews the urgency of all jobs, and abandons waiting items of jobs that are older than their route's retention.
+func (r *runner) reviewJobs(ctx context.Context, now time.Time) {
+	snapshot, current := r.config.configuration()
+	if !current {
+		return
+	}
+	clock := r.partitionTime(now)
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	for j := range r.schedule.Jobs() {
+		route := snapshot.RouteByName(j.Open.Route)
+		if route == nil {
+			continue
+		}
+		age := clock - j.Open.Born
+		j.Urgency = r.urgencyOf(route, j, age)
+		if route.Retention > 0 && age >= route.Retention+retentionMargin {
+			r.abandonWaiting(ctx, j)
+		}
+	}
+}
+
+// partitionTime returns the time of the partition's clock, which goes on from head to head.
+func (r *runner) partitionTime(now time.Time) (clock time.Duration) {
+	reading := r.partition.clock.reading(now)
+	r.partition.state.read(func(m *batch.Machine) { clock = m.Now(reading) })
+	return clock
+}
+
+// urgencyOf returns the urgency of a job of some age.
+func (r *runner) urgencyOf(route *configuration.Route, j *scheduler.Job, age time.Duration) scheduler.Urgency {
+	var queuedTokens int64
+	if route.MaxQueuedTokens > 0 {
+		queuedTokens = r.queuedTokens(j.Open.Key.Tenant, j.Open.Route)
+	}
+	return scheduler.UrgencyOf(route, age, queuedTokens)
+}
+
+// queuedTokens returns how many tokens a tenant has queued on a route.
+func (r *runner) queuedTokens(tenant, route string) (tokens int64) {
+	r.partition.state.read(func(m *batch.Machine) { tokens = m.QueuedTokens(tenant, route) })
+	return tokens
+}
+
+// abandonWaiting abandons the items of a job that do not run. The caller holds the mutex.
+func (r *runner) abandonWaiting(ctx context.Context, j *scheduler.Job) {
+	for _, item := range r.schedule.TakeWaiting(j) {
+		r.abandonItem(ctx, item)
+	}
+}
+
+// dropClosedJobs drops the jobs that have been closed for so long that they need not be kept any longer.
+func (r *runner) dropClosedJobs(ctx context.Context, now time.Time) {
+	if now.Sub(r.cleaned) < dropInterval {
+		return
+	}
+	r.cleaned = now
+	reading := r.partition.clock.reading(now)
+	var overdue []batch.Key
+	r.partition.state.read(func(m *batch.Machine) { overdue = m.Overdue(reading, r.config.statusInterval) })
+	if len(overdue) == 0 {
+		return
+	}
+	if _, err := r.partition.propose(ctx, &batch.Command{Drop: overdue}); err != nil {
+		r.config.log.Debug("drop closed jobs failed", zap.Uint32("partition", r.partition.number),
+			zap.Int("jobs", len(overdue)), zap.Error(err))
+	}
+}
--- /dev/null
+++ b/internal/store/writes.go
@@ -0,0 +1,78 @@
+package store
+
+import (
+	"context"
+
+	"nickelline/internal/batch"
+	"nickelline/internal/batch/batchcall"
+	"nickelline/internal/fault"
+)
+
+var errQueueFull = fault.New(fault.QuotaExceeded, "the job does not fit the tokens that may wait")
+
+// submit accepts a job once it is committed. An error of a kind other than Unclear promises that nothing of the job is or will be
+// committed.
+func (p *partition) submit(ctx context.Context, r *batchcall.SubmitRequest) (*batchcall.Reply, error) {
+	if redirect := p.redirect(); redirect != nil {
+		return &batchcall.Reply{Redirect: redirect}, nil
+	}
+	take := &batch.Take{Job: r.Job, MaxQueuedTokens: r.MaxQueuedTokens}
+	if !p.confirmation.isYoungerThan(p.readConfirmationAge) || p.fits(take.Offer()) {
+		return p.commitJob(ctx, take)
+	}
+	return nil, errQueueFull // the job's bodies need not be sent along the chain for that
+}
+
+// commitJob has a job committed.
+func (p *partition) commitJob(ctx context.Context, take *batch.Take) (*batchcall.Reply, error) {
+	outcome, err := p.propose(ctx, &batch.Command{Take: take})
+	switch {
+	case err != nil:
+		return nil, submitError(err)
+	case outcome == batch.QuotaExceeded:
+		return nil, errQueueFull
+	case outcome != batch.Done:
+		return nil, fault.New(fault.Internal, "the job could not be read")
+	}
+	return &batchcall.Reply{}, nil
+}
+
+// submitError returns an error of a proposal as that of a submission: any kind but NotReady becomes Unclear, as the job may have
+// been appended to the log.
+func submitError(err error) error {
+	if fault.KindOf(err) == fault.NotReady {
+		return err
+	}
+	return fault.Wrap(fault.Unclear, err)
+}
+
+// offer returns no error if a job would be accepted now. It changes nothing.
+func (p *partition) offer(ctx context.Context, r *batchcall.OfferRequest) (*batchcall.Reply, error) {
+	if redirect := p.redirect(); redirect != nil {
+		return &batchcall.Reply{Redirect: redirect}, nil
+	}
+	if err := p.confirmRead(ctx, p.readConfirmationAge); err != nil {
+		return p.redirectOr(err)
+	}
+	if !p.fits(r.Offer) {
+		return nil, errQueueFull
+	}
+	return &batchcall.Reply{}, nil
+}
+
+// fits reports whether a job would be accepted by the state that is applied here.
+func (p *partition) fits(o batch.Offer) (fits bool) {
+	p.state.read(func(m *batch.Machine) { fits = m.Fits(o) })
+	return fits
+}
+
+// end ends a job: once this is committed, none of its items is run any longer.
+func (p *partition) end(ctx context.Context, r *batchcall.EndRequest) (*batchcall.Reply, error) {
+	if redirect := p.redirect(); redirect != nil {
+		return &batchcall.Reply{Redirect: redirect}, nil
+	}
+	if _, err := p.propose(ctx, &batch.Command{End: &r.Key}); err != nil {
+		return nil, err
+	}
+	return &batchcall.Reply{}, nil
+}
