--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -7,15 +7,15 @@
 
 // account is what the allocator keeps of a tenant.
 type account struct {
-	leased   Share   // sum over all leases
-	released Share   // given up since the allocator began, while it does not know all leases
-	demand   float64 // sum over all leases
-	leases   int     // of leases
-	tokens   float64
-	filledAt time.Time
+	leased   Share     // sum of what is outstanding
+	released Share     // given up by leaseholders during the grace period
+	demand   float64   // sum over all leases
+	leases   int       // number of leases
+	tokens   float64   // in the allocator's bucket
+	filledAt time.Time // up to which tokens are added
 }
 
-// accountOf finds a tenant's account, its bucket filled up to now.
+// accountOf returns a tenant's account, with its bucket filled up to now.
 func (a *Allocator) accountOf(now time.Time, tenant string, limit Limit) *account {
 	t := a.tenants[tenant]
 	if t == nil {
@@ -29,7 +29,7 @@
 	return t
 }
 
-// fill adds to the tenant's bucket what of its rate was not leased since the last time.
+// fill adds to the tenant's bucket what of its rate was not leased since the last call.
 func (a *Allocator) fill(now time.Time, t *account, limit Limit) {
 	from := t.filledAt
 	t.filledAt = now
@@ -45,7 +45,8 @@
 	t.tokens = min(t.tokens, (1-depthFraction)*capacity, max(0, capacity-t.leased.Depth))
 }
 
-// free is what may be leased anew, as a whole.
+// free returns the share that may be leased in addition. During the grace period that is only what leaseholders have
+// released.
 func (a *Allocator) free(now time.Time, t *account, limit Limit) Share {
 	if !a.graceEnded(now) {
 		return t.released
@@ -53,8 +54,8 @@
 	return Share{Rate: limit.Rate - t.leased.Rate, Depth: a.policy.capacity(limit) - t.leased.Depth - t.tokens}
 }
 
-// reclaim takes what the holder says that it holds: by a lease of this allocator, of which it may have given up a part,
-// or by one of a former allocator.
+// reclaim records the share that the leaseholder says it has: of a lease of this allocator, which it may have reduced,
+// or of a lease of a former one.
 func (a *Allocator) reclaim(now time.Time, h *leaseholder, t *account, e *Entry) *lease {
 	l := h.leases[e.Tenant]
 	if l == nil {
@@ -69,19 +70,19 @@
 	return l
 }
 
-// setOutstanding sets what a lease may hold at most.
-func (a *Allocator) setOutstanding(now time.Time, t *account, l *lease, most Share) {
-	rate, depth := most.Rate-l.outstanding.Rate, most.Depth-l.outstanding.Depth
+// setOutstanding changes the share that counts as leased.
+func (a *Allocator) setOutstanding(now time.Time, t *account, l *lease, share Share) {
+	rate, depth := share.Rate-l.outstanding.Rate, share.Depth-l.outstanding.Depth
 	t.leased.Rate += rate
 	t.leased.Depth += depth
 	if !a.graceEnded(now) {
 		t.released.Rate = max(0, t.released.Rate-rate)
 		t.released.Depth = max(0, t.released.Depth-depth)
 	}
-	l.outstanding = most
+	l.outstanding = share
 }
 
-// target is what a lease should hold for its demand.
+// target returns the share that a lease should have for its demand.
 func (a *Allocator) target(t *account, l *lease, limit Limit) Share {
 	even := 0.0
 	if t.leases <= maxEvenLeases {
@@ -98,8 +99,8 @@
 	}
 }
 
-// resize moves a lease towards its target. It grows by what is free; what it is to give up stays counted until the
-// holder has confirmed it. It gives what the holder may hold from now on.
+// resize moves a lease towards its target and returns the share that the leaseholder may use from now on. A lease grows
+// by what is free; a reduction stays outstanding until the leaseholder has confirmed it.
 func (a *Allocator) resize(now time.Time, t *account, l *lease, target Share, limit Limit) Share {
 	free := a.free(now, t, limit)
 	given := Share{
@@ -110,7 +111,7 @@
 	return given
 }
 
-// retryAfter tells when the bucket will hold a request for one that got none.
+// retryAfter returns when the bucket is expected to hold enough for the requests that got nothing, 0 if there are none.
 func (a *Allocator) retryAfter(now time.Time, t *account, limit Limit, short int) time.Duration {
 	if short <= 0 {
 		return 0
@@ -126,7 +127,7 @@
 	return min(time.Duration(wait*float64(time.Second)), maxRetryAfter)
 }
 
-// endLease gives back what a lease held.
+// endLease returns the share of a lease to its tenant.
 func (a *Allocator) endLease(now time.Time, h *leaseholder, tenant string, l *lease) {
 	t := a.accountOf(now, tenant, a.limits(tenant))
 	a.setOutstanding(now, t, l, Share{})
@@ -134,6 +135,6 @@
 	t.leases--
 	delete(h.leases, tenant)
 	if t.leases == 0 {
-		t.leased, t.demand = Share{}, 0 // no rounding errors stay
+		t.leased, t.demand = Share{}, 0 // drop rounding errors
 	}
 }
--- a/internal/quota/activation.go
+++ b/internal/quota/activation.go
@@ -9,18 +9,18 @@
 	"nickelline/internal/peer"
 )
 
-// HeadStatus is what the service of a control node has to know of the control chain.
+// HeadStatus is the position of this node in the control chain.
 type HeadStatus interface {
-	// Fresh tells whether a barrier younger than HeadshipProof proves that this node is the head.
+	// Fresh reports whether a barrier younger than HeadProofLifetime proves that this node is the head.
 	Fresh() bool
-	// Epoch tells the view of the control chain.
+	// Epoch returns the epoch of the current view of the control chain.
 	Epoch() uint64
-	// Head is the address of the head as far as this node knows.
+	// Head returns the address of the head as far as this node knows.
 	Head() (netip.AddrPort, bool)
 }
 
-// ObserveView tells of each new view of the control chain. A node that stays the head from one epoch to the next goes on
-// with the leases that it knows; any other head begins anew.
+// ObserveView handles a new view of the control chain. A node that stays the head from one epoch to the next keeps the
+// leases that it knows; any other head starts a new allocator.
 func (s *Service) ObserveView(epoch uint64, isHead bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -34,13 +34,14 @@
 	}
 }
 
-// activateSoon looks for a proof of headship for a while.
+// activateSoon starts the allocator of this node if it turns out to be the head.
 func (s *Service) activateSoon() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.startActivation()
 }
 
+// startActivation schedules activate unless it is scheduled already. The caller holds the mutex.
 func (s *Service) startActivation() {
 	if !s.activating {
 		s.activating = true
@@ -48,8 +49,9 @@
 	}
 }
 
-// activate has the allocator begin if there is a proof, and else looks again later.
-func (s *Service) activate(tries int) {
+// activate starts the allocator if there is a proof that this node is the head, and looks again after
+// activationInterval otherwise, up to the given number of attempts.
+func (s *Service) activate(attempts int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.activeAllocator() != nil {
@@ -57,15 +59,15 @@
 		return
 	}
 	s.updater.startUpdates()
-	if tries <= 1 {
+	if attempts <= 1 {
 		s.activating = false
 		return
 	}
-	time.AfterFunc(activationInterval, func() { s.activate(tries - 1) })
+	time.AfterFunc(activationInterval, func() { s.activate(attempts - 1) })
 }
 
-// activeAllocator gives the allocator while this node is known to be the head, nil elsewhere and while the allocator has not
-// begun. The caller holds the lock.
+// activeAllocator returns the allocator while this node is known to be the head, and nil on other nodes and before the
+// allocator has started. The caller holds the mutex.
 func (s *Service) activeAllocator() *Allocator {
 	if s.allocator == nil || !s.headship.Fresh() || s.epoch != s.headship.Epoch() {
 		return nil
@@ -73,17 +75,18 @@
 	return s.allocator
 }
 
-// startAllocator makes the allocator of an epoch, in which the register can be changed by no former allocator any more. The caller
-// holds the lock.
+// startAllocator starts the allocator of an epoch, after the change of the registry that fences off former allocators.
+// The caller holds the mutex.
 func (s *Service) startAllocator(now time.Time, epoch uint64, registered []Leaseholder) {
-	s.log.Info("quota allocator begins", zap.Uint64("epoch", epoch), zap.Int("holders", len(registered)))
+	s.log.Info("quota allocator started", zap.Uint64("epoch", epoch), zap.Int("leaseholders", len(registered)))
 	s.allocator = NewAllocator(s.policy, s.limits, registered, now)
 	s.allocator.isDown = s.isDown
 	s.epoch = epoch
 	s.announce(now, s.allocator)
 }
 
-// announce tells the proxies that may hold leases where to present them, until they have. The caller holds the lock.
+// announce notifies the proxies that have still to reclaim their leases of this allocator, and repeats it until they
+// have. The caller holds the mutex.
 func (s *Service) announce(now time.Time, a *Allocator) {
 	addresses := a.Unreclaimed(now)
 	if s.allocator != a || len(addresses) == 0 {
@@ -91,7 +94,7 @@
 	}
 	body, err := encodeAnnouncement(s.epoch)
 	if err != nil {
-		s.log.Error("quota announcement", zap.Error(err))
+		s.log.Error("encode quota announcement failed", zap.Error(err))
 		return
 	}
 	for _, address := range addresses {
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -8,39 +8,40 @@
 )
 
 const (
-	demandFactor       = 1.4                    // lease for demand: some room for growth
-	demandDepthSpan    = time.Second / 2        // depth for so much of the demand,
-	minDepth           = 1.0                    // and so many requests besides
-	depthFraction      = 0.15                   // of the capacity that leases' depths may take: what lies there others cannot use,
-	evenFraction       = 0.1                    // of the rate that is leased evenly, whatever the demand,
-	maxEvenLeases      = 32                     // while there are no more holders than this
-	maxRetryAfter      = time.Second            // longest time told until more may be granted
-	graceRetryAfter    = 50 * time.Millisecond  // told while the allocator waits for leases to be presented
-	sweepInterval      = 500 * time.Millisecond // between looks for leases that have ended
-	unresponsiveLeases = 4                      // a registered life is forgotten after so many lease times without a renewal
-	formerLives        = 8                      // of a proxy that are remembered, to know their late messages
+	demandFactor       = 1.4                    // leased rate per demand: room for growth
+	demandDepthSpan    = time.Second / 2        // a bucket may save up the demand of this time,
+	minDepth           = 1.0                    // and this many requests besides
+	depthFraction      = 0.15                   // of the capacity, for the depths of all leases: others cannot use saved tokens
+	evenFraction       = 0.1                    // of the rate, leased evenly whatever the demand,
+	maxEvenLeases      = 32                     // while a tenant has no more leases than this
+	maxRetryAfter      = time.Second            // upper bound of Grant.RetryAfter
+	graceRetryAfter    = 50 * time.Millisecond  // Grant.RetryAfter during the grace period
+	sweepInterval      = 500 * time.Millisecond // between searches for expired leases
+	unresponsiveLeases = 4                      // lease times without a renewal after which a process is unregistered
+	formerLives        = 8                      // former processes remembered at each address, to detect their late messages
 
-	// HeadProofLifetime is how long after a proof of headship a node may act as allocator.
+	// HeadProofLifetime is how long a node may act as allocator after a proof that it is the head.
 	HeadProofLifetime = time.Second
 )
 
-// Allocator shares out the tenants' limits. It reads no clock and does no I/O, and is not safe for concurrent use.
+// Allocator shares out the limits of all tenants among proxies. It reads no clock, does no I/O and is not safe for
+// concurrent use.
 type Allocator struct {
 	policy       Policy
 	limits       func(tenant string) Limit
-	graceEndsAt  time.Time // from then on all outstanding leases are known
-	sweepAt      time.Time
-	tenants      map[string]*account
+	graceEndsAt  time.Time           // end of the grace period: all outstanding leases are known
+	sweepAt      time.Time           // when sweep looks for expired leases next
+	tenants      map[string]*account // by name
 	leaseholders map[netip.AddrPort]*leaseholder
-	unreclaimed  int  // holders that have still to present the leases of a former allocator
-	removable    bool // some registered lives have left or are gone, or have long not renewed
-	// isDown tells whether the process at an address is known not to run; nil: it is never known.
+	unreclaimed  int  // leaseholders that have still to reclaim their leases
+	removable    bool // TakeRemovable may have something to return
+	// isDown reports whether the process at an address is known not to run; nil: it is never known.
 	isDown func(netip.AddrPort) bool
 }
 
-// NewAllocator makes the allocator of a node that has become head. Registered are the lives that may hold leases of its
-// predecessors, which can register no others any more. The allocator grants little until these leases have been presented
-// or have ended.
+// NewAllocator returns the allocator of a node that has become head. The registered processes may hold leases of former
+// allocators, which cannot register others any more. The grace period lasts until they have reclaimed their leases, or
+// all of these have expired.
 func NewAllocator(p Policy, limits func(tenant string) Limit, registered []Leaseholder, now time.Time) *Allocator {
 	a := &Allocator{
 		policy:       p,
@@ -60,7 +61,8 @@
 	return a
 }
 
-// Renew takes a proxy's renewal and answers its entries in their order.
+// Renew renews a proxy's leases and returns a grant for each entry, in their order. It fails with fault.Conflict if the
+// process is not registered, or the renewal is older than one that was seen before.
 func (a *Allocator) Renew(now time.Time, from Leaseholder, r *Renewal) ([]Grant, error) {
 	a.sweep(now)
 	if a.StatusOf(from) != Registered {
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -6,31 +6,31 @@
 
 const (
 	demandTimeConstant = 1500 * time.Millisecond // smoothing of a tenant's arrivals
-	idleTimeout        = 10 * time.Second        // after its last request a tenant's lease is given up
-	maxExhaustedTime   = 100 * time.Millisecond  // the allocator's word that there is no more holds so long, at most
+	idleTimeout        = 10 * time.Second        // without requests, after which a tenant's lease is given up
+	maxExhaustedTime   = 100 * time.Millisecond  // for which an answer that there is no more counts, at most
 	maxTokenWait       = time.Minute             // for a token that a lease will give
 	firstDemandSpan    = 500 * time.Millisecond  // a first request counts as one in this time
 )
 
-// leasedBuckets is what a proxy holds of all tenants. It reads no clock and does no I/O, and is not safe for concurrent use.
+// leasedBuckets are the token buckets of a proxy. They read no clock, do no I/O and are not safe for concurrent use.
 type leasedBuckets struct {
 	policy   Policy
 	byTenant map[string]*leasedBucket
 }
 
-// leasedBucket is a token bucket that a lease fills.
+// leasedBucket is the token bucket of one tenant, which a lease fills, with the demand that the proxy reports.
 type leasedBucket struct {
 	lease     Share
 	expiresAt time.Time // of the lease
 	tokens    float64
-	surplus   float64 // given by the lease beyond its depth, to be used or handed back
+	surplus   float64 // given by the lease beyond its depth, to be used or returned
 	filledAt  time.Time
 
-	arrivals        float64 // since countedAt
+	arrivals        float64 // since demandUpdatedAt
 	demandUpdatedAt time.Time
 	demand          float64 // requests a second, smoothed
 	lastArrivalAt   time.Time
-	exhaustedUntil  time.Time // the allocator has nothing until then, by its last word
+	exhaustedUntil  time.Time // the allocator has nothing until then, by its last answer
 	nextGrantAt     time.Time // it may have something from then on
 }
 
@@ -38,6 +38,7 @@
 	return &leasedBuckets{policy: p, byTenant: make(map[string]*leasedBucket)}
 }
 
+// bucket returns a tenant's bucket, filled up to now.
 func (b *leasedBuckets) bucket(now time.Time, tenant string) *leasedBucket {
 	t := b.byTenant[tenant]
 	if t == nil {
@@ -48,7 +49,8 @@
 	return t
 }
 
-// fill adds what the lease gives, up to its depth; without a lease there is nothing.
+// fill adds what the lease has given since the last call, up to its depth. An expired lease gives nothing and empties
+// the bucket.
 func (t *leasedBucket) fill(now time.Time) {
 	if !now.Before(t.expiresAt) {
 		t.lease = Share{}
@@ -64,7 +66,7 @@
 	}
 }
 
-// takeOnArrival counts a request and takes a token for it, if there is one.
+// takeOnArrival counts a request and takes a token for it. It reports whether there was one.
 func (b *leasedBuckets) takeOnArrival(now time.Time, tenant string) bool {
 	t := b.bucket(now, tenant)
 	t.arrivals++
@@ -72,7 +74,7 @@
 	return t.take()
 }
 
-// take takes a token, first of those that would be handed back.
+// take takes a token, from the surplus first. It reports whether there was one.
 func (t *leasedBucket) take() bool {
 	if t.tokens+t.surplus < 1 {
 		return false
@@ -83,23 +85,23 @@
 	return true
 }
 
-// refund returns the token of a request that was not sent.
+// refund puts back the token of a request that was not sent.
 func (b *leasedBuckets) refund(now time.Time, tenant string) {
 	t := b.bucket(now, tenant)
 	t.tokens = min(t.tokens+1, t.lease.Depth)
 }
 
-// exhaustedFor tells how much longer the allocator has nothing for the tenant, by its last word.
+// exhaustedFor returns how much longer the allocator has nothing for the tenant, by its last answer.
 func (b *leasedBuckets) exhaustedFor(now time.Time, tenant string) time.Duration {
 	return b.bucket(now, tenant).exhaustedUntil.Sub(now)
 }
 
-// grantAfter tells in how much time the allocator may have something for the tenant, by its last word.
+// grantAfter returns when the allocator may have something for the tenant, by its last answer.
 func (b *leasedBuckets) grantAfter(now time.Time, tenant string) time.Duration {
 	return max(0, b.bucket(now, tenant).nextGrantAt.Sub(now))
 }
 
-// tokenAfter tells in how much time a tenant's lease will have given a token, beyond one for each of those that wait.
+// tokenAfter returns when a tenant's lease will have given a token, after one for each request that waits.
 func (b *leasedBuckets) tokenAfter(now time.Time, tenant string, waiting int) time.Duration {
 	t := b.bucket(now, tenant)
 	if t.lease.Rate <= 0 {
@@ -119,7 +121,8 @@
 	}
 }
 
-// renewalEntries gives the entries of a message to the allocator: of all tenants that send, or only of those that need.
+// renewalEntries returns the entries of a renewal, of all tenants with recent requests or only of those that need
+// grants. It forgets tenants without recent requests.
 func (b *leasedBuckets) renewalEntries(now time.Time, needs map[string]int, all bool) []Entry {
 	var entries []Entry
 	for tenant, t := range b.byTenant {
@@ -140,7 +143,7 @@
 	return entries
 }
 
-// updateDemand takes the arrivals into the smoothed demand.
+// updateDemand adds the arrivals since the last call to the smoothed demand.
 func (t *leasedBucket) updateDemand(now time.Time) {
 	span := now.Sub(t.demandUpdatedAt)
 	if span <= 0 {
@@ -152,7 +155,8 @@
 	t.demandUpdatedAt = now
 }
 
-// apply takes an answer to entries that were sent at askedAt. It gives the requests granted, by tenant.
+// apply takes over the grants for entries that were sent at askedAt. It returns how many waiting requests each tenant
+// was granted.
 func (b *leasedBuckets) apply(now, askedAt time.Time, entries []Entry, grants []Grant) map[string]int {
 	granted := make(map[string]int)
 	for i, e := range entries {
--- a/internal/quota/codec.go
+++ b/internal/quota/codec.go
@@ -158,7 +158,7 @@
 	return grants, nil
 }
 
-// encodeAnnouncement writes what a new allocator tells proxies of itself: its epoch.
+// encodeAnnouncement encodes the announcement of the allocator of an epoch.
 func encodeAnnouncement(epoch uint64) ([]byte, error) {
 	data, err := capnpcodec.Marshal(0, quotawire.NewRootAnnouncement, func(root quotawire.Announcement) error {
 		root.SetEpoch(epoch)
--- a/internal/quota/leaseholders.go
+++ b/internal/quota/leaseholders.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// RegistrationStatus tells whether the allocator may grant something to a life of a proxy.
+// RegistrationStatus says whether the allocator may grant something to a process.
 type RegistrationStatus uint8
 
 const (
-	// Registered lives may be granted something.
+	// Registered processes may be granted something.
 	Registered RegistrationStatus = iota
-	// Unregistered lives have to be registered first.
+	// Unregistered processes have to be registered first.
 	Unregistered
-	// Former lives have ended: what comes from them is late.
+	// Former processes have ended: their messages are late.
 	Former
 )
 
-// StatusOf looks a life up.
+// StatusOf returns the registration status of a process.
 func (a *Allocator) StatusOf(from Leaseholder) RegistrationStatus {
 	h := a.leaseholders[from.Address]
 	switch {
@@ -32,8 +32,8 @@
 	return Unregistered
 }
 
-// SetRegistered takes over the register after a change that this allocator has made. A life that is new in it holds
-// nothing yet, and the former life at its address has ended, and with it its leases.
+// SetRegistered records the content of the registry after a change that this allocator has made. A process that is new
+// in it has no leases yet; the former process at its address has ended, and its leases with it.
 func (a *Allocator) SetRegistered(now time.Time, members []Leaseholder) {
 	for _, h := range a.leaseholders {
 		h.registered = false
@@ -52,7 +52,7 @@
 	}
 }
 
-// replaceProcess starts another life of a holder.
+// replaceProcess records that another process runs at the address of a leaseholder.
 func (a *Allocator) replaceProcess(now time.Time, h *leaseholder, life uint64) {
 	a.endLeases(now, h)
 	h.former = append(h.former, h.life)
@@ -61,7 +61,7 @@
 	a.markReclaimed(now, h)
 }
 
-// markReclaimed notes that the allocator knows all leases of a holder.
+// markReclaimed records that the allocator knows all leases of a leaseholder.
 func (a *Allocator) markReclaimed(now time.Time, h *leaseholder) {
 	if h.reclaimed {
 		return
@@ -71,20 +71,21 @@
 	a.endGraceIfReclaimed(now)
 }
 
-// endGraceIfReclaimed ends the time in which leases may be outstanding that the allocator does not know.
+// endGraceIfReclaimed ends the grace period once all leaseholders have reclaimed their leases.
 func (a *Allocator) endGraceIfReclaimed(now time.Time) {
 	if a.unreclaimed == 0 && now.Before(a.graceEndsAt) {
 		a.graceEndsAt = now
 	}
 }
 
-// HasReclaimed tells whether the allocator knows all leases of a life.
+// HasReclaimed reports whether the allocator knows all leases of a process.
 func (a *Allocator) HasReclaimed(from Leaseholder) bool {
 	h := a.leaseholders[from.Address]
 	return h != nil && h.life == from.Life && h.reclaimed
 }
 
-// Unreclaimed gives the addresses whose leases the allocator does not know, none once all of those have ended.
+// Unreclaimed returns the addresses of the leaseholders that have still to reclaim their leases, none after the grace
+// period.
 func (a *Allocator) Unreclaimed(now time.Time) []netip.AddrPort {
 	if a.graceEnded(now) {
 		return nil
@@ -98,7 +99,7 @@
 	return addresses
 }
 
-// endByLeaving ends the leases of a life that is about to end. The next allocator need not wait for it.
+// endByLeaving ends the leases of a process that is about to exit, so that the next allocator need not wait for it.
 func (a *Allocator) endByLeaving(now time.Time, h *leaseholder) {
 	a.endLeases(now, h)
 	a.markReclaimed(now, h)
@@ -106,36 +107,38 @@
 	a.removable = true
 }
 
-// isRemovable tells whether a life is registered that holds nothing and has left, is gone since its leases have ended, or has long
-// not renewed: an allocator that begins waits for each life that is registered. One that runs stays registered for longer, as it
-// would have to be registered again before it is granted anything.
+// isRemovable reports whether a registered leaseholder may be removed from the registry, as a new allocator waits for
+// each process that is registered. It may if it has no leases and has left, is down since its leases expired, or has
+// not renewed for long. A running process stays registered for longer than its leases last, since it would have to be
+// registered again before it is granted anything.
 func (a *Allocator) isRemovable(now time.Time, address netip.AddrPort, h *leaseholder) bool {
 	if !h.registered || len(h.leases) > 0 {
 		return false
 	}
-	silence := now.Sub(h.renewedAt)
-	isGone := silence > a.policy.Lease+HeadProofLifetime && a.isDown != nil && a.isDown(address)
-	return h.left || (a.graceEnded(now) && (isGone || silence > unresponsiveLeases*a.policy.Lease))
+	sinceRenewal := now.Sub(h.renewedAt)
+	down := sinceRenewal > a.policy.Lease+HeadProofLifetime && a.isDown != nil && a.isDown(address)
+	unresponsive := sinceRenewal > unresponsiveLeases*a.policy.Lease
+	return h.left || a.graceEnded(now) && (down || unresponsive)
 }
 
-// HasRemovable tells whether there are lives that TakeSilent would give.
+// HasRemovable reports whether there may be leaseholders that TakeRemovable returns.
 func (a *Allocator) HasRemovable() bool { return a.removable }
 
-// TakeRemovable gives the registered lives that hold nothing and have left or are gone, or have long not renewed. They are not
-// registered any more for this allocator, so that their removal can be proposed.
+// TakeRemovable returns the registered leaseholders that may be removed from the registry (see isRemovable). This
+// allocator treats them as unregistered from now on, so that their removal can be proposed.
 func (a *Allocator) TakeRemovable(now time.Time) []Leaseholder {
 	a.removable = false
-	var silent []Leaseholder
+	var removable []Leaseholder
 	for address, h := range a.leaseholders {
 		if a.isRemovable(now, address, h) {
 			h.registered = false
-			silent = append(silent, Leaseholder{Address: address, Life: h.life})
+			removable = append(removable, Leaseholder{Address: address, Life: h.life})
 		}
 	}
-	return silent
+	return removable
 }
 
-// Leaseholder names a proxy: one life of a process at an address.
+// Leaseholder identifies a proxy: one process at an address.
 type Leaseholder struct {
 	Address netip.AddrPort
 	Life    uint64
@@ -144,18 +147,18 @@
 // leaseholder is what the allocator keeps of a proxy.
 type leaseholder struct {
 	life       uint64
-	former     []uint64 // lives that have ended
-	sequence   uint64
-	leases     map[string]*lease
-	registered bool // it may be granted something
-	reclaimed  bool // it holds no lease that the allocator does not know
-	left       bool // it has told that it holds nothing and ends
+	former     []uint64          // processes that have ended
+	sequence   uint64            // of the last renewal
+	leases     map[string]*lease // by tenant
+	registered bool              // it may be granted something
+	reclaimed  bool              // the allocator knows all of its leases
+	left       bool              // it has given up its leases and is about to exit
 	renewedAt  time.Time
 }
 
-// lease is what a holder may hold at most, as far as the allocator knows.
+// lease is the share of one tenant that a leaseholder may have, as far as the allocator knows.
 type lease struct {
-	outstanding Share
+	outstanding Share // upper bound of what the leaseholder uses
 	demand      float64
 	expiresAt   time.Time
 }
@@ -164,9 +167,10 @@
 	return &leaseholder{life: life, leases: make(map[string]*lease), renewedAt: now}
 }
 
+// graceEnded reports whether all outstanding leases are known.
 func (a *Allocator) graceEnded(now time.Time) bool { return !now.Before(a.graceEndsAt) }
 
-// sweep drops the leases that have ended.
+// sweep ends expired leases, once in a sweepInterval.
 func (a *Allocator) sweep(now time.Time) {
 	if now.Before(a.sweepAt) {
 		return
@@ -186,7 +190,7 @@
 	}
 }
 
-// endLeases ends all leases of a holder.
+// endLeases ends all leases of a leaseholder.
 func (a *Allocator) endLeases(now time.Time, h *leaseholder) {
 	for tenant, l := range h.leases {
 		a.endLease(now, h, tenant, l)
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -24,12 +24,12 @@
 	leaveAttempts   = 3
 )
 
-// Caller sends a message to another node and waits for the answer.
+// Caller sends a request to another node and waits for the answer. It is a *peer.Transport.
 type Caller interface {
 	Call(ctx context.Context, to netip.AddrPort, m peer.Message) (peer.Message, error)
 }
 
-// Limiter gives out a proxy's budgets. It is safe for concurrent use.
+// Limiter admits the requests of a proxy by the leases that it renews at the allocator. It is safe for concurrent use.
 type Limiter struct {
 	caller       Caller
 	controlNodes func() []netip.AddrPort
@@ -49,7 +49,7 @@
 	sequence uint64
 }
 
-// NewLimiter makes the limiter of a proxy. Controls gives the internal addresses of the live control nodes.
+// NewLimiter returns the limiter of a proxy. controls returns the internal addresses of the live control nodes.
 func NewLimiter(p Policy, caller Caller, controls func() []netip.AddrPort, log *zap.Logger) *Limiter {
 	return &Limiter{
 		caller:       caller,
@@ -63,19 +63,20 @@
 	}
 }
 
-// HandleAnnouncements has the limiter hear of new allocators. It has to be called before the transport is started.
+// HandleAnnouncements sets the handler of the announcements of new allocators. It must be called before the transport
+// is started.
 func (l *Limiter) HandleAnnouncements(t *peer.Transport) {
 	t.HandleDatagram(kindAnnounce, func(from netip.AddrPort, m peer.Message) {
 		epoch, err := decodeAnnouncement(m.Body)
 		if err != nil {
-			l.log.Debug("bad quota announcement", zap.Error(err))
+			l.log.Debug("decode quota announcement failed", zap.Stringer("from", from), zap.Error(err))
 			return
 		}
 		l.followAllocator(from, epoch)
 	})
 }
 
-// followAllocator has the next renewal go to a new allocator, soon and with all leases.
+// followAllocator directs renewals to a new allocator and wakes Run, which presents all leases to it.
 func (l *Limiter) followAllocator(allocator netip.AddrPort, epoch uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -88,7 +89,7 @@
 	l.wakeRun()
 }
 
-// wakeRun wakes the goroutine of Run.
+// wakeRun has Run renew soon.
 func (l *Limiter) wakeRun() {
 	select {
 	case l.wake <- struct{}{}:
@@ -130,11 +131,12 @@
 	}
 }
 
-// Leave gives up all leases and tells the allocator so, as the process is about to end: an allocator that begins later would wait
-// for it until its leases have ended. It must be called after Run has returned, and after the last request was sent.
+// Leave gives up all leases and notifies the allocator, since the process is about to exit: the next allocator would
+// wait in its grace period until they have expired. It must be called after Run has returned and after the last request
+// was sent. If no attempt succeeds, the leases expire.
 func (l *Limiter) Leave(ctx context.Context) {
 	if l.sequence == 0 {
-		return // this life has never been registered
+		return // never registered
 	}
 	l.mutex.Lock()
 	l.buckets.endLeases()
--- a/internal/quota/message.go
+++ b/internal/quota/message.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	kindRenew    = peer.QuotaKinds     // a proxy asks the allocator
-	kindAnnounce = peer.QuotaKinds + 1 // a new allocator tells a proxy of itself
+	kindRenew    = peer.QuotaKinds     // a proxy renews its leases
+	kindAnnounce = peer.QuotaKinds + 1 // a new allocator announces itself to a proxy
 )
 
-// Entry is one tenant's part of a renewal.
+// Entry is a proxy's renewal of the lease of one tenant.
 type Entry struct {
 	Tenant string
-	// Held is the lease that the proxy holds.
+	// Held is the share that the proxy has.
 	Held Share
-	// Demand is how many requests a second have come lately.
+	// Demand is the smoothed rate of arrivals, requests a second.
 	Demand float64
 	// Need is how many requests wait for a grant.
 	Need int
@@ -25,32 +25,33 @@
 	Returned float64
 }
 
-// Renewal is a proxy's message to the allocator.
+// Renewal is a proxy's request to the allocator.
 type Renewal struct {
 	Life, Sequence uint64
-	// Epoch is the newest epoch that the proxy has heard of.
+	// Epoch is the newest epoch of an allocator that the proxy knows.
 	Epoch uint64
-	// Complete tells that the entries hold all leases of the proxy.
+	// Complete means that the entries name all leases of the proxy.
 	Complete bool
-	// Leaving tells that the proxy is about to end, and holds nothing any more.
+	// Leaving means that the proxy is about to exit and has given up all leases.
 	Leaving bool
 	Entries []Entry
 }
 
-// Grant is one tenant's part of an answer.
+// Grant is the answer to one Entry.
 type Grant struct {
+	// Lease is the share from now on.
 	Lease Share
-	// Granted is how many of the waiting requests may go.
+	// Granted is how many of the waiting requests are admitted.
 	Granted int
-	// RetryAfter is when more may be granted, 0 for at once.
+	// RetryAfter is when more may be granted; 0: at once.
 	RetryAfter time.Duration
 }
 
-// answer is what a control node says to a renewal: grants, or where the allocator is.
+// answer is the response of a control node to a Renewal: grants, or the address of the allocator.
 type answer struct {
 	grants      []Grant
-	moved       bool
-	allocator   netip.AddrPort
-	epoch       uint64 // of the allocator that gives the grants
-	mustReclaim bool   // the allocator does not know all leases of the proxy
+	moved       bool           // this node is not the allocator and grants nothing
+	allocator   netip.AddrPort // with moved: the allocator as far as known
+	epoch       uint64         // of the allocator that gives the grants
+	mustReclaim bool           // the allocator does not know all leases of the proxy
 }
--- a/internal/quota/policy.go
+++ b/internal/quota/policy.go
@@ -6,29 +6,29 @@
 	"nickelline/internal/settings"
 )
 
-// Limit is what a tenant may send over all nodes. A rate of 0 is no limit.
+// Limit is what a tenant may send over all nodes: requests a second, and requests at once. A rate of 0 means unlimited.
 type Limit struct{ Rate, Burst float64 }
 
-// Policy holds the times and allowances, which proxies and allocators have to share.
+// Policy holds the times and tolerances of the rule. Proxies and allocators have to use the same.
 type Policy struct {
 	// Window is the span in which the rule counts requests.
 	Window time.Duration
 	// Lease is how long a lease lasts unless it is renewed.
 	Lease time.Duration
-	// Overshoot and Allowance are what the rule bears beyond the limit: a part of it and a number.
+	// Overshoot and Allowance are what the rule tolerates beyond the limit: a fraction of it, and a number of requests.
 	Overshoot, Allowance float64
 }
 
 const (
-	minLease       = 2 * time.Second
-	maxLease       = 4 * time.Second // longer than a head is replaced in, shorter than the rule's window
+	minLease       = 2 * time.Second // also with a shorter window
+	maxLease       = 4 * time.Second // longer than the replacement of a head takes, shorter than the rule's window
 	defaultWindow  = 5 * time.Second
-	slackFraction  = 0.7 // of what the rule bears; the rest is for requests that are sent late and for clocks
-	leasedFraction = 0.9 // of the rate that leases may take: the rest fills the allocator's bucket
-	surplusSpan    = renewPeriod
+	slackFraction  = 0.7         // of what the rule tolerates; the rest is for requests that are sent late and for clock drift
+	leasedFraction = 0.9         // of the rate that leases may take; the rest fills the allocator's bucket
+	surplusSpan    = renewPeriod // a bucket keeps the surplus of so much time until it is returned
 )
 
-// PolicyOf takes the policy from the settings' bounds.
+// PolicyOf returns the policy of the settings' bounds.
 func PolicyOf(b *settings.Bounds) Policy {
 	window := settings.Seconds(b.QuotaWindowS)
 	if window <= 0 {
@@ -42,13 +42,13 @@
 	}
 }
 
-// capacity is how many requests may be saved up in all buckets of a tenant together, besides what proxies have still to
-// hand back.
+// capacity returns how many requests all buckets of a tenant may save up together, without the surplus that proxies
+// have still to return.
 func (p *Policy) capacity(l Limit) float64 {
 	slack := p.Overshoot*(l.Rate*p.Window.Seconds()+l.Burst) + p.Allowance
 	surplus := leasedFraction * l.Rate * surplusSpan.Seconds()
 	return l.Burst + slackFraction*max(0, slack-surplus)
 }
 
-// Share is what a lease gives: requests a second, and requests that may be saved up.
+// Share is the share of a limit that a lease grants: requests a second, and the depth of the token bucket in requests.
 type Share struct{ Rate, Depth float64 }
--- a/internal/quota/registry.go
+++ b/internal/quota/registry.go
@@ -8,46 +8,47 @@
 	"go.uber.org/zap"
 )
 
-// Registry is the register of the lives that may hold leases, a part of the control state.
+// Registry holds the processes that may have leases. It is part of the replicated control state.
 type Registry interface {
-	// Current gives the register with all changes that were committed before the headship of this node was proven.
+	// Current returns the registry, with all changes that were committed before this node was proven to be the head.
 	Current() RegistryState
-	// Change commits a change and gives the register after it. A change that fails may still be made later, unless another
-	// one is made before it.
+	// Change commits a change and returns the registry after it. A change that fails may still be committed later, unless
+	// another one is committed before it.
 	Change(ctx context.Context, c RegistryChange) (RegistryState, error)
 }
 
-// RegistryState is the register after some change.
+// RegistryState is the content of the registry at a revision.
 type RegistryState struct {
 	Revision     uint64
 	Leaseholders []Leaseholder
 }
 
-// RegistryChange is a change that the allocator of an epoch makes to the register at a revision. Once an allocator has
-// made a change, also an empty one, former ones can make none.
+// RegistryChange is a change of the registry at a revision, made by the allocator of an epoch. Once an allocator has
+// made a change, even an empty one, all changes of former allocators fail.
 type RegistryChange struct {
 	Epoch, ExpectedRevision uint64
-	// Add holds lives that take the place of former ones at their addresses.
+	// Add replaces former processes at the same addresses.
 	Add    []Leaseholder
 	Remove []Leaseholder
 }
 
 const (
 	changeTimeout = 500 * time.Millisecond
-	changePause   = 20 * time.Millisecond // after a change that failed
+	changePause   = 20 * time.Millisecond // after a failed change
 )
 
-// registryUpdater changes the register for the allocator of a node: one change at a time, each for all lives that wait. Its
-// fields are guarded by the lock of the service.
+// registryUpdater changes the registry for the allocator of a node: one change at a time, each for all processes that
+// wait. Its fields are guarded by the mutex of the service.
 type registryUpdater struct {
 	service  *Service
 	registry Registry
 	running  bool
-	waiting  map[netip.AddrPort]uint64 // lives, by address
-	finished chan struct{}             // closed after the next change
+	waiting  map[netip.AddrPort]uint64 // processes to register, by address
+	finished chan struct{}             // closed after the next change, and replaced
 }
 
-// register has a life registered. The channel that it gives is closed after the next change. The caller holds the lock.
+// register adds a process to the next change. The returned channel is closed after that change. The caller holds the
+// mutex.
 func (r *registryUpdater) register(h Leaseholder) <-chan struct{} {
 	if r.waiting == nil {
 		r.waiting = make(map[netip.AddrPort]uint64)
@@ -56,7 +57,8 @@
 	return r.startUpdates()
 }
 
-// startUpdates has changes made if there are any to make. The caller holds the lock.
+// startUpdates makes the changes that are due, in the background. The returned channel is closed after the next change.
+// The caller holds the mutex.
 func (r *registryUpdater) startUpdates() <-chan struct{} {
 	if !r.running {
 		r.running = true
@@ -65,26 +67,26 @@
 	return r.finished
 }
 
-// run makes changes until there are none to make.
+// run makes changes until none is due.
 func (r *registryUpdater) run() {
 	for {
-		change, begins, any := r.next()
-		if !any {
+		change, starts, due := r.next()
+		if !due {
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 		after, err := r.registry.Change(ctx, change)
 		cancel()
-		r.finish(change, begins, after, err)
+		r.finish(change, starts, after, err)
 		if err != nil {
 			time.Sleep(changePause)
 		}
 	}
 }
 
-// next gives the change to make. The first one of an allocator is empty: it shuts out former allocators, and after it
-// the allocator begins.
-func (r *registryUpdater) next() (c RegistryChange, begins, any bool) {
+// next returns the change to make, if any is due. The first one of an allocator is empty: it fences off former
+// allocators, and the allocator starts after it.
+func (r *registryUpdater) next() (c RegistryChange, starts, due bool) {
 	s := r.service
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -109,29 +111,30 @@
 	return c, false, true
 }
 
-// stop ends the run and lets those that wait look again. The caller holds the lock.
-func (r *registryUpdater) stop() (c RegistryChange, begins, any bool) {
+// stop ends the run and has those that wait look again. The caller holds the mutex.
+func (r *registryUpdater) stop() (c RegistryChange, starts, due bool) {
 	r.running = false
 	r.waiting = nil
 	r.notifyWaiting()
 	return c, false, false
 }
 
+// notifyWaiting wakes all that wait for a change. The caller holds the mutex.
 func (r *registryUpdater) notifyWaiting() {
 	close(r.finished)
 	r.finished = make(chan struct{})
 }
 
-// finish takes over the register after a change.
-func (r *registryUpdater) finish(c RegistryChange, begins bool, after RegistryState, err error) {
+// finish applies the outcome of a change.
+func (r *registryUpdater) finish(c RegistryChange, starts bool, after RegistryState, err error) {
 	s := r.service
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	defer r.notifyWaiting()
 	switch {
 	case err != nil:
-		s.log.Info("register of quota holders not changed", zap.Uint64("epoch", c.Epoch), zap.Error(err))
-	case begins:
+		s.log.Info("change quota registry failed", zap.Uint64("epoch", c.Epoch), zap.Error(err))
+	case starts:
 		s.startAllocator(time.Now(), c.Epoch, after.Leaseholders)
 	case s.allocator != nil:
 		s.allocator.SetRegistered(time.Now(), after.Leaseholders)
--- a/internal/quota/renewal.go
+++ b/internal/quota/renewal.go
@@ -12,7 +12,7 @@
 	"nickelline/internal/peer"
 )
 
-// renewalRound is what one renewal is about.
+// renewalRound is one renewal, and the requests that wait for its answer.
 type renewalRound struct {
 	waiters  map[string][]*waiter
 	entries  []Entry
@@ -20,7 +20,7 @@
 	leaving  bool
 }
 
-// renew makes one call, and a second one if the allocator has moved. It gives false when it reached no allocator.
+// renew makes one call, and a second one if the allocator has moved. It reports whether it reached the allocator.
 func (l *Limiter) renew(ctx context.Context, all bool) bool {
 	r, needed := l.startRound(time.Now(), all)
 	if !needed {
@@ -42,8 +42,8 @@
 	return false
 }
 
-// startRound takes over the waiting requests, and tells whether there is anything to ask for. The renewal is complete when
-// that is asked for, and when the allocator may not know all leases.
+// startRound takes over the waiting requests, and reports whether there is anything to ask for. The renewal is complete
+// if all is set, and when the allocator may not know all leases.
 func (l *Limiter) startRound(now time.Time, all bool) (r renewalRound, needed bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -62,7 +62,7 @@
 	return r, l.mustReclaim || len(r.entries) > 0
 }
 
-// call sends a renewal to where the allocator is thought to be.
+// call sends a renewal to the node that is believed to be the allocator.
 func (l *Limiter) call(ctx context.Context, r renewalRound) (*answer, error) {
 	to, epoch, err := l.destination()
 	if err != nil {
@@ -90,7 +90,7 @@
 	return a, err
 }
 
-// destination is the allocator, or any control node to ask for it, and the newest epoch that is known.
+// destination returns the allocator, or a random control node while it is unknown, and the newest known epoch.
 func (l *Limiter) destination() (netip.AddrPort, uint64, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -104,14 +104,14 @@
 	return controls[rand.IntN(len(controls))], l.epoch, nil
 }
 
-// checkAnswer checks an answer and notes where the allocator is. What an allocator grants that is not the newest known must
-// not be taken.
+// checkAnswer checks an answer and records where the allocator is. Grants of an older epoch than the newest known are
+// rejected: the limiter has presented its leases to a newer allocator.
 func (l *Limiter) checkAnswer(from netip.AddrPort, a *answer, entries int) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	switch {
 	case a.moved && l.allocator.IsValid() && l.allocator != from:
-		// A new allocator has been heard of meanwhile.
+		// A new allocator has announced itself meanwhile.
 	case a.moved && a.allocator == from:
 		l.allocator = netip.AddrPort{}
 	case a.moved:
@@ -127,8 +127,8 @@
 	return nil
 }
 
-// dropAllocator forgets the allocator that a call failed at. One that takes this process for a former life at its address can
-// only be asked by a new life, which holds nothing.
+// dropAllocator forgets the allocator after a failed call. An allocator that takes this process for a former one at its
+// address (fault.Conflict) accepts renewals only of a new identity, which starts without leases.
 func (l *Limiter) dropAllocator(to netip.AddrPort, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -142,7 +142,7 @@
 	}
 }
 
-// applyAnswer hands an answer's grants to the requests that wait.
+// applyAnswer takes over the grants of an answer and resolves the requests that wait.
 func (l *Limiter) applyAnswer(askedAt time.Time, r renewalRound, a *answer) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -155,7 +155,7 @@
 	}
 }
 
-// updateReclaim notes whether the allocator knows all leases, and renews again if not.
+// updateReclaim records whether the allocator knows all leases, and renews again if not.
 func (l *Limiter) updateReclaim(r renewalRound, a *answer) {
 	if r.complete {
 		l.mustReclaim = false
@@ -166,9 +166,9 @@
 	}
 }
 
-// failRound has the requests that wait go without the allocator, as it is out of reach.
+// failRound resolves the requests that wait without the allocator, which is out of reach.
 func (l *Limiter) failRound(r renewalRound, err error) {
-	l.log.Debug("quota not renewed", zap.Error(err))
+	l.log.Debug("renew quota leases failed", zap.Error(err))
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := time.Now()
--- a/internal/quota/service.go
+++ b/internal/quota/service.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// A node that becomes head registers itself as soon as it has a proof of its headship, and not only when the first
-	// proxy asks.
+	// A node that becomes head starts its allocator as soon as there is a proof that it is the head, and not only when the
+	// first proxy asks.
 	activationInterval = 50 * time.Millisecond
 	activationAttempts = 200
-	// announceInterval lies between two announcements to those proxies that have not presented their leases.
+	// announceInterval lies between two announcements to proxies that have still to reclaim their leases.
 	announceInterval = 200 * time.Millisecond
-	// renewTimeout bounds how long a renewal waits for the allocator to begin, or for the proxy to be registered.
+	// renewTimeout bounds how long a renewal waits for the allocator to start and for the proxy to be registered.
 	renewTimeout = 200 * time.Millisecond
 )
 
-// Service answers proxies' renewals at a control node: as the allocator where the node is the head, and elsewhere with
-// the allocator's address.
+// Service answers proxies' renewals at a control node: as the allocator where the node is the head, elsewhere with the
+// allocator's address.
 type Service struct {
 	policy    Policy
 	headship  HeadStatus
@@ -40,19 +40,20 @@
 	activating bool
 }
 
-// NewService makes the service of a control node and registers it with the transport. Gone tells whether the process at an address
-// is known not to run.
+// NewService returns the service of a control node and sets its handler at the transport. isDown reports whether the
+// process at an address is known not to run; nil: it is never known.
 func NewService(
-	p Policy, h HeadStatus, r Registry, limits func(tenant string) Limit, gone func(netip.AddrPort) bool,
+	p Policy, h HeadStatus, r Registry, limits func(tenant string) Limit, isDown func(netip.AddrPort) bool,
 	t *peer.Transport, log *zap.Logger,
 ) *Service {
-	s := &Service{policy: p, headship: h, limits: limits, isDown: gone, transport: t, log: log}
+	s := &Service{policy: p, headship: h, limits: limits, isDown: isDown, transport: t, log: log}
 	s.updater = registryUpdater{service: s, registry: r, finished: make(chan struct{})}
 	t.Handle(kindRenew, s.renew)
 	s.activateSoon()
 	return s
 }
 
+// renew handles the renewal of a proxy.
 func (s *Service) renew(ctx context.Context, from netip.AddrPort, m peer.Message) (peer.Message, error) {
 	r, err := decodeRenewal(m.Body)
 	if err != nil {
@@ -68,7 +69,8 @@
 	return peer.Message{Kind: kindRenew, Body: body}, err
 }
 
-// answer answers a renewal, after the allocator has begun and the proxy is registered where that has still to be done.
+// answer answers a renewal. It waits for the start of the allocator and the registration of the proxy where they are
+// pending.
 func (s *Service) answer(ctx context.Context, from Leaseholder, r *Renewal) (*answer, error) {
 	for {
 		a, registered, err := s.tryAnswer(time.Now(), from, r)
@@ -83,7 +85,7 @@
 	}
 }
 
-// tryAnswer answers a renewal, or gives a channel that is closed when there may be an answer.
+// tryAnswer answers a renewal, or returns a channel that is closed when it is worth trying again.
 func (s *Service) tryAnswer(now time.Time, from Leaseholder, r *Renewal) (*answer, <-chan struct{}, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -95,11 +97,11 @@
 	if allocator == nil {
 		return nil, s.updater.startUpdates(), nil
 	}
-	admission := allocator.StatusOf(from)
-	if admission == Unregistered && r.Leaving {
-		return &answer{epoch: s.epoch}, nil, nil // it holds nothing that anybody would wait for
+	status := allocator.StatusOf(from)
+	if status == Unregistered && r.Leaving {
+		return &answer{epoch: s.epoch}, nil, nil // no allocator would wait for it
 	}
-	if admission == Unregistered {
+	if status == Unregistered {
 		return nil, s.updater.register(from), nil
 	}
 	grants, err := allocator.Renew(now, from, r)
--- a/internal/quota/stats.go
+++ b/internal/quota/stats.go
@@ -10,7 +10,7 @@
 	Rate float64
 }
 
-// Stats gives the limiter's figures.
+// Stats returns the current figures.
 func (l *Limiter) Stats(now time.Time) Stats {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/quota/take.go
+++ b/internal/quota/take.go
@@ -15,7 +15,7 @@
 	abandoned bool
 }
 
-// outcome is what a waiting request is told.
+// outcome is the decision on a waiting request.
 type outcome uint8
 
 const (
@@ -26,11 +26,12 @@
 
 type maxWaitKey struct{}
 
-// WithMaxWait bounds how long Take waits for a token.
+// WithMaxWait returns a context with which Take waits for a token no longer than the given time.
 func WithMaxWait(ctx context.Context, wait time.Duration) context.Context {
 	return context.WithValue(ctx, maxWaitKey{}, wait)
 }
 
+// maxWaitOf returns how long Take may wait for a token.
 func maxWaitOf(ctx context.Context) time.Duration {
 	if wait, given := ctx.Value(maxWaitKey{}).(time.Duration); given && wait > 0 {
 		return min(wait, maxWait)
@@ -38,8 +39,9 @@
 	return maxWait
 }
 
-// Take admits one request of a tenant, or refuses it with fault.QuotaExceeded, which RetryAfter explains, or with
-// fault.NotReady where no budget can be had. It may wait for a token for a short time.
+// Take admits one request of a tenant. It may wait for a token for a short time. It refuses with fault.QuotaExceeded,
+// for which RetryAfter returns when to try again, or with fault.NotReady when there is neither a lease nor an
+// allocator.
 func (l *Limiter) Take(ctx context.Context, tenant *configuration.Tenant) error {
 	if tenant == nil || !tenant.Limited() {
 		return nil
@@ -52,7 +54,7 @@
 	return l.await(ctx, tenant.Name, w, wait)
 }
 
-// takeOrWait takes a token, or refuses, or gives a waiter.
+// takeOrWait takes a token, or returns a waiter for one, or refuses with an error.
 func (l *Limiter) takeOrWait(now time.Time, tenant string, wait time.Duration) (*waiter, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -72,7 +74,7 @@
 	return nil, l.refusalError(now, tenant, refusal)
 }
 
-// expectedOutcome tells what asking the allocator now promises: granted stands for not known.
+// expectedOutcome returns what the allocator would answer now. granted means that it has to be asked.
 func (l *Limiter) expectedOutcome(now time.Time, tenant string) outcome {
 	switch {
 	case now.Sub(l.failedAt) < unreachableSpan:
@@ -83,7 +85,8 @@
 	return granted
 }
 
-// keepWaiting lets a request wait if it can be expected to get a token in time, by its proxy's lease or from the allocator.
+// keepWaiting has a request wait if it can expect a token before its deadline, from the lease of its proxy or from the
+// allocator. It reports whether the request waits.
 func (l *Limiter) keepWaiting(now time.Time, tenant string, w *waiter, refusal outcome) bool {
 	after := l.buckets.tokenAfter(now, tenant, len(l.waiting[tenant]))
 	if refusal == exhausted {
@@ -99,7 +102,7 @@
 	return true
 }
 
-// resolveLater looks for tokens for a tenant's waiting requests after a time.
+// resolveLater resolves a tenant's waiting requests after a time.
 func (l *Limiter) resolveLater(tenant string, wait time.Duration) {
 	time.AfterFunc(max(wait, callPause), func() {
 		l.mutex.Lock()
@@ -108,8 +111,8 @@
 	})
 }
 
-// resolveWaiting gives a tenant's waiting requests what its lease has given meanwhile, and has the allocator asked for the
-// others if that promises anything.
+// resolveWaiting gives a tenant's waiting requests the tokens of its lease, and has the allocator asked for the others
+// if it may have something.
 func (l *Limiter) resolveWaiting(now time.Time, tenant string) {
 	list := l.waiting[tenant]
 	delete(l.waiting, tenant)
@@ -127,7 +130,7 @@
 	}
 }
 
-// takeFor gives a request a token of the lease, if there is one.
+// takeFor gives a waiting request a token of the lease. It reports whether there was one.
 func (l *Limiter) takeFor(now time.Time, tenant string, w *waiter) bool {
 	if !l.buckets.bucket(now, tenant).take() {
 		return false
@@ -136,8 +139,8 @@
 	return true
 }
 
-// resolveWaiters gives tokens to requests in the order in which they came. The others wait on or are refused. Tokens of requests
-// that have left stay in the bucket.
+// resolveWaiters gives tokens to requests in order of arrival. The others wait on or are refused. Tokens that abandoned
+// requests leave over go back to the bucket.
 func (l *Limiter) resolveWaiters(now time.Time, tenant string, list []*waiter, tokens int, refusal outcome) {
 	for _, w := range list {
 		switch {
@@ -157,7 +160,7 @@
 	}
 }
 
-// await waits for the answer to a waiter.
+// await waits for the outcome of a waiter.
 func (l *Limiter) await(ctx context.Context, tenant string, w *waiter, wait time.Duration) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -170,7 +173,7 @@
 	return l.outcomeError(tenant, l.abandon(w))
 }
 
-// abandon gives up waiting, unless an answer has just come.
+// abandon stops waiting, and returns the outcome if it has just come.
 func (l *Limiter) abandon(w *waiter) outcome {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -186,6 +189,7 @@
 	return unreachable
 }
 
+// outcomeError returns the error of an outcome, nil if a token was granted.
 func (l *Limiter) outcomeError(tenant string, r outcome) error {
 	if r == granted {
 		return nil
@@ -195,7 +199,7 @@
 	return l.refusalError(time.Now(), tenant, r)
 }
 
-// refusalError is the error of a request that gets no token.
+// refusalError returns the error of a request that gets no token.
 func (l *Limiter) refusalError(now time.Time, tenant string, r outcome) error {
 	if r == unreachable {
 		return newRefusal(fault.NotReady, tenant, unreachableSpan)
