--- a/cmd/nickelline/control.go
+++ b/cmd/nickelline/control.go
@@ -55,7 +55,7 @@
 	n.start()
 	n.serveMetrics()
 	role.Start()
-	if err := n.readBackends(ctx); err != nil {
+	if err := n.pollBackends(ctx); err != nil {
 		return err
 	}
 	go n.reload(caught)
--- a/cmd/nickelline/node.go
+++ b/cmd/nickelline/node.go
@@ -103,15 +103,15 @@
 	go n.reportTraffic(ctx)
 }
 
-// readBackends has this node read the platform's list whenever it is its turn.
-func (n *node) readBackends(ctx context.Context) error {
+// pollBackends polls the platform's listing of backends until ctx ends.
+func (n *node) pollBackends(ctx context.Context) error {
 	platform, err := discovery.NewPlatform(n.settings.CloudAPI.Address, n.settings.CloudAPI.RatePerS)
 	if err != nil {
 		return err
 	}
-	reader := discovery.NewReader(n.settings, n.transport.Address(), platform,
+	poller := discovery.NewPoller(n.settings, n.transport.Address(), platform,
 		backendsTopic{n.gossip}, ranks{n.members, n.transport.Address()}, n.log)
-	go reader.Run(ctx)
+	go poller.Run(ctx)
 	return nil
 }
 
@@ -149,7 +149,7 @@
 
 func (b backendsTopic) ProofAge() time.Duration { return b.gossip.ProofAge(gossip.Backends) }
 
-func (b backendsTopic) Ask(ctx context.Context, node netip.AddrPort) error {
+func (b backendsTopic) Pull(ctx context.Context, node netip.AddrPort) error {
 	return b.gossip.Exchange(ctx, node)
 }
 
--- a/cmd/nickelline/proxy.go
+++ b/cmd/nickelline/proxy.go
@@ -72,7 +72,7 @@
 	go sender.Run(ctx)
 	go n.loads.Run(ctx)
 	renewing := runLimiter(ctx, limiter)
-	if err := n.readBackends(ctx); err != nil {
+	if err := n.pollBackends(ctx); err != nil {
 		return err
 	}
 	go n.reload(caught)
--- a/cmd/nickelline/store.go
+++ b/cmd/nickelline/store.go
@@ -79,7 +79,7 @@
 	go sender.Run(ctx)
 	go n.loads.Run(ctx)
 	go role.Run(ctx)
-	if err := n.readBackends(ctx); err != nil {
+	if err := n.pollBackends(ctx); err != nil {
 		return err
 	}
 	go n.reload(caught)
--- a/internal/discovery/codec.go
+++ b/internal/discovery/codec.go
@@ -12,16 +12,16 @@
 	"nickelline/internal/discovery/discoverywire"
 )
 
-// Encode gives the message of a list.
+// Encode returns the encoded list.
 func Encode(l *List) ([]byte, error) {
 	data, err := capnpcodec.Marshal(0, discoverywire.NewRootReading, func(reading discoverywire.Reading) error {
 		reading.SetPages(uint16(min(l.pages, math.MaxUint16)))
-		return encodeReading(reading, l.backends)
+		return encodeList(reading, l.backends)
 	})
 	return data, merry.Prepend(err, "encode list of backends")
 }
 
-func encodeReading(reading discoverywire.Reading, backends []Backend) error {
+func encodeList(reading discoverywire.Reading, backends []Backend) error {
 	names := newNameTable(backends)
 	if err := encodeNames(reading, names.texts); err != nil {
 		return err
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// nameTable numbers the names that many backends share.
+// nameTable numbers the names that many backends share, so that each is encoded once.
 type nameTable struct {
 	numbers map[string]uint32
 	texts   []string
@@ -91,13 +91,13 @@
 	return nil
 }
 
-// Decode reads a message that Encode made.
+// Decode decodes what Encode returned.
 func Decode(data []byte) (*List, error) {
 	reading, err := capnpcodec.Unmarshal(data, discoverywire.ReadRootReading)
 	if err != nil {
 		return nil, merry.Prepend(err, "decode list of backends")
 	}
-	backends, err := decodeReading(reading)
+	backends, err := decodeList(reading)
 	if err != nil {
 		return nil, merry.Prepend(err, "decode list of backends")
 	}
@@ -106,8 +106,8 @@
 	return list, nil
 }
 
-// pagesOf gives how many calls the reading of an encoded list took, 0 if that is not known.
-func pagesOf(data []byte) int {
+// pageCount returns how many calls the poll of an encoded list took, 0 if that is not known.
+func pageCount(data []byte) int {
 	reading, err := capnpcodec.Unmarshal(data, discoverywire.ReadRootReading)
 	if err != nil {
 		return 0
@@ -115,7 +115,7 @@
 	return int(reading.Pages())
 }
 
-func decodeReading(reading discoverywire.Reading) ([]Backend, error) {
+func decodeList(reading discoverywire.Reading) ([]Backend, error) {
 	names, err := decodeNames(reading)
 	if err != nil {
 		return nil, err
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatalf("Encode: %v", err)
 	}
-	if got := pagesOf(golden.Bytes(t, "list.hex", encoded)); got != 15 {
+	if got := pageCount(golden.Bytes(t, "list.hex", encoded)); got != 15 {
 		t.Errorf("pagesOf: got %d, want 15", got)
 	}
 }
--- a/internal/discovery/listing.go
+++ b/internal/discovery/platform.go
@@ -19,27 +19,27 @@
 )
 
 const (
-	callTimeout  = 400 * time.Millisecond
-	idleTimeout  = 10 * time.Second
-	pageRetries  = 2                      // further calls for a page after an answer of 429
-	pageWait     = 100 * time.Millisecond // before the first of them; doubles
-	maximumPages = 4096                   // a listing with more is taken for a loop
-	stateReady   = "ready"
+	callTimeout       = 400 * time.Millisecond
+	idleTimeout       = 10 * time.Second
+	pageRetries       = 2                      // retries of a page after status 429
+	minPageRetryDelay = 100 * time.Millisecond // before the first retry; doubles
+	maxPages          = 4096                   // a longer listing is taken for a loop
+	stateReady        = "ready"
 )
 
-// ErrRateLimited tells that the platform took no more calls.
+// ErrRateLimited means that the platform refused a call because of its rate limit.
 var ErrRateLimited = merry.New("the platform's listing is over its rate")
 
-// Platform reads the platform's listing of backends.
+// Platform is a client of the platform's listing of backends.
 type Platform struct {
 	address  netip.AddrPort
 	ratePerS float64 // of calls; 0: not limited
 	client   *client.Client
-	// pause waits between the calls for a page.
+	// pause waits between calls; tests replace it.
 	pause func(ctx context.Context, d time.Duration) error
 }
 
-// NewPlatform makes a client of the listing at an address, which takes so many calls a second.
+// NewPlatform returns a client of the listing at an address that takes ratePerS calls a second, 0 for no limit.
 func NewPlatform(address netip.AddrPort, ratePerS float64) (*Platform, error) {
 	c, err := client.NewClient(
 		client.WithDialer(standard.NewDialer()),
@@ -55,7 +55,7 @@
 	return &Platform{address: address, ratePerS: ratePerS, client: c, pause: pause}, nil
 }
 
-// page is one answer of the listing.
+// page is one page of the listing.
 type page struct {
 	Instances []instance `json:"instances"`
 	NextToken *string    `json:"nextToken"`
@@ -86,41 +86,42 @@
 	}
 }
 
-// Reading is a complete pass over the listing.
-type Reading struct {
+// Listing is the result of a complete poll.
+type Listing struct {
 	List *List
-	// Pages is how many calls it took.
+	// Pages is how many pages arrived.
 	Pages int
 }
 
-// Read pages through the listing. It gives all of it, or an error and how many pages it has got. Each page is told to
-// notice as soon as it is there. The first of all readers goes on when the platform takes no more calls.
-func (p *Platform) Read(ctx context.Context, first bool, notice func(page []Backend)) (Reading, error) {
+// Read polls all pages of the listing. It calls onPage with each page as it arrives. On an error the Listing has only
+// the number of pages that arrived. The primary goes on when the platform refuses calls because of its rate limit;
+// other nodes give up after a few retries.
+func (p *Platform) Read(ctx context.Context, primary bool, onPage func(page []Backend)) (Listing, error) {
 	var backends []Backend
 	token := ""
-	pacing := pacing{ratePerS: p.ratePerS, first: first}
-	for pages := 1; pages <= maximumPages; pages++ {
-		answer, err := p.readNext(ctx, token, pages-1, pacing)
+	pacing := callPacing{ratePerS: p.ratePerS, primary: primary}
+	for pages := 1; pages <= maxPages; pages++ {
+		answer, err := p.readNextPage(ctx, token, pages-1, pacing)
 		if err != nil {
-			return Reading{Pages: pages - 1}, err
+			return Listing{Pages: pages - 1}, err
 		}
 		before := len(backends)
 		for i := range answer.Instances {
 			backends = append(backends, answer.Instances[i].backend())
 		}
-		notice(backends[before:])
+		onPage(backends[before:])
 		if answer.NextToken == nil || *answer.NextToken == "" {
 			list := NewList(sortedByID(backends))
 			list.pages = pages
-			return Reading{List: list, Pages: pages}, nil
+			return Listing{List: list, Pages: pages}, nil
 		}
 		token = *answer.NextToken
 	}
-	return Reading{}, merry.Errorf("the platform's listing has more than %d pages", maximumPages)
+	return Listing{}, merry.Errorf("the platform's listing has more than %d pages", maxPages)
 }
 
-// sortedByID orders entries and drops repeated ones, which a listing that changes between pages may hold: the later
-// one is newer.
+// sortedByID sorts entries and drops repeated ones, which a listing that changes between pages may have. The later
+// entry is the newer one.
 func sortedByID(backends []Backend) []Backend {
 	slices.SortStableFunc(backends, func(a, b Backend) int { return cmp.Compare(a.ID, b.ID) })
 	kept := backends[:0]
@@ -133,9 +134,9 @@
 	return kept
 }
 
-// readNext calls for the page after so many others, not before its time.
-func (p *Platform) readNext(ctx context.Context, token string, pages int, pacing pacing) (*page, error) {
-	if gap := pacing.gap(pages); gap > 0 {
+// readNextPage requests the page after so many others, at the pace that the rate limit allows.
+func (p *Platform) readNextPage(ctx context.Context, token string, pages int, pacing callPacing) (*page, error) {
+	if gap := pacing.callGap(pages); gap > 0 {
 		if err := p.pause(ctx, gap); err != nil {
 			return nil, err
 		}
@@ -143,14 +144,14 @@
 	return p.readPage(ctx, token, pacing)
 }
 
-// readPage calls for one page, again after a while where the platform takes no more calls.
-func (p *Platform) readPage(ctx context.Context, token string, pacing pacing) (*page, error) {
+// readPage requests one page, and retries calls that the rate limit refuses.
+func (p *Platform) readPage(ctx context.Context, token string, pacing callPacing) (*page, error) {
 	for refused := 1; ; refused++ {
-		answer, err := p.call(ctx, token)
+		answer, err := p.request(ctx, token)
 		if !errors.Is(err, ErrRateLimited) {
 			return answer, err
 		}
-		wait, again := pacing.afterRefusal(refused)
+		wait, again := pacing.retryDelay(refused)
 		if !again {
 			return nil, err
 		}
@@ -160,7 +161,8 @@
 	}
 }
 
-func (p *Platform) call(ctx context.Context, token string) (*page, error) {
+// request makes one call for a page.
+func (p *Platform) request(ctx context.Context, token string) (*page, error) {
 	request, response := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(request)
 	defer protocol.ReleaseResponse(response)
@@ -198,7 +200,7 @@
 	}
 }
 
-// jittered gives a random time of 0.75 to 1.25 of the given one.
+// jittered returns a random time of 0.75 to 1.25 of the given one.
 func jittered(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + 0.5*rand.Float64()))
 }
--- a/internal/discovery/listing_test.go
+++ b/internal/discovery/platform_test.go
@@ -56,12 +56,12 @@
 	return entries
 }
 
-func never(int64) int { return 0 }
+func noFailure(int64) int { return 0 }
 
 func ignorePage([]Backend) {}
 
 func TestReadAllPages(t *testing.T) {
-	platform, calls := fakePlatform(t, fiveEntries(), never)
+	platform, calls := fakePlatform(t, fiveEntries(), noFailure)
 	reading, err := platform.Read(t.Context(), false, ignorePage)
 	if err != nil {
 		t.Fatal(err)
@@ -105,13 +105,13 @@
 }
 
 // Each page is told at once, and a listing of many pages is called for no faster than the platform's rate allows.
-func TestReadTellsPagesAndKeepsToTheRate(t *testing.T) {
+func TestReadReportsPagesAndKeepsToTheRate(t *testing.T) {
 	const pages = 60
 	entries := make([]instance, 2*pages)
 	for i := range entries {
 		entries[i] = instance{Identifier: "i-" + strconv.Itoa(i), Address: netip.MustParseAddrPort("10.0.0.1:80")}
 	}
-	platform, calls := fakePlatform(t, entries, never)
+	platform, calls := fakePlatform(t, entries, noFailure)
 	var paused time.Duration
 	platform.pause = func(_ context.Context, d time.Duration) error { paused += d; return nil }
 	told := 0
@@ -123,7 +123,7 @@
 	if err != nil || reading.Pages != pages || told != pages {
 		t.Fatalf("%d pages, %d told, error %v", reading.Pages, told, err)
 	}
-	if least := part(time.Second, (pages-testRate)/testRate); paused < least {
+	if least := fraction(time.Second, (pages-testRate)/testRate); paused < least {
 		t.Errorf("%d pages within %v: over the rate of %v", pages, paused, testRate)
 	}
 }
--- /dev/null
+++ b/internal/discovery/poller.go
@@ -0,0 +1,161 @@
+package discovery
+
+import (
+	"context"
+	"hash/fnv"
+	"net/netip"
+	"time"
+
+	"go.uber.org/zap"
+
+	"nickelline/internal/settings"
+)
+
+// Distribution disseminates the list among the nodes. Versions are ordered; the higher one replaces the lower.
+type Distribution interface {
+	// Current returns the newest version that the node knows, and the encoded list.
+	Current() (sequence uint64, data []byte, ok bool)
+	// Publish disseminates a new version.
+	Publish(sequence uint64, data []byte)
+	// Certify records and disseminates the proof that at asOf the version was the platform's list.
+	Certify(sequence uint64, asOf time.Time)
+	// ProofAge returns the age of the newest proof of the current version, unproven without one.
+	ProofAge() time.Duration
+	// Pull gets a newer version, or a younger proof of the current one, from another node.
+	Pull(ctx context.Context, node netip.AddrPort) error
+}
+
+// Ranks returns the rank of this node among the live control nodes, which are ordered by address.
+type Ranks interface {
+	// Rank returns the rank, whether this is a control node at all, and the number of live nodes of all roles.
+	Rank() (rank int, control bool, members int)
+	// Peers returns the other live control nodes, ordered by address.
+	Peers() []netip.AddrPort
+}
+
+// Source is what a Poller polls. It is a *Platform.
+type Source interface {
+	// Read polls all pages, as Platform.Read does.
+	Read(ctx context.Context, primary bool, onPage func(page []Backend)) (Listing, error)
+}
+
+const (
+	minPause        = 50 * time.Millisecond
+	maxStartPause   = 100 * time.Millisecond  // longest pause while no list is known
+	defaultPollTime = 1500 * time.Millisecond // an older listing is of little use
+	firstPollTime   = 4 * time.Second         // while no list is known
+	pullTimeout     = 200 * time.Millisecond
+)
+
+// Poller polls the platform's listing when it is its node's turn, and publishes what has changed.
+type Poller struct {
+	source         Source
+	distribution   Distribution
+	ranks          Ranks
+	schedule       *schedule
+	self           netip.AddrPort
+	log            *zap.Logger
+	decoded        decodedList
+	pagesVersion   uint64 // version whose number of pages the schedule knows
+	fruitlessPulls int    // in a row, which brought no younger proof
+}
+
+// NewPoller returns the poller of the node whose internal address is self.
+func NewPoller(s *settings.Settings, self netip.AddrPort, source Source, d Distribution, r Ranks,
+	log *zap.Logger) *Poller {
+	heartbeat := time.Duration(s.HeartbeatMs) * time.Millisecond
+	drain := settings.Milliseconds(s.Bounds.DrainTimeoutMs)
+	return &Poller{
+		source:       source,
+		distribution: d,
+		ranks:        r,
+		schedule:     newSchedule(heartbeat, drain, s.CloudAPI.RatePerS, seedOf(self), time.Now()),
+		self:         self,
+		log:          log,
+	}
+}
+
+// seedOf returns a random seed that differs between nodes.
+func seedOf(address netip.AddrPort) uint64 {
+	h := fnv.New64a()
+	h.Write([]byte(address.String()))
+	return h.Sum64()
+}
+
+// Run polls until the context ends.
+func (p *Poller) Run(ctx context.Context) {
+	for ctx.Err() == nil {
+		now, role := time.Now(), p.role()
+		pollWait, pullWait := p.schedule.pollWait(now, role), p.schedule.pullWait(now, role)
+		if pollWait <= 0 {
+			p.poll(ctx, role.isPrimary())
+			continue
+		}
+		if pullWait <= 0 {
+			p.pull(ctx, now, role)
+			continue
+		}
+		wait := min(pollWait, pullWait)
+		if role.ProofAge == unproven {
+			wait = min(wait, maxStartPause) // the rank changes while nodes join
+		}
+		if pause(ctx, max(wait, minPause)) != nil {
+			return
+		}
+	}
+}
+
+// role returns what the schedule depends on, and passes on the number of pages of a list that another node has polled.
+func (p *Poller) role() nodeRole {
+	if sequence, data, held := p.distribution.Current(); held && sequence != p.pagesVersion {
+		p.pagesVersion = sequence
+		p.schedule.setPages(pageCount(data))
+	}
+	rank, control, members := p.ranks.Rank()
+	return nodeRole{Control: control, Rank: rank, Members: members, ProofAge: p.distribution.ProofAge()}
+}
+
+// pull gets a younger proof from a control node: from the first of them, and from the next one after each pull that
+// brought none.
+func (p *Poller) pull(ctx context.Context, now time.Time, before nodeRole) {
+	p.schedule.pullStarted(now)
+	peers := p.ranks.Peers()
+	if len(peers) == 0 {
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
+	defer cancel()
+	peer := peers[p.fruitlessPulls%len(peers)]
+	err := p.distribution.Pull(ctx, peer)
+	p.fruitlessPulls++
+	if p.distribution.ProofAge() < before.ProofAge {
+		p.fruitlessPulls = 0
+	}
+	if err != nil {
+		p.log.Debug("pull proof of the list of backends failed", zap.Stringer("peer", peer), zap.Error(err))
+	}
+}
+
+// poll polls the listing once and publishes what has changed.
+func (p *Poller) poll(ctx context.Context, primary bool) {
+	began := time.Now()
+	before, _, held := p.distribution.Current()
+	timeout := p.schedule.maxPollTime(held)
+	p.schedule.pollStarted(began)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	listing, err := p.source.Read(ctx, primary, func(page []Backend) {
+		if published, ok := p.publishDraining(page); ok {
+			before = published
+		}
+	})
+	now := time.Now()
+	p.schedule.pollFinished(now, listing.Pages, err)
+	if err != nil {
+		p.log.Debug("poll platform listing failed", zap.Int("pages", listing.Pages), zap.Error(err))
+		return
+	}
+	if now.Sub(began) <= timeout {
+		p.publishOrCertify(listing.List, before, began, now)
+	}
+}
--- a/internal/discovery/reader_test.go
+++ b/internal/discovery/poller_test.go
@@ -21,15 +21,15 @@
 
 var selfAddress = netip.MustParseAddrPort("10.1.0.7:7661")
 
-func scheduleAt(now time.Time) *schedule {
+func newTestSchedule(now time.Time) *schedule {
 	return newSchedule(testHeartbeat, testDrain, testRate, 1, now)
 }
 
-func TestRanksReadInOrder(t *testing.T) {
+func TestRanksPollInOrder(t *testing.T) {
 	now := time.Now()
 	last := time.Duration(-1)
 	for rank := range 8 {
-		wait := scheduleAt(now).wait(now, standing{Control: true, Rank: rank, Members: 13})
+		wait := newTestSchedule(now).pollWait(now, nodeRole{Control: true, Rank: rank, Members: 13})
 		if wait < last {
 			t.Errorf("rank %d reads after %v, before the rank below it (%v)", rank, wait, last)
 		}
@@ -38,49 +38,49 @@
 		}
 		last = wait
 	}
-	if wait := scheduleAt(now).wait(now, standing{Control: true, Members: 13, ProofAge: unknownAge}); wait != 0 {
+	if wait := newTestSchedule(now).pollWait(now, nodeRole{Control: true, Members: 13, ProofAge: unknownAge}); wait != 0 {
 		t.Errorf("the first control node without any proof waits %v", wait)
 	}
 }
 
-func TestStartedControlNodesReadInOrder(t *testing.T) {
+func TestStartedControlNodesPollInOrder(t *testing.T) {
 	now := time.Now()
-	alone := standing{Control: true, Members: 1, ProofAge: unknownAge}
-	if wait := scheduleAt(now).wait(now, alone); wait != meetingTime {
+	alone := nodeRole{Control: true, Members: 1, ProofAge: unknownAge}
+	if wait := newTestSchedule(now).pollWait(now, alone); wait != joinTime {
 		t.Errorf("a control node that has met no other waits %v", wait)
 	}
-	if wait := scheduleAt(now).wait(now.Add(meetingTime), alone); wait != 0 {
+	if wait := newTestSchedule(now).pollWait(now.Add(joinTime), alone); wait != 0 {
 		t.Errorf("a control node that goes on meeting no other waits %v more", wait)
 	}
-	last := -firstStep
-	for rank := range firstSteps {
-		wait := scheduleAt(now).wait(now, standing{Control: true, Rank: rank, Members: 13, ProofAge: unknownAge})
-		if wait < last+firstStep {
+	last := -startStep
+	for rank := range maxStartSteps {
+		wait := newTestSchedule(now).pollWait(now, nodeRole{Control: true, Rank: rank, Members: 13, ProofAge: unknownAge})
+		if wait < last+startStep {
 			t.Errorf("rank %d reads after %v, soon after the rank below it (%v)", rank, wait, last)
 		}
 		last = wait
 	}
 }
 
-func TestOthersReadOnlyWithoutNews(t *testing.T) {
+func TestOtherNodesPollOnlyWithoutProof(t *testing.T) {
 	now := time.Now()
-	s := scheduleAt(now)
-	if wait := s.wait(now, standing{Members: 13, ProofAge: unknownAge}); wait < firstWait {
+	s := newTestSchedule(now)
+	if wait := s.pollWait(now, nodeRole{Members: 13, ProofAge: unknownAge}); wait < startWait {
 		t.Errorf("a started node waits only %v", wait)
 	}
 	now = now.Add(10 * time.Second)
-	st := standing{Members: 13, ProofAge: testDrain / 2}
-	if s.wait(now, st) == 0 {
+	st := nodeRole{Members: 13, ProofAge: testDrain / 2}
+	if s.pollWait(now, st) == 0 {
 		t.Error("a node with news reads")
 	}
 	st.ProofAge = testDrain * 3 / 4
-	if wait := s.wait(now, st); wait != 0 {
+	if wait := s.pollWait(now, st); wait != 0 {
 		t.Errorf("a node without news waits %v", wait)
 	}
 }
 
-// TestOthersStayUnderTheRate lets many nodes live without any news from control nodes.
-func TestOthersStayUnderTheRate(t *testing.T) {
+// TestOtherNodesStayUnderTheRate lets many nodes live without any news from control nodes.
+func TestOtherNodesStayUnderTheRate(t *testing.T) {
 	const nodes, pages, span = 95, 2, 60 * time.Second
 	start := time.Now()
 	calls := 0
@@ -88,16 +88,16 @@
 		s := newSchedule(testHeartbeat, testDrain, testRate, uint64(node), start)
 		for now := start; now.Sub(start) < span; {
 			age := min(now.Sub(start), unknownAge)
-			if !s.lastBegin.IsZero() {
-				age = now.Sub(s.lastBegin)
+			if !s.lastPollAt.IsZero() {
+				age = now.Sub(s.lastPollAt)
 			}
-			if wait := s.wait(now, standing{Members: nodes, ProofAge: age}); wait > 0 {
+			if wait := s.pollWait(now, nodeRole{Members: nodes, ProofAge: age}); wait > 0 {
 				now = now.Add(wait)
 				continue
 			}
-			s.began(now)
+			s.pollStarted(now)
 			now = now.Add(time.Millisecond)
-			s.ended(now, pages, nil)
+			s.pollFinished(now, pages, nil)
 			calls += pages
 		}
 	}
@@ -108,20 +108,20 @@
 
 func TestFailuresBackOff(t *testing.T) {
 	now := time.Now()
-	s := scheduleAt(now)
-	st := standing{Control: true, Members: 13, ProofAge: unknownAge}
+	s := newTestSchedule(now)
+	st := nodeRole{Control: true, Members: 13, ProofAge: unknownAge}
 	last := time.Duration(0)
 	for range 3 {
-		s.began(now)
-		s.ended(now, 0, errors.New("silence"))
-		wait := s.wait(now, st)
+		s.pollStarted(now)
+		s.pollFinished(now, 0, errors.New("silence"))
+		wait := s.pollWait(now, st)
 		if wait <= last {
 			t.Errorf("waits %v after %v", wait, last)
 		}
 		last, now = wait, now.Add(wait)
 	}
-	s.ended(now, 1, nil)
-	if wait := s.wait(now, st); wait != 0 {
+	s.pollFinished(now, 1, nil)
+	if wait := s.pollWait(now, st); wait != 0 {
 		t.Errorf("waits %v after a success", wait)
 	}
 }
@@ -144,7 +144,7 @@
 		d.proof = asOf
 	}
 }
-func (d *fakeDistribution) Ask(context.Context, netip.AddrPort) error { return nil }
+func (d *fakeDistribution) Pull(context.Context, netip.AddrPort) error { return nil }
 func (d *fakeDistribution) ProofAge() time.Duration {
 	if d.proof.IsZero() {
 		return unknownAge
@@ -157,9 +157,9 @@
 func (fakeRanks) Rank() (int, bool, int)  { return 0, true, 13 }
 func (fakeRanks) Peers() []netip.AddrPort { return nil }
 
-type sourceFunc func() (Reading, error)
+type sourceFunc func() (Listing, error)
 
-func (f sourceFunc) Read(context.Context, bool, func([]Backend)) (Reading, error) { return f() }
+func (f sourceFunc) Read(context.Context, bool, func([]Backend)) (Listing, error) { return f() }
 
 // pagedSource tells its pages before it ends.
 type pagedSource struct {
@@ -168,7 +168,7 @@
 	each  func()
 }
 
-func (s *pagedSource) Read(_ context.Context, _ bool, notice func([]Backend)) (Reading, error) {
+func (s *pagedSource) Read(_ context.Context, _ bool, notice func([]Backend)) (Listing, error) {
 	var all []Backend
 	for _, page := range s.pages {
 		notice(page)
@@ -176,54 +176,54 @@
 		all = append(all, page...)
 	}
 	if s.err != nil {
-		return Reading{Pages: len(s.pages)}, s.err
+		return Listing{Pages: len(s.pages)}, s.err
 	}
-	return Reading{List: NewList(sortedByID(all)), Pages: len(s.pages)}, nil
+	return Listing{List: NewList(sortedByID(all)), Pages: len(s.pages)}, nil
 }
 
-func newTestReader(d Distribution, source Source) *Reader {
+func newTestPoller(d Distribution, source Source) *Poller {
 	s := &settings.Settings{HeartbeatMs: 1200}
 	s.Bounds.DrainTimeoutMs = 3000
 	s.CloudAPI.RatePerS = testRate
-	return NewReader(s, selfAddress, source, d, fakeRanks{}, zap.NewNop())
+	return NewPoller(s, selfAddress, source, d, fakeRanks{}, zap.NewNop())
 }
 
-func TestReaderPublishesChangesOnly(t *testing.T) {
+func TestPollerPublishesChangesOnly(t *testing.T) {
 	backends := manyBackends(12)
 	d := &fakeDistribution{}
-	r := newTestReader(d, sourceFunc(func() (Reading, error) {
-		return Reading{List: NewList(append([]Backend(nil), backends...)), Pages: 1}, nil
+	r := newTestPoller(d, sourceFunc(func() (Listing, error) {
+		return Listing{List: NewList(append([]Backend(nil), backends...)), Pages: 1}, nil
 	}))
-	r.read(t.Context(), true)
+	r.poll(t.Context(), true)
 	first := d.sequence
 	if d.changes != 1 || d.proof.IsZero() {
 		t.Fatalf("%d changes, proof %v", d.changes, d.proof)
 	}
 	proof := d.proof
 	backends[1].Cold -= time.Millisecond // still cold
-	r.read(t.Context(), true)
+	r.poll(t.Context(), true)
 	if d.changes != 1 || !d.proof.After(proof) {
 		t.Errorf("%d changes, proof %v after %v", d.changes, d.proof, proof)
 	}
 	backends[1].Draining = true
-	r.read(t.Context(), true)
+	r.poll(t.Context(), true)
 	if d.changes != 2 || d.sequence <= first {
 		t.Errorf("%d changes, version %d after %d", d.changes, d.sequence, first)
 	}
 }
 
-func TestReaderDropsAnOlderReading(t *testing.T) {
+func TestPollerDropsAnOutdatedListing(t *testing.T) {
 	d := &fakeDistribution{}
-	var r *Reader
+	var r *Poller
 	other, err := Encode(NewList(manyBackends(5)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r = newTestReader(d, sourceFunc(func() (Reading, error) {
+	r = newTestPoller(d, sourceFunc(func() (Listing, error) {
 		d.Publish(nextSequence(d.sequence, netip.MustParseAddrPort("10.2.0.7:7660")), other)
-		return Reading{List: NewList(manyBackends(6)), Pages: 1}, nil
+		return Listing{List: NewList(manyBackends(6)), Pages: 1}, nil
 	}))
-	r.read(t.Context(), true)
+	r.poll(t.Context(), true)
 	if d.changes != 1 {
 		t.Errorf("%d changes: a reading replaced what was heard of while it was made", d.changes)
 	}
@@ -232,10 +232,10 @@
 	}
 }
 
-func TestReaderFailureChangesNothing(t *testing.T) {
+func TestFailedPollChangesNothing(t *testing.T) {
 	d := &fakeDistribution{}
-	r := newTestReader(d, sourceFunc(func() (Reading, error) { return Reading{}, errors.New("silence") }))
-	r.read(t.Context(), true)
+	r := newTestPoller(d, sourceFunc(func() (Listing, error) { return Listing{}, errors.New("silence") }))
+	r.poll(t.Context(), true)
 	if d.changes != 0 || !d.proof.IsZero() {
 		t.Error("a failed reading changed the list")
 	}
@@ -254,7 +254,7 @@
 
 // A backend that a page shows draining is published at once, and stays so whether the reading ends well or not. New and
 // lacking backends wait for the end.
-func TestDrainingIsPublishedBeforeTheEnd(t *testing.T) {
+func TestDrainingIsPublishedBeforeThePollEnds(t *testing.T) {
 	for _, failure := range []error{nil, errors.New("silence")} {
 		backends := manyBackends(12)
 		for i := range backends {
@@ -262,8 +262,8 @@
 		}
 		d := &fakeDistribution{}
 		source := &pagedSource{pages: [][]Backend{backends}, each: func() {}}
-		r := newTestReader(d, source)
-		r.read(t.Context(), true)
+		r := newTestPoller(d, source)
+		r.poll(t.Context(), true)
 		proof, first := d.proof, d.changes
 
 		later := append([]Backend(nil), backends...)
@@ -274,7 +274,7 @@
 		source.err = failure
 		var published []int
 		source.each = func() { published = append(published, d.changes-first) }
-		r.read(t.Context(), true)
+		r.poll(t.Context(), true)
 		if len(published) != 3 || published[0] != 0 || published[1] != 1 || published[2] != 1 {
 			t.Fatalf("changes after each page: %v", published)
 		}
@@ -303,24 +303,24 @@
 func TestPeriodFollowsTheRate(t *testing.T) {
 	const pages = 74
 	now := time.Now()
-	s := scheduleAt(now)
-	s.began(now)
-	s.ended(now, pages, nil)
+	s := newTestSchedule(now)
+	s.pollStarted(now)
+	s.pollFinished(now, pages, nil)
 	if calls := pages / s.period().Seconds(); calls > testRate*0.81 || calls < testRate*0.79 {
 		t.Errorf("%.1f calls a second", calls)
 	}
-	if s.span(true) < s.period() {
-		t.Errorf("a reading may take %v, its pages need %v", s.span(true), s.period())
+	if s.maxPollTime(true) < s.period() {
+		t.Errorf("a reading may take %v, its pages need %v", s.maxPollTime(true), s.period())
 	}
 	last := time.Duration(0)
 	for rank := range 4 {
-		due := s.dueAge(standing{Control: true, Rank: rank, Members: 390})
+		due := s.pollAge(nodeRole{Control: true, Rank: rank, Members: 390})
 		if due <= last {
 			t.Errorf("rank %d reads at an age of %v, the rank below it at %v", rank, due, last)
 		}
 		last = due
 	}
-	if due := s.dueAge(standing{Members: 390}); due <= s.period() {
+	if due := s.pollAge(nodeRole{Members: 390}); due <= s.period() {
 		t.Errorf("others read at an age of %v, the reader each %v", due, s.period())
 	}
 }
--- /dev/null
+++ b/internal/discovery/publish.go
@@ -0,0 +1,115 @@
+package discovery
+
+import (
+	"net/netip"
+	"time"
+
+	"go.uber.org/zap"
+)
+
+// decodedList is the decoded form of a published version.
+type decodedList struct {
+	sequence uint64
+	list     *List
+}
+
+// publishOrCertify certifies the current version if the polled list is the same. Otherwise it publishes the polled
+// list, unless something newer has arrived since the poll started: version before is the one that the poll started
+// from.
+func (p *Poller) publishOrCertify(list *List, before uint64, began, now time.Time) {
+	sequence, data, held := p.distribution.Current()
+	if held && p.decodeCurrent(sequence, data) && sameBackends(p.decoded.list, list) {
+		p.distribution.Certify(sequence, began)
+		return
+	}
+	newer := p.distribution.ProofAge() < now.Sub(began)
+	if sequence != before || newer {
+		return
+	}
+	next, published := p.publish(sequence, list)
+	if !published {
+		return
+	}
+	p.distribution.Certify(next, began)
+	p.log.Info("list of backends changed", zap.Int("backends", list.Len()), zap.Uint64("version", next>>writerBits))
+}
+
+// publishDraining publishes the current list with those backends draining that a page shows as draining, and returns
+// its version. They are about to end, so this does not wait for the rest of a long listing. The proof of the new
+// version is as old as that of the former one.
+func (p *Poller) publishDraining(page []Backend) (uint64, bool) {
+	sequence, data, held := p.distribution.Current()
+	if !held || !p.decodeCurrent(sequence, data) {
+		return 0, false
+	}
+	list, changed := p.decoded.list.withDraining(page)
+	if !changed {
+		return 0, false
+	}
+	age := p.distribution.ProofAge()
+	next, published := p.publish(sequence, list)
+	if published && age != unproven {
+		p.distribution.Certify(next, time.Now().Add(-age))
+	}
+	return next, published
+}
+
+// publish publishes a list as the version after the given one, and returns its version.
+func (p *Poller) publish(sequence uint64, list *List) (uint64, bool) {
+	encoded, err := Encode(list)
+	if err != nil {
+		p.log.Error("encode list of backends failed", zap.Error(err))
+		return 0, false
+	}
+	next := nextSequence(sequence, p.self)
+	p.decoded = decodedList{sequence: next, list: list}
+	p.distribution.Publish(next, encoded)
+	return next, true
+}
+
+// decodeCurrent decodes the current version unless it is decoded already. It reports whether that succeeded.
+func (p *Poller) decodeCurrent(sequence uint64, data []byte) bool {
+	if p.decoded.list != nil && p.decoded.sequence == sequence {
+		return true
+	}
+	list, err := Decode(data)
+	if err != nil {
+		p.log.Error("decode list of backends failed", zap.Uint64("sequence", sequence), zap.Error(err))
+		return false
+	}
+	p.decoded = decodedList{sequence: sequence, list: list}
+	return true
+}
+
+// The low bits of a sequence number identify its writer, so that no two writers use the same number.
+const (
+	writerBits = 36
+	portBits   = 4 // internal ports of the processes of a machine differ in these
+)
+
+// nextSequence returns a sequence number above the given one that no other writer uses.
+func nextSequence(sequence uint64, writer netip.AddrPort) uint64 {
+	address := writer.Addr().As4()
+	number := uint64(address[0])<<24 | uint64(address[1])<<16 | uint64(address[2])<<8 | uint64(address[3])
+	number = number<<portBits | uint64(writer.Port())&(1<<portBits-1)
+	return (sequence>>writerBits+1)<<writerBits | number
+}
+
+// sameBackends reports whether two lists, ordered by ID, are the same. How long a backend stays cold changes all the
+// time, so only whether it is cold counts.
+func sameBackends(a, b *List) bool {
+	if len(a.backends) != len(b.backends) {
+		return false
+	}
+	for i := range a.backends {
+		x, y := a.backends[i], b.backends[i]
+		if (x.Cold > 0) != (y.Cold > 0) {
+			return false
+		}
+		x.Cold, y.Cold = 0, 0
+		if x != y {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/discovery/simulation_test.go
+++ b/internal/discovery/simulation_test.go
@@ -30,30 +30,30 @@
 }
 
 type simulatedNode struct {
-	control  bool
-	rank     int
-	zone     int
-	schedule *schedule
-	version  int          // of the listing
-	knows    map[int]bool // changes of the listing, also those that a page told of before the reading ended
-	asOf     time.Duration
-	frozen   bool
-	cut      bool // from all nodes, not from the platform
-	asks     int  // that brought nothing
+	control        bool
+	rank           int
+	zone           int
+	schedule       *schedule
+	version        int          // of the listing
+	knownChanges   map[int]bool // changes of the listing, also those that a page told of before the reading ended
+	asOf           time.Duration
+	frozen         bool
+	partitioned    bool // from all nodes, not from the platform
+	fruitlessPulls int  // that brought nothing
 }
 
 type simulation struct {
-	now     time.Duration
-	start   time.Time
-	events  eventQueue
-	random  *rand.Rand
-	nodes   []*simulatedNode
-	listing int // changes that the platform shows
-	shownAt map[int]time.Duration
-	calls   int
-	worst   time.Duration // from showing to knowing
-	asked   int
-	site    simulatedSite
+	now             time.Duration
+	start           time.Time
+	events          eventQueue
+	random          *rand.Rand
+	nodes           []*simulatedNode
+	platformVersion int // changes that the platform shows
+	shownAt         map[int]time.Duration
+	calls           int
+	worstDelay      time.Duration // from showing to knowing
+	pulls           int
+	site            simulatedSite
 
 	tokens   float64 // calls that the platform admits
 	tokensAt time.Duration
@@ -64,7 +64,7 @@
 	controls, nodes int
 	drain           time.Duration
 	pages           int           // of the listing
-	met             time.Duration // when the nodes know each other
+	joined          time.Duration // when the nodes know each other
 }
 
 var (
@@ -85,10 +85,10 @@
 	s.site = site
 	s.tokens = testRate // nobody has called before
 	for i := range site.nodes {
-		n := &simulatedNode{control: i < site.controls, rank: i, zone: i % simulatedZones, asOf: -time.Hour, knows: map[int]bool{}}
+		n := &simulatedNode{control: i < site.controls, rank: i, zone: i % simulatedZones, asOf: -time.Hour, knownChanges: map[int]bool{}}
 		n.schedule = newSchedule(testHeartbeat, site.drain, testRate, seed<<8|uint64(i), s.start)
 		s.nodes = append(s.nodes, n)
-		s.after(0, func() { s.turn(n) })
+		s.after(0, func() { s.step(n) })
 		s.after(time.Duration(s.random.Int64N(int64(testHeartbeat))), func() { s.exchange(n) })
 	}
 	return s
@@ -112,104 +112,104 @@
 
 func (s *simulation) clock() time.Time { return s.start.Add(s.now) }
 
-// turn lets a node read if it is due, or wait.
-func (s *simulation) turn(n *simulatedNode) {
+// step lets a node read if it is due, or wait.
+func (s *simulation) step(n *simulatedNode) {
 	if n.frozen {
-		s.after(leastPause, func() { s.turn(n) })
+		s.after(minPause, func() { s.step(n) })
 		return
 	}
-	st := standing{Control: n.control, Rank: n.rank, Members: s.site.nodes, ProofAge: s.now - n.asOf}
+	st := nodeRole{Control: n.control, Rank: n.rank, Members: s.site.nodes, ProofAge: s.now - n.asOf}
 	if n.version == 0 && n.asOf < 0 {
 		st.ProofAge = unproven
 	}
-	if s.now < s.site.met {
+	if s.now < s.site.joined {
 		st.Rank, st.Members = 0, 1
 	}
-	wait, askWait := n.schedule.wait(s.clock(), st), n.schedule.askWait(s.clock(), st)
+	wait, askWait := n.schedule.pollWait(s.clock(), st), n.schedule.pullWait(s.clock(), st)
 	if wait > 0 && askWait <= 0 {
-		s.ask(n)
+		s.pull(n)
 		return
 	}
 	if wait > 0 {
 		wait = min(wait, askWait)
 		if st.ProofAge == unproven {
-			wait = min(wait, startPause)
+			wait = min(wait, maxStartPause)
 		}
-		s.after(max(wait, leastPause), func() { s.turn(n) })
+		s.after(max(wait, minPause), func() { s.step(n) })
 		return
 	}
-	n.schedule.began(s.clock())
-	s.readPage(n, reading{began: s.now, version: s.listing, pacing: pacing{ratePerS: testRate, first: st.reads()}})
+	n.schedule.pollStarted(s.clock())
+	s.readPage(n, simulatedPoll{began: s.now, version: s.platformVersion, pacing: callPacing{ratePerS: testRate, primary: st.isPrimary()}})
 }
 
-// reading is one pass over the listing.
-type reading struct {
-	began   time.Duration
-	version int
-	pages   int // that have been read
-	refused int // calls for the next one
-	pacing  pacing
+// simulatedPoll is one pass over the listing.
+type simulatedPoll struct {
+	began    time.Duration
+	version  int
+	pages    int // that have been read
+	refusals int // calls for the next one
+	pacing   callPacing
 }
 
 // readPage calls for the next page, as Platform.Read does.
-func (s *simulation) readPage(n *simulatedNode, r reading) {
+func (s *simulation) readPage(n *simulatedNode, r simulatedPoll) {
 	s.calls++
-	if s.now-r.began > n.schedule.span(n.version > 0) {
-		s.ended(n, r, context.DeadlineExceeded)
+	if s.now-r.began > n.schedule.maxPollTime(n.version > 0) {
+		s.pollEnded(n, r, context.DeadlineExceeded)
 		return
 	}
 	if !s.admitsCall() {
-		r.refused++
-		wait, again := r.pacing.afterRefusal(r.refused)
+		r.refusals++
+		wait, again := r.pacing.retryDelay(r.refusals)
 		if !again {
-			s.ended(n, r, ErrRateLimited)
+			s.pollEnded(n, r, ErrRateLimited)
 			return
 		}
 		s.after(jittered(wait), func() { s.readPage(n, r) })
 		return
 	}
-	r.pages, r.refused = r.pages+1, 0
-	s.notice(n, r.pages-1)
+	r.pages, r.refusals = r.pages+1, 0
+	s.handlePage(n, r.pages-1)
 	if r.pages < s.site.pages {
-		s.after(5*time.Millisecond+r.pacing.gap(r.pages), func() { s.readPage(n, r) })
+		s.after(5*time.Millisecond+r.pacing.callGap(r.pages), func() { s.readPage(n, r) })
 		return
 	}
 	s.after(5*time.Millisecond, func() {
-		s.learn(n, r.version, r.began)
-		s.ended(n, r, nil)
+		s.learnVersion(n, r.version, r.began)
+		s.pollEnded(n, r, nil)
 	})
 }
 
-// notice has a node learn of the changes that a page shows, and spread them, as Reader.publishDraining does.
-func (s *simulation) notice(n *simulatedNode, page int) {
-	for change := page; change <= s.listing; change += s.site.pages { // a page shows every so manieth
-		if change > n.version && s.know(n, change) {
-			s.rumourChange(n, change)
+// handlePage has a node learn of the changes that a page shows, and spread them, as Reader.publishDraining does.
+func (s *simulation) handlePage(n *simulatedNode, page int) {
+	for change := page; change <= s.platformVersion; change += s.site.pages { // a page shows every so manieth
+		if change > n.version && s.learnChange(n, change) {
+			s.spreadChange(n, change)
 		}
 	}
 }
 
-// know notes when a node knows of a change, and tells whether it did not before.
-func (s *simulation) know(n *simulatedNode, change int) bool {
-	if change == 0 || n.knows[change] || n.frozen {
+// learnChange notes when a node knows of a change, and tells whether it did not before.
+func (s *simulation) learnChange(n *simulatedNode, change int) bool {
+	if change == 0 || n.knownChanges[change] || n.frozen {
 		return false
 	}
-	n.knows[change] = true
-	s.worst = max(s.worst, s.now-s.shownAt[change])
+	n.knownChanges[change] = true
+	s.worstDelay = max(s.worstDelay, s.now-s.shownAt[change])
 	return true
 }
 
-func (s *simulation) rumourChange(from *simulatedNode, change int) {
-	s.tell(from, func(to *simulatedNode) {
-		if s.know(to, change) {
-			s.rumourChange(to, change)
+func (s *simulation) spreadChange(from *simulatedNode, change int) {
+	s.sendToSome(from, func(to *simulatedNode) {
+		if s.learnChange(to, change) {
+			s.spreadChange(to, change)
 		}
 	})
 }
 
-func (s *simulation) ended(n *simulatedNode, r reading, err error) {
-	n.schedule.ended(s.clock(), r.pages, err)
-	s.after(time.Millisecond, func() { s.turn(n) })
+func (s *simulation) pollEnded(n *simulatedNode, r simulatedPoll, err error) {
+	n.schedule.pollFinished(s.clock(), r.pages, err)
+	s.after(time.Millisecond, func() { s.step(n) })
 }
 
 // admitsCall counts a call against the platform's rate, with a second's worth saved up at most.
@@ -223,61 +223,61 @@
 	return true
 }
 
-// ask has a node exchange with the control nodes in their order, as Reader.ask does.
-func (s *simulation) ask(n *simulatedNode) {
-	s.asked++
-	n.schedule.asked(s.clock())
-	if s.now < s.site.met {
-		s.after(leastPause, func() { s.turn(n) })
+// pull has a node exchange with the control nodes in their order, as Reader.ask does.
+func (s *simulation) pull(n *simulatedNode) {
+	s.pulls++
+	n.schedule.pullStarted(s.clock())
+	if s.now < s.site.joined {
+		s.after(minPause, func() { s.step(n) })
 		return
 	}
-	partner := s.nodes[n.asks%s.site.controls]
-	n.asks++
-	if partner == n || n.cut || partner.cut || partner.frozen {
-		s.after(askTimeout, func() { s.turn(n) })
+	partner := s.nodes[n.fruitlessPulls%s.site.controls]
+	n.fruitlessPulls++
+	if partner == n || n.partitioned || partner.partitioned || partner.frozen {
+		s.after(pullTimeout, func() { s.step(n) })
 		return
 	}
 	s.after(5*time.Millisecond, func() {
 		if partner.asOf > n.asOf {
-			n.asks = 0
+			n.fruitlessPulls = 0
 		}
-		s.learn(n, partner.version, partner.asOf)
-		s.turn(n)
+		s.learnVersion(n, partner.version, partner.asOf)
+		s.step(n)
 	})
 }
 
-// learn gives a node a version and its proof. A new version goes on as a rumour.
-func (s *simulation) learn(n *simulatedNode, version int, asOf time.Duration) {
+// learnVersion gives a node a version and its proof. A new version goes on as a rumour.
+func (s *simulation) learnVersion(n *simulatedNode, version int, asOf time.Duration) {
 	if n.frozen || version < n.version {
 		return
 	}
 	if asOf >= 0 {
-		n.schedule.learnPages(s.site.pages)
+		n.schedule.setPages(s.site.pages)
 	}
 	if version > n.version {
 		for v := n.version + 1; v <= version; v++ {
-			s.know(n, v)
+			s.learnChange(n, v)
 		}
 		n.version = version
 		n.asOf = asOf
-		s.rumour(n, version, asOf)
+		s.spreadVersion(n, version, asOf)
 	}
 	n.asOf = max(n.asOf, asOf)
 }
 
-func (s *simulation) rumour(from *simulatedNode, version int, asOf time.Duration) {
-	s.tell(from, func(to *simulatedNode) { s.learn(to, version, asOf) })
+func (s *simulation) spreadVersion(from *simulatedNode, version int, asOf time.Duration) {
+	s.sendToSome(from, func(to *simulatedNode) { s.learnVersion(to, version, asOf) })
 }
 
-// tell has a node tell a few others something.
-func (s *simulation) tell(from *simulatedNode, hear func(to *simulatedNode)) {
-	if from.cut {
+// sendToSome has a node tell a few others something.
+func (s *simulation) sendToSome(from *simulatedNode, hear func(to *simulatedNode)) {
+	if from.partitioned {
 		return
 	}
 	for range 3 {
 		to := s.nodes[s.random.IntN(s.site.nodes)]
 		s.after(time.Duration(2+s.random.IntN(20))*time.Millisecond, func() {
-			if !to.cut {
+			if !to.partitioned {
 				hear(to)
 			}
 		})
@@ -291,52 +291,52 @@
 	if s.random.IntN(4) > 0 {
 		partner = s.nodes[n.zone+simulatedZones*s.random.IntN(s.site.controls/simulatedZones)]
 	}
-	if n.frozen || partner.frozen || n.cut || partner.cut {
+	if n.frozen || partner.frozen || n.partitioned || partner.partitioned {
 		return
 	}
-	for change := min(n.version, partner.version) + 1; change <= s.listing; change++ {
-		if partner.knows[change] {
-			s.know(n, change)
-		} else if n.knows[change] {
-			s.know(partner, change)
+	for change := min(n.version, partner.version) + 1; change <= s.platformVersion; change++ {
+		if partner.knownChanges[change] {
+			s.learnChange(n, change)
+		} else if n.knownChanges[change] {
+			s.learnChange(partner, change)
 		}
 	}
-	s.learn(n, partner.version, partner.asOf)
+	s.learnVersion(n, partner.version, partner.asOf)
 	if n.version > partner.version { // which the partner fetches; of a held one it is not told the proof
-		s.learn(partner, n.version, n.asOf)
+		s.learnVersion(partner, n.version, n.asOf)
 	}
 }
 
-// drains lets the listing change now and then.
-func (s *simulation) drains(from, until time.Duration) {
+// scheduleDrains lets the listing change now and then.
+func (s *simulation) scheduleDrains(from, until time.Duration) {
 	for at := from; at < until; at += time.Duration(200+s.random.IntN(1500)) * time.Millisecond {
 		s.at(at, func() {
-			s.listing++
-			s.shownAt[s.listing] = s.now
+			s.platformVersion++
+			s.shownAt[s.platformVersion] = s.now
 		})
 	}
 }
 
-func TestSimulatedReadings(t *testing.T) {
-	t.Run("small", func(t *testing.T) { testSimulatedReadings(t, smallSite) })
-	t.Run("large", func(t *testing.T) { testSimulatedReadings(t, largeSite) })
+func TestSimulatedPolls(t *testing.T) {
+	t.Run("small", func(t *testing.T) { testSimulatedPolls(t, smallSite) })
+	t.Run("large", func(t *testing.T) { testSimulatedPolls(t, largeSite) })
 }
 
-// TestReadingsAtTheTarget: where one reader takes nearly all of the platform's rate, a drain is known within a cycle of calls
+// TestSimulatedPollsAtTargetSize: where one reader takes nearly all of the platform's rate, a drain is known within a cycle of calls
 // in calm and beside a node that is cut off, and after the reader is lost the list goes on once another one is the first.
-func TestReadingsAtTheTarget(t *testing.T) {
+func TestSimulatedPollsAtTargetSize(t *testing.T) {
 	// In the first seconds readers still get in each other's way.
 	const started, lost, noticed, end = 10 * time.Second, 15 * time.Second, 17 * time.Second, 45 * time.Second
 	// A drain waits for the next call for its page, which takes what the rate allows, and then for two exchanges at most:
 	// about the drain time-out of the site. No larger listing could be read in time at this rate.
-	cycle := part(time.Second, float64(targetSite.pages)/(fallbackRate*testRate)) + 2*testHeartbeat
+	cycle := fraction(time.Second, float64(targetSite.pages)/(steadyRateFraction*testRate)) + 2*testHeartbeat
 	for name, c := range map[string]struct {
 		trouble func(*simulation)
 		worst   time.Duration
 	}{
 		"calm": {func(*simulation) {}, cycle},
 		"node cut off": {func(s *simulation) {
-			s.at(lost, func() { s.nodes[17].cut = true })
+			s.at(lost, func() { s.nodes[17].partitioned = true })
 		}, cycle},
 		"reader frozen": {func(s *simulation) {
 			s.at(lost, func() { s.nodes[0].frozen = true })
@@ -351,15 +351,15 @@
 			worst, calls := time.Duration(0), 0
 			for seed := range uint64(10) {
 				s := newSimulation(seed, targetSite)
-				s.drains(started, end-2*targetSite.drain)
+				s.scheduleDrains(started, end-2*targetSite.drain)
 				c.trouble(s)
 				s.runUntil(end)
 				for i, n := range s.nodes {
-					if !n.frozen && !n.cut && len(n.knows) != s.listing {
-						t.Errorf("seed %d: node %d knows %d changes of %d", seed, i, len(n.knows), s.listing)
+					if !n.frozen && !n.partitioned && len(n.knownChanges) != s.platformVersion {
+						t.Errorf("seed %d: node %d knows %d changes of %d", seed, i, len(n.knownChanges), s.platformVersion)
 					}
 				}
-				worst, calls = max(worst, s.worst), max(calls, s.calls)
+				worst, calls = max(worst, s.worstDelay), max(calls, s.calls)
 			}
 			rate := float64(calls) / end.Seconds()
 			t.Logf("known everywhere after %v, %.1f calls a second", worst, rate)
@@ -373,20 +373,20 @@
 	}
 }
 
-// TestOneReaderInCalm: where nobody fails, the others learn from the reader and leave the platform alone.
-func TestOneReaderInCalm(t *testing.T) {
+// TestOnlyThePrimaryPollsWithoutFaults: where nobody fails, the others learn from the reader and leave the platform alone.
+func TestOnlyThePrimaryPollsWithoutFaults(t *testing.T) {
 	const begin, end = 5 * time.Second, 65 * time.Second // without the start, when the nodes have not met yet
 	for name, site := range map[string]simulatedSite{"small": smallSite, "large": largeSite} {
 		site.pages = 1 // so that calls are readings
 		for seed := range uint64(5) {
 			s := newSimulation(seed, site)
-			s.drains(firstDrain, end)
+			s.scheduleDrains(firstDrain, end)
 			s.runUntil(begin)
-			before, asked := s.calls, s.asked
+			before, asked := s.calls, s.pulls
 			s.runUntil(end)
 			readings := float64(s.calls - before)
 			own := float64(end-begin) / float64(s.nodes[0].schedule.period())
-			t.Logf("%s, seed %d: %v readings, %v of them the reader's, %d questions", name, seed, readings, own, s.asked-asked)
+			t.Logf("%s, seed %d: %v readings, %v of them the reader's, %d questions", name, seed, readings, own, s.pulls-asked)
 			if readings > 1.1*own {
 				t.Errorf("%s, seed %d: %v readings, %v of them the reader's", name, seed, readings, own)
 			}
@@ -394,15 +394,15 @@
 	}
 }
 
-// TestAllStartAtOnce: many nodes that start together share the platform's rate so that one of them gets the whole list
+// TestSimulatedSimultaneousStart: many nodes that start together share the platform's rate so that one of them gets the whole list
 // soon, and the others have it from that one.
-func TestAllStartAtOnce(t *testing.T) {
+func TestSimulatedSimultaneousStart(t *testing.T) {
 	const bound = 5 * time.Second
 	for name, site := range map[string]simulatedSite{"large": largeSite, "huge": hugeSite} {
-		site.met = 400 * time.Millisecond
+		site.joined = 400 * time.Millisecond
 		for seed := range uint64(5) {
 			s := newSimulation(seed, site)
-			s.listing = 1
+			s.platformVersion = 1
 			known := func() int {
 				count := 0
 				for _, n := range s.nodes {
@@ -422,7 +422,7 @@
 	}
 }
 
-func testSimulatedReadings(t *testing.T, site simulatedSite) {
+func testSimulatedPolls(t *testing.T, site simulatedSite) {
 	for name, trouble := range map[string]func(*simulation){
 		"calm": func(*simulation) {},
 		"reader frozen": func(s *simulation) {
@@ -432,12 +432,12 @@
 			s.at(10*time.Second, func() { s.nodes[0].frozen, s.nodes[1].frozen = true, true })
 		},
 		"node cut off": func(s *simulation) {
-			s.at(10*time.Second, func() { s.nodes[7].cut = true })
+			s.at(10*time.Second, func() { s.nodes[7].partitioned = true })
 		},
 		"control nodes cut off": func(s *simulation) {
 			s.at(10*time.Second, func() {
 				for _, n := range s.nodes[:site.controls] {
-					n.cut = true
+					n.partitioned = true
 				}
 			})
 		},
@@ -447,15 +447,15 @@
 			const end = 40 * time.Second
 			for seed := range uint64(10) {
 				s := newSimulation(seed, site)
-				s.drains(firstDrain, end-site.drain)
+				s.scheduleDrains(firstDrain, end-site.drain)
 				trouble(s)
 				s.runUntil(end)
 				for _, n := range s.nodes {
-					if !n.frozen && n.version != s.listing {
-						t.Errorf("seed %d: a node knows version %d of %d", seed, n.version, s.listing)
+					if !n.frozen && n.version != s.platformVersion {
+						t.Errorf("seed %d: a node knows version %d of %d", seed, n.version, s.platformVersion)
 					}
 				}
-				worst = max(worst, s.worst)
+				worst = max(worst, s.worstDelay)
 				calls = max(calls, s.calls)
 			}
 			rate := float64(calls) / end.Seconds()
