--- a/cmd/nickelline/metrics.go
+++ b/cmd/nickelline/metrics.go
@@ -71,7 +71,7 @@
 	w.Gauge("nickelline_in_flight", stats.Others, service, metrics.Label{Name: "of", Value: "others"})
 	w.Gauge("nickelline_first_part_smoothed_seconds", stats.Latency.Seconds(), service)
 	w.Gauge("nickelline_first_part_uncrowded_seconds", stats.Uncrowded.Seconds(), service)
-	w.Gauge("nickelline_live_slots_part", stats.LivePart, service)
+	w.Gauge("nickelline_live_slots_part", stats.LiveFraction, service)
 	w.Gauge("nickelline_loads_shared", figureOf(stats.Shared), service)
 	for i := range stats.Classes {
 		writeClass(w, service, &stats.Classes[i])
@@ -83,11 +83,11 @@
 	writeCounts(w, "nickelline_picks_total", "band", stats.Picks, service, class)
 	writeCounts(w, "nickelline_refusals_total", "reason", stats.Refusals, service, class)
 	writeCounts(w, "nickelline_attempts_total", "outcome", stats.Outcomes, service, class)
-	w.Gauge("nickelline_drop_fraction", stats.Dropped, service, class)
+	w.Gauge("nickelline_drop_fraction", stats.DropFraction, service, class)
 	for _, mode := range slices.Sorted(maps.Keys(stats.Modes)) {
 		w.Gauge("nickelline_backends_by_mode", float64(stats.Modes[mode]), service, class, metrics.Label{Name: "mode", Value: mode})
 	}
-	writeFirstParts(w, &stats.FirstParts, service, class)
+	writeFirstByteTimes(w, &stats.FirstByteTimes, service, class)
 }
 
 func writeCounts(w *metrics.Writer, name, label string, counts map[string]uint64, labels ...metrics.Label) {
@@ -96,8 +96,8 @@
 	}
 }
 
-// writeFirstParts writes a histogram: each bucket counts what is at or below its bound.
-func writeFirstParts(w *metrics.Writer, times *admission.FirstParts, labels ...metrics.Label) {
+// writeFirstByteTimes writes a histogram: each bucket counts what is at or below its bound.
+func writeFirstByteTimes(w *metrics.Writer, times *admission.FirstByteTimes, labels ...metrics.Label) {
 	const name = "nickelline_first_part_seconds"
 	total := uint64(0)
 	for i, count := range times.Counts {
--- a/internal/admission/health_test.go
+++ b/internal/admission/health_test.go
@@ -6,23 +6,23 @@
 )
 
 // fail lets a backend fail some requests in a row.
-func fail(p *Pool, s *server, now time.Time, o Outcome, times int) {
+func fail(p *Pool, b *backend, now time.Time, o Outcome, times int) {
 	for range times {
-		p.ticket(now, &Request{}, s).Done(now, o, nil)
+		p.ticket(now, &Request{}, b).Done(now, o, nil)
 	}
 }
 
 func TestFailuresEjectAndTrialsRestore(t *testing.T) {
 	p := newTestPool(backendsOf(4, 6, "a"))
 	tellIdle(t, p, at(0), 20*time.Millisecond)
-	s := p.servers[0]
-	fail(p, s, at(0), Failed, failuresInRow)
-	if !s.failures.ejected {
+	b := p.backends[0]
+	fail(p, b, at(0), Failed, maxConsecutiveFailures)
+	if !b.health.ejected {
 		t.Fatal("not ejected")
 	}
 	for range 100 {
 		ticket := mustPick(t, p, at(0), Request{})
-		if ticket.server == s {
+		if ticket.backend == b {
 			t.Fatal("an ejected backend was picked")
 		}
 		ticket.Done(at(0), Cancelled, nil)
@@ -30,20 +30,20 @@
 	last := time.Duration(0)
 	now := at(0)
 	for range 4 {
-		wait := s.failures.until.Sub(now)
+		wait := b.health.ejectedUntil.Sub(now)
 		if wait <= last {
 			t.Errorf("ejected for %v after %v", wait, last)
 		}
-		last, now = wait, s.failures.until
-		trial := p.ticket(now, &Request{}, s)
-		if s.failures.open(now) {
+		last, now = wait, b.health.ejectedUntil
+		trial := p.ticket(now, &Request{}, b)
+		if b.health.available(now) {
 			t.Fatal("a second trial at the same time")
 		}
 		trial.Done(now, Failed, nil)
 	}
-	now = s.failures.until
-	p.ticket(now, &Request{}, s).Done(now, OK, nil)
-	if s.failures.ejected {
+	now = b.health.ejectedUntil
+	p.ticket(now, &Request{}, b).Done(now, OK, nil)
+	if b.health.ejected {
 		t.Error("not restored by a trial that succeeded")
 	}
 }
@@ -51,16 +51,16 @@
 func TestSilenceEjectsBeforeTimeouts(t *testing.T) {
 	p := newTestPool(backendsOf(9, 96, "a"))
 	tellIdle(t, p, at(0), 20*time.Millisecond)
-	dark := p.servers[3]
-	for range muteAttempts {
+	dark := p.backends[3]
+	for range unresponsiveAttempts {
 		p.ticket(at(0), &Request{}, dark)
 	}
-	mustPick(t, p, at(muteLeast-time.Millisecond), Request{})
-	if dark.failures.ejected {
+	mustPick(t, p, at(minUnresponsive-time.Millisecond), Request{})
+	if dark.health.ejected {
 		t.Error("ejected too soon")
 	}
-	mustPick(t, p, at(muteLeast), Request{})
-	if !dark.failures.ejected {
+	mustPick(t, p, at(minUnresponsive), Request{})
+	if !dark.health.ejected {
 		t.Error("a silent backend is not ejected")
 	}
 }
@@ -68,11 +68,11 @@
 func TestLateAnswersOfAFailingBackendDoNotRestoreIt(t *testing.T) {
 	p := newTestPool(backendsOf(4, 6, "a"))
 	tellIdle(t, p, at(0), 20*time.Millisecond)
-	s := p.servers[0]
-	before := p.ticket(at(0), &Request{}, s)
-	fail(p, s, at(0), Failed, failuresInRow)
+	b := p.backends[0]
+	before := p.ticket(at(0), &Request{}, b)
+	fail(p, b, at(0), Failed, maxConsecutiveFailures)
 	before.Done(at(0), OK, nil)
-	if !s.failures.ejected {
+	if !b.health.ejected {
 		t.Error("restored by a request from before the failures")
 	}
 }
@@ -80,16 +80,16 @@
 func TestAnyAnswerEndsASilence(t *testing.T) {
 	p := newTestPool(backendsOf(4, 6, "a"))
 	tellIdle(t, p, at(0), 20*time.Millisecond)
-	s := p.servers[0]
-	before := p.ticket(at(0), &Request{}, s)
-	p.ticket(at(0), &Request{}, s)
-	p.ticket(at(0), &Request{}, s)
+	b := p.backends[0]
+	before := p.ticket(at(0), &Request{}, b)
+	p.ticket(at(0), &Request{}, b)
+	p.ticket(at(0), &Request{}, b)
 	mustPick(t, p, at(time.Second), Request{})
-	if !s.failures.ejected {
+	if !b.health.ejected {
 		t.Fatal("a silent backend is not ejected")
 	}
 	before.Started(at(time.Second))
-	if s.failures.ejected {
+	if b.health.ejected {
 		t.Error("an answer must end the ejection for silence")
 	}
 }
@@ -98,16 +98,16 @@
 	for _, n := range []int{1, 2, 3, 9} {
 		p := newTestPool(backendsOf(n, 6, "a"))
 		tellIdle(t, p, at(0), 20*time.Millisecond)
-		for _, s := range p.servers {
-			fail(p, s, at(0), TimedOut, 5)
+		for _, b := range p.backends {
+			fail(p, b, at(0), TimedOut, 5)
 		}
 		kept := 0
-		for _, s := range p.servers {
-			if !s.failures.ejected {
+		for _, b := range p.backends {
+			if !b.health.ejected {
 				kept++
 			}
 		}
-		if kept == 0 || float64(kept) < keptPart*float64(n) {
+		if kept == 0 || float64(kept) < minAvailableFraction*float64(n) {
 			t.Errorf("%d of %d kept", kept, n)
 		}
 		mustPick(t, p, at(0), Request{})
@@ -117,15 +117,15 @@
 func TestGreyBackendIsEjected(t *testing.T) {
 	p := newTestPool(backendsOf(9, 6, "a"))
 	tellIdle(t, p, at(0), 20*time.Millisecond)
-	s := p.servers[0]
-	for i := 0; i < 40 && !s.failures.ejected; i++ {
+	b := p.backends[0]
+	for i := 0; i < 40 && !b.health.ejected; i++ {
 		o := OK
 		if i%3 != 0 {
 			o = Failed
 		}
-		fail(p, s, at(0), o, 1)
+		fail(p, b, at(0), o, 1)
 	}
-	if !s.failures.ejected {
+	if !b.health.ejected {
 		t.Error("a backend that fails two of three requests is not ejected")
 	}
 }
@@ -133,11 +133,11 @@
 func TestEjectedBackendIsTheLastResort(t *testing.T) {
 	p := newTestPool(backendsOf(2, 6, "a"))
 	tellIdle(t, p, at(0), 20*time.Millisecond)
-	s := p.servers[0]
-	fail(p, s, at(0), Failed, failuresInRow)
-	other := p.servers[1].backend.ID
+	b := p.backends[0]
+	fail(p, b, at(0), Failed, maxConsecutiveFailures)
+	other := p.backends[1].listed.ID
 	ticket := mustPick(t, p, at(0), Request{Exclude: func(id string) bool { return id == other }})
-	if ticket.server != s {
+	if ticket.backend != b {
 		t.Error("another backend than the one left")
 	}
 }
--- a/internal/admission/pool_test.go
+++ b/internal/admission/pool_test.go
@@ -37,10 +37,10 @@
 // tellIdle lets every backend answer enough requests, in a time, to be known as idle.
 func tellIdle(t *testing.T, p *Pool, now time.Time, latency time.Duration) {
 	t.Helper()
-	for range enoughAnswers {
-		for _, s := range p.servers {
-			ticket := p.ticket(now.Add(-latency), &Request{}, s)
-			ticket.Done(now, OK, &Load{Running: 1, Slots: int(s.slots)})
+	for range minAnswers {
+		for _, b := range p.backends {
+			ticket := p.ticket(now.Add(-latency), &Request{}, b)
+			ticket.Done(now, OK, &Load{Running: 1, Slots: int(b.slots)})
 		}
 	}
 }
@@ -57,7 +57,7 @@
 func TestModesAtTheEdges(t *testing.T) {
 	p := newTestPool(backendsOf(1, 10, "a"))
 	tellIdle(t, p, at(0), 20*time.Millisecond)
-	s := p.servers[0]
+	b := p.backends[0]
 	limits := thresholds{low: 8, high: 10, block: 25}
 	for _, c := range []struct {
 		n    float64
@@ -67,7 +67,7 @@
 		{9.5, decide.Overloaded}, {24, decide.Overloaded}, {24.1, decide.Blocking},
 		{11, decide.Blocking}, {10.9, decide.Overloaded}, {7, decide.Normal},
 	} {
-		if got := s.mode(at(0), live, limits, c.n); got != c.want {
+		if got := b.nextMode(at(0), live, limits, c.n); got != c.want {
 			t.Errorf("n=%v: %v, want %v", c.n, got, c.want)
 		}
 	}
@@ -75,19 +75,19 @@
 
 func TestThresholdsAreOrdered(t *testing.T) {
 	p := newTestPool(nil)
-	p.least = 0.02
+	p.uncrowded = 0.02
 	for _, slots := range []int{1, 2, 6, 16, 96} {
-		s := newServer(discovery.Backend{ID: "x"}, "a")
-		s.update(discovery.Backend{ID: "x", Slots: slots}, 0)
+		b := newBackend(discovery.Backend{ID: "x"}, "a")
+		b.update(discovery.Backend{ID: "x", Slots: slots}, 0)
 		for n := 0.0; n < 4*float64(slots); n++ {
 			for _, latency := range []float64{0, 0.02, 0.1, 0.5, 5} {
 				for c := range classes {
-					l := p.thresholdsOf(at(0), s, c, n, latency)
+					l := p.thresholdsOf(at(0), b, c, n, latency)
 					if !(l.low < l.high && l.high < l.block) {
 						t.Fatalf("%d slots, n=%v, latency %v, class %v: %+v", slots, n, latency, c, l)
 					}
 				}
-				l := p.thresholdsOf(at(0), s, live, n, latency)
+				l := p.thresholdsOf(at(0), b, live, n, latency)
 				if slots <= steadySlots && l.high != float64(slots) {
 					t.Fatalf("%d slots: H of live requests is %v", slots, l.high)
 				}
@@ -100,23 +100,23 @@
 	p := newTestPool(backendsOf(1, 6, "a"))
 	tellIdle(t, p, at(0), 20*time.Millisecond)
 	mustPick(t, p, at(0), Request{}).Done(at(0), Full, nil)
-	if ticket, refusal := p.Pick(at(modeValidity-time.Nanosecond), Request{}); ticket != nil {
+	if ticket, refusal := p.Pick(at(forcedBlockTime-time.Nanosecond), Request{}); ticket != nil {
 		t.Error("sent to a backend that has just told it is full")
-	} else if refusal.RetryAfter < retryLeast/2 || refusal.RetryAfter > 2*retryMost {
+	} else if refusal.RetryAfter < minRetryAfter/2 || refusal.RetryAfter > 2*maxRetryAfter {
 		t.Errorf("retry after %v", refusal.RetryAfter)
 	}
-	mustPick(t, p, at(modeValidity), Request{})
+	mustPick(t, p, at(forcedBlockTime), Request{})
 }
 
 func TestBlockingBackendsGetNothing(t *testing.T) {
 	p := newTestPool(backendsOf(3, 6, "a"))
 	tellIdle(t, p, at(0), 20*time.Millisecond)
-	full := p.servers[1]
-	full.reported(at(0), 0, &Load{Running: 6, Waiting: 24, Slots: 6})
-	p.reported(at(0), full)
+	full := p.backends[1]
+	full.recordLoad(at(0), 0, &Load{Running: 6, Waiting: 24, Slots: 6})
+	p.recordOthers(at(0), full)
 	for i := range 500 {
 		ticket := mustPick(t, p, at(0), Request{Batch: i%2 == 0})
-		if ticket.server == full {
+		if ticket.backend == full {
 			t.Fatal("sent to a blocking backend")
 		}
 		ticket.Done(at(0), Cancelled, nil)
@@ -126,14 +126,14 @@
 func TestRefusedOnlyWhenAllBlock(t *testing.T) {
 	p := newTestPool(backendsOf(3, 6, "a"))
 	tellIdle(t, p, at(0), 20*time.Millisecond)
-	for _, s := range p.servers {
-		s.reported(at(0), 0, &Load{Running: 6, Waiting: 30, Slots: 6})
+	for _, b := range p.backends {
+		b.recordLoad(at(0), 0, &Load{Running: 6, Waiting: 30, Slots: 6})
 	}
 	if ticket, _ := p.Pick(at(0), Request{}); ticket != nil {
 		t.Error("sent to a blocking backend")
 	}
-	p.servers[2].reported(at(0), 0, &Load{Running: 2, Slots: 6})
-	if ticket := mustPick(t, p, at(0), Request{}); ticket.server != p.servers[2] {
+	p.backends[2].recordLoad(at(0), 0, &Load{Running: 2, Slots: 6})
+	if ticket := mustPick(t, p, at(0), Request{}); ticket.backend != p.backends[2] {
 		t.Error("not sent to the backend that has room")
 	}
 }
@@ -152,19 +152,19 @@
 func TestTwoChoicesTakeTheLowerDelay(t *testing.T) {
 	p := newTestPool(backendsOf(2, 96, "a"))
 	tellIdle(t, p, at(0), 20*time.Millisecond)
-	slow := p.servers[0]
+	slow := p.backends[0]
 	slow.latency = 0.05
 	for range 200 {
 		ticket := mustPick(t, p, at(0), Request{})
-		if ticket.server == slow {
+		if ticket.backend == slow {
 			t.Fatal("of two idle backends the slower one was taken")
 		}
 		ticket.Done(at(0), Cancelled, nil)
 	}
 	for range 10 { // (n+1) x latency of the quick one is now higher
-		p.servers[1].sent(at(0), live, 1)
+		p.backends[1].addRequest(at(0), live, 1)
 	}
-	if ticket := mustPick(t, p, at(0), Request{}); ticket.server != slow {
+	if ticket := mustPick(t, p, at(0), Request{}); ticket.backend != slow {
 		t.Error("the busier backend was taken")
 	}
 }
@@ -172,24 +172,24 @@
 func TestTwoChoicesAreRandom(t *testing.T) {
 	p := newTestPool(backendsOf(10, 96, "a"))
 	tellIdle(t, p, at(0), 20*time.Millisecond)
-	counts := map[*server]int{}
+	counts := map[*backend]int{}
 	for range 2000 {
 		ticket := mustPick(t, p, at(0), Request{})
-		counts[ticket.server]++
+		counts[ticket.backend]++
 		ticket.Done(at(0), Cancelled, nil)
 	}
-	for s, count := range counts {
+	for b, count := range counts {
 		if count < 100 || count > 300 {
-			t.Errorf("%s got %d of 2000 requests among ten equal backends", s.backend.ID, count)
+			t.Errorf("%s got %d of 2000 requests among ten equal backends", b.listed.ID, count)
 		}
 	}
 }
 
 // overloadAll tells of a load between H and R at every backend.
 func overloadAll(p *Pool, now time.Time, l Load) {
-	for _, s := range p.servers {
-		s.reported(now, 0, &l)
-		p.reported(now, s)
+	for _, b := range p.backends {
+		b.recordLoad(now, 0, &l)
+		p.recordOthers(now, b)
 	}
 }
 
@@ -239,19 +239,19 @@
 
 func TestDropFractionsFollowTheCounts(t *testing.T) {
 	p := newTestPool(nil)
-	s := &p.shed
+	s := &p.shedding
 	s.periodEnd = at(0)
 	s.arrivals = [classes]float64{live: 30, batch: 10}
-	s.depth[live].add(0.5)
-	p.recompute(at(0))
+	s.overloadDepth[live].add(0.5)
+	p.updateDropFractions(at(0))
 	q1, q2 := decide.ShedSplit(0.5, 30, 10)
-	if s.parts[live] != q1 || s.parts[batch] != q2 {
-		t.Errorf("q1=%v q2=%v, want %v %v", s.parts[live], s.parts[batch], q1, q2)
+	if s.dropFractions[live] != q1 || s.dropFractions[batch] != q2 {
+		t.Errorf("q1=%v q2=%v, want %v %v", s.dropFractions[live], s.dropFractions[batch], q1, q2)
 	}
-	s.depth[live].add(1)
-	p.recompute(at(modeValidity + recomputePeriod + time.Millisecond))
-	if s.parts[live] != 0 || s.parts[batch] != 0 {
-		t.Errorf("old overload still sheds: %v", s.parts)
+	s.overloadDepth[live].add(1)
+	p.updateDropFractions(at(forcedBlockTime + recomputePeriod + time.Millisecond))
+	if s.dropFractions[live] != 0 || s.dropFractions[batch] != 0 {
+		t.Errorf("old overload still sheds: %v", s.dropFractions)
 	}
 }
 
@@ -260,17 +260,17 @@
 	tellIdle(t, p, at(0), 20*time.Millisecond)
 	for range 100 {
 		ticket := mustPick(t, p, at(0), Request{})
-		if !ticket.server.near {
+		if !ticket.backend.sameZone {
 			t.Fatal("an idle backend of the own zone was passed over")
 		}
 		ticket.Done(at(0), Cancelled, nil)
 	}
-	for _, s := range p.servers {
-		if s.near {
-			s.reported(at(0), 0, &Load{Running: 80, Slots: 96})
+	for _, b := range p.backends {
+		if b.sameZone {
+			b.recordLoad(at(0), 0, &Load{Running: 80, Slots: 96})
 		}
 	}
-	if ticket := mustPick(t, p, at(0), Request{}); ticket.server.near {
+	if ticket := mustPick(t, p, at(0), Request{}); ticket.backend.sameZone {
 		t.Error("a busy backend of the own zone was taken with idle ones elsewhere")
 	}
 }
@@ -330,14 +330,14 @@
 }
 
 func TestPartMemoryIsBounded(t *testing.T) {
-	m := newPartMemory()
-	for i := range uint64(5 * rememberedParts) {
-		m.seen(i + 1)
+	m := newSegmentMemory()
+	for i := range uint64(5 * rememberedSegments) {
+		m.record(i + 1)
 	}
-	if kept := len(m.young) + len(m.old); kept > 2*rememberedParts {
+	if kept := len(m.recent) + len(m.older); kept > 2*rememberedSegments {
 		t.Errorf("%d parts kept", kept)
 	}
-	if !m.seen(5 * rememberedParts) {
+	if !m.record(5 * rememberedSegments) {
 		t.Error("the last part is forgotten")
 	}
 }
@@ -345,12 +345,12 @@
 func TestLargeRequestsWeighMore(t *testing.T) {
 	p := newTestPool(backendsOf(1, 96, "a"))
 	for range 500 {
-		p.weigh(2000)
+		p.weightOf(2000)
 	}
-	if small, large := p.weigh(200), p.weigh(8000); small > 0.3 || large < 3 {
+	if small, large := p.weightOf(200), p.weightOf(8000); small > 0.3 || large < 3 {
 		t.Errorf("weights %v and %v", small, large)
 	}
-	if p.weigh(0) != 1 {
+	if p.weightOf(0) != 1 {
 		t.Error("a request of unknown size must weigh 1")
 	}
 }
@@ -375,7 +375,7 @@
 	p := newTestPool(backendsOf(3, 96, "a", "b", "c"))
 	tellIdle(t, p, at(0), 20*time.Millisecond)
 	first := mustPick(t, p, at(0), Request{Batch: true})
-	if !first.server.near {
+	if !first.backend.sameZone {
 		t.Fatal("another zone with an idle backend in the own one")
 	}
 	for range promptsAtOnce - 1 {
@@ -384,12 +384,12 @@
 	if ticket, _ := p.Pick(at(0), Request{Batch: true}); ticket != nil {
 		t.Error("batch work did not wait for the backend of its zone")
 	}
-	near := first.server.backend.ID
+	near := first.backend.listed.ID
 	mustPick(t, p, at(0), Request{Batch: true, Exclude: func(id string) bool { return id == near }})
 }
 
 // promptsAtOnce is how many requests of batch work an uncrowded backend gets before any of them is answered.
-var promptsAtOnce = int(math.Ceil(batchPrompts))
+var promptsAtOnce = int(math.Ceil(batchUnanswered))
 
 func TestUrgentBatchWorkGoesToAnotherZone(t *testing.T) {
 	p := newTestPool(backendsOf(2, 96, "a", "b"))
@@ -423,7 +423,7 @@
 func TestStartDoesNotBlockForEver(t *testing.T) {
 	p := newTestPool(backendsOf(3, 96, "a"))
 	_, _ = p.Pick(at(0), Request{Batch: true})
-	mustPick(t, p, at(startMemory), Request{Batch: true})
+	mustPick(t, p, at(startupMemory), Request{Batch: true})
 }
 
 func TestBatchWorkSendsFewPromptsAtATime(t *testing.T) {
@@ -433,7 +433,7 @@
 	}{{20 * time.Millisecond, promptsAtOnce}, {200 * time.Millisecond, 1}} {
 		p := newTestPool(backendsOf(1, 96, "a"))
 		tellIdle(t, p, at(0), 20*time.Millisecond)
-		p.servers[0].latency = c.latency.Seconds()
+		p.backends[0].latency = c.latency.Seconds()
 		var sent []*Ticket
 		for range c.want {
 			sent = append(sent, mustPick(t, p, at(0), Request{Batch: true}))
@@ -452,9 +452,9 @@
 	p := newTestPool(backends)
 	tellIdle(t, p, at(0), 20*time.Millisecond)
 	ticket := mustPick(t, p, at(0), Request{})
-	kept := ticket.server
+	kept := ticket.backend
 	p.SetBackends(append([]discovery.Backend{}, ticket.Backend), 0)
-	if len(p.servers) != 1 || p.servers[0] != kept || kept.inFlight != 1 {
+	if len(p.backends) != 1 || p.backends[0] != kept || kept.inFlight != 1 {
 		t.Error("a new list forgot a backend that stays")
 	}
 	p.SetBackends(nil, 0)
@@ -471,8 +471,8 @@
 	later := mustPick(t, p, at(2*time.Second), Request{})
 	later.Done(at(3*time.Second), OK, &Load{Running: 9, Slots: 16})
 	stream.Done(at(4*time.Second), OK, &Load{Running: 2, Slots: 16})
-	if s := p.servers[0]; s.others != 7 || !s.reportAt.Equal(at(3*time.Second)) {
-		t.Errorf("others %v as of %v: an old report replaced a newer one", s.others, s.reportAt.Sub(start))
+	if b := p.backends[0]; b.othersInFlight != 7 || !b.reportedAt.Equal(at(3*time.Second)) {
+		t.Errorf("others %v as of %v: an old report replaced a newer one", b.othersInFlight, b.reportedAt.Sub(start))
 	}
 }
 
@@ -481,8 +481,8 @@
 	ticket := mustPick(t, p, at(0), Request{})
 	ticket.Done(at(0), OK, nil)
 	ticket.Done(at(0), Failed, nil)
-	if s := p.servers[0]; s.inFlight != 0 || s.unanswered != 0 || s.weight != 0 {
-		t.Errorf("in flight %d, unanswered %d, weight %v", s.inFlight, s.unanswered, s.weight)
+	if b := p.backends[0]; b.inFlight != 0 || b.unanswered != 0 || b.weight != 0 {
+		t.Errorf("in flight %d, unanswered %d, weight %v", b.inFlight, b.unanswered, b.weight)
 	}
 }
 
--- a/internal/admission/shared_test.go
+++ b/internal/admission/shared_test.go
@@ -7,9 +7,9 @@
 
 // tellNothing lets every backend answer enough requests to be known as one that tells no load.
 func tellNothing(p *Pool, now time.Time, latency time.Duration) {
-	for range enoughAnswers {
-		for _, s := range p.servers {
-			ticket := p.ticket(now.Add(-latency), &Request{}, s)
+	for range minAnswers {
+		for _, b := range p.backends {
+			ticket := p.ticket(now.Add(-latency), &Request{}, b)
 			ticket.Done(now, OK, nil)
 		}
 	}
@@ -23,7 +23,7 @@
 }
 
 // share tells a pool what all nodes have: the same at each backend but those of other.
-func share(p *Pool, now time.Time, all BackendLoad, other map[*server]BackendLoad) {
+func share(p *Pool, now time.Time, all BackendLoad, other map[*backend]BackendLoad) {
 	p.usedAt = now
 	loads, _ := p.Report(now, true)
 	for i := range loads {
@@ -71,10 +71,10 @@
 
 func TestRequestsOfOtherNodesCount(t *testing.T) {
 	p := newSilentPool(4, 8, "a")
-	free := p.servers[2]
-	share(p, at(time.Second), BackendLoad{InFlight: 30}, map[*server]BackendLoad{free: {InFlight: 2}})
+	free := p.backends[2]
+	share(p, at(time.Second), BackendLoad{InFlight: 30}, map[*backend]BackendLoad{free: {InFlight: 2}})
 	for range 5 {
-		if ticket := mustPick(t, p, at(time.Second), Request{}); ticket.server != free {
+		if ticket := mustPick(t, p, at(time.Second), Request{}); ticket.backend != free {
 			t.Fatal("sent to a backend that other nodes have filled")
 		}
 	}
@@ -91,11 +91,11 @@
 		mustPick(t, p, at(time.Second), Request{})
 	}
 	share(p, at(time.Second), BackendLoad{InFlight: 5, Batch: 1, Unanswered: 4, Pending: 4}, nil)
-	s := p.servers[0]
-	if l := s.shared; l.inFlight != 2 || l.batch != 1 || l.unanswered != 1 || l.pending != 1 {
+	b := p.backends[0]
+	if l := b.otherNodes; l.inFlight != 2 || l.batch != 1 || l.unanswered != 1 || l.pending != 1 {
 		t.Errorf("of other nodes: %+v", l)
 	}
-	if n := s.liveAt(); n != 4 {
+	if n := b.liveRequests(); n != 4 {
 		t.Errorf("%v live requests, want 4", n)
 	}
 }
@@ -120,7 +120,7 @@
 		sent := fillWithBatch(p, at(time.Second))
 		sentWith[liveRequests] = sent
 		all := float64(sent+backends*liveRequests) / (backends * slots)
-		if all > batchSharedBlock+1.0/slots || all < 0.8 {
+		if all > batchSharedBlockFraction+1.0/slots || all < 0.8 {
 			t.Errorf("%d items beside %d live requests at %d backends of %d slots", sent, liveRequests, backends, slots)
 		}
 	}
@@ -137,11 +137,11 @@
 	if sent := fillWithBatch(p, at(time.Second+100*time.Millisecond)); sent > 10*4 {
 		t.Errorf("%d items right after 6 live requests at each backend of 8 slots", sent)
 	}
-	for d := 200 * time.Millisecond; d < 4*livePartMemory; d += 100 * time.Millisecond {
-		p.follow(at(time.Second + d))
+	for d := 200 * time.Millisecond; d < 4*liveFractionMemory; d += 100 * time.Millisecond {
+		p.updateLiveFraction(at(time.Second + d))
 	}
-	if p.livePart > 0.05 {
-		t.Errorf("live requests are expected to take %v of the slots long after the last one", p.livePart)
+	if p.liveFraction > 0.05 {
+		t.Errorf("live requests are expected to take %v of the slots long after the last one", p.liveFraction)
 	}
 }
 
@@ -185,7 +185,7 @@
 			loads[j] = BackendLoad{Backend: loads[j].Backend, InFlight: held, Unanswered: held, Pending: float64(held)}
 		}
 		p.Share(at(time.Second), loads)
-		counts[mustPick(t, p, at(time.Second), Request{}).server.key()]++
+		counts[mustPick(t, p, at(time.Second), Request{}).backend.key()]++
 	}
 	for backend, count := range counts {
 		if count > 8 {
--- a/internal/admission/stats.go
+++ b/internal/admission/stats.go
@@ -23,7 +23,7 @@
 
 const (
 	shedByFraction refusalReason = iota // by q1 or q2, as no backend was normal
-	waitForZone                         // batch work that rather waits for its zone
+	waitsForZone                        // batch work that rather waits for its zone
 	allBlocked                          // no backend may take it
 	refusalReasons
 )
@@ -36,7 +36,7 @@
 )
 
 // firstPartBounds are the upper bounds of the classes of times to the first part of an answer.
-var firstPartBounds = [...]time.Duration{
+var firstByteBounds = [...]time.Duration{
 	25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond,
 	800 * time.Millisecond, 1600 * time.Millisecond,
 }
@@ -47,12 +47,12 @@
 	refusals [refusalReasons]uint64
 	outcomes [len(outcomeNames)]uint64
 	// firstParts counts the times to the first part of an answer, the last one those over all bounds.
-	firstParts   [len(firstPartBounds) + 1]uint64
-	firstPartSum time.Duration
+	firstByteTimes [len(firstByteBounds) + 1]uint64
+	firstByteSum   time.Duration
 }
 
 // pickedFrom counts a pick by the band of the chosen backend.
-func (c *classCounts) pickedFrom(normal, near bool) {
+func (c *classCounts) recordPick(normal, near bool) {
 	b := overloadedFar
 	if normal {
 		b = normalFar
@@ -64,19 +64,19 @@
 }
 
 // started counts the time to the first part of an answer.
-func (c *classCounts) started(took time.Duration) {
-	c.firstPartSum += took
-	for i, bound := range firstPartBounds {
+func (c *classCounts) recordFirstByte(took time.Duration) {
+	c.firstByteSum += took
+	for i, bound := range firstByteBounds {
 		if took <= bound {
-			c.firstParts[i]++
+			c.firstByteTimes[i]++
 			return
 		}
 	}
-	c.firstParts[len(firstPartBounds)]++
+	c.firstByteTimes[len(firstByteBounds)]++
 }
 
 // FirstParts is a histogram of the times to the first part of an answer.
-type FirstParts struct {
+type FirstByteTimes struct {
 	// Bounds are the upper bounds; Counts has one number more, for the times over all of them.
 	Bounds []time.Duration
 	Counts []uint64
@@ -90,9 +90,9 @@
 	Refusals map[string]uint64 // by reason
 	Outcomes map[string]uint64 // of attempts
 	// FirstParts are the times to the first part of an answer.
-	FirstParts FirstParts
+	FirstByteTimes FirstByteTimes
 	// Dropped is the part of requests that is dropped now where no backend is normal: q1 of live requests, q2 of batch work.
-	Dropped float64
+	DropFraction float64
 	// Modes counts the backends by their mode for the class now.
 	Modes map[string]int
 }
@@ -108,7 +108,7 @@
 	// Latency is the smoothed time to the first part of an answer, Uncrowded what it is without load.
 	Latency, Uncrowded time.Duration
 	// LivePart is the part of the slots that live requests of all nodes take, or have lately taken.
-	LivePart float64
+	LiveFraction float64
 	// Shared tells whether it is known what all nodes have.
 	Shared bool
 }
@@ -118,16 +118,16 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	stats := Stats{
-		Backends:  len(p.servers),
-		Latency:   seconds(p.latency),
-		Uncrowded: seconds(p.least),
-		LivePart:  p.livePart,
-		Shared:    p.isShared(now),
+		Backends:     len(p.backends),
+		Latency:      seconds(p.latency),
+		Uncrowded:    seconds(p.uncrowded),
+		LiveFraction: p.liveFraction,
+		Shared:       p.hasSharedLoads(now),
 	}
-	for _, s := range p.servers {
-		stats.InFlight += s.inFlight
-		stats.Others += s.othersNow(now, p)
-		if s.failures.ejected {
+	for _, b := range p.backends {
+		stats.InFlight += b.inFlight
+		stats.Others += b.otherRequests(now, p)
+		if b.health.ejected {
 			stats.Ejected++
 		}
 	}
@@ -144,16 +144,16 @@
 		Picks:    byName(bandNames[:], counts.picks[:]),
 		Refusals: byName(refusalNames[:], counts.refusals[:]),
 		Outcomes: byName(outcomeNames[:], counts.outcomes[:]),
-		FirstParts: FirstParts{
-			Bounds: firstPartBounds[:],
-			Counts: append([]uint64(nil), counts.firstParts[:]...),
-			Sum:    counts.firstPartSum,
+		FirstByteTimes: FirstByteTimes{
+			Bounds: firstByteBounds[:],
+			Counts: append([]uint64(nil), counts.firstByteTimes[:]...),
+			Sum:    counts.firstByteSum,
 		},
-		Dropped: p.shed.parts[c],
-		Modes:   map[string]int{},
+		DropFraction: p.shedding.dropFractions[c],
+		Modes:        map[string]int{},
 	}
-	for _, s := range p.servers {
-		stats.Modes[modeNames[s.modes[c]]]++
+	for _, b := range p.backends {
+		stats.Modes[modeNames[b.modes[c]]]++
 	}
 	return stats
 }
--- a/internal/admission/stats_test.go
+++ b/internal/admission/stats_test.go
@@ -13,8 +13,8 @@
 	first.Started(at(30 * time.Millisecond))
 	first.Done(at(40*time.Millisecond), OK, nil)
 	mustPick(t, p, at(0), Request{}).Done(at(time.Millisecond), Full, nil)
-	for _, s := range p.servers {
-		s.impose(at(time.Millisecond))
+	for _, b := range p.backends {
+		b.blockBriefly(at(time.Millisecond))
 	}
 	if ticket, _ := p.Pick(at(2*time.Millisecond), Request{}); ticket != nil {
 		t.Fatal("sent to a backend that is full")
@@ -27,8 +27,8 @@
 	if picked := c.Picks["normal near"] + c.Picks["normal far"]; picked != 2 {
 		t.Errorf("%d picks of normal backends: %+v", picked, c.Picks)
 	}
-	if bucket := 1; c.FirstParts.Counts[bucket] != before.FirstParts.Counts[bucket]+1 || c.FirstParts.Bounds[bucket] != 50*time.Millisecond {
-		t.Errorf("30 ms to the first part: %+v", c.FirstParts)
+	if bucket := 1; c.FirstByteTimes.Counts[bucket] != before.FirstByteTimes.Counts[bucket]+1 || c.FirstByteTimes.Bounds[bucket] != 50*time.Millisecond {
+		t.Errorf("30 ms to the first part: %+v", c.FirstByteTimes)
 	}
 	if stats.Backends != 2 || stats.Ejected != 0 || stats.InFlight != 0 || stats.Shared {
 		t.Errorf("%+v", stats)
--- a/internal/admission/subset_test.go
+++ b/internal/admission/subset_test.go
@@ -9,7 +9,7 @@
 
 func TestFewBackendsAreAllUsed(t *testing.T) {
 	all := backendsOf(subsetSize, 96, "a", "b", "c")
-	if got := subsetOf(all, "a", 7); len(got) != len(all) {
+	if got := subset(all, "a", 7); len(got) != len(all) {
 		t.Errorf("%d of %d used", len(got), len(all))
 	}
 }
@@ -17,26 +17,26 @@
 func TestSubsetPrefersTheZone(t *testing.T) {
 	all := backendsOf(3700, 96, "a", "b", "c", "d", "e", "f", "g", "h")
 	near := 0
-	for _, b := range subsetOf(all, "c", 7) {
+	for _, b := range subset(all, "c", 7) {
 		if b.Zone == "c" {
 			near++
 		}
 	}
-	if near != subsetNear {
-		t.Errorf("%d of the own zone, want %d", near, subsetNear)
+	if near != subsetSameZone {
+		t.Errorf("%d of the own zone, want %d", near, subsetSameZone)
 	}
 	zoned := backendsOf(900, 96, "x", "y")
-	if got := subsetOf(zoned, "c", 7); len(got) != subsetSize {
+	if got := subset(zoned, "c", 7); len(got) != subsetSize {
 		t.Errorf("%d backends for a node in a zone without any", len(got))
 	}
 }
 
 func TestSubsetShiftsSmoothly(t *testing.T) {
 	all := backendsOf(3700, 96, "a", "b", "c", "d")
-	before := subsetOf(all, "a", 7)
+	before := subset(all, "a", 7)
 	fewer := append([]discovery.Backend{}, all[:100]...)
 	fewer = append(fewer, all[137:]...) // one in a hundred is gone
-	if changed := countMissing(before, subsetOf(fewer, "a", 7)); changed > 4 {
+	if changed := countMissing(before, subset(fewer, "a", 7)); changed > 4 {
 		t.Errorf("%d of %d backends exchanged for a loss of 1 in 100", changed, len(before))
 	}
 }
@@ -61,7 +61,7 @@
 	all := backendsOf(3700, 96, zones...)
 	counts := map[string]int{}
 	for i := range nodes {
-		for _, b := range subsetOf(all, zones[i%len(zones)], hashOf(fmt.Sprintf("node-%d", i))) {
+		for _, b := range subset(all, zones[i%len(zones)], hashOf(fmt.Sprintf("node-%d", i))) {
 			counts[b.ID]++
 		}
 	}
--- a/internal/admission/ticket.go
+++ b/internal/admission/ticket.go
@@ -10,32 +10,32 @@
 type Ticket struct {
 	Backend discovery.Backend
 
-	pool   *Pool
-	server *server
-	sentAt time.Time
-	class  class
-	weight float64
-	trial  bool // at a backend that is ejected
-	done   bool
+	pool    *Pool
+	backend *backend
+	sentAt  time.Time
+	class   class
+	weight  float64
+	trial   bool // at a backend that is ejected
+	done    bool
 
-	started   bool
-	startedAt time.Time
-	inFlight  int // of the node at the backend, when the answer began
+	started         bool
+	startedAt       time.Time
+	inFlightAtStart int // of the node at the backend, when the answer began
 }
 
-func (p *Pool) ticket(now time.Time, r *Request, s *server) *Ticket {
+func (p *Pool) ticket(now time.Time, r *Request, b *backend) *Ticket {
 	t := &Ticket{
-		Backend: s.backend,
+		Backend: b.listed,
 		pool:    p,
-		server:  s,
+		backend: b,
 		sentAt:  now,
 		class:   classOf(r),
-		weight:  p.weigh(r.Tokens),
-		trial:   s.failures.ejected,
+		weight:  p.weightOf(r.Tokens),
+		trial:   b.health.ejected,
 	}
-	s.sent(now, t.class, t.weight)
+	b.addRequest(now, t.class, t.weight)
 	if t.trial {
-		s.failures.trials++
+		b.health.trials++
 	}
 	return t
 }
@@ -45,25 +45,25 @@
 	t.pool.mutex.Lock()
 	defer t.pool.mutex.Unlock()
 	if !t.done {
-		t.start(now)
+		t.recordFirstByte(now)
 	}
 }
 
 // start takes the latency, once.
-func (t *Ticket) start(now time.Time) {
+func (t *Ticket) recordFirstByte(now time.Time) {
 	if t.started {
 		return
 	}
 	t.started = true
 	t.startedAt = now
-	t.inFlight = t.server.inFlight
+	t.inFlightAtStart = t.backend.inFlight
 	took := now.Sub(t.sentAt)
-	t.pool.counts[t.class].started(took)
-	t.server.answered(now, took, t.weight)
-	if t.server.failures.silent {
-		t.server.failures.restore()
+	t.pool.counts[t.class].recordFirstByte(took)
+	t.backend.recordFirstByte(now, took, t.weight)
+	if t.backend.health.unresponsive {
+		t.backend.health.restore()
 	}
-	t.pool.answered(now, took)
+	t.pool.recordLatency(now, took)
 }
 
 // Report takes the load that a backend told with the head of its answer. Done does the same for answers that end at
@@ -72,52 +72,52 @@
 	t.pool.mutex.Lock()
 	defer t.pool.mutex.Unlock()
 	if !t.done {
-		t.report(now, t.server.inFlight, &load)
+		t.recordLoad(now, t.backend.inFlight, &load)
 	}
 }
 
 // report takes a load, unless a newer one is known.
-func (t *Ticket) report(at time.Time, own int, load *Load) {
-	if at.Before(t.server.reportAt) {
+func (t *Ticket) recordLoad(at time.Time, own int, load *Load) {
+	if at.Before(t.backend.reportedAt) {
 		return
 	}
-	t.server.reported(at, own, load)
-	t.pool.reported(at, t.server)
+	t.backend.recordLoad(at, own, load)
+	t.pool.recordOthers(at, t.backend)
 }
 
 // Done tells how the attempt ended, and the load that the backend told with its answer, if it did: that is of the time
 // when the answer began. Calls after the first have no effect.
 func (t *Ticket) Done(now time.Time, outcome Outcome, load *Load) {
-	p, s := t.pool, t.server
+	p, b := t.pool, t.backend
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if t.done {
 		return
 	}
 	if outcome == OK {
-		t.start(now)
+		t.recordFirstByte(now)
 	}
 	switch {
 	case load != nil && t.started:
-		t.report(t.startedAt, t.inFlight, load)
+		t.recordLoad(t.startedAt, t.inFlightAtStart, load)
 	case load != nil:
-		t.report(now, s.inFlight, load)
+		t.recordLoad(now, b.inFlight, load)
 	}
 	t.done = true
 	p.counts[t.class].outcomes[outcome]++
 	if !t.started {
-		s.settled(t.weight)
+		b.removeUnanswered(t.weight)
 	}
 	if outcome == OK {
-		p.finished(t.startedAt.Sub(t.sentAt), now.Sub(t.sentAt))
+		p.recordCompletion(t.startedAt.Sub(t.sentAt), now.Sub(t.sentAt))
 	}
-	s.gone(t.class, t.weight)
+	b.removeRequest(t.class, t.weight)
 	if t.trial {
-		s.failures.trials--
+		b.health.trials--
 	}
 	if outcome == Full {
-		s.silentFrom = now
-		s.impose(now)
+		b.unansweredSince = now
+		b.blockBriefly(now)
 	}
-	p.judge(now, s, outcome, t.trial)
+	p.recordOutcome(now, b, outcome, t.trial)
 }
