--- a/internal/admission/health_test.go
+++ b/internal/admission/health_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// fail lets a backend fail some requests in a row.
+// fail ends some requests in a row at a backend with an outcome.
 func fail(p *Pool, b *backend, now time.Time, o Outcome, times int) {
 	for range times {
 		p.ticket(now, &Request{}, b).Done(now, o, nil)
@@ -14,7 +14,7 @@
 
 func TestFailuresEjectAndTrialsRestore(t *testing.T) {
 	p := newTestPool(backendsOf(4, 6, "a"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	b := p.backends[0]
 	fail(p, b, at(0), Failed, maxConsecutiveFailures)
 	if !b.health.ejected {
@@ -48,26 +48,26 @@
 	}
 }
 
-func TestSilenceEjectsBeforeTimeouts(t *testing.T) {
+func TestUnresponsiveBackendIsEjectedBeforeTimeouts(t *testing.T) {
 	p := newTestPool(backendsOf(9, 96, "a"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
-	dark := p.backends[3]
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
+	unresponsive := p.backends[3]
 	for range unresponsiveAttempts {
-		p.ticket(at(0), &Request{}, dark)
+		p.ticket(at(0), &Request{}, unresponsive)
 	}
 	mustPick(t, p, at(minUnresponsive-time.Millisecond), Request{})
-	if dark.health.ejected {
+	if unresponsive.health.ejected {
 		t.Error("ejected too soon")
 	}
 	mustPick(t, p, at(minUnresponsive), Request{})
-	if !dark.health.ejected {
-		t.Error("a silent backend is not ejected")
+	if !unresponsive.health.ejected {
+		t.Error("an unresponsive backend is not ejected")
 	}
 }
 
 func TestLateAnswersOfAFailingBackendDoNotRestoreIt(t *testing.T) {
 	p := newTestPool(backendsOf(4, 6, "a"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	b := p.backends[0]
 	before := p.ticket(at(0), &Request{}, b)
 	fail(p, b, at(0), Failed, maxConsecutiveFailures)
@@ -77,27 +77,27 @@
 	}
 }
 
-func TestAnyAnswerEndsASilence(t *testing.T) {
+func TestAnyAnswerRestoresAnUnresponsiveBackend(t *testing.T) {
 	p := newTestPool(backendsOf(4, 6, "a"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	b := p.backends[0]
 	before := p.ticket(at(0), &Request{}, b)
 	p.ticket(at(0), &Request{}, b)
 	p.ticket(at(0), &Request{}, b)
 	mustPick(t, p, at(time.Second), Request{})
 	if !b.health.ejected {
-		t.Fatal("a silent backend is not ejected")
+		t.Fatal("an unresponsive backend is not ejected")
 	}
 	before.Started(at(time.Second))
 	if b.health.ejected {
-		t.Error("an answer must end the ejection for silence")
+		t.Error("an answer does not restore an unresponsive backend")
 	}
 }
 
-func TestPartOfThePoolIsKept(t *testing.T) {
+func TestFractionOfThePoolIsNeverEjected(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 9} {
 		p := newTestPool(backendsOf(n, 6, "a"))
-		tellIdle(t, p, at(0), 20*time.Millisecond)
+		reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 		for _, b := range p.backends {
 			fail(p, b, at(0), TimedOut, 5)
 		}
@@ -108,15 +108,15 @@
 			}
 		}
 		if kept == 0 || float64(kept) < minAvailableFraction*float64(n) {
-			t.Errorf("%d of %d kept", kept, n)
+			t.Errorf("pool of %d backends: got %d available, want at least a fraction of %v", n, kept, minAvailableFraction)
 		}
 		mustPick(t, p, at(0), Request{})
 	}
 }
 
-func TestGreyBackendIsEjected(t *testing.T) {
+func TestBackendThatFailsNowAndThenIsEjected(t *testing.T) {
 	p := newTestPool(backendsOf(9, 6, "a"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	b := p.backends[0]
 	for i := 0; i < 40 && !b.health.ejected; i++ {
 		o := OK
@@ -132,12 +132,12 @@
 
 func TestEjectedBackendIsTheLastResort(t *testing.T) {
 	p := newTestPool(backendsOf(2, 6, "a"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	b := p.backends[0]
 	fail(p, b, at(0), Failed, maxConsecutiveFailures)
 	other := p.backends[1].listed.ID
 	ticket := mustPick(t, p, at(0), Request{Exclude: func(id string) bool { return id == other }})
 	if ticket.backend != b {
-		t.Error("another backend than the one left")
+		t.Error("picked another backend than the only one that is not excluded")
 	}
 }
--- a/internal/admission/pool_test.go
+++ b/internal/admission/pool_test.go
@@ -14,7 +14,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// backendsOf gives n backends with some slots, spread over the zones in turn.
+// backendsOf returns n backends with some slots, spread over the zones in turn.
 func backendsOf(n, slots int, zones ...string) []discovery.Backend {
 	backends := make([]discovery.Backend, n)
 	for i := range backends {
@@ -34,8 +34,8 @@
 	return p
 }
 
-// tellIdle lets every backend answer enough requests, in a time, to be known as idle.
-func tellIdle(t *testing.T, p *Pool, now time.Time, latency time.Duration) {
+// reportIdleLoads has every backend answer enough requests, each within the latency, to be known as idle.
+func reportIdleLoads(t *testing.T, p *Pool, now time.Time, latency time.Duration) {
 	t.Helper()
 	for range minAnswers {
 		for _, b := range p.backends {
@@ -49,26 +49,26 @@
 	t.Helper()
 	ticket, refusal := p.Pick(now, r)
 	if ticket == nil {
-		t.Fatalf("refused (%+v) with backends that have room", refusal)
+		t.Fatalf("Pick: got refusal %+v, want a ticket", refusal)
 	}
 	return ticket
 }
 
 func TestModesAtTheEdges(t *testing.T) {
 	p := newTestPool(backendsOf(1, 10, "a"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	b := p.backends[0]
 	limits := thresholds{low: 8, high: 10, block: 25}
 	for _, c := range []struct {
-		n    float64
+		load float64
 		want decide.Mode
 	}{
 		{9, decide.Normal}, {9.1, decide.Overloaded}, {8, decide.Overloaded}, {7.9, decide.Normal},
 		{9.5, decide.Overloaded}, {24, decide.Overloaded}, {24.1, decide.Blocking},
 		{11, decide.Blocking}, {10.9, decide.Overloaded}, {7, decide.Normal},
 	} {
-		if got := b.nextMode(at(0), live, limits, c.n); got != c.want {
-			t.Errorf("n=%v: %v, want %v", c.n, got, c.want)
+		if got := b.nextMode(at(0), live, limits, c.load); got != c.want {
+			t.Errorf("mode at load %v: got %v, want %v", c.load, got, c.want)
 		}
 	}
 }
@@ -98,26 +98,26 @@
 
 func TestFullAnswerBlocksUntilItLapses(t *testing.T) {
 	p := newTestPool(backendsOf(1, 6, "a"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	mustPick(t, p, at(0), Request{}).Done(at(0), Full, nil)
 	if ticket, refusal := p.Pick(at(forcedBlockTime-time.Nanosecond), Request{}); ticket != nil {
-		t.Error("sent to a backend that has just told it is full")
+		t.Error("picked a backend that has just reported that it is full")
 	} else if refusal.RetryAfter < minRetryAfter/2 || refusal.RetryAfter > 2*maxRetryAfter {
-		t.Errorf("retry after %v", refusal.RetryAfter)
+		t.Errorf("RetryAfter: got %v, want about %v to %v", refusal.RetryAfter, minRetryAfter, maxRetryAfter)
 	}
 	mustPick(t, p, at(forcedBlockTime), Request{})
 }
 
 func TestBlockingBackendsGetNothing(t *testing.T) {
 	p := newTestPool(backendsOf(3, 6, "a"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	full := p.backends[1]
 	full.recordLoad(at(0), 0, &Load{Running: 6, Waiting: 24, Slots: 6})
 	p.recordOthers(at(0), full)
 	for i := range 500 {
 		ticket := mustPick(t, p, at(0), Request{Batch: i%2 == 0})
 		if ticket.backend == full {
-			t.Fatal("sent to a blocking backend")
+			t.Fatal("picked a blocking backend")
 		}
 		ticket.Done(at(0), Cancelled, nil)
 	}
@@ -125,16 +125,16 @@
 
 func TestRefusedOnlyWhenAllBlock(t *testing.T) {
 	p := newTestPool(backendsOf(3, 6, "a"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	for _, b := range p.backends {
 		b.recordLoad(at(0), 0, &Load{Running: 6, Waiting: 30, Slots: 6})
 	}
 	if ticket, _ := p.Pick(at(0), Request{}); ticket != nil {
-		t.Error("sent to a blocking backend")
+		t.Error("picked a blocking backend")
 	}
 	p.backends[2].recordLoad(at(0), 0, &Load{Running: 2, Slots: 6})
 	if ticket := mustPick(t, p, at(0), Request{}); ticket.backend != p.backends[2] {
-		t.Error("not sent to the backend that has room")
+		t.Error("did not pick the backend that has room")
 	}
 }
 
@@ -142,7 +142,7 @@
 func TestNoRefusalWithFreeSlots(t *testing.T) {
 	for _, slots := range []int{6, 16} {
 		p := newTestPool(backendsOf(9, slots, "a", "b", "c"))
-		tellIdle(t, p, at(0), 20*time.Millisecond)
+		reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 		for range 9 * slots {
 			mustPick(t, p, at(time.Millisecond), Request{})
 		}
@@ -151,13 +151,13 @@
 
 func TestTwoChoicesTakeTheLowerDelay(t *testing.T) {
 	p := newTestPool(backendsOf(2, 96, "a"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	slow := p.backends[0]
 	slow.latency = 0.05
 	for range 200 {
 		ticket := mustPick(t, p, at(0), Request{})
 		if ticket.backend == slow {
-			t.Fatal("of two idle backends the slower one was taken")
+			t.Fatal("picked the slower of two idle backends")
 		}
 		ticket.Done(at(0), Cancelled, nil)
 	}
@@ -165,13 +165,13 @@
 		p.backends[1].addRequest(at(0), live, 1)
 	}
 	if ticket := mustPick(t, p, at(0), Request{}); ticket.backend != slow {
-		t.Error("the busier backend was taken")
+		t.Error("picked the busier backend")
 	}
 }
 
 func TestTwoChoicesAreRandom(t *testing.T) {
 	p := newTestPool(backendsOf(10, 96, "a"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	counts := map[*backend]int{}
 	for range 2000 {
 		ticket := mustPick(t, p, at(0), Request{})
@@ -180,12 +180,12 @@
 	}
 	for b, count := range counts {
 		if count < 100 || count > 300 {
-			t.Errorf("%s got %d of 2000 requests among ten equal backends", b.listed.ID, count)
+			t.Errorf("%s: got %d of 2000 requests, want about 200", b.listed.ID, count)
 		}
 	}
 }
 
-// overloadAll tells of a load between H and R at every backend.
+// overloadAll records a load between H and R at every backend.
 func overloadAll(p *Pool, now time.Time, l Load) {
 	for _, b := range p.backends {
 		b.recordLoad(now, 0, &l)
@@ -195,7 +195,7 @@
 
 func TestBatchWorkIsShedFirst(t *testing.T) {
 	p := newTestPool(backendsOf(6, 16, "a"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	refused, sent := [classes]int{}, [classes]int{}
 	for i := range 4000 {
 		now := at(time.Duration(i) * time.Millisecond)
@@ -219,7 +219,7 @@
 
 func TestLiveRequestsAreShedDeepInOverload(t *testing.T) {
 	p := newTestPool(backendsOf(6, 16, "a"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	refused := 0
 	const total = 4000
 	for i := range total {
@@ -246,22 +246,22 @@
 	p.updateDropFractions(at(0))
 	q1, q2 := decide.ShedSplit(0.5, 30, 10)
 	if s.dropFractions[live] != q1 || s.dropFractions[batch] != q2 {
-		t.Errorf("q1=%v q2=%v, want %v %v", s.dropFractions[live], s.dropFractions[batch], q1, q2)
+		t.Errorf("q1 and q2: got %v and %v, want %v and %v", s.dropFractions[live], s.dropFractions[batch], q1, q2)
 	}
 	s.overloadDepth[live].add(1)
 	p.updateDropFractions(at(forcedBlockTime + recomputePeriod + time.Millisecond))
 	if s.dropFractions[live] != 0 || s.dropFractions[batch] != 0 {
-		t.Errorf("old overload still sheds: %v", s.dropFractions)
+		t.Errorf("drop fractions after an old overload: got %v, want none", s.dropFractions)
 	}
 }
 
-func TestOwnZoneUnlessMarkedlyWorse(t *testing.T) {
+func TestOwnZoneIsPreferredUnlessMuchBusier(t *testing.T) {
 	p := newTestPool(backendsOf(9, 96, "a", "b", "c"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	for range 100 {
 		ticket := mustPick(t, p, at(0), Request{})
 		if !ticket.backend.sameZone {
-			t.Fatal("an idle backend of the own zone was passed over")
+			t.Fatal("picked another zone though the own zone has an idle backend")
 		}
 		ticket.Done(at(0), Cancelled, nil)
 	}
@@ -271,13 +271,13 @@
 		}
 	}
 	if ticket := mustPick(t, p, at(0), Request{}); ticket.backend.sameZone {
-		t.Error("a busy backend of the own zone was taken with idle ones elsewhere")
+		t.Error("picked a busy backend of the own zone though other zones have idle ones")
 	}
 }
 
 func TestExcludedBackendsAreNotPicked(t *testing.T) {
 	p := newTestPool(backendsOf(3, 6, "a"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	exclude := func(id string) bool { return id != "i-0002" }
 	for range 20 {
 		ticket := mustPick(t, p, at(0), Request{Exclude: exclude})
@@ -293,52 +293,52 @@
 
 func TestSharedPrefixesStayTogether(t *testing.T) {
 	p := newTestPool(backendsOf(9, 96, "a"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
-	places := map[string]map[string]bool{}
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
+	backendsBySession := map[string]map[string]bool{}
 	for i := range 4000 {
 		session := fmt.Sprintf("session-%d", i%40)
 		ticket := mustPick(t, p, at(0), Request{Prefix: []string{"system", session, fmt.Sprintf("own-%d", i)}})
 		if i >= 400 {
-			if places[session] == nil {
-				places[session] = map[string]bool{}
+			if backendsBySession[session] == nil {
+				backendsBySession[session] = map[string]bool{}
 			}
-			places[session][ticket.Backend.ID] = true
+			backendsBySession[session][ticket.Backend.ID] = true
 		}
 		ticket.Done(at(0), Cancelled, nil)
 	}
 	total := 0
-	for _, backends := range places {
+	for _, backends := range backendsBySession {
 		total += len(backends)
 	}
-	if mean := float64(total) / float64(len(places)); mean > 1.5 {
+	if mean := float64(total) / float64(len(backendsBySession)); mean > 1.5 {
 		t.Errorf("a session is read by %.1f idle backends on average", mean)
 	}
 }
 
-func TestPrefixDoesNotPileUp(t *testing.T) {
+func TestPrefixDoesNotOverloadOneBackend(t *testing.T) {
 	p := newTestPool(backendsOf(9, 96, "a"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	counts := map[string]int{}
 	for range 360 {
 		counts[mustPick(t, p, at(0), Request{Prefix: []string{"one"}}).Backend.ID]++
 	}
 	for id, count := range counts {
 		if count > 100 {
-			t.Errorf("%s holds %d of 360 requests with the same prefix", id, count)
+			t.Errorf("%s: got %d of 360 requests with the same prefix, want at most 100", id, count)
 		}
 	}
 }
 
-func TestPartMemoryIsBounded(t *testing.T) {
+func TestSegmentMemoryIsBounded(t *testing.T) {
 	m := newSegmentMemory()
 	for i := range uint64(5 * rememberedSegments) {
 		m.record(i + 1)
 	}
 	if kept := len(m.recent) + len(m.older); kept > 2*rememberedSegments {
-		t.Errorf("%d parts kept", kept)
+		t.Errorf("remembered segments: got %d, want at most %d", kept, 2*rememberedSegments)
 	}
 	if !m.record(5 * rememberedSegments) {
-		t.Error("the last part is forgotten")
+		t.Error("the last segment is not remembered")
 	}
 }
 
@@ -348,10 +348,10 @@
 		p.weightOf(2000)
 	}
 	if small, large := p.weightOf(200), p.weightOf(8000); small > 0.3 || large < 3 {
-		t.Errorf("weights %v and %v", small, large)
+		t.Errorf("weights of a small and a large request: got %v and %v, want at most 0.3 and at least 3", small, large)
 	}
 	if p.weightOf(0) != 1 {
-		t.Error("a request of unknown size must weigh 1")
+		t.Errorf("weight of a request of unknown size: got %v, want 1", p.weightOf(0))
 	}
 }
 
@@ -373,10 +373,10 @@
 
 func TestBatchWorkWaitsForItsZone(t *testing.T) {
 	p := newTestPool(backendsOf(3, 96, "a", "b", "c"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	first := mustPick(t, p, at(0), Request{Batch: true})
 	if !first.backend.sameZone {
-		t.Fatal("another zone with an idle backend in the own one")
+		t.Fatal("picked another zone though the own zone has an idle backend")
 	}
 	for range promptsAtOnce - 1 {
 		mustPick(t, p, at(0), Request{Batch: true})
@@ -388,12 +388,12 @@
 	mustPick(t, p, at(0), Request{Batch: true, Exclude: func(id string) bool { return id == near }})
 }
 
-// promptsAtOnce is how many requests of batch work an uncrowded backend gets before any of them is answered.
+// promptsAtOnce is the number of requests of batch work that an uncrowded backend gets before any of them is answered.
 var promptsAtOnce = int(math.Ceil(batchUnanswered))
 
 func TestUrgentBatchWorkGoesToAnotherZone(t *testing.T) {
 	p := newTestPool(backendsOf(2, 96, "a", "b"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	for range promptsAtOnce {
 		mustPick(t, p, at(0), Request{Batch: true})
 	}
@@ -405,11 +405,11 @@
 	}
 }
 
-// A store sees few of the prompts that wait at a backend: those of the proxies' live requests, which its own would hold up, are
+// A store sees few of the prompts that wait at a backend. Those of the proxies' live requests, which its own would delay, are
 // in the backend's reports.
 func TestBatchWorkWaitsForPromptsOfOtherNodes(t *testing.T) {
 	p := newTestPool(backendsOf(1, 96, "a"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	ticket := mustPick(t, p, at(0), Request{})
 	ticket.Done(at(20*time.Millisecond), OK, &Load{Running: 4, Waiting: promptsAtOnce + 1, Slots: 96})
 	now := at(21 * time.Millisecond)
@@ -420,7 +420,7 @@
 	mustPick(t, p, at(20*time.Millisecond+reportMemory), Request{Batch: true}) // the report is too old
 }
 
-func TestStartDoesNotBlockForEver(t *testing.T) {
+func TestStartDoesNotBlockForever(t *testing.T) {
 	p := newTestPool(backendsOf(3, 96, "a"))
 	_, _ = p.Pick(at(0), Request{Batch: true})
 	mustPick(t, p, at(startupMemory), Request{Batch: true})
@@ -432,7 +432,7 @@
 		want    int
 	}{{20 * time.Millisecond, promptsAtOnce}, {200 * time.Millisecond, 1}} {
 		p := newTestPool(backendsOf(1, 96, "a"))
-		tellIdle(t, p, at(0), 20*time.Millisecond)
+		reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 		p.backends[0].latency = c.latency.Seconds()
 		var sent []*Ticket
 		for range c.want {
@@ -450,7 +450,7 @@
 func TestSetBackendsKeepsState(t *testing.T) {
 	backends := backendsOf(4, 6, "a")
 	p := newTestPool(backends)
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	ticket := mustPick(t, p, at(0), Request{})
 	kept := ticket.backend
 	p.SetBackends(append([]discovery.Backend{}, ticket.Backend), 0)
@@ -464,7 +464,7 @@
 	}
 }
 
-func TestLoadOfAStreamIsOfItsBegin(t *testing.T) {
+func TestLoadOfAStreamIsAsOfItsBeginning(t *testing.T) {
 	p := newTestPool(backendsOf(1, 16, "a"))
 	stream := mustPick(t, p, at(0), Request{})
 	stream.Started(at(time.Second))
@@ -472,7 +472,7 @@
 	later.Done(at(3*time.Second), OK, &Load{Running: 9, Slots: 16})
 	stream.Done(at(4*time.Second), OK, &Load{Running: 2, Slots: 16})
 	if b := p.backends[0]; b.othersInFlight != 7 || !b.reportedAt.Equal(at(3*time.Second)) {
-		t.Errorf("others %v as of %v: an old report replaced a newer one", b.othersInFlight, b.reportedAt.Sub(start))
+		t.Errorf("others: got %v as of %v, want 7 as of 3s: an old report replaced a newer one", b.othersInFlight, b.reportedAt.Sub(start))
 	}
 }
 
@@ -482,7 +482,7 @@
 	ticket.Done(at(0), OK, nil)
 	ticket.Done(at(0), Failed, nil)
 	if b := p.backends[0]; b.inFlight != 0 || b.unanswered != 0 || b.weight != 0 {
-		t.Errorf("in flight %d, unanswered %d, weight %v", b.inFlight, b.unanswered, b.weight)
+		t.Errorf("got %d in flight, %d unanswered, weight %v, want none", b.inFlight, b.unanswered, b.weight)
 	}
 }
 
@@ -490,7 +490,7 @@
 	backends := backendsOf(4, 96, "a")
 	backends[0].Cold = 10 * time.Second
 	p := newTestPool(backends)
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	cold := 0
 	for range 400 {
 		if mustPick(t, p, at(0), Request{}).Backend.ID == backends[0].ID {
@@ -498,7 +498,7 @@
 		}
 	}
 	if cold == 0 || cold > 80 {
-		t.Errorf("a cold backend got %d of 400 requests among four", cold)
+		t.Errorf("cold backend among four: got %d of 400 requests, want 1 to 80", cold)
 	}
 }
 
--- a/internal/admission/shared.go
+++ b/internal/admission/sharedload.go
@@ -3,39 +3,41 @@
 import "time"
 
 const (
-	// sharedValidity is how long what all nodes have at the backends counts after it was told.
+	// sharedValidity is how long the loads of all nodes count after they came.
 	sharedValidity = 400 * time.Millisecond
-	// reportIdle is for how long a pool goes on reporting after its last request.
+	// reportIdle is how long a pool goes on reporting after its last request.
 	reportIdle = 2 * time.Second
-	// livePartMemory is the time in which the part of the slots that live requests take falls to what they take now.
+	// liveFractionMemory is the time within which the fraction of slots that live requests take falls to the present one.
 	liveFractionMemory = 2 * time.Second
 )
 
-// BackendLoad is what some nodes have at one backend.
+// BackendLoad is the number of requests that some nodes have at one backend.
 type BackendLoad struct {
 	// Backend is a hash of the backend's identifier.
 	Backend uint32
 	// InFlight counts requests without a complete answer: Batch those of them that are items of batch jobs, Unanswered those
-	// without a first part of an answer.
+	// without the first byte of an answer.
 	InFlight, Batch, Unanswered int
-	// Pending is the size of the unanswered requests, as a multiple of a mean one.
+	// Pending is the size of the unanswered requests, as a multiple of a mean request.
 	Pending float64
 }
 
-// sharedLoad is what other nodes have at a backend, and what this node had told of itself when it was told so.
+// otherNodesLoad is what other nodes have at a backend. The sums that come include this node's last report, so that is
+// kept to be subtracted.
 type otherNodesLoad struct {
-	inFlight, batch, unanswered, pending float64 // of other nodes
+	inFlight, batch, unanswered, pending float64
+
 	ownInFlight, ownBatch, ownUnanswered int
 	ownPending                           float64
 }
 
-// key is the backend's name in messages about loads.
+// key returns the name of the backend in messages about loads.
 func (b *backend) key() uint32 { return uint32(b.hash >> 32) }
 
-// Report gives what this node has at its backends, for nodes that choose among the same ones. Backends that tell their load
-// make it needless, and so does a pool that is not in use. Unless all are to be named, those are left out at which there is
-// nothing.
-func (p *Pool) Report(now time.Time, complete bool) (loads []BackendLoad, wanted bool) {
+// Report returns what this node has at its backends, for nodes that select among the same ones. Unless the report is to be
+// complete, backends without requests are left out. No report is needed where backends report their load themselves, nor
+// from a pool that is not in use.
+func (p *Pool) Report(now time.Time, complete bool) (loads []BackendLoad, needed bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.backendsReportLoad() || now.Sub(p.usedAt) > reportIdle {
@@ -56,7 +58,7 @@
 	return loads, true
 }
 
-// Share takes what all nodes have, in answer to the last report.
+// Share takes the loads of all nodes, the answer to the last report.
 func (p *Pool) Share(now time.Time, loads []BackendLoad) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -69,12 +71,12 @@
 	p.updateLiveFraction(now)
 }
 
-// tell remembers what this node tells of itself.
+// snapshot keeps what this node reports of itself.
 func (l *otherNodesLoad) snapshot(b *backend) {
 	l.ownInFlight, l.ownBatch, l.ownUnanswered, l.ownPending = b.inFlight, b.batchInFlight, b.unanswered, b.pending
 }
 
-// take replaces what other nodes are known to have.
+// update sets the load of other nodes from that of all nodes.
 func (l *otherNodesLoad) update(all *BackendLoad) {
 	l.inFlight = float64(max(0, all.InFlight-l.ownInFlight))
 	l.batch = float64(max(0, all.Batch-l.ownBatch))
@@ -82,21 +84,18 @@
 	l.pending = max(0, all.Pending-l.ownPending)
 }
 
-// tellsLoad tells whether backends of the service tell their load themselves, as far as is known.
-func (p *Pool) backendsReportLoad() bool { return !p.typicalAt.IsZero() }
-
-// isShared tells whether it is known what all nodes have at the backends.
+// hasSharedLoads reports whether the loads of all nodes at the backends are known.
 func (p *Pool) hasSharedLoads(now time.Time) bool {
 	return !p.backendsReportLoad() && !p.sharedAt.IsZero() && now.Sub(p.sharedAt) < sharedValidity
 }
 
-// liveAt is how many live requests all nodes have at a backend.
+// liveRequests returns the number of live requests of all nodes at the backend.
 func (b *backend) liveRequests() float64 {
 	return max(0, float64(b.inFlight-b.batchInFlight)+b.otherNodes.inFlight-b.otherNodes.batch)
 }
 
-// follow renews what part of the slots live requests take: it rises at once with them, and falls within the time for which
-// batch work stays at a backend, as a slot given to it is away for so long.
+// updateLiveFraction updates the fraction of slots that live requests take. It rises at once, and falls within the time
+// that batch work stays at a backend, since a slot given to batch work is taken for so long.
 func (p *Pool) updateLiveFraction(now time.Time) {
 	requests, slots := 0.0, 0.0
 	for _, b := range p.backends {
@@ -106,14 +105,14 @@
 	if slots == 0 {
 		return
 	}
-	part := requests / slots
-	fall := freshness(now.Sub(p.liveFractionAt), liveFractionMemory)
-	p.liveFraction = max(part, fall*p.liveFraction+(1-fall)*part)
+	current := requests / slots
+	fresh := freshness(now.Sub(p.liveFractionAt), liveFractionMemory)
+	p.liveFraction = max(current, fresh*p.liveFraction+(1-fresh)*current)
 	p.liveFractionAt = now
 }
 
-// batchCount is the count that batch work is judged by: batch work at the backend beside the live requests that are there, or
-// are to be expected.
+// batchLoad returns the load that decides about batch work: the batch work at the backend, and the live requests that are
+// there or have to be expected.
 func (b *backend) batchLoad(p *Pool) float64 {
 	expected := p.liveFraction * b.slots
 	return float64(b.batchInFlight) + b.otherNodes.batch + max(b.liveRequests(), expected)
--- a/internal/admission/shared_test.go
+++ b/internal/admission/sharedload_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// tellNothing lets every backend answer enough requests to be known as one that tells no load.
-func tellNothing(p *Pool, now time.Time, latency time.Duration) {
+// answerWithoutLoad has every backend answer enough requests to be known as one that does not report its load.
+func answerWithoutLoad(p *Pool, now time.Time, latency time.Duration) {
 	for range minAnswers {
 		for _, b := range p.backends {
 			ticket := p.ticket(now.Add(-latency), &Request{}, b)
@@ -15,14 +15,14 @@
 	}
 }
 
-// newSilentPool gives a pool of a service that tells no load.
-func newSilentPool(n, slots int, zones ...string) *Pool {
+// newUnreportedPool returns the pool of a service whose backends do not report their load.
+func newUnreportedPool(n, slots int, zones ...string) *Pool {
 	p := newTestPool(backendsOf(n, slots, zones...))
-	tellNothing(p, at(0), 20*time.Millisecond)
+	answerWithoutLoad(p, at(0), 20*time.Millisecond)
 	return p
 }
 
-// share tells a pool what all nodes have: the same at each backend but those of other.
+// share passes the loads of all nodes to a pool: the same for each backend but those in other.
 func share(p *Pool, now time.Time, all BackendLoad, other map[*backend]BackendLoad) {
 	p.usedAt = now
 	loads, _ := p.Report(now, true)
@@ -37,15 +37,15 @@
 	p.Share(now, loads)
 }
 
-func TestReportNamesWhatIsNew(t *testing.T) {
-	p := newSilentPool(4, 8, "a")
-	if _, wanted := p.Report(at(0), true); wanted {
+func TestReport(t *testing.T) {
+	p := newUnreportedPool(4, 8, "a")
+	if _, needed := p.Report(at(0), true); needed {
 		t.Error("a pool that was never used reports")
 	}
 	ticket := mustPick(t, p, at(time.Second), Request{Batch: true})
-	loads, wanted := p.Report(at(time.Second), true)
-	if !wanted || len(loads) != 4 {
-		t.Fatalf("complete report: %+v, wanted %v", loads, wanted)
+	loads, needed := p.Report(at(time.Second), true)
+	if !needed || len(loads) != 4 {
+		t.Fatalf("complete report: %+v, needed %v", loads, needed)
 	}
 	loads, _ = p.Report(at(time.Second), false)
 	if len(loads) != 1 || loads[0].InFlight != 1 || loads[0].Batch != 1 || loads[0].Unanswered != 1 || loads[0].Pending != 1 {
@@ -55,52 +55,52 @@
 	if loads, _ = p.Report(at(1300*time.Millisecond), false); len(loads) != 0 {
 		t.Errorf("nothing is new: %+v", loads)
 	}
-	if _, wanted := p.Report(at(time.Second+2*reportIdle), false); wanted {
+	if _, needed := p.Report(at(time.Second+2*reportIdle), false); needed {
 		t.Error("an idle pool reports")
 	}
 }
 
-func TestBackendsThatTellTheirLoadAreNotReported(t *testing.T) {
+func TestBackendsThatReportTheirLoadNeedNoReport(t *testing.T) {
 	p := newTestPool(backendsOf(2, 8, "a"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	mustPick(t, p, at(0), Request{})
-	if loads, wanted := p.Report(at(0), true); wanted {
+	if loads, needed := p.Report(at(0), true); needed {
 		t.Errorf("reported: %+v", loads)
 	}
 }
 
 func TestRequestsOfOtherNodesCount(t *testing.T) {
-	p := newSilentPool(4, 8, "a")
+	p := newUnreportedPool(4, 8, "a")
 	free := p.backends[2]
 	share(p, at(time.Second), BackendLoad{InFlight: 30}, map[*backend]BackendLoad{free: {InFlight: 2}})
 	for range 5 {
 		if ticket := mustPick(t, p, at(time.Second), Request{}); ticket.backend != free {
-			t.Fatal("sent to a backend that other nodes have filled")
+			t.Fatal("picked a backend that other nodes have filled")
 		}
 	}
 	share(p, at(time.Second), BackendLoad{InFlight: 30}, nil)
 	if ticket, _ := p.Pick(at(time.Second), Request{}); ticket != nil {
-		t.Error("sent though all backends block")
+		t.Error("picked a backend though all of them block")
 	}
-	mustPick(t, p, at(time.Second+sharedValidity), Request{}) // what was told is too old
+	mustPick(t, p, at(time.Second+sharedValidity), Request{}) // the shared loads are too old
 }
 
 func TestOwnRequestsAreNotCountedTwice(t *testing.T) {
-	p := newSilentPool(1, 8, "a")
+	p := newUnreportedPool(1, 8, "a")
 	for range 3 {
 		mustPick(t, p, at(time.Second), Request{})
 	}
 	share(p, at(time.Second), BackendLoad{InFlight: 5, Batch: 1, Unanswered: 4, Pending: 4}, nil)
 	b := p.backends[0]
 	if l := b.otherNodes; l.inFlight != 2 || l.batch != 1 || l.unanswered != 1 || l.pending != 1 {
-		t.Errorf("of other nodes: %+v", l)
+		t.Errorf("load of other nodes: got %+v, want 2 in flight, 1 batch, 1 unanswered, 1 pending", l)
 	}
 	if n := b.liveRequests(); n != 4 {
-		t.Errorf("%v live requests, want 4", n)
+		t.Errorf("live requests: got %v, want 4", n)
 	}
 }
 
-// fillWithBatch sends items of batch jobs until there is no room, and gives how many were sent.
+// fillWithBatch sends items of batch jobs until there is no room, and returns how many were sent.
 func fillWithBatch(p *Pool, now time.Time) (sent int) {
 	for range 2000 {
 		if ticket, _ := p.Pick(now, Request{Batch: true, Urgent: true}); ticket != nil {
@@ -115,7 +115,7 @@
 	const backends, slots = 10, 8
 	sentWith := map[int]int{}
 	for _, liveRequests := range []int{0, 2, 4, 6} {
-		p := newSilentPool(backends, slots, "a")
+		p := newUnreportedPool(backends, slots, "a")
 		share(p, at(time.Second), BackendLoad{InFlight: liveRequests}, nil)
 		sent := fillWithBatch(p, at(time.Second))
 		sentWith[liveRequests] = sent
@@ -129,9 +129,9 @@
 	}
 }
 
-// A slot that an item takes is away for as long as it runs: a moment without live requests is no reason to fill it.
-func TestBatchDoesNotTakeTheRoomOfAMoment(t *testing.T) {
-	p := newSilentPool(10, 8, "a")
+// A slot that an item takes is taken for as long as the item runs: a moment without live requests is no reason to fill it.
+func TestBatchDoesNotTakeRoomThatIsFreeForAMoment(t *testing.T) {
+	p := newUnreportedPool(10, 8, "a")
 	share(p, at(time.Second), BackendLoad{InFlight: 6}, nil)
 	share(p, at(time.Second+100*time.Millisecond), BackendLoad{}, nil)
 	if sent := fillWithBatch(p, at(time.Second+100*time.Millisecond)); sent > 10*4 {
@@ -146,11 +146,11 @@
 }
 
 // The pool of a store that has just become the head knows of no requests but its own, and not even how long an answer takes.
-func TestBatchIsCarefulWithoutNews(t *testing.T) {
+func TestBatchIsCarefulWithoutReports(t *testing.T) {
 	const backends, slots = 10, 8
 	for name, p := range map[string]*Pool{
 		"no answer yet": newTestPool(backendsOf(backends, slots, "a")),
-		"no news":       newSilentPool(backends, slots, "a"),
+		"no reports":    newUnreportedPool(backends, slots, "a"),
 	} {
 		sent := 0
 		for i := range 2000 {
@@ -172,7 +172,7 @@
 	for i := range nodes {
 		p := NewPool("s", string(rune('a'+i)), "a", uint64(i))
 		p.SetBackends(listed, 0)
-		tellNothing(p, at(0), 20*time.Millisecond)
+		answerWithoutLoad(p, at(0), 20*time.Millisecond)
 		pools = append(pools, p)
 	}
 	counts := map[uint32]int{}
@@ -181,15 +181,15 @@
 		p.usedAt = at(time.Second)
 		loads, _ := p.Report(at(time.Second), true)
 		for j := range loads {
-			held := counts[loads[j].Backend]
-			loads[j] = BackendLoad{Backend: loads[j].Backend, InFlight: held, Unanswered: held, Pending: float64(held)}
+			inFlight := counts[loads[j].Backend]
+			loads[j] = BackendLoad{Backend: loads[j].Backend, InFlight: inFlight, Unanswered: inFlight, Pending: float64(inFlight)}
 		}
 		p.Share(at(time.Second), loads)
 		counts[mustPick(t, p, at(time.Second), Request{}).backend.key()]++
 	}
 	for backend, count := range counts {
 		if count > 8 {
-			t.Errorf("backend %d holds %d of %d requests", backend, count, 6*backends)
+			t.Errorf("backend %d: got %d of %d requests, want at most 8", backend, count, 6*backends)
 		}
 	}
 }
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A small simulation: nodes with a pool each, before backends that work on their slots, slow down with each running
-// request, queue some and refuse the rest.
+// A small simulation: nodes with a pool each, and backends that work on their slots, slow down with each running request,
+// queue some and refuse the rest.
 
 type simulatedBackend struct {
 	slots, queue int
@@ -73,7 +73,7 @@
 	heap.Push(&s.events, simulatedEvent{at: s.now.Add(d), run: run})
 }
 
-// arrivals lets requests of a class arrive at a rate, at random nodes, for a time.
+// arrivals has requests of a class arrive at a rate, at random nodes, for a time.
 func (s *simulation) arrivals(c class, rate float64, from, to time.Duration) {
 	for t := from.Seconds(); t < to.Seconds(); t += s.random.ExpFloat64() / rate {
 		at := start.Add(time.Duration(t * float64(time.Second)))
@@ -147,7 +147,7 @@
 	s.after(simulatedTrip, func() { answer(OK, load) })
 }
 
-// capacity is how many requests a second all backends can do.
+// capacity returns the number of requests a second that all backends can serve.
 func (s *simulation) capacity() float64 {
 	total := 0.0
 	for _, b := range s.backends {
@@ -171,7 +171,7 @@
 				t.Errorf("seed %d: %s served %d, the mean one %d", seed, id, b.served, mean)
 			}
 			if b.most > 2*b.slots {
-				t.Errorf("seed %d: %s held up to %d requests: a herd", seed, id, b.most)
+				t.Errorf("seed %d: %s had up to %d requests: a herd", seed, id, b.most)
 			}
 		}
 	}
@@ -231,7 +231,7 @@
 		before := s.backends["i-0003"].served
 		s.run(20 * time.Second)
 		if s.backends["i-0003"].served == before {
-			t.Errorf("seed %d: the backend got nothing after it had come back", seed)
+			t.Errorf("seed %d: no request went to the backend after its recovery", seed)
 		}
 	}
 }
@@ -249,7 +249,7 @@
 		s.run(10 * time.Second)
 		for id, b := range s.backends {
 			if b.most > 2*b.slots {
-				t.Errorf("seed %d: %s held up to %d requests", seed, id, b.most)
+				t.Errorf("seed %d: %s had up to %d requests", seed, id, b.most)
 			}
 		}
 		if r := s.results[live]; r.refused > r.sent/100 {
--- a/internal/admission/stats.go
+++ b/internal/admission/stats.go
@@ -6,10 +6,10 @@
 	"nickelline/decide"
 )
 
-// Class is a name of a class of requests in figures.
+// Class is the name of a class of requests in metrics.
 type Class string
 
-// The classes of requests in figures.
+// The classes of requests in metrics.
 const (
 	ClassLive  Class = "live"
 	ClassBatch Class = "batch"
@@ -22,8 +22,8 @@
 type refusalReason int
 
 const (
-	shedByFraction refusalReason = iota // by q1 or q2, as no backend was normal
-	waitsForZone                        // batch work that rather waits for its zone
+	shedByFraction refusalReason = iota // by q1 or q2, while no backend was normal
+	waitsForZone                        // batch work that waits for its own zone
 	allBlocked                          // no backend may take it
 	refusalReasons
 )
@@ -35,7 +35,7 @@
 	modeNames    = [...]string{decide.Normal: "normal", decide.Overloaded: "overloaded", decide.Blocking: "blocking"}
 )
 
-// firstPartBounds are the upper bounds of the classes of times to the first part of an answer.
+// firstByteBounds are the upper bounds of the buckets of times to the first byte of an answer.
 var firstByteBounds = [...]time.Duration{
 	25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond,
 	800 * time.Millisecond, 1600 * time.Millisecond,
@@ -46,28 +46,21 @@
 	picks    [bands]uint64
 	refusals [refusalReasons]uint64
 	outcomes [len(outcomeNames)]uint64
-	// firstParts counts the times to the first part of an answer, the last one those over all bounds.
+	// firstByteTimes counts the times to the first byte of an answer; the last bucket those over all bounds.
 	firstByteTimes [len(firstByteBounds) + 1]uint64
 	firstByteSum   time.Duration
 }
 
-// pickedFrom counts a pick by the band of the chosen backend.
+// recordPick counts a pick by the band of the chosen backend.
 func (c *classCounts) recordPick(normal, near bool) {
-	b := overloadedFar
-	if normal {
-		b = normalFar
-	}
-	if near {
-		b--
-	}
-	c.picks[b]++
+	c.picks[bandOf(normal, near)]++
 }
 
-// started counts the time to the first part of an answer.
-func (c *classCounts) recordFirstByte(took time.Duration) {
-	c.firstByteSum += took
+// recordFirstByte counts a time to the first byte of an answer.
+func (c *classCounts) recordFirstByte(latency time.Duration) {
+	c.firstByteSum += latency
 	for i, bound := range firstByteBounds {
-		if took <= bound {
+		if latency <= bound {
 			c.firstByteTimes[i]++
 			return
 		}
@@ -75,45 +68,44 @@
 	c.firstByteTimes[len(firstByteBounds)]++
 }
 
-// FirstParts is a histogram of the times to the first part of an answer.
+// FirstByteTimes is a histogram of the times to the first byte of an answer.
 type FirstByteTimes struct {
-	// Bounds are the upper bounds; Counts has one number more, for the times over all of them.
+	// Bounds are the upper bounds; Counts has one bucket more, for the times over all of them.
 	Bounds []time.Duration
 	Counts []uint64
 	Sum    time.Duration
 }
 
-// ClassStats are the figures of one class of requests since the start, but for those that are of now.
+// ClassStats are the metrics of one class of requests: counters since the start, and the present state.
 type ClassStats struct {
-	Class    Class
-	Picks    map[string]uint64 // by mode and place of the backend
-	Refusals map[string]uint64 // by reason
-	Outcomes map[string]uint64 // of attempts
-	// FirstParts are the times to the first part of an answer.
+	Class          Class
+	Picks          map[string]uint64 // by mode and zone of the backend
+	Refusals       map[string]uint64 // by reason
+	Outcomes       map[string]uint64 // of attempts
 	FirstByteTimes FirstByteTimes
-	// Dropped is the part of requests that is dropped now where no backend is normal: q1 of live requests, q2 of batch work.
+	// DropFraction of requests is dropped now while no backend is normal: q1 of live requests, q2 of batch work.
 	DropFraction float64
-	// Modes counts the backends by their mode for the class now.
+	// Modes counts the backends by their present mode for the class.
 	Modes map[string]int
 }
 
-// Stats are the figures of a pool.
+// Stats are the metrics of a pool.
 type Stats struct {
 	Classes []ClassStats
-	// Backends in use, and of those the ones that are ejected.
+	// Backends counts those in use, Ejected those of them that are ejected.
 	Backends, Ejected int
-	// InFlight is what this node has at the backends, Others what other nodes are taken to have.
+	// InFlight counts requests of this node at the backends, Others is the estimate for other nodes.
 	InFlight int
 	Others   float64
-	// Latency is the smoothed time to the first part of an answer, Uncrowded what it is without load.
+	// Latency is the smoothed time to the first byte of an answer, Uncrowded the same without load.
 	Latency, Uncrowded time.Duration
-	// LivePart is the part of the slots that live requests of all nodes take, or have lately taken.
+	// LiveFraction of the slots is taken by live requests of all nodes, or was lately.
 	LiveFraction float64
-	// Shared tells whether it is known what all nodes have.
+	// Shared reports whether the loads of all nodes are known.
 	Shared bool
 }
 
-// Stats gives the pool's figures.
+// Stats returns the metrics of the pool.
 func (p *Pool) Stats(now time.Time) Stats {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/admission/stats_test.go
+++ b/internal/admission/stats_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-func TestStatsTellWhatBecameOfRequests(t *testing.T) {
+func TestStatsCountRequests(t *testing.T) {
 	p := newTestPool(backendsOf(2, 8, "a", "b"))
-	tellIdle(t, p, at(0), 20*time.Millisecond)
+	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	before := p.Stats(at(0)).Classes[live]
 	first := mustPick(t, p, at(0), Request{})
 	first.Started(at(30 * time.Millisecond))
@@ -17,7 +17,7 @@
 		b.blockBriefly(at(time.Millisecond))
 	}
 	if ticket, _ := p.Pick(at(2*time.Millisecond), Request{}); ticket != nil {
-		t.Fatal("sent to a backend that is full")
+		t.Fatal("picked a backend that is full")
 	}
 	stats := p.Stats(at(50 * time.Millisecond))
 	c := stats.Classes[live]
@@ -28,7 +28,7 @@
 		t.Errorf("%d picks of normal backends: %+v", picked, c.Picks)
 	}
 	if bucket := 1; c.FirstByteTimes.Counts[bucket] != before.FirstByteTimes.Counts[bucket]+1 || c.FirstByteTimes.Bounds[bucket] != 50*time.Millisecond {
-		t.Errorf("30 ms to the first part: %+v", c.FirstByteTimes)
+		t.Errorf("30 ms to the first byte: %+v", c.FirstByteTimes)
 	}
 	if stats.Backends != 2 || stats.Ejected != 0 || stats.InFlight != 0 || stats.Shared {
 		t.Errorf("%+v", stats)
--- a/internal/admission/subset.go
+++ b/internal/admission/subset.go
@@ -8,19 +8,21 @@
 )
 
 // A node uses all backends of a service, or a subset where there are many. Rendezvous hashing by the node's name keeps
-// it stable: each change of the list exchanges few backends.
+// the subset stable: each change of the list exchanges few backends.
 const (
-	subsetSize     = 64 // backends of a pool, at most
-	subsetSameZone = 48 // of those from the node's zone, if it has so many
+	// subsetSize is the greatest number of backends of a pool.
+	subsetSize = 64
+	// subsetSameZone is the number of those from the node's zone, if it has so many.
+	subsetSameZone = 48
 )
 
-// ranked is a backend with its rank for the node: the lowest ones are taken.
+// rankedBackend is a backend with its rank for the node: the lowest ranks are taken.
 type rankedBackend struct {
 	backend discovery.Backend
 	rank    uint64
 }
 
-// subsetOf chooses the backends that a node of a zone uses.
+// subset returns the backends that a node of a zone uses.
 func subset(all []discovery.Backend, zone string, node uint64) []discovery.Backend {
 	if len(all) <= subsetSize {
 		return all
@@ -40,7 +42,7 @@
 	return appendLowest(kept, far, subsetSize-nearCount)
 }
 
-// appendLowest adds the backends of the lowest ranks.
+// appendLowest appends the backends of the lowest ranks.
 func appendLowest(kept []discovery.Backend, from []rankedBackend, count int) []discovery.Backend {
 	slices.SortFunc(from, func(a, b rankedBackend) int { return cmp.Compare(a.rank, b.rank) })
 	for _, r := range from[:count] {
--- a/internal/admission/subset_test.go
+++ b/internal/admission/subset_test.go
@@ -10,7 +10,7 @@
 func TestFewBackendsAreAllUsed(t *testing.T) {
 	all := backendsOf(subsetSize, 96, "a", "b", "c")
 	if got := subset(all, "a", 7); len(got) != len(all) {
-		t.Errorf("%d of %d used", len(got), len(all))
+		t.Errorf("subset of few backends: got %d, want %d", len(got), len(all))
 	}
 }
 
@@ -23,15 +23,15 @@
 		}
 	}
 	if near != subsetSameZone {
-		t.Errorf("%d of the own zone, want %d", near, subsetSameZone)
+		t.Errorf("backends of the own zone: got %d, want %d", near, subsetSameZone)
 	}
 	zoned := backendsOf(900, 96, "x", "y")
 	if got := subset(zoned, "c", 7); len(got) != subsetSize {
-		t.Errorf("%d backends for a node in a zone without any", len(got))
+		t.Errorf("node in a zone without backends: got %d, want %d", len(got), subsetSize)
 	}
 }
 
-func TestSubsetShiftsSmoothly(t *testing.T) {
+func TestSubsetIsStable(t *testing.T) {
 	all := backendsOf(3700, 96, "a", "b", "c", "d")
 	before := subset(all, "a", 7)
 	fewer := append([]discovery.Backend{}, all[:100]...)
--- a/internal/admission/ticket.go
+++ b/internal/admission/ticket.go
@@ -6,7 +6,7 @@
 	"nickelline/internal/discovery"
 )
 
-// Ticket is the permission to send one request to one backend. Done has to be called once.
+// Ticket is the permission to send one request to one backend. The caller must call Done once.
 type Ticket struct {
 	Backend discovery.Backend
 
@@ -15,14 +15,15 @@
 	sentAt  time.Time
 	class   class
 	weight  float64
-	trial   bool // at a backend that is ejected
+	trial   bool // of an ejected backend
 	done    bool
 
 	started         bool
 	startedAt       time.Time
-	inFlightAtStart int // of the node at the backend, when the answer began
+	inFlightAtStart int // of the node at the backend, at the first byte
 }
 
+// ticket counts a request at a backend, and returns its ticket.
 func (p *Pool) ticket(now time.Time, r *Request, b *backend) *Ticket {
 	t := &Ticket{
 		Backend: b.listed,
@@ -40,7 +41,7 @@
 	return t
 }
 
-// Started tells that the first part of the answer has come.
+// Started records the first byte of the answer: the first event of a stream, or the whole body otherwise.
 func (t *Ticket) Started(now time.Time) {
 	t.pool.mutex.Lock()
 	defer t.pool.mutex.Unlock()
@@ -49,7 +50,7 @@
 	}
 }
 
-// start takes the latency, once.
+// recordFirstByte takes the latency, once.
 func (t *Ticket) recordFirstByte(now time.Time) {
 	if t.started {
 		return
@@ -57,16 +58,16 @@
 	t.started = true
 	t.startedAt = now
 	t.inFlightAtStart = t.backend.inFlight
-	took := now.Sub(t.sentAt)
-	t.pool.counts[t.class].recordFirstByte(took)
-	t.backend.recordFirstByte(now, took, t.weight)
+	latency := now.Sub(t.sentAt)
+	t.pool.counts[t.class].recordFirstByte(latency)
+	t.backend.recordFirstByte(now, latency, t.weight)
 	if t.backend.health.unresponsive {
 		t.backend.health.restore()
 	}
-	t.pool.recordLatency(now, took)
+	t.pool.recordLatency(now, latency)
 }
 
-// Report takes the load that a backend told with the head of its answer. Done does the same for answers that end at
+// Report takes the load that a backend reported with the head of its answer. Done does the same for answers that end at
 // once.
 func (t *Ticket) Report(now time.Time, load Load) {
 	t.pool.mutex.Lock()
@@ -76,7 +77,7 @@
 	}
 }
 
-// report takes a load, unless a newer one is known.
+// recordLoad takes a report of the backend, unless a newer one is known.
 func (t *Ticket) recordLoad(at time.Time, own int, load *Load) {
 	if at.Before(t.backend.reportedAt) {
 		return
@@ -85,8 +86,8 @@
 	t.pool.recordOthers(at, t.backend)
 }
 
-// Done tells how the attempt ended, and the load that the backend told with its answer, if it did: that is of the time
-// when the answer began. Calls after the first have no effect.
+// Done records how the attempt ended, and the load that the backend reported with its answer, if any, as of the beginning
+// of the answer. Calls after the first have no effect.
 func (t *Ticket) Done(now time.Time, outcome Outcome, load *Load) {
 	p, b := t.pool, t.backend
 	p.mutex.Lock()
