--- a/internal/batchapi/call.go
+++ b/internal/batchapi/call.go
@@ -28,16 +28,16 @@
 )
 
 // encoder writes a call for a partition.
-type encoder func(partition uint32) (peer.Message, error)
+type encodeFunc func(partition uint32) (peer.Message, error)
 
 // write has the head of a tenant's partition change something.
-func (c *Client) write(ctx context.Context, tenant string, encode encoder) error {
+func (c *Client) write(ctx context.Context, tenant string, encode encodeFunc) error {
 	return c.callHead(ctx, tenant, writeTimeout, encode)
 }
 
 // callHead calls the head of a tenant's partition until it has acted. All calls may be sent twice: a job is taken once, and
 // ended once.
-func (c *Client) callHead(ctx context.Context, tenant string, timeout time.Duration, encode encoder) error {
+func (c *Client) callHead(ctx context.Context, tenant string, timeout time.Duration, encode encodeFunc) error {
 	var unclear error
 	refusal := fault.New(fault.NotReady, "no store keeps the jobs of %q now", tenant)
 	for range maxCalls {
@@ -51,12 +51,12 @@
 		case err == nil && reply.Redirect == nil:
 			return nil
 		case err == nil:
-			c.heads.learn(located.Chain, reply.Redirect)
+			c.heads.recordRedirect(located.Chain, reply.Redirect)
 			if c.heads.head(located) != head {
 				continue
 			}
 		case fault.KindOf(err) == fault.QuotaExceeded, fault.KindOf(err) == fault.BadRequest:
-			return settle(unclear, err)
+			return resolveError(unclear, err)
 		case fault.KindOf(err) == fault.NotReady:
 			refusal = err
 		default:
@@ -66,11 +66,11 @@
 			break
 		}
 	}
-	return settle(unclear, refusal)
+	return resolveError(unclear, refusal)
 }
 
 // settle gives the error that promises no more than is known.
-func settle(unclear, refusal error) error {
+func resolveError(unclear, refusal error) error {
 	if unclear != nil {
 		return unclear
 	}
@@ -78,7 +78,7 @@
 }
 
 // read calls replicas of a tenant's partition until one has answered for certain.
-func (c *Client) read(ctx context.Context, tenant string, wait time.Duration, encode encoder) (*batchcall.Reply, error) {
+func (c *Client) read(ctx context.Context, tenant string, wait time.Duration, encode encodeFunc) (*batchcall.Reply, error) {
 	deadline := time.Now().Add(wait)
 	failure := fault.New(fault.NotReady, "no store keeps the jobs of %q now", tenant)
 	tried := map[netip.AddrPort]bool{}
@@ -87,7 +87,7 @@
 		if !ok {
 			break
 		}
-		from := c.reader(located, tried)
+		from := c.selectReplica(located, tried)
 		tried[from] = true
 		timeout := max(time.Until(deadline), 0) + readTimeout
 		reply, err := c.call(ctx, from, located.Chain, encode, timeout)
@@ -95,12 +95,12 @@
 		case err == nil && reply.Redirect == nil:
 			return reply, nil
 		case err == nil:
-			c.heads.learn(located.Chain, reply.Redirect)
+			c.heads.recordRedirect(located.Chain, reply.Redirect)
 			continue
 		case fault.KindOf(err) == fault.NotFound:
 			return nil, err
 		}
-		c.heads.fail(from)
+		c.heads.recordFailure(from)
 		failure = fault.Wrap(fault.NotReady, err)
 		if !pause.For(ctx, retryPause) {
 			break
@@ -111,7 +111,7 @@
 
 // reader picks the replica that a read goes to: one of the own zone if there is one, else the head, else any; last come those
 // that have been tried, or did not answer lately.
-func (c *Client) reader(v view.View, tried map[netip.AddrPort]bool) netip.AddrPort {
+func (c *Client) selectReplica(v view.View, tried map[netip.AddrPort]bool) netip.AddrPort {
 	head := c.heads.head(v)
 	best, bestRank := head, c.rank(head, head, "", tried)
 	for _, member := range v.Members {
@@ -133,7 +133,7 @@
 	if tried[address] {
 		rank += triedPenalty
 	}
-	if c.heads.failedLately(address) {
+	if c.heads.failedRecently(address) {
 		rank += failedPenalty
 	}
 	if zone != c.options.Zone {
@@ -146,7 +146,7 @@
 }
 
 // call sends one call to a store.
-func (c *Client) call(ctx context.Context, to netip.AddrPort, partition uint32, encode encoder, timeout time.Duration) (*batchcall.Reply, error) {
+func (c *Client) call(ctx context.Context, to netip.AddrPort, partition uint32, encode encodeFunc, timeout time.Duration) (*batchcall.Reply, error) {
 	if !to.IsValid() {
 		return nil, fault.New(fault.NotReady, "partition %d has no head", partition)
 	}
--- a/internal/batchapi/client.go
+++ b/internal/batchapi/client.go
@@ -19,7 +19,7 @@
 	maxPageBytes = 750_000
 	// overshootPart is the part of the allowed overshoot of quotas by which the bound of waiting tokens is raised: a store
 	// counts an item a little longer than the backends do.
-	overshootPart = 0.9
+	overshootFraction = 0.9
 )
 
 // Caller sends calls to other processes.
@@ -41,12 +41,12 @@
 // Client calls the stores. It is safe for concurrent use.
 type Client struct {
 	options Options
-	heads   heads
+	heads   headCache
 }
 
 // New makes a client.
 func New(options Options) *Client {
-	return &Client{options: options, heads: heads{known: map[uint32]redirected{}, failed: map[netip.AddrPort]time.Time{}}}
+	return &Client{options: options, heads: headCache{redirects: map[uint32]redirectedHead{}, failedAt: map[netip.AddrPort]time.Time{}}}
 }
 
 // Submit takes a job, whose body is as the client sent it. It returns nil once the job is the system's to keep. The head is
@@ -67,9 +67,9 @@
 			Host:  route.Host,
 			Items: items,
 		},
-		MaxQueuedTokens: c.queueBound(route),
+		MaxQueuedTokens: c.maxQueuedTokens(route),
 	}
-	if err := c.offer(ctx, tenant, request); err != nil {
+	if err := c.checkOffer(ctx, tenant, request); err != nil {
 		return err
 	}
 	return c.write(ctx, tenant, func(partition uint32) (peer.Message, error) {
@@ -79,7 +79,7 @@
 }
 
 // offer asks the head of a tenant's partition whether it would take a job. Any error promises that nothing was taken.
-func (c *Client) offer(ctx context.Context, tenant string, submission *batchcall.SubmitRequest) error {
+func (c *Client) checkOffer(ctx context.Context, tenant string, submission *batchcall.SubmitRequest) error {
 	take := batch.Take{Job: submission.Job, MaxQueuedTokens: submission.MaxQueuedTokens}
 	request := &batchcall.OfferRequest{Offer: take.Offer()}
 	ctx, cancel := context.WithTimeout(ctx, offerPatience)
@@ -94,8 +94,8 @@
 	return err
 }
 
-func (c *Client) queueBound(route *configuration.Route) int64 {
-	return route.MaxQueuedTokens + int64(float64(route.MaxQueuedTokens)*c.options.QuotaOvershoot*overshootPart)
+func (c *Client) maxQueuedTokens(route *configuration.Route) int64 {
+	return route.MaxQueuedTokens + int64(float64(route.MaxQueuedTokens)*c.options.QuotaOvershoot*overshootFraction)
 }
 
 // End ends a job. It is no error if that was ended before.
@@ -126,11 +126,11 @@
 	if reply.Page == nil {
 		return batch.Page{}, fault.New(fault.NotReady, "a store answered without a page")
 	}
-	return expand(*reply.Page)
+	return decompressPage(*reply.Page)
 }
 
 // expand gives a page with the original contents.
-func expand(page batch.Page) (batch.Page, error) {
+func decompressPage(page batch.Page) (batch.Page, error) {
 	for i := range page.Results {
 		content, err := deflated.Expand(page.Results[i].Content)
 		if err != nil {
--- a/internal/configuration/compile.go
+++ b/internal/configuration/compile.go
@@ -22,15 +22,15 @@
 
 // Compile checks a document and makes its snapshot.
 func Compile(d *Document) (*Snapshot, error) {
-	snapshot, err := compile(d, &reader{plain: true})
+	snapshot, err := compile(d, &problemCollector{withoutPaths: true})
 	if err != nil {
 		// Once more, for the paths of the problems.
-		return compile(d, &reader{})
+		return compile(d, &problemCollector{})
 	}
 	return snapshot, nil
 }
 
-func compile(d *Document, r *reader) (*Snapshot, error) {
+func compile(d *Document, r *problemCollector) (*Snapshot, error) {
 	c := newCompiler(d, r)
 	c.services()
 	c.routes()
@@ -48,9 +48,9 @@
 	snapshot *Snapshot
 }
 
-func newCompiler(d *Document, r *reader) *compiler {
+func newCompiler(d *Document, r *problemCollector) *compiler {
 	return &compiler{
-		root: node{reader: r, value: d.root},
+		root: node{collector: r, value: d.root},
 		snapshot: &Snapshot{
 			Version:        d.version,
 			hosts:          map[string]*hostRoutes{},
@@ -66,7 +66,7 @@
 func (c *compiler) requiredList(name string) []node {
 	list := c.root.field(name)
 	if list.absent() {
-		list.problem("it is missing")
+		list.addProblem("it is missing")
 	}
 	return list.list()
 }
@@ -106,7 +106,7 @@
 
 func (c *compiler) addService(n node, s *Service) {
 	if c.snapshot.servicesByName[s.Name] != nil {
-		n.problem("two services are named %q", s.Name)
+		n.addProblem("two services are named %q", s.Name)
 		return
 	}
 	c.snapshot.servicesByName[s.Name] = s
@@ -128,7 +128,7 @@
 		Prefix:           readPrefix(n.field("pathPrefix")),
 		Kind:             kindNames[n.field("routeKind").text()],
 		TargetLatency:    n.field("targetLatencyMs").milliseconds(),
-		GapAim:           n.field("gap_aim_ms").milliseconds(),
+		GapTarget:        n.field("gap_aim_ms").milliseconds(),
 		CompletionTarget: n.field("completionTargetMs").milliseconds(),
 		Retention:        n.field("retentionS").seconds(),
 		Priority:         int(n.field("priority").whole()),
@@ -146,7 +146,7 @@
 func readPrefix(n node) string {
 	prefix := n.requiredText()
 	if prefix != "" && !(strings.HasPrefix(prefix, "/") && strings.HasSuffix(prefix, "/")) {
-		n.problem("%q must start and end with a slash", prefix)
+		n.addProblem("%q must start and end with a slash", prefix)
 	}
 	return prefix
 }
@@ -155,42 +155,42 @@
 func readTimeout(n node, kind Kind) time.Duration {
 	if n.absent() {
 		if kind != Batch {
-			n.problem("it is missing")
+			n.addProblem("it is missing")
 		}
 		return 0
 	}
 	timeout := n.milliseconds()
 	if timeout == 0 {
-		n.problem("it must be above 0")
+		n.addProblem("it must be above 0")
 	}
 	return timeout
 }
 
 // readSplit reads the services of a route: one under "service", or several with weights under "trafficSplit", which
 // goes first where both are given.
-func (c *compiler) readSplit(n node) []Weighted {
+func (c *compiler) readSplit(n node) []WeightedService {
 	single := n.field("service")
 	parts := n.field("trafficSplit")
 	if !single.absent() {
 		service := c.readServiceName(single)
 		if len(parts.list()) == 0 {
-			return []Weighted{{Service: service, Weight: 1}}
+			return []WeightedService{{Service: service, Weight: 1}}
 		}
 	}
-	return c.readWeights(parts)
+	return c.readSplitList(parts)
 }
 
 func (c *compiler) readServiceName(n node) *Service {
 	name := n.requiredText()
 	service := c.snapshot.servicesByName[name]
 	if service == nil {
-		n.problem("there is no service named %q", name)
+		n.addProblem("there is no service named %q", name)
 	}
 	return service
 }
 
-func (c *compiler) readWeights(parts node) []Weighted {
-	var split []Weighted
+func (c *compiler) readSplitList(parts node) []WeightedService {
+	var split []WeightedService
 	total := 0.0
 	for _, part := range parts.list() {
 		if !part.object() {
@@ -200,18 +200,18 @@
 		weight := part.field("weight").number()
 		total += weight
 		if weight > 0 {
-			split = append(split, Weighted{Service: service, Weight: weight})
+			split = append(split, WeightedService{Service: service, Weight: weight})
 		}
 	}
 	if total == 0 {
-		parts.problem("the weights sum to 0")
+		parts.addProblem("the weights sum to 0")
 	}
 	return split
 }
 
 func (c *compiler) addRoute(n node, r *Route) {
 	if c.snapshot.routesByName[r.Name] != nil {
-		n.problem("two routes are named %q", r.Name)
+		n.addProblem("two routes are named %q", r.Name)
 		return
 	}
 	host := c.snapshot.hosts[r.Host]
@@ -220,7 +220,7 @@
 		c.snapshot.hosts[r.Host] = host
 	}
 	if other := host.byPrefix[r.Prefix]; other != nil {
-		n.problem("route %q has the host and the prefix of route %q", r.Name, other.Name)
+		n.addProblem("route %q has the host and the prefix of route %q", r.Name, other.Name)
 		return
 	}
 	host.add(r)
@@ -255,12 +255,12 @@
 
 func (c *compiler) addTenant(n node, t *Tenant) {
 	if c.snapshot.tenantsByName[t.Name] != nil {
-		n.problem("two tenants are named %q", t.Name)
+		n.addProblem("two tenants are named %q", t.Name)
 		return
 	}
 	for _, key := range t.Keys {
 		if other := c.snapshot.tenantsByKey[key]; other != nil && other != t {
-			n.problem("tenant %q shares a key with tenant %q", t.Name, other.Name)
+			n.addProblem("tenant %q shares a key with tenant %q", t.Name, other.Name)
 		}
 		c.snapshot.tenantsByKey[key] = t
 	}
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -67,8 +67,8 @@
 	engine, plain := s.ServiceByName("huvo11a"), s.ServiceByName("wuno96b")
 	chat := &Route{
 		Name: "chat", Host: "ficu95.example", Prefix: "/lohu930/", Kind: Streaming, Timeout: 2500 * time.Millisecond,
-		TargetLatency: 250 * time.Millisecond, GapAim: 150 * time.Millisecond, MaxAttempts: 1, SessionAffinity: true,
-		Split: []Weighted{{Service: engine, Weight: 90}, {Service: plain, Weight: 10}},
+		TargetLatency: 250 * time.Millisecond, GapTarget: 150 * time.Millisecond, MaxAttempts: 1, SessionAffinity: true,
+		Split: []WeightedService{{Service: engine, Weight: 90}, {Service: plain, Weight: 10}},
 	}
 	if !reflect.DeepEqual(s.RouteByName("chat"), chat) {
 		t.Errorf("route chat: %+v", s.RouteByName("chat"))
@@ -76,7 +76,7 @@
 	lots := &Route{
 		Name: "lots", Host: "ficu95.example", Prefix: "/pule252/", Kind: Batch, TargetLatency: 400 * time.Millisecond,
 		CompletionTarget: 12 * time.Second, Retention: 40 * time.Second, MaxAttempts: 3, MaxQueuedTokens: 720000,
-		Priority: 2, Split: []Weighted{{Service: engine, Weight: 1}},
+		Priority: 2, Split: []WeightedService{{Service: engine, Weight: 1}},
 	}
 	if !reflect.DeepEqual(s.RouteByName("lots"), lots) {
 		t.Errorf("route lots: %+v", s.RouteByName("lots"))
--- a/internal/configuration/document.go
+++ b/internal/configuration/document.go
@@ -78,7 +78,7 @@
 }
 
 func readVersion(root map[string]any) (uint64, error) {
-	r := &reader{}
-	version := node{reader: r, value: root}.version()
+	r := &problemCollector{}
+	version := node{collector: r, value: root}.version()
 	return version, r.error()
 }
--- a/internal/configuration/patch.go
+++ b/internal/configuration/patch.go
@@ -35,8 +35,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &reader{}
-	patch := readPatch(node{reader: r, value: root})
+	r := &problemCollector{}
+	patch := readPatch(node{collector: r, value: root})
 	if err := r.error(); err != nil {
 		return nil, err
 	}
--- a/internal/configuration/reader.go
+++ b/internal/configuration/reader.go
@@ -20,16 +20,16 @@
 const maxDuration = 365 * 24 * time.Hour
 
 // reader walks a decoded document by paths and collects the problems found on the way.
-type reader struct {
+type problemCollector struct {
 	// plain leaves out the paths, which cost more than the rest of the reading: problems are found, but not named.
-	plain    bool
-	problems []string
-	more     int
+	withoutPaths bool
+	problems     []string
+	omitted      int
 }
 
-func (r *reader) problem(path, format string, arguments ...any) {
+func (r *problemCollector) add(path, format string, arguments ...any) {
 	if len(r.problems) == maxProblems {
-		r.more++
+		r.omitted++
 		return
 	}
 	text := fmt.Sprintf(format, arguments...)
@@ -40,25 +40,25 @@
 }
 
 // error gives all problems as one error of kind fault.InvalidConfiguration, nil if there are none.
-func (r *reader) error() error {
+func (r *problemCollector) error() error {
 	if len(r.problems) == 0 {
 		return nil
 	}
 	problems := r.problems
-	if r.more > 0 {
-		problems = append(problems, fmt.Sprintf("and %d more", r.more))
+	if r.omitted > 0 {
+		problems = append(problems, fmt.Sprintf("and %d more", r.omitted))
 	}
-	return fault.Wrap(fault.InvalidConfiguration, &problemsError{problems: problems})
+	return fault.Wrap(fault.InvalidConfiguration, &invalidError{problems: problems})
 }
 
 // problemsError lists what is invalid in a document.
-type problemsError struct{ problems []string }
+type invalidError struct{ problems []string }
 
-func (e *problemsError) Error() string { return strings.Join(e.problems, "; ") }
+func (e *invalidError) Error() string { return strings.Join(e.problems, "; ") }
 
 // Problems gives what is invalid in a document, one by one, from the error that it was refused with.
 func Problems(err error) []string {
-	var listed *problemsError
+	var listed *invalidError
 	switch {
 	case err == nil:
 		return nil
@@ -70,24 +70,24 @@
 
 // node is a value of the document and the path under which it stands.
 type node struct {
-	reader *reader
-	path   string
-	value  any
+	collector *problemCollector
+	path      string
+	value     any
 }
 
-func (n node) problem(format string, arguments ...any) {
-	n.reader.problem(n.path, format, arguments...)
+func (n node) addProblem(format string, arguments ...any) {
+	n.collector.add(n.path, format, arguments...)
 }
 
 // field gives a member of an object. It is absent if the object lacks it or it is null.
 func (n node) field(name string) node {
 	object, _ := n.value.(map[string]any)
-	return node{reader: n.reader, path: n.fieldPath(name), value: object[name]}
+	return node{collector: n.collector, path: n.fieldPath(name), value: object[name]}
 }
 
 func (n node) fieldPath(name string) string {
 	switch {
-	case n.reader.plain:
+	case n.collector.withoutPaths:
 		return ""
 	case n.path == "":
 		return name
@@ -96,7 +96,7 @@
 }
 
 func (n node) elementPath(index int) string {
-	if n.reader.plain {
+	if n.collector.withoutPaths {
 		return ""
 	}
 	return n.path + "[" + strconv.Itoa(index) + "]"
@@ -107,7 +107,7 @@
 // object tells whether the value is an object, and notes a problem if not.
 func (n node) object() bool {
 	if _, is := n.value.(map[string]any); !is {
-		n.problem("an object is needed")
+		n.addProblem("an object is needed")
 		return false
 	}
 	return true
@@ -120,12 +120,12 @@
 	}
 	values, is := n.value.([]any)
 	if !is {
-		n.problem("a list is needed")
+		n.addProblem("a list is needed")
 		return nil
 	}
 	elements := make([]node, len(values))
 	for i, value := range values {
-		elements[i] = node{reader: n.reader, path: n.elementPath(i), value: value}
+		elements[i] = node{collector: n.collector, path: n.elementPath(i), value: value}
 	}
 	return elements
 }
@@ -137,7 +137,7 @@
 	}
 	text, is := n.value.(string)
 	if !is {
-		n.problem("a string is needed")
+		n.addProblem("a string is needed")
 	}
 	return text
 }
@@ -145,12 +145,12 @@
 // requiredText gives a string that must not be empty.
 func (n node) requiredText() string {
 	if n.absent() {
-		n.problem("it is missing")
+		n.addProblem("it is missing")
 		return ""
 	}
 	text := n.text()
 	if text == "" {
-		n.problem("it must not be empty")
+		n.addProblem("it must not be empty")
 	}
 	return text
 }
@@ -162,7 +162,7 @@
 	}
 	flag, is := n.value.(bool)
 	if !is {
-		n.problem("true or false is needed")
+		n.addProblem("true or false is needed")
 	}
 	return flag
 }
@@ -174,16 +174,16 @@
 	}
 	number, is := n.value.(json.Number)
 	if !is {
-		n.problem("a number is needed")
+		n.addProblem("a number is needed")
 		return 0
 	}
 	value, err := number.Float64()
 	if err != nil || math.IsInf(value, 0) {
-		n.problem("the number %s is out of range", number)
+		n.addProblem("the number %s is out of range", number)
 		return 0
 	}
 	if value < 0 {
-		n.problem("it must not be negative")
+		n.addProblem("it must not be negative")
 		return 0
 	}
 	return value
@@ -201,12 +201,12 @@
 func (n node) integer(fits func(*big.Int) bool) *big.Int {
 	number, is := n.value.(json.Number)
 	if !is {
-		n.problem("a number is needed")
+		n.addProblem("a number is needed")
 		return new(big.Int)
 	}
 	exact, valid := exactInteger(number)
 	if !valid || !fits(exact) {
-		n.problem("%s is not a whole number in range", number)
+		n.addProblem("%s is not a whole number in range", number)
 		return new(big.Int)
 	}
 	return exact
@@ -216,7 +216,7 @@
 func (n node) count() int64 {
 	value := n.whole()
 	if value < 0 {
-		n.problem("it must not be negative")
+		n.addProblem("it must not be negative")
 		return 0
 	}
 	return value
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -72,7 +72,7 @@
 	// TargetLatency is the time within which an answer (streams: the first event; batch jobs: the 202) is worth all.
 	TargetLatency time.Duration
 	// GapAim is the longest pause between the events of a stream that keeps it in time.
-	GapAim time.Duration
+	GapTarget time.Duration
 	// CompletionTarget is the time after the submission of a batch job by which its results are due.
 	CompletionTarget time.Duration
 	// Retention is the time after the submission of a batch job at which an item may be given up.
@@ -80,7 +80,7 @@
 	// Priority is the rank of requests, 0 the highest. A tenant's own takes precedence.
 	Priority int
 	// Split holds the services with weights above 0.
-	Split []Weighted
+	Split []WeightedService
 	// MaxAttempts is the greatest number of backends that one try may be sent to, at least 1.
 	MaxAttempts int
 	// Public routes take requests without a key.
@@ -98,7 +98,7 @@
 }
 
 // Weighted is a service and its part of a route's requests.
-type Weighted struct {
+type WeightedService struct {
 	Service *Service
 	Weight  float64
 }
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -17,12 +17,12 @@
 	// connectTimeout bounds the making of a connection, so that there is time left for another backend.
 	connectTimeout = 200 * time.Millisecond
 	// connectionRest is for how long a connection rests behind an answer: what a backend sends in surplus has come by then.
-	connectionRest = 20 * time.Millisecond
+	minIdle = 20 * time.Millisecond
 	// idleLimit is how long a connection is kept without a request, unless the backend tells less.
 	idleLimit = 30 * time.Second
 	// sweepEvery is how often idle connections are looked through. Each costs a system call, and each is looked at anyway
 	// before it takes a request.
-	sweepEvery = 5 * time.Second
+	sweepInterval = 5 * time.Second
 	// headLimit bounds the head of an answer, with the interim answers before it.
 	headLimit = 64 << 10
 	// deadlineReserve is kept from the time that a backend is told: its own answer at the deadline gets here by then.
@@ -53,14 +53,14 @@
 }
 
 // NewClient makes a client. Run has to be called for it to close idle connections.
-func NewClient(o Options) *Client { return newClient(o, connectionRest) }
+func NewClient(o Options) *Client { return newClient(o, minIdle) }
 
 func newClient(o Options, rest time.Duration) *Client {
 	pool := upstream.New[string](upstream.Options{
 		Limit:      o.Connections,
 		IdleLimit:  idleLimit,
 		Rest:       rest,
-		SweepEvery: sweepEvery,
+		SweepEvery: sweepInterval,
 		Dial:       dial,
 	})
 	return &Client{pool: pool, log: o.Log}
@@ -85,11 +85,11 @@
 	if host == nil {
 		return nil, &Failure{Outcome: NotSent, Err: errNotListed}
 	}
-	conn, failure := c.connect(ctx, host, r.Deadline)
+	conn, failure := c.acquire(ctx, host, r.Deadline)
 	if failure != nil {
 		return nil, failure
 	}
-	x := &exchange{client: c, host: host, conn: conn, ctx: ctx, began: time.Now(), deadline: r.Deadline}
+	x := &exchange{client: c, backend: host, conn: conn, ctx: ctx, startedAt: time.Now(), deadline: r.Deadline}
 	if failure := x.send(b, r); failure != nil {
 		return nil, failure
 	}
@@ -97,7 +97,7 @@
 }
 
 // connect takes an idle connection that the backend keeps open still, or makes one.
-func (c *Client) connect(ctx context.Context, host *upstream.Host, deadline time.Time) (*upstream.Conn, *Failure) {
+func (c *Client) acquire(ctx context.Context, host *upstream.Backend, deadline time.Time) (*upstream.Conn, *Failure) {
 	by := time.Now().Add(connectTimeout)
 	if by.After(deadline) {
 		by = deadline
@@ -116,16 +116,16 @@
 
 // exchange is one request and its answer on one connection.
 type exchange struct {
-	client *Client
-	host   *upstream.Host
-	conn   *upstream.Conn
-	ctx    context.Context
-	began  time.Time
-	facts  upstream.Facts
+	client    *Client
+	backend   *upstream.Backend
+	conn      *upstream.Conn
+	ctx       context.Context
+	startedAt time.Time
+	history   upstream.ConnHistory
 	// deadline is when the answer has to be complete.
 	deadline time.Time
 	// stop ends the watch over the context. It tells whether the context had not ended.
-	stop func() bool
+	stopWatch func() bool
 }
 
 // send writes the request unless that has become wrong while the connection was made.
@@ -133,71 +133,71 @@
 	now := time.Now()
 	switch {
 	case x.ctx.Err() != nil:
-		return x.unsent(x.ctx.Err(), true)
-	case x.client.pool.Closed(x.host):
-		return x.unsent(upstream.ErrClosed, false)
+		return x.releaseUnsent(x.ctx.Err(), true)
+	case x.client.pool.Closed(x.backend):
+		return x.releaseUnsent(upstream.ErrClosed, false)
 	case !now.Before(r.Deadline):
-		return x.unsent(errDeadline, true)
+		return x.releaseUnsent(errDeadline, true)
 	}
-	buffer := takeBuffer()
-	defer giveBuffer(buffer)
+	buffer := getBuffer()
+	defer putBuffer(buffer)
 	if err := appendRequest(buffer, b.ID, r, now); err != nil {
-		return x.unsent(err, true)
+		return x.releaseUnsent(err, true)
 	}
-	x.facts = x.conn.Use(now)
+	x.history = x.conn.Use(now)
 	x.conn.SetDeadline(r.Deadline)
-	x.stop = context.AfterFunc(x.ctx, func() { x.conn.SetDeadline(time.Unix(1, 0)) })
+	x.stopWatch = context.AfterFunc(x.ctx, func() { x.conn.SetDeadline(time.Unix(1, 0)) })
 	if _, err := x.conn.Write(buffer.Bytes()); err != nil {
 		// The last byte was not written.
-		x.end(false)
+		x.release(false)
 		return &Failure{Outcome: NotSent, Err: err, Cancelled: x.ctx.Err() != nil}
 	}
 	return nil
 }
 
 // unsent gives the connection back before anything was written to it.
-func (x *exchange) unsent(err error, keep bool) *Failure {
+func (x *exchange) releaseUnsent(err error, keep bool) *Failure {
 	x.client.pool.Release(x.conn, keep)
 	return &Failure{Outcome: NotSent, Err: err, Cancelled: x.ctx.Err() != nil}
 }
 
 // receive reads the head of the answer.
 func (x *exchange) receive(r *Request) (*Response, *Failure) {
-	x.conn.Allow(headLimit)
+	x.conn.SetReadLimit(headLimit)
 	head, err := readHead(x.conn.Reader, r.Method)
-	if x.facts.Uses > 0 && x.ctx.Err() == nil {
-		x.client.pool.Reused(x.facts.Idle, err != nil && x.conn.Allowed() == headLimit)
+	if x.history.Requests > 0 && x.ctx.Err() == nil {
+		x.client.pool.RecordReuse(x.history.Idle, err != nil && x.conn.ReadLimit() == headLimit)
 	}
 	if err != nil {
-		return nil, x.broken(err)
+		return nil, x.breakOff(err)
 	}
-	x.client.pool.Heard(x.host, time.Now())
+	x.client.pool.RecordAnswer(x.backend, time.Now())
 	id := head.Header.Get(HeaderAttemptID)
-	unrun := tellsNotExecuted(head)
+	unrun := reportsNotExecuted(head)
 	// An answer without an id is taken for the request's own only if it says that nothing ran, and its connection is not
 	// used again: a second answer to an earlier request would bear that one's id.
 	if id != r.AttemptID && !(id == "" && unrun) {
-		return nil, x.broken(errOtherAnswer)
+		return nil, x.breakOff(errOtherAnswer)
 	}
 	response := x.response(head)
 	response.body.reusable = response.body.reusable && id != ""
 	if unrun {
-		return nil, response.notExecuted()
+		return nil, response.notExecutedFailure()
 	}
 	return response, nil
 }
 
 // tellsNotExecuted tells whether an answer says that the request was not run.
-func tellsNotExecuted(head *http.Response) bool {
+func reportsNotExecuted(head *http.Response) bool {
 	return head.StatusCode == http.StatusMisdirectedRequest || head.Header.Get(HeaderNotExecuted) != ""
 }
 
 // response makes a response of the head of an answer.
 func (x *exchange) response(head *http.Response) *Response {
-	noteKeepAlive(x.conn, head.Header)
+	recordKeepAlive(x.conn, head.Header)
 	return &Response{
 		Status:    head.StatusCode,
-		Load:      parseLoad(head.Header.Get(HeaderServerLoad)),
+		Load:      parseServerLoad(head.Header.Get(HeaderServerLoad)),
 		Streaming: isStream(head.Header),
 		body:      newBody(x, head),
 		Header:    endToEnd(head.Header),
@@ -205,26 +205,26 @@
 }
 
 // notExecuted makes a failure of an answer that tells that the request was not run.
-func (r *Response) notExecuted() *Failure {
+func (r *Response) notExecutedFailure() *Failure {
 	r.body.drain()
 	return &Failure{Outcome: NotExecuted, Err: errNotExecuted, Status: r.Status, Load: r.Load}
 }
 
 // broken closes the connection of a request that was sent, and tells why.
-func (x *exchange) broken(err error) *Failure {
+func (x *exchange) breakOff(err error) *Failure {
 	f := &Failure{Outcome: MayHaveRun, Err: err}
 	f.Cancelled = x.ctx.Err() != nil
 	f.TimedOut = !f.Cancelled && !time.Now().Before(x.deadline)
-	x.end(false)
+	x.release(false)
 	if f.TimedOut {
-		x.client.pool.Silent(x.host, x.began)
+		x.client.pool.CloseUnresponsive(x.backend, x.startedAt)
 	}
 	return f
 }
 
 // end gives the connection back, to be kept only if the context has not meddled with it.
-func (x *exchange) end(keep bool) {
-	untouched := x.stop()
+func (x *exchange) release(keep bool) {
+	untouched := x.stopWatch()
 	keep = keep && untouched && x.conn.Reader.Buffered() == 0
 	x.client.pool.Release(x.conn, keep)
 }
--- a/internal/forward/connection.go
+++ b/internal/forward/connection.go
@@ -18,9 +18,9 @@
 	// userTimeout is for how long what was written may stay without an acknowledgement: a machine without power is silent.
 	userTimeout = 800 * time.Millisecond
 	// Probes of a quiet connection tell a machine without power from a backend that works. The system counts in seconds.
-	probeAfter = time.Second
-	probeEvery = time.Second
-	probeCount = 2
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 2
 	// keepAliveReserve is kept from the time for which a backend says that it keeps an idle connection.
 	keepAliveReserve = 250 * time.Millisecond
 	keepAliveLimit   = time.Hour
@@ -39,9 +39,9 @@
 		Deadline: deadline,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
-			Idle:     probeAfter,
-			Interval: probeEvery,
-			Count:    probeCount,
+			Idle:     keepAliveIdle,
+			Interval: keepAliveInterval,
+			Count:    keepAliveProbes,
 		},
 		Control: setUserTimeout,
 	}
@@ -70,7 +70,7 @@
 }
 
 // noteKeepAlive keeps what an answer tells of the time for which its connection may be idle.
-func noteKeepAlive(c *upstream.Conn, header http.Header) {
+func recordKeepAlive(c *upstream.Conn, header http.Header) {
 	b, ok := c.Conn.(*backendConn)
 	if !ok {
 		return
--- a/internal/forward/encode.go
+++ b/internal/forward/encode.go
@@ -12,9 +12,9 @@
 
 const (
 	// largestPooled is the greatest buffer that is kept for another request.
-	largestPooled = 64 << 10
-	protocolEnd   = " HTTP/1.1\r\n"
-	lineEnd       = "\r\n"
+	maxPooledBuffer = 64 << 10
+	protocolEnd     = " HTTP/1.1\r\n"
+	lineEnd         = "\r\n"
 )
 
 var (
@@ -25,10 +25,10 @@
 
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-func takeBuffer() *bytes.Buffer { return buffers.Get().(*bytes.Buffer) }
+func getBuffer() *bytes.Buffer { return buffers.Get().(*bytes.Buffer) }
 
-func giveBuffer(b *bytes.Buffer) {
-	if b.Cap() > largestPooled {
+func putBuffer(b *bytes.Buffer) {
+	if b.Cap() > maxPooledBuffer {
 		return
 	}
 	b.Reset()
@@ -37,7 +37,7 @@
 
 // replacedFields are left out of what a client sent: they concern one connection, are the client's secret, or are set by
 // the system. Keys are canonical.
-var replacedFields = map[string]bool{
+var omittedFields = map[string]bool{
 	"Authorization":     true,
 	"Connection":        true,
 	"Content-Length":    true,
@@ -105,10 +105,10 @@
 
 // appendClientFields writes the client's fields but for those that are replaced.
 func appendClientFields(b *bytes.Buffer, r *Request) error {
-	named := connectionFields(r.Header)
+	named := hopByHopFields(r.Header)
 	for name, values := range r.Header {
 		canonical := http.CanonicalHeaderKey(name)
-		if replacedFields[canonical] || named[canonical] || (r.LastEventID != "" && canonical == HeaderLastEventID) {
+		if omittedFields[canonical] || named[canonical] || (r.LastEventID != "" && canonical == HeaderLastEventID) {
 			continue
 		}
 		for _, value := range values {
@@ -142,7 +142,7 @@
 
 // connectionFields gives the names of the fields that Connection says concern the connection only. The id of the attempt
 // and the tenant are set by the system and not left out.
-func connectionFields(header http.Header) map[string]bool {
+func hopByHopFields(header http.Header) map[string]bool {
 	values := header["Connection"]
 	if len(values) == 0 {
 		return nil
@@ -158,7 +158,7 @@
 
 // endToEnd gives the fields of a backend's answer that are for the client. It keeps the header.
 func endToEnd(header http.Header) http.Header {
-	for name := range connectionFields(header) {
+	for name := range hopByHopFields(header) {
 		if name != HeaderResponseSeal && name != HeaderAttemptID {
 			header.Del(name)
 		}
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -20,54 +20,54 @@
 
 // eventReader cuts what it reads into events, each of which ends with an empty line.
 type eventReader struct {
-	source io.Reader
-	pooled *[]byte
-	buffer []byte // what was read and is not yet passed on begins at start
-	start  int
-	line   int // where the line begins that has not been looked at whole
-	joined []byte
-	ended  error
+	source    io.Reader
+	pooled    *[]byte
+	buffer    []byte // what was read and is not yet passed on begins at start
+	start     int
+	lineStart int // where the line begins that has not been looked at whole
+	joined    []byte
+	err       error
 }
 
 // next gives the next event. What it gave before is no longer valid.
 func (r *eventReader) next() (Event, error) {
 	for {
-		if end := r.find(); end > 0 {
+		if end := r.eventEnd(); end > 0 {
 			raw := r.buffer[r.start:end]
 			r.start = end
 			return r.parse(raw), nil
 		}
-		if r.ended != nil {
-			return r.rest()
+		if r.err != nil {
+			return r.remainder()
 		}
 		r.read()
 	}
 }
 
 // ready tells whether a whole event has been read that has not been passed on, or the end.
-func (r *eventReader) ready() bool { return r.ended != nil || r.find() > 0 }
+func (r *eventReader) ready() bool { return r.err != nil || r.eventEnd() > 0 }
 
 // find gives the end of the first event in the buffer, 0 if it is not whole.
-func (r *eventReader) find() int {
-	r.line = max(r.line, r.start)
+func (r *eventReader) eventEnd() int {
+	r.lineStart = max(r.lineStart, r.start)
 	for {
-		length := bytes.IndexByte(r.buffer[r.line:], '\n')
+		length := bytes.IndexByte(r.buffer[r.lineStart:], '\n')
 		if length < 0 {
 			return 0
 		}
-		line := r.buffer[r.line : r.line+length]
-		end := r.line + length + 1
+		line := r.buffer[r.lineStart : r.lineStart+length]
+		end := r.lineStart + length + 1
 		if len(bytes.TrimSuffix(line, []byte{'\r'})) == 0 {
 			return end
 		}
-		r.line = end
+		r.lineStart = end
 	}
 }
 
 // rest gives what stands behind the last event of a stream that ended properly, and then the end.
-func (r *eventReader) rest() (Event, error) {
-	if r.ended != io.EOF || r.start == len(r.buffer) {
-		return Event{}, r.ended
+func (r *eventReader) remainder() (Event, error) {
+	if r.err != io.EOF || r.start == len(r.buffer) {
+		return Event{}, r.err
 	}
 	raw := r.buffer[r.start:]
 	r.start = len(r.buffer)
@@ -80,7 +80,7 @@
 	n, err := r.source.Read(r.buffer[len(r.buffer):cap(r.buffer)])
 	r.buffer = r.buffer[:len(r.buffer)+n]
 	if err != nil {
-		r.ended = err
+		r.err = err
 	}
 }
 
@@ -93,14 +93,14 @@
 	if r.start > 0 {
 		left := copy(r.buffer, r.buffer[r.start:])
 		r.buffer = r.buffer[:left]
-		r.line = max(r.line-r.start, 0)
+		r.lineStart = max(r.lineStart-r.start, 0)
 		r.start = 0
 	}
 	if len(r.buffer) < cap(r.buffer) {
 		return
 	}
 	if len(r.buffer) >= eventLimit {
-		r.ended = errTooLarge
+		r.err = errTooLarge
 	}
 	r.buffer = append(make([]byte, 0, 2*cap(r.buffer)), r.buffer...)
 }
@@ -112,7 +112,7 @@
 	}
 	eventBuffers.Put(r.pooled)
 	r.pooled, r.buffer = nil, nil
-	r.start, r.line = 0, 0
+	r.start, r.lineStart = 0, 0
 }
 
 // parse reads the fields of an event.
@@ -127,7 +127,7 @@
 		case "id":
 			event.ID = string(value)
 		case "data":
-			event.Data = r.join(event.Data, value, lines)
+			event.Data = r.joinData(event.Data, value, lines)
 			lines++
 		}
 	}
@@ -135,7 +135,7 @@
 }
 
 // join adds a line to the data of an event. The first one is not copied.
-func (r *eventReader) join(data, value []byte, lines int) []byte {
+func (r *eventReader) joinData(data, value []byte, lines int) []byte {
 	if lines == 0 {
 		return value
 	}
--- a/internal/forward/events_test.go
+++ b/internal/forward/events_test.go
@@ -140,7 +140,7 @@
 		"3.5,0,8":          nil,
 		"3,0,888888888888": nil,
 	} {
-		got := parseLoad(text)
+		got := parseServerLoad(text)
 		if (got == nil) != (want == nil) || got != nil && *got != *want {
 			t.Errorf("%q: %v, want %v", text, got, want)
 		}
--- a/internal/forward/load.go
+++ b/internal/forward/load.go
@@ -9,11 +9,11 @@
 )
 
 // mostLoad is more than any figure of a load can be.
-const mostLoad = 1 << 20
+const maxLoadFigure = 1 << 20
 
 // parseLoad reads what a backend tells of itself: requests running, requests waiting and slots. What makes no sense in
 // all its parts is nothing.
-func parseLoad(field string) *admission.Load {
+func parseServerLoad(field string) *admission.Load {
 	running, rest, _ := strings.Cut(field, ",")
 	waiting, slots, found := strings.Cut(rest, ",")
 	if !found {
@@ -25,7 +25,7 @@
 		value *int
 	}{{running, &load.Running}, {waiting, &load.Waiting}, {slots, &load.Slots}} {
 		value, err := strconv.Atoi(strings.TrimSpace(part.text))
-		if err != nil || value < 0 || value > mostLoad {
+		if err != nil || value < 0 || value > maxLoadFigure {
 			return nil
 		}
 		*part.value = value
--- a/internal/forward/response.go
+++ b/internal/forward/response.go
@@ -10,7 +10,7 @@
 	// answerLimit bounds the body of an answer that is read whole.
 	answerLimit = 32 << 20
 	// framing is what the chunks of a body and its trailer may take besides the data.
-	framing = 1 << 20
+	framingAllowance = 1 << 20
 	// drainLimit bounds the body of an answer that is thrown away to keep its connection.
 	drainLimit = 16 << 10
 )
@@ -22,7 +22,7 @@
 	// length of the body; -1: not told.
 	length int64
 	// ends tells whether the body's own end can be known, other than by the end of the connection.
-	ends bool
+	framed bool
 	// reusable tells whether the backend keeps the connection.
 	reusable bool
 	done     bool
@@ -34,11 +34,11 @@
 		exchange: x,
 		source:   head.Body,
 		length:   head.ContentLength,
-		ends:     head.ContentLength >= 0 || len(head.TransferEncoding) > 0,
+		framed:   head.ContentLength >= 0 || len(head.TransferEncoding) > 0,
 		reusable: !head.Close,
 	}
 	if head.Body == http.NoBody { // also where the head tells the length of a body that is not sent
-		b.length, b.ends = 0, true
+		b.length, b.framed = 0, true
 	}
 	b.events.source = b
 	return b
@@ -47,19 +47,19 @@
 // Read reads from the body. The end of the connection is not an end of the body.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.source.Read(p)
-	if err == io.EOF && !b.ends {
+	if err == io.EOF && !b.framed {
 		err = errNoEnd
 	}
 	return n, err
 }
 
 // finish gives the connection back behind the end of the body.
-func (b *body) finish() {
+func (b *body) complete() {
 	if b.done {
 		return
 	}
 	b.done = true
-	b.exchange.end(b.reusable)
+	b.exchange.release(b.reusable)
 	b.events.release()
 }
 
@@ -70,7 +70,7 @@
 	}
 	b.done = true
 	b.events.release()
-	return b.exchange.broken(err)
+	return b.exchange.breakOff(err)
 }
 
 // drain reads a short body that nobody needs, so that its connection can be used again.
@@ -79,12 +79,12 @@
 		b.abandon()
 		return
 	}
-	b.exchange.conn.Allow(drainLimit)
+	b.exchange.conn.SetReadLimit(drainLimit)
 	if _, err := io.CopyN(io.Discard, b, b.length); err != nil {
 		b.abandon()
 		return
 	}
-	b.finish()
+	b.complete()
 }
 
 // abandon closes the connection, which stops the backend's work.
@@ -93,7 +93,7 @@
 		return
 	}
 	b.done = true
-	b.exchange.end(false)
+	b.exchange.release(false)
 	b.events.release()
 }
 
@@ -101,13 +101,13 @@
 // and a *Failure if the stream broke off. Bytes behind the last event of a stream that ended properly are given as an
 // event of their own.
 func (r *Response) Next() (Event, error) {
-	r.body.exchange.conn.Allow(math.MaxInt64)
+	r.body.exchange.conn.SetReadLimit(math.MaxInt64)
 	event, err := r.body.events.next()
 	switch {
 	case err == nil:
 		return event, nil
 	case err == io.EOF:
-		r.body.finish()
+		r.body.complete()
 		return Event{}, io.EOF
 	default:
 		return Event{}, r.body.fail(err)
@@ -123,7 +123,7 @@
 	if err != nil {
 		return nil, r.body.fail(err)
 	}
-	r.body.finish()
+	r.body.complete()
 	return data, nil
 }
 
@@ -131,7 +131,7 @@
 	if b.length > answerLimit {
 		return nil, errTooLarge
 	}
-	b.exchange.conn.Allow(answerLimit + framing)
+	b.exchange.conn.SetReadLimit(answerLimit + framingAllowance)
 	if b.length >= 0 {
 		data := make([]byte, b.length)
 		_, err := io.ReadFull(b, data)
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -84,12 +84,12 @@
 	body   []byte
 	client int // the status of an answer that puts the fault with the client
 	err    error
-	conn   upstream.Facts
+	conn   upstream.ConnHistory
 	opened bool // the request was the first to be written on its connection
 }
 
 // do makes an exchange and blocks until it is over. An end of ctx calls it off.
-func (b *backends) do(ctx context.Context, h *upstream.Host, x *exchange) result {
+func (b *backends) do(ctx context.Context, h *upstream.Backend, x *exchange) result {
 	if h == nil {
 		return result{code: decide.ConnectFailed, err: upstream.ErrClosed}
 	}
@@ -136,13 +136,13 @@
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	r, keep := b.roundTrip(c, x)
 	stopped := stop()
-	r.conn, r.opened = facts, facts.Uses == 0
-	if facts.Uses > 0 && (r.err == nil || r.code == decide.Reset && ctx.Err() == nil) {
-		b.Reused(facts.Idle, r.err != nil && c.Allowed() == headLimit)
+	r.conn, r.opened = facts, facts.Requests == 0
+	if facts.Requests > 0 && (r.err == nil || r.code == decide.Reset && ctx.Err() == nil) {
+		b.RecordReuse(facts.Idle, r.err != nil && c.ReadLimit() == headLimit)
 	}
 	switch {
 	case r.err == nil:
-		b.Heard(h, time.Now())
+		b.RecordAnswer(h, time.Now())
 	case r.code == decide.ConnectFailed:
 	case ctx.Err() != nil:
 		r.code = decide.Cancelled
@@ -151,7 +151,7 @@
 	}
 	b.Release(c, keep && stopped && r.err == nil)
 	if r.code == decide.TimedOut {
-		b.Silent(h, began)
+		b.CloseUnresponsive(h, began)
 	}
 	return r
 }
@@ -186,7 +186,7 @@
 	if _, err := c.Write(text.Bytes()); err != nil {
 		return result{code: decide.ConnectFailed, err: err}, false // its last byte was not written
 	}
-	c.Allow(headLimit) // http.ReadResponse itself takes a header of any size
+	c.SetReadLimit(headLimit) // http.ReadResponse itself takes a header of any size
 	resp, err := http.ReadResponse(c.Reader, req)
 	for err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
 		resp, err = http.ReadResponse(c.Reader, req) // that was an interim answer
@@ -204,7 +204,7 @@
 			return result{code: decide.Reset, err: errTooLarge}, false
 		}
 	}
-	c.Allow(c.Allowed() + answerLimit + headLimit) // and chunks' framing
+	c.SetReadLimit(c.ReadLimit() + answerLimit + headLimit) // and chunks' framing
 	body, err := io.ReadAll(io.LimitReader(resp.Body, answerLimit+1))
 	switch {
 	case err != nil:
@@ -253,7 +253,7 @@
 }
 
 // probe asks a backend how it is.
-func (b *backends) probe(ctx context.Context, h *upstream.Host, path string) result {
+func (b *backends) probe(ctx context.Context, h *upstream.Backend, path string) result {
 	r := b.do(ctx, h, &exchange{method: http.MethodGet, url: &url.URL{Path: path, Host: "api.internal"}, deadline: time.Now().Add(probeWait)})
 	if r.report == nil && r.code == decide.OK {
 		r.report = parseReport(string(r.body))
--- a/internal/node/backend_test.go
+++ b/internal/node/backend_test.go
@@ -284,7 +284,7 @@
 	t.Parallel()
 	var got atomic.Int64
 	addr := backend(t, answering(func(*http.Request, []byte) string { got.Add(1); return ok("x") }))
-	fresh := func() (*backends, *upstream.Host) {
+	fresh := func() (*backends, *upstream.Backend) {
 		b := newBackends(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
 		b.update(known(addr))
 		return b, b.Find(1)
@@ -384,7 +384,7 @@
 		}
 		time.Sleep(2 * restLeast)
 		if heard {
-			b.Heard(h, time.Now().Add(patient))
+			b.RecordAnswer(h, time.Now().Add(patient))
 		}
 		if r := b.do(t.Context(), h, get(time.Second)); r.code != decide.TimedOut {
 			t.Errorf("outcome %v (%v)", r.code, r.err)
--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -195,7 +195,7 @@
 		{told(true, "x-00000002", "ready", "web-00000001", "ready", "db-00000001", "ready"), "db web x"},
 		{told(false, "x-00000002", "ready", "x-00000002", "draining", "db-00000001", "draining", "db-00000001", "ready"), "db web"},
 	} {
-		var hosts []*upstream.Host
+		var hosts []*upstream.Backend
 		p.in(func() {
 			p.loop.news(c.news)
 			for id := range p.loop.ready {
--- a/internal/node/left_test.go
+++ b/internal/node/left_test.go
@@ -138,10 +138,10 @@
 		if stage == "further attempt" {
 			want = 2
 		}
-		var idle []*upstream.Host
+		var idle []*upstream.Backend
 		eventually(t, "kept", func() bool {
 			idle = nil
-			for _, h := range []*upstream.Host{b.Find(1), b.Find(2)} {
+			for _, h := range []*upstream.Backend{b.Find(1), b.Find(2)} {
 				if kept := b.Idle(h); len(kept) > 0 && time.Since(kept[0].IdleSince()) >= restLeast {
 					idle = append(idle, h)
 				}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -294,7 +294,7 @@
 	if res.code != decide.OK && res.code != decide.Cancelled {
 		if now := time.Now(); now.Sub(l.toldFault) >= faultEvery {
 			l.toldFault = now
-			l.log.Info("attempt", "id", clip(string(a.ID)), "server", a.Server, "code", res.code, "took", now.Sub(t.sent), "conn_uses", res.conn.Uses,
+			l.log.Info("attempt", "id", clip(string(a.ID)), "server", a.Server, "code", res.code, "took", now.Sub(t.sent), "conn_uses", res.conn.Requests,
 				"conn_age", res.conn.Age, "conn_idle", res.conn.Idle, "err", faultOf(res.err))
 		}
 	}
--- a/internal/proxy/batch.go
+++ b/internal/proxy/batch.go
@@ -21,7 +21,7 @@
 
 	headerWait = "Nickelline-Wait-Timeout-Ms"
 	// longestWait bounds how long a read of results is held until there is one.
-	longestWait = time.Second
+	maxResultsWait = time.Second
 	// batchPatience is how long a call about a batch job may take, where the client does not tell.
 	batchPatience = 2 * time.Second
 )
@@ -79,113 +79,113 @@
 }
 
 // batchCall answers a call about a job that was submitted before.
-func (p *Proxy) batchCall(ctx context.Context, r *request, w *answerWriter) {
+func (p *Proxy) serveBatchCall(ctx context.Context, r *request, w *responseWriter) {
 	snapshot, err := p.snapshot()
 	if err != nil {
-		w.fault(err)
+		w.writeError(err)
 		return
 	}
-	tenant, err := p.tenant(snapshot, r)
+	tenant, err := p.callTenant(snapshot, r)
 	if err != nil {
-		w.fault(err)
+		w.writeError(err)
 		return
 	}
 	if p.options.Batch == nil {
-		w.fault(fault.New(fault.NotReady, "batch jobs are not served"))
+		w.writeError(fault.New(fault.NotReady, "batch jobs are not served"))
 		return
 	}
 	query, err := url.ParseQuery(r.query())
 	if err != nil {
-		w.fault(fault.Wrap(fault.BadRequest, err))
+		w.writeError(fault.Wrap(fault.BadRequest, err))
 		return
 	}
-	ctx, cancel := context.WithDeadline(ctx, r.began.Add(r.patience(batchPatience)+longestWait))
+	ctx, cancel := context.WithDeadline(ctx, r.startedAt.Add(r.patience(batchPatience)+maxResultsWait))
 	defer cancel()
 	if item, found := strings.CutPrefix(r.path, itemPrefix); found {
-		p.itemBody(ctx, r, w, tenant, item, query)
+		p.serveItemBody(ctx, r, w, tenant, item, query)
 		return
 	}
 	job := strings.TrimPrefix(r.path, jobPrefix)
 	switch r.method {
 	case http.MethodGet:
-		p.results(ctx, r, w, tenant, job, query)
+		p.serveResults(ctx, r, w, tenant, job, query)
 	case http.MethodDelete:
-		p.end(ctx, w, tenant, job)
+		p.serveEnd(ctx, w, tenant, job)
 	default:
-		w.fault(fault.New(fault.BadRequest, "no such call"))
+		w.writeError(fault.New(fault.BadRequest, "no such call"))
 	}
 }
 
-func (p *Proxy) results(ctx context.Context, r *request, w *answerWriter, tenant, job string, query url.Values) {
+func (p *Proxy) serveResults(ctx context.Context, r *request, w *responseWriter, tenant, job string, query url.Values) {
 	startAfter := 0
 	if text := query.Get("startAfter"); text != "" {
 		value, err := strconv.Atoi(text)
 		if err != nil || value < 0 {
-			w.fault(fault.New(fault.BadRequest, "startAfter is not a position"))
+			w.writeError(fault.New(fault.BadRequest, "startAfter is not a position"))
 			return
 		}
 		startAfter = value
 	}
-	page, err := p.options.Batch.Results(ctx, tenant, job, startAfter, r.wait())
+	page, err := p.options.Batch.Results(ctx, tenant, job, startAfter, r.resultsWait())
 	if err != nil {
-		w.fault(err)
+		w.writeError(err)
 		return
 	}
 	body, err := encodeResults(page)
 	if err != nil {
-		w.fault(err)
+		w.writeError(err)
 		return
 	}
-	w.json(http.StatusOK, body)
+	w.writeJSON(http.StatusOK, body)
 }
 
-func (p *Proxy) itemBody(ctx context.Context, r *request, w *answerWriter, tenant, job string, query url.Values) {
+func (p *Proxy) serveItemBody(ctx context.Context, r *request, w *responseWriter, tenant, job string, query url.Values) {
 	if r.method != http.MethodGet {
-		w.fault(fault.New(fault.BadRequest, "no such call"))
+		w.writeError(fault.New(fault.BadRequest, "no such call"))
 		return
 	}
 	body, err := p.options.Batch.ItemBody(ctx, tenant, job, query.Get("identifier"))
 	if err != nil {
-		w.fault(err)
+		w.writeError(err)
 		return
 	}
-	w.whole(http.StatusOK, http.Header{"Content-Type": {"application/octet-stream"}}, body)
+	w.write(http.StatusOK, http.Header{"Content-Type": {"application/octet-stream"}}, body)
 }
 
-func (p *Proxy) end(ctx context.Context, w *answerWriter, tenant, job string) {
+func (p *Proxy) serveEnd(ctx context.Context, w *responseWriter, tenant, job string) {
 	if err := p.options.Batch.End(ctx, tenant, job); err != nil {
-		w.fault(err)
+		w.writeError(err)
 		return
 	}
-	w.json(http.StatusOK, []byte("{}"))
+	w.writeJSON(http.StatusOK, []byte("{}"))
 }
 
 // submit takes a batch job.
-func (p *Proxy) submit(ctx context.Context, r *request, w *answerWriter, route *configuration.Route, tenant string) {
+func (p *Proxy) serveSubmission(ctx context.Context, r *request, w *responseWriter, route *configuration.Route, tenant string) {
 	if p.options.Batch == nil {
-		w.fault(fault.New(fault.NotReady, "batch jobs are not served"))
+		w.writeError(fault.New(fault.NotReady, "batch jobs are not served"))
 		return
 	}
 	if r.method != http.MethodPost {
-		w.fault(fault.New(fault.BadRequest, "a batch job is submitted by POST"))
+		w.writeError(fault.New(fault.BadRequest, "a batch job is submitted by POST"))
 		return
 	}
-	ctx, cancel := context.WithDeadline(ctx, r.began.Add(r.patience(batchPatience)))
+	ctx, cancel := context.WithDeadline(ctx, r.startedAt.Add(r.patience(batchPatience)))
 	defer cancel()
-	if err := p.options.Batch.Submit(ctx, tenant, route, r.id, r.body); err != nil {
-		w.fault(err)
+	if err := p.options.Batch.Submit(ctx, tenant, route, r.attemptID, r.body); err != nil {
+		w.writeError(err)
 		return
 	}
-	w.json(http.StatusAccepted, []byte("{}"))
+	w.writeJSON(http.StatusAccepted, []byte("{}"))
 }
 
 // wait is how long the client wants a read of results to be held.
-func (r *request) wait() time.Duration {
+func (r *request) resultsWait() time.Duration {
 	ms, err := strconv.ParseFloat(r.header.Get(headerWait), 64)
 	if err != nil || !(ms > 0) {
 		return 0
 	}
-	return min(milliseconds(ms), longestWait)
+	return min(milliseconds(ms), maxResultsWait)
 }
 
 // patience is how long the client waits, or a default if it does not tell.
@@ -199,5 +199,5 @@
 
 // milliseconds converts a number that a client sent.
 func milliseconds(ms float64) time.Duration {
-	return time.Duration(min(ms, longestPatience.Seconds()*1e3) * float64(time.Millisecond))
+	return time.Duration(min(ms, maxPatience.Seconds()*1e3) * float64(time.Millisecond))
 }
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -11,15 +11,15 @@
 
 const (
 	// bodyRate is the least speed, in bytes a second, at which a request has to come once its time for the header is over.
-	bodyRate = 64 << 10
+	minBodyRate = 64 << 10
 	// idleReserve is the part of the idle time-out, and mostIdleReserve the greatest time, by which a connection is kept for longer: a
 	// client may send a request just before its time is over, and that must not meet the close.
-	idleReserve     = 0.1
-	mostIdleReserve = time.Second
+	idleReserveFraction = 0.1
+	maxIdleReserve      = time.Second
 	// hangUpLimit bounds the bytes that are thrown away when a connection is closed over a request that was not read.
-	hangUpLimit = 256 << 10
+	maxDiscarded = 256 << 10
 	// writeWait is how long a client may take to read what it is sent.
-	writeWait = 5 * time.Second
+	writeTimeout = 5 * time.Second
 )
 
 // connState is what a connection is about.
@@ -27,17 +27,17 @@
 
 const (
 	// waiting: nothing of a request has been read that is not answered.
-	waiting connState = iota
+	stateIdle connState = iota
 	// reading: a part of a request has been read.
-	reading
+	stateReading
 	// serving: a request has been read, and its answer is not written whole.
-	serving
+	stateServing
 	// shut: nothing is read any more.
-	shut
+	stateClosed
 )
 
 // longPast is the deadline by which hertz ends the read that senses whether a client leaves.
-var longPast = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
 // clientConn is the connection of a client. It takes over the deadlines that hertz sets: what hertz asks for tells what the
 // connection is about, and how long that may take is decided here, by the configuration in force.
@@ -46,26 +46,26 @@
 // request has been read from it.
 type clientConn struct {
 	*net.TCPConn
-	raw   syscall.RawConn
-	owner *ingress
-	once  sync.Once
-
-	mutex sync.Mutex
-	state connState
-	since time.Time // of the state
-	taken int64     // bytes read in the state reading
-	began time.Time // of the request that is read or served
-	ahead bool      // something of the next request was read while serving
+	raw       syscall.RawConn
+	server    *server
+	closeOnce sync.Once
+
+	mutex            sync.Mutex
+	state            connState
+	stateSince       time.Time // of the state
+	bytesRead        int64     // bytes read in the state reading
+	requestStartedAt time.Time // of the request that is read or served
+	readAhead        bool      // something of the next request was read while serving
 	// aborting: the read that senses whether the client leaves is being ended.
 	aborting bool
 }
 
-func newClientConn(tcp *net.TCPConn, owner *ingress) (*clientConn, error) {
+func newClientConn(tcp *net.TCPConn, owner *server) (*clientConn, error) {
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	c := &clientConn{TCPConn: tcp, raw: raw, owner: owner, since: time.Now()}
+	c := &clientConn{TCPConn: tcp, raw: raw, server: owner, stateSince: time.Now()}
 	c.setReadDeadline()
 	return c, nil
 }
@@ -79,7 +79,7 @@
 		n, err = c.readNow(int(fd), p)
 		return err != syscall.EAGAIN
 	})
-	if waited != nil && c.idle() {
+	if waited != nil && c.expectsNothing() {
 		return 0, io.EOF // hertz would answer what nobody asked
 	}
 	if waited != nil {
@@ -89,17 +89,17 @@
 }
 
 // idle tells whether a read has ended because no request came.
-func (c *clientConn) idle() bool {
+func (c *clientConn) expectsNothing() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return !c.aborting && (c.state == waiting || c.state == shut)
+	return !c.aborting && (c.state == stateIdle || c.state == stateClosed)
 }
 
 // readNow reads without waiting.
 func (c *clientConn) readNow(fd int, p []byte) (int, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.state == shut {
+	if c.state == stateClosed {
 		return 0, io.EOF // hertz would answer any other error
 	}
 	for {
@@ -112,31 +112,31 @@
 		case n == 0:
 			return 0, io.EOF
 		}
-		c.heard(n)
+		c.recordRead(n)
 		return n, nil
 	}
 }
 
 // heard notes that something of a request was read.
-func (c *clientConn) heard(n int) {
+func (c *clientConn) recordRead(n int) {
 	switch c.state {
-	case waiting:
-		c.enter(reading)
-		c.taken = int64(n)
+	case stateIdle:
+		c.setState(stateReading)
+		c.bytesRead = int64(n)
 		c.setReadDeadline()
-	case reading:
-		c.taken += int64(n)
-	case serving:
-		c.ahead = true
+	case stateReading:
+		c.bytesRead += int64(n)
+	case stateServing:
+		c.readAhead = true
 	}
 }
 
-func (c *clientConn) enter(state connState) {
+func (c *clientConn) setState(state connState) {
 	c.state = state
-	c.since = time.Now()
-	c.taken = 0
-	if state == reading {
-		c.began = c.since
+	c.stateSince = time.Now()
+	c.bytesRead = 0
+	if state == stateReading {
+		c.requestStartedAt = c.stateSince
 	}
 }
 
@@ -146,14 +146,14 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	switch {
-	case c.state == shut:
+	case c.state == stateClosed:
 	case deadline.IsZero():
-		c.enter(serving)
+		c.setState(stateServing)
 		return c.TCPConn.SetReadDeadline(time.Time{})
-	case deadline.Equal(longPast):
-		c.answered()
+	case deadline.Equal(pastDeadline):
+		c.finishRequest()
 		c.aborting = true
-		return c.TCPConn.SetReadDeadline(longPast)
+		return c.TCPConn.SetReadDeadline(pastDeadline)
 	default:
 		c.aborting = false
 		c.setReadDeadline()
@@ -163,63 +163,63 @@
 
 // answered goes on to the next request, of which something may have been read. If not, and no more are served, the
 // connection is closed.
-func (c *clientConn) answered() {
+func (c *clientConn) finishRequest() {
 	switch {
-	case c.ahead:
-		c.enter(reading)
-	case c.owner.finishing.Load():
-		c.enter(shut)
+	case c.readAhead:
+		c.setState(stateReading)
+	case c.server.finishing.Load():
+		c.setState(stateClosed)
 	default:
-		c.enter(waiting)
+		c.setState(stateIdle)
 	}
-	c.ahead = false
+	c.readAhead = false
 }
 
 // setReadDeadline sets how long the next part of a request may take.
 func (c *clientConn) setReadDeadline() {
-	limits := c.owner.limits()
-	wait := limits.IdleTimeout + min(time.Duration(idleReserve*float64(limits.IdleTimeout)), mostIdleReserve)
-	if c.state == reading {
-		wait = limits.HeaderTimeout + time.Duration(c.taken)*time.Second/bodyRate
+	limits := c.server.limits()
+	wait := limits.IdleTimeout + min(time.Duration(idleReserveFraction*float64(limits.IdleTimeout)), maxIdleReserve)
+	if c.state == stateReading {
+		wait = limits.HeaderTimeout + time.Duration(c.bytesRead)*time.Second/minBodyRate
 	}
-	c.TCPConn.SetReadDeadline(c.since.Add(wait))
+	c.TCPConn.SetReadDeadline(c.stateSince.Add(wait))
 }
 
 // closeIfWaiting closes a connection of which nothing of a request has been read that is not answered.
-func (c *clientConn) closeIfWaiting() bool {
+func (c *clientConn) closeIfIdle() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.state != waiting {
+	if c.state != stateIdle {
 		return false
 	}
-	c.state = shut
-	c.TCPConn.SetReadDeadline(longPast) // whoever waits for a request closes the connection
+	c.state = stateClosed
+	c.TCPConn.SetReadDeadline(pastDeadline) // whoever waits for a request closes the connection
 	return true
 }
 
 // waitingSince tells since when nothing is open on the connection, if so.
-func (c *clientConn) waitingSince() (time.Time, bool) {
+func (c *clientConn) idleSince() (time.Time, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.since, c.state == waiting
+	return c.stateSince, c.state == stateIdle
 }
 
 // requestBegan tells when the first bytes of the request that is being served came.
-func (c *clientConn) requestBegan() time.Time {
+func (c *clientConn) requestStarted() time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.began
+	return c.requestStartedAt
 }
 
 // Close closes the connection, once.
 func (c *clientConn) Close() error {
 	var err error
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		c.mutex.Lock()
-		c.state = shut
+		c.state = stateClosed
 		c.mutex.Unlock()
 		err = c.TCPConn.Close()
-		c.owner.forget(c)
+		c.server.remove(c)
 	})
 	return err
 }
@@ -230,7 +230,7 @@
 	c.TCPConn.CloseWrite()
 	c.raw.Control(func(fd uintptr) {
 		var rest [4 << 10]byte
-		for thrown := 0; thrown < hangUpLimit; {
+		for thrown := 0; thrown < maxDiscarded; {
 			n, _, err := syscall.Recvfrom(int(fd), rest[:], syscall.MSG_DONTWAIT)
 			if n <= 0 && err != syscall.EINTR {
 				return
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -58,7 +58,7 @@
 // drain begins a drain whose time for the platform to notice ends when the test says so.
 func (t *tier) drain(test *testing.T, notice time.Duration) (ended chan struct{}) {
 	test.Helper()
-	t.Proxy.notice = notice
+	t.Proxy.drainNotice = notice
 	ended = make(chan struct{})
 	began := make(chan struct{})
 	go func() {
@@ -76,11 +76,11 @@
 func (t *tier) waitForReading(test *testing.T) {
 	test.Helper()
 	for end := time.Now().Add(testPatience); time.Now().Before(end); runtime.Gosched() {
-		for _, c := range t.clients.all() {
+		for _, c := range t.clients.connections() {
 			c.mutex.Lock()
 			state := c.state
 			c.mutex.Unlock()
-			if state == reading {
+			if state == stateReading {
 				return
 			}
 		}
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -19,14 +19,14 @@
 	// refusalLimit is how many backends may turn one request away because they are full. They have not run it, so they
 	// are not counted as attempts (what the rules bound by maxAttempts is on how many backends a request runs); but each
 	// of them costs time.
-	refusalLimit = 2
+	maxRefusals = 2
 	// missLimit is how many backends may be found unreachable, or to be others than was expected, for one request.
-	missLimit = 3
+	maxMisses = 3
 	// leastTime has to be left for an attempt.
-	leastTime = 5 * time.Millisecond
+	minAttemptTime = 5 * time.Millisecond
 	// againPart is the part of the route's target latency that has to be left for an attempt after one that ran: what could
 	// not be answered in time would be a load for nothing.
-	againPart = 0.5
+	retryLatencyFraction = 0.5
 )
 
 // errClientLeft ends an exchange whose client has gone: nobody reads an answer.
@@ -34,22 +34,22 @@
 
 // exchange is a client's request on its way through backends to its one answer.
 type exchange struct {
-	proxy     *Proxy
-	route     *configuration.Route
-	service   string
-	keyed     bool
-	admission admission.Request
-	request   forward.Request
+	proxy         *Proxy
+	route         *configuration.Route
+	service       string
+	requiresProof bool
+	admission     admission.Request
+	request       forward.Request
 
-	tried    []string // backends, by id
-	ran      int      // attempts that ran or may have run
-	refused  int      // attempts that backends turned away
-	missed   int      // attempts that did not get to the backend that was meant
-	timedOut bool     // of the last one
+	tried        []string // backends, by id
+	executed     int      // attempts that ran or may have run
+	refusals     int      // attempts that backends turned away
+	misses       int      // attempts that did not get to the backend that was meant
+	lastTimedOut bool     // of the last one
 	// continuedAfter is the event behind which the attempt under way was asked to continue; empty: it began anew.
-	continuedAfter string
+	resumedAfter string
 	// kept is the last failure that a backend told itself: it is passed on if no further attempt brings more.
-	kept *backendAnswer
+	lastError *backendAnswer
 }
 
 // backendAnswer is a whole answer of a backend.
@@ -63,37 +63,37 @@
 type attempt struct {
 	ticket   Ticket
 	response *forward.Response
-	begun    bool // some of its body has been passed on
+	started  bool // some of its body has been passed on
 }
 
 // done tells admission how the attempt ended.
-func (a *attempt) done(outcome admission.Outcome) { a.ticket.Done(time.Now(), outcome, nil) }
+func (a *attempt) end(outcome admission.Outcome) { a.ticket.Done(time.Now(), outcome, nil) }
 
 // run answers the request.
-func (e *exchange) run(ctx context.Context, w *answerWriter) {
+func (e *exchange) run(ctx context.Context, w *responseWriter) {
 	for {
-		a, err := e.open(ctx)
+		a, err := e.tryBackends(ctx)
 		if err != nil {
-			e.conclude(ctx, w, err)
+			e.finish(ctx, w, err)
 			return
 		}
-		if e.pass(ctx, a, w) {
+		if e.deliver(ctx, a, w) {
 			return
 		}
 	}
 }
 
 // open sends the request to backends until one answers, or no further attempt is allowed.
-func (e *exchange) open(ctx context.Context) (*attempt, error) {
+func (e *exchange) tryBackends(ctx context.Context) (*attempt, error) {
 	for {
-		if err := e.mayTry(ctx); err != nil {
+		if err := e.checkRetry(ctx); err != nil {
 			return nil, err
 		}
 		backend, ticket, refusal := e.pick(ctx)
 		if refusal != nil {
-			return nil, e.refusal(refusal)
+			return nil, e.refusalError(refusal)
 		}
-		e.proxy.counters.tried(len(e.tried))
+		e.proxy.counters.recordAttempt(len(e.tried))
 		e.tried = append(e.tried, backend.ID)
 		response, failure := e.proxy.options.Sender.Do(ctx, backend, &e.request)
 		if failure == nil {
@@ -103,7 +103,7 @@
 			return &attempt{ticket: ticket, response: response}, nil
 		}
 		ticket.Done(time.Now(), outcomeOf(failure), failure.Load)
-		e.note(failure)
+		e.recordFailure(failure)
 	}
 }
 
@@ -123,28 +123,28 @@
 func (e *exchange) wasTried(id string) bool { return slices.Contains(e.tried, id) }
 
 // mayTry tells whether the request may be sent (again), and if not, what it is answered.
-func (e *exchange) mayTry(ctx context.Context) error {
+func (e *exchange) checkRetry(ctx context.Context) error {
 	switch {
 	case ctx.Err() != nil:
 		return errClientLeft
-	case e.ran >= e.runsAllowed():
-		return e.failure()
-	case time.Until(e.request.Deadline) < e.leastTime():
-		e.timedOut = true
-		return e.failure()
-	case e.refused >= refusalLimit, e.missed >= missLimit:
-		return e.failure()
-	case !e.keyed:
+	case e.executed >= e.maxExecutions():
+		return e.exhaustedError()
+	case time.Until(e.request.Deadline) < e.minTimeLeft():
+		e.lastTimedOut = true
+		return e.exhaustedError()
+	case e.refusals >= maxRefusals, e.misses >= maxMisses:
+		return e.exhaustedError()
+	case !e.requiresProof:
 		return nil
 	}
 	if err := e.proxy.checkProof(); err != nil {
-		return e.failureBecause(err)
+		return e.errorUnlessExecuted(err)
 	}
 	return nil
 }
 
 // runsAllowed is how many attempts may run.
-func (e *exchange) runsAllowed() int {
+func (e *exchange) maxExecutions() int {
 	if !e.route.Repeatable() {
 		return 1
 	}
@@ -152,42 +152,42 @@
 }
 
 // leastTime is how much time has to be left for the next attempt.
-func (e *exchange) leastTime() time.Duration {
-	if e.ran == 0 {
-		return leastTime
+func (e *exchange) minTimeLeft() time.Duration {
+	if e.executed == 0 {
+		return minAttemptTime
 	}
-	return max(leastTime, time.Duration(againPart*float64(e.route.TargetLatency)))
+	return max(minAttemptTime, time.Duration(retryLatencyFraction*float64(e.route.TargetLatency)))
 }
 
 // note counts a failed attempt.
-func (e *exchange) note(f *forward.Failure) {
-	e.timedOut = f.TimedOut
+func (e *exchange) recordFailure(f *forward.Failure) {
+	e.lastTimedOut = f.TimedOut
 	switch {
 	case f.Outcome == forward.NotSent, f.Status == http.StatusMisdirectedRequest:
-		e.missed++
+		e.misses++
 	case f.Outcome == forward.NotExecuted:
-		e.refused++
+		e.refusals++
 	default:
-		e.ran++
+		e.executed++
 	}
 }
 
 // refusal is the error of a request that admission gives no backend.
-func (e *exchange) refusal(r *admission.Refusal) error {
-	return e.failureBecause(&retryError{fault.New(fault.Overloaded, "no backend of %s takes more", e.service), r.RetryAfter})
+func (e *exchange) refusalError(r *admission.Refusal) error {
+	return e.errorUnlessExecuted(&retryAfterError{fault.New(fault.Overloaded, "no backend of %s takes more", e.service), r.RetryAfter})
 }
 
 // failure is the error of a request for which nothing more can be tried.
-func (e *exchange) failure() error {
-	return e.failureBecause(fault.New(fault.Overloaded, "no backend of %s has taken the request", e.service))
+func (e *exchange) exhaustedError() error {
+	return e.errorUnlessExecuted(fault.New(fault.Overloaded, "no backend of %s has taken the request", e.service))
 }
 
 // failureBecause gives an error which promises that the request has not run, unless it may have: then one without a promise.
-func (e *exchange) failureBecause(unrun error) error {
+func (e *exchange) errorUnlessExecuted(unrun error) error {
 	switch {
-	case e.ran == 0:
+	case e.executed == 0:
 		return unrun
-	case e.timedOut:
+	case e.lastTimedOut:
 		return fault.New(fault.UpstreamTimeout, "no answer of %s in time", e.service)
 	default:
 		return fault.New(fault.UpstreamFailed, "the answer of %s broke off", e.service)
@@ -195,49 +195,49 @@
 }
 
 // conclude ends a request for which no further attempt is made.
-func (e *exchange) conclude(ctx context.Context, w *answerWriter, err error) {
+func (e *exchange) finish(ctx context.Context, w *responseWriter, err error) {
 	switch {
-	case w.begun, ctx.Err() != nil, errors.Is(err, errClientLeft):
+	case w.started, ctx.Err() != nil, errors.Is(err, errClientLeft):
 		// What is unfinished ends with its connection.
-	case e.kept != nil:
-		w.whole(e.kept.status, e.kept.header, e.kept.body)
+	case e.lastError != nil:
+		w.write(e.lastError.status, e.lastError.header, e.lastError.body)
 	default:
-		w.fault(err)
+		w.writeError(err)
 	}
 }
 
 // pass hands the answer of a backend to the client. It tells whether that was the end.
-func (e *exchange) pass(ctx context.Context, a *attempt, w *answerWriter) bool {
+func (e *exchange) deliver(ctx context.Context, a *attempt, w *responseWriter) bool {
 	if a.response.Streaming && a.response.Status == http.StatusOK {
-		return e.relay(ctx, a, w)
+		return e.stream(ctx, a, w)
 	}
 	body, err := a.response.ReadAll()
 	if err != nil {
-		e.lost(a, err)
+		e.recordBreakOff(a, err)
 		return false
 	}
-	e.ran++
+	e.executed++
 	answer := &backendAnswer{status: a.response.Status, header: a.response.Header, body: body}
 	a.ticket.Started(time.Now())
 	switch {
-	case w.begun, !answer.mayBePassed():
+	case w.started, !answer.isTrustworthy():
 		// A stream cannot go on with it, or it would promise or claim what is not so.
-		a.done(admission.Failed)
+		a.end(admission.Failed)
 		return false
 	case answer.status >= http.StatusInternalServerError:
-		a.done(admission.Failed)
-		e.kept = answer
+		a.end(admission.Failed)
+		e.lastError = answer
 		return false
 	}
-	a.done(admission.OK)
-	e.proxy.counters.passed.Add(1)
-	w.whole(answer.status, answer.header, answer.body)
+	a.end(admission.OK)
+	e.proxy.counters.delivered.Add(1)
+	w.write(answer.status, answer.header, answer.body)
 	return true
 }
 
 // mayBePassed tells whether an answer is what it claims to be: a success carries the backend's seal; and a status that
 // promises that nothing has run came without the backend's word for it.
-func (b *backendAnswer) mayBePassed() bool {
+func (b *backendAnswer) isTrustworthy() bool {
 	switch b.status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return false
@@ -247,10 +247,10 @@
 }
 
 // lost ends an attempt whose answer broke off.
-func (e *exchange) lost(a *attempt, err error) {
+func (e *exchange) recordBreakOff(a *attempt, err error) {
 	failure := failureOf(err)
-	a.done(outcomeOf(failure))
-	e.note(failure)
+	a.end(outcomeOf(failure))
+	e.recordFailure(failure)
 }
 
 func failureOf(err error) *forward.Failure {
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -115,7 +115,7 @@
 
 func TestPromptParts(t *testing.T) {
 	for text, want := range map[string][]string{"": nil, "5c:800, 91:410,e4:250": {"5c", "91", "e4"}, "5c": {"5c"}} {
-		if got := promptParts(text); !slices.Equal(got, want) {
+		if got := promptSegments(text); !slices.Equal(got, want) {
 			t.Errorf("%q: %v, want %v", text, got, want)
 		}
 	}
@@ -479,8 +479,8 @@
 	if len(seen) < 20 {
 		t.Errorf("%d values only", len(seen))
 	}
-	err := fmt.Errorf("wrapped: %w", &retryError{errors.New("x"), time.Second})
-	if after := retryAfterOf(err); after != time.Second {
+	err := fmt.Errorf("wrapped: %w", &retryAfterError{errors.New("x"), time.Second})
+	if after := retryAfter(err); after != time.Second {
 		t.Errorf("%v", after)
 	}
 }
--- a/internal/proxy/ingress.go
+++ b/internal/proxy/ingress.go
@@ -24,18 +24,18 @@
 
 const (
 	// Bounds on what is read of a request at all. Those of the configuration are looked at when it has been read.
-	headerBound = 64 << 10
-	bodyBound   = 32 << 20
+	maxHeaderRead = 64 << 10
+	maxBodyRead   = 32 << 20
 	// readBuffer is the size of the buffers that requests are read into.
-	readBuffer = 4 << 10
+	readBufferSize = 4 << 10
 	// hertzTimeout is what hertz is told of time-outs. clientConn decides about them.
 	hertzTimeout = time.Hour
 	// acceptPause is waited when no connection can be accepted, as when descriptors run out.
-	acceptPause = 50 * time.Millisecond
+	acceptRetryDelay = 50 * time.Millisecond
 
-	readinessConnections = 64
-	refusal              = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.25\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-	refusalWait          = 20 * time.Millisecond
+	readinessConnections     = 64
+	connectionRefusal        = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.25\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+	connectionRefusalTimeout = 20 * time.Millisecond
 )
 
 // defaultLimits hold before there is a configuration.
@@ -47,22 +47,22 @@
 }
 
 // silenceHertz keeps hertz from telling of each client that breaks off.
-var silenceHertz sync.Once
+var muteHertzLog sync.Once
 
 // handler answers a request. An answer that it leaves unfinished ends with its connection.
-type handler func(ctx context.Context, r *request, w *answerWriter)
+type handler func(ctx context.Context, r *request, w *responseWriter)
 
 // ingress accepts clients' connections, always, and serves the requests that come over them. At the bound on connections
 // the one that has waited longest for a request makes room, else the new one is refused.
-type ingress struct {
-	listener *net.TCPListener
-	server   *http1.Server
-	handle   handler
-	bound    int
-	limits   func() configuration.Limits
-	draining *atomic.Bool
+type server struct {
+	listener       *net.TCPListener
+	hertz          *http1.Server
+	handle         handler
+	maxConnections int
+	limits         func() configuration.Limits
+	draining       *atomic.Bool
 	// faulted, if set, is called with the kind of each error that is answered.
-	faulted  func(fault.Kind)
+	onError  func(fault.Kind)
 	contexts sync.Pool
 	log      *zap.Logger
 	// finishing: connections are closed behind the request that is open on them.
@@ -71,46 +71,46 @@
 	mutex sync.Mutex
 	conns map[*clientConn]struct{}
 	// empty is closed when there is no connection left, if it is set.
-	empty chan struct{}
+	drained chan struct{}
 }
 
-func newIngress(
+func newServer(
 	listener *net.TCPListener, handle handler, bound int, limits func() configuration.Limits, draining *atomic.Bool, log *zap.Logger,
-) *ingress {
-	i := &ingress{
-		listener: listener, handle: handle, bound: bound, limits: limits, draining: draining, log: log,
+) *server {
+	s := &server{
+		listener: listener, handle: handle, maxConnections: bound, limits: limits, draining: draining, log: log,
 		conns: map[*clientConn]struct{}{},
 	}
-	silenceHertz.Do(func() { hlog.SetLevel(hlog.LevelFatal) })
-	i.contexts.New = func() any { return app.NewContext(0) }
-	i.server = http1.NewServer()
-	i.server.Core = i
-	i.server.Option = http1.Option{
+	muteHertzLog.Do(func() { hlog.SetLevel(hlog.LevelFatal) })
+	s.contexts.New = func() any { return app.NewContext(0) }
+	s.hertz = http1.NewServer()
+	s.hertz.Core = s
+	s.hertz.Option = http1.Option{
 		NoDefaultServerHeader:        true,
 		DisablePreParseMultipartForm: true,
-		MaxRequestBodySize:           bodyBound,
-		MaxHeaderBytes:               headerBound,
+		MaxRequestBodySize:           maxBodyRead,
+		MaxHeaderBytes:               maxHeaderRead,
 		IdleTimeout:                  hertzTimeout,
 		ReadTimeout:                  hertzTimeout,
 	}
-	return i
+	return s
 }
 
 // serve accepts connections until the listener is closed.
-func (i *ingress) serve() error {
+func (s *server) serve() error {
 	transport := standard.NewTransporter(&config.Options{
-		Listener:                 &listener{TCPListener: i.listener, ingress: i},
-		ReadBufferSize:           readBuffer,
+		Listener:                 &listener{TCPListener: s.listener, server: s},
+		ReadBufferSize:           readBufferSize,
 		SenseClientDisconnection: true,
 		OnAccept:                 func(c net.Conn) context.Context { return withConn(c.(*clientConn)) },
 	})
-	return transport.ListenAndServe(i.serveConnection)
+	return transport.ListenAndServe(s.serveConnection)
 }
 
-func (i *ingress) serveConnection(ctx context.Context, conn any) error {
+func (s *server) serveConnection(ctx context.Context, conn any) error {
 	client := connOf(ctx)
 	defer client.Close()
-	err := i.server.Serve(ctx, conn.(network.Conn))
+	err := s.hertz.Serve(ctx, conn.(network.Conn))
 	if err != nil && !errors.Is(err, hertzerrors.ErrShortConnection) && !errors.Is(err, hertzerrors.ErrIdleTimeout) {
 		client.discardUnread()
 	}
@@ -120,7 +120,7 @@
 // listener accepts connections for hertz.
 type listener struct {
 	*net.TCPListener
-	ingress *ingress
+	server *server
 }
 
 // Accept gives the next connection that there is room for.
@@ -131,159 +131,159 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil, err
 		case err != nil:
-			l.ingress.log.Warn("accept", zap.Error(err))
-			l.ingress.evict()
-			time.Sleep(acceptPause)
+			l.server.log.Warn("accept", zap.Error(err))
+			l.server.evict()
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		if c := l.ingress.admit(tcp); c != nil {
+		if c := l.server.addConnection(tcp); c != nil {
 			return c, nil
 		}
-		turnAway(tcp)
+		refuseConnection(tcp)
 	}
 }
 
 // admit takes a connection in, or gives nil if there is no room.
-func (i *ingress) admit(tcp *net.TCPConn) *clientConn {
-	if i.full() && !i.evict() {
+func (s *server) addConnection(tcp *net.TCPConn) *clientConn {
+	if s.isFull() && !s.evict() {
 		return nil
 	}
-	c, err := newClientConn(tcp, i)
+	c, err := newClientConn(tcp, s)
 	if err != nil {
 		return nil
 	}
-	i.mutex.Lock()
-	i.conns[c] = struct{}{}
-	i.mutex.Unlock()
-	if i.finishing.Load() {
-		c.closeIfWaiting()
+	s.mutex.Lock()
+	s.conns[c] = struct{}{}
+	s.mutex.Unlock()
+	if s.finishing.Load() {
+		c.closeIfIdle()
 	}
 	return c
 }
 
-func (i *ingress) full() bool {
-	i.mutex.Lock()
-	defer i.mutex.Unlock()
-	return len(i.conns) >= i.bound
+func (s *server) isFull() bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return len(s.conns) >= s.maxConnections
 }
 
 // evict closes the connection that has waited longest for a request. It tells whether there was one.
-func (i *ingress) evict() bool {
+func (s *server) evict() bool {
 	var oldest *clientConn
 	var oldestSince time.Time
-	for _, c := range i.all() {
-		since, idle := c.waitingSince()
+	for _, c := range s.connections() {
+		since, idle := c.idleSince()
 		if idle && (oldest == nil || since.Before(oldestSince)) {
 			oldest, oldestSince = c, since
 		}
 	}
-	return oldest != nil && oldest.closeIfWaiting()
+	return oldest != nil && oldest.closeIfIdle()
 }
 
-func (i *ingress) all() []*clientConn {
-	i.mutex.Lock()
-	defer i.mutex.Unlock()
-	all := make([]*clientConn, 0, len(i.conns))
-	for c := range i.conns {
+func (s *server) connections() []*clientConn {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	all := make([]*clientConn, 0, len(s.conns))
+	for c := range s.conns {
 		all = append(all, c)
 	}
 	return all
 }
 
-func (i *ingress) forget(c *clientConn) {
-	i.mutex.Lock()
-	defer i.mutex.Unlock()
-	delete(i.conns, c)
-	if len(i.conns) == 0 && i.empty != nil {
-		close(i.empty)
-		i.empty = nil
+func (s *server) remove(c *clientConn) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	delete(s.conns, c)
+	if len(s.conns) == 0 && s.drained != nil {
+		close(s.drained)
+		s.drained = nil
 	}
 }
 
 // turnAway answers a connection that there is no room for.
-func turnAway(tcp *net.TCPConn) {
-	tcp.SetWriteDeadline(time.Now().Add(refusalWait))
-	tcp.Write([]byte(refusal))
+func refuseConnection(tcp *net.TCPConn) {
+	tcp.SetWriteDeadline(time.Now().Add(connectionRefusalTimeout))
+	tcp.Write([]byte(connectionRefusal))
 	tcp.CloseWrite()
 	tcp.Close()
 }
 
 // finish accepts no more connections, closes those without a request, and waits until the others have had their answers.
-func (i *ingress) finish(ctx context.Context) {
-	i.listener.Close()
-	i.finishing.Store(true)
-	for _, c := range i.all() {
-		c.closeIfWaiting()
+func (s *server) drain(ctx context.Context) {
+	s.listener.Close()
+	s.finishing.Store(true)
+	for _, c := range s.connections() {
+		c.closeIfIdle()
 	}
 	select {
-	case <-i.noneLeft():
+	case <-s.allClosed():
 	case <-ctx.Done():
 	}
 }
 
 // noneLeft gives a channel that is closed once there is no connection.
-func (i *ingress) noneLeft() <-chan struct{} {
-	i.mutex.Lock()
-	defer i.mutex.Unlock()
+func (s *server) allClosed() <-chan struct{} {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	none := make(chan struct{})
-	if len(i.conns) == 0 {
+	if len(s.conns) == 0 {
 		close(none)
 		return none
 	}
-	i.empty = none
+	s.drained = none
 	return none
 }
 
-func (i *ingress) close() {
-	i.listener.Close()
-	for _, c := range i.all() {
+func (s *server) close() {
+	s.listener.Close()
+	for _, c := range s.connections() {
 		c.Close()
 	}
 }
 
 // IsRunning tells hertz that connections are kept. Answers during a drain say themselves that theirs is closed.
-func (i *ingress) IsRunning() bool { return true }
+func (s *server) IsRunning() bool { return true }
 
 // GetCtxPool gives hertz its contexts.
-func (i *ingress) GetCtxPool() *sync.Pool { return &i.contexts }
+func (s *server) GetCtxPool() *sync.Pool { return &s.contexts }
 
 // GetTracer gives none: tracing is off.
-func (i *ingress) GetTracer() tracer.Controller { return nil }
+func (s *server) GetTracer() tracer.Controller { return nil }
 
 // ServeHTTP takes a request that hertz has read, and answers it.
-func (i *ingress) ServeHTTP(ctx context.Context, c *app.RequestContext) {
+func (s *server) ServeHTTP(ctx context.Context, c *app.RequestContext) {
 	conn := connOf(ctx)
-	w := &answerWriter{conn: conn, draining: i.draining, faulted: i.faulted}
+	w := &responseWriter{conn: conn, draining: s.draining, onError: s.onError}
 	c.Response.HijackWriter(w)
 	defer func() {
 		if cause := recover(); cause != nil {
-			i.log.Error("panic", zap.Any("cause", cause), zap.Stack("stack"))
+			s.log.Error("panic", zap.Any("cause", cause), zap.Stack("stack"))
 		}
-		i.end(c, conn, w)
+		s.endRequest(c, conn, w)
 	}()
-	r, err := readRequest(&c.Request, i.limits(), conn.requestBegan())
+	r, err := readRequest(&c.Request, s.limits(), conn.requestStarted())
 	if err != nil {
-		w.closing = true
-		w.fault(err)
+		w.closeConnection = true
+		w.writeError(err)
 		return
 	}
-	w.id = r.id
-	w.bodiless = r.method == methodHead
-	w.closing = r.closing
-	i.handle(ctx, r, w)
+	w.attemptID = r.attemptID
+	w.omitBody = r.method == methodHead
+	w.closeConnection = r.closeConnection
+	s.handle(ctx, r, w)
 	if !w.finished && ctx.Err() == nil {
-		w.faultIfUnbegun(fault.New(fault.Internal, "no answer"))
+		w.writeErrorIfNotStarted(fault.New(fault.Internal, "no answer"))
 	}
 }
 
 // end has hertz close the connection where that is due. Behind an unfinished answer it is closed here, so that the answer
 // does not look complete. Hertz is told of no error: over an error it would release its buffers while its read that senses
 // whether the client leaves goes on.
-func (i *ingress) end(c *app.RequestContext, conn *clientConn, w *answerWriter) {
+func (s *server) endRequest(c *app.RequestContext, conn *clientConn, w *responseWriter) {
 	if !w.finished {
 		conn.Close()
 	}
-	if w.closing || !w.finished {
+	if w.closeConnection || !w.finished {
 		c.SetConnectionClose()
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -102,20 +102,20 @@
 // Proxy serves clients. Its methods may be called at the same time.
 type Proxy struct {
 	options   Options
-	clients   *ingress
-	readiness *ingress
+	clients   *server
+	readiness *server
 	draining  atomic.Bool
 	counters  *counters
 	// notice is how long a drain goes on serving what arrives.
-	notice time.Duration
+	drainNotice time.Duration
 }
 
 // New makes a proxy that serves clients and the platform's question whether it is ready at two listeners.
 func New(clients, readiness *net.TCPListener, o Options) *Proxy {
-	p := &Proxy{options: o, notice: drainNotice, counters: newCounters()}
-	p.clients = newIngress(clients, p.serve, o.Connections, p.limits, &p.draining, o.Log)
-	p.clients.faulted = func(kind fault.Kind) { p.counters.faults[kind].Add(1) }
-	p.readiness = newIngress(readiness, p.answerReadiness, readinessConnections, p.limits, &p.draining, o.Log)
+	p := &Proxy{options: o, drainNotice: defaultDrainNotice, counters: newCounters()}
+	p.clients = newServer(clients, p.serve, o.Connections, p.limits, &p.draining, o.Log)
+	p.clients.onError = func(kind fault.Kind) { p.counters.errors[kind].Add(1) }
+	p.readiness = newServer(readiness, p.answerReadiness, readinessConnections, p.limits, &p.draining, o.Log)
 	return p
 }
 
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -12,58 +12,58 @@
 )
 
 // eventBatch is how many bytes of events are gathered at most for one write.
-const eventBatch = 32 << 10
+const maxEventBatch = 32 << 10
 
 // relay passes a stream on, event by event. It tells whether that was the end; if not, the stream broke off, and may be
 // continued at another backend behind the last event that was passed on.
-func (e *exchange) relay(ctx context.Context, a *attempt, w *answerWriter) bool {
+func (e *exchange) stream(ctx context.Context, a *attempt, w *responseWriter) bool {
 	defer a.response.Close()
 	if a.response.Header.Get(forward.HeaderResponseSeal) == "" {
-		e.lost(a, errors.New("a stream without a seal"))
+		e.recordBreakOff(a, errors.New("a stream without a seal"))
 		return false
 	}
-	e.continuedAfter = e.request.LastEventID
+	e.resumedAfter = e.request.LastEventID
 	var events []byte
 	for {
 		var err error
-		events, err = e.gather(a.response, events[:0])
-		e.begin(a, w, len(events) > 0 || err == io.EOF)
+		events, err = e.nextEvents(a.response, events[:0])
+		e.beginAnswer(a, w, len(events) > 0 || err == io.EOF)
 		switch {
 		case err == io.EOF:
-			e.ran++
-			a.done(admission.OK)
-			e.proxy.counters.passed.Add(1)
+			e.executed++
+			a.end(admission.OK)
+			e.proxy.counters.delivered.Add(1)
 			w.endStream(events)
 			return true
 		case len(events) > 0:
-			w.events(events)
+			w.writeEvents(events)
 		}
 		switch {
-		case w.failed != nil:
-			a.done(admission.Cancelled)
+		case w.err != nil:
+			a.end(admission.Cancelled)
 			return true
 		case err != nil:
-			e.lost(a, err)
-			return ctx.Err() != nil || w.begun && e.request.LastEventID == ""
+			e.recordBreakOff(a, err)
+			return ctx.Err() != nil || w.started && e.request.LastEventID == ""
 		}
 	}
 }
 
 // begin begins the answer once there is something to pass on. The head of the first backend is that of the whole answer.
-func (e *exchange) begin(a *attempt, w *answerWriter, something bool) {
-	if !something || a.begun {
+func (e *exchange) beginAnswer(a *attempt, w *responseWriter, something bool) {
+	if !something || a.started {
 		return
 	}
-	a.begun = true
+	a.started = true
 	a.ticket.Started(time.Now())
-	if !w.begun {
-		w.beginStream(a.response.Status, a.response.Header, e.request.Deadline.Add(writeWait))
+	if !w.started {
+		w.beginStream(a.response.Status, a.response.Header, e.request.Deadline.Add(writeTimeout))
 	}
 }
 
 // gather waits for the next event, and takes with it those that have come as well. Events that were passed on before are
 // left out.
-func (e *exchange) gather(r *forward.Response, events []byte) ([]byte, error) {
+func (e *exchange) nextEvents(r *forward.Response, events []byte) ([]byte, error) {
 	for {
 		event, err := r.Next()
 		if err != nil {
@@ -75,7 +75,7 @@
 				e.request.LastEventID = event.ID
 			}
 		}
-		if !r.Ready() && len(events) > 0 || len(events) >= eventBatch {
+		if !r.Ready() && len(events) > 0 || len(events) >= maxEventBatch {
 			return events, nil
 		}
 	}
@@ -83,7 +83,7 @@
 
 // isRepeated tells whether an event of a continued stream was passed on before. Ids rise.
 func (e *exchange) isRepeated(id string) bool {
-	last, err := strconv.ParseInt(e.continuedAfter, 10, 64)
+	last, err := strconv.ParseInt(e.resumedAfter, 10, 64)
 	if err != nil {
 		return false
 	}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -18,7 +18,7 @@
 	methodHead = http.MethodHead
 	bearer     = "Bearer "
 	// longestPatience bounds what a client may say that it waits.
-	longestPatience = time.Hour
+	maxPatience = time.Hour
 )
 
 // request is a client's request as it was read, whole.
@@ -29,12 +29,12 @@
 	host         string
 	header       http.Header
 	// body is valid until the handler returns.
-	body []byte
-	id   string
+	body      []byte
+	attemptID string
 	// began is when the first bytes of the request came.
-	began time.Time
+	startedAt time.Time
 	// closing: the client wants the connection to be closed behind the answer.
-	closing bool
+	closeConnection bool
 }
 
 // query is the target's part behind the question mark.
@@ -74,14 +74,14 @@
 		return nil, fault.New(fault.BodyTooLarge, "the body has %d bytes", len(body))
 	}
 	r := &request{
-		method:  string(h.Header.Method()),
-		target:  string(h.Header.RequestURI()),
-		host:    header.Get("Host"),
-		header:  header,
-		body:    body,
-		id:      header.Get(forward.HeaderAttemptID),
-		began:   began,
-		closing: h.Header.ConnectionClose() || hasToken(header["Connection"], "close"),
+		method:          string(h.Header.Method()),
+		target:          string(h.Header.RequestURI()),
+		host:            header.Get("Host"),
+		header:          header,
+		body:            body,
+		attemptID:       header.Get(forward.HeaderAttemptID),
+		startedAt:       began,
+		closeConnection: h.Header.ConnectionClose() || hasToken(header["Connection"], "close"),
 	}
 	r.path, _, _ = strings.Cut(r.target, "?")
 	if !strings.HasPrefix(r.target, "/") {
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -23,51 +23,51 @@
 
 	// quotaWaitPart is the part of a route's target latency for which a request may wait for its tenant's budget: a
 	// refusal that comes within a quarter costs less.
-	quotaWaitPart = 0.2
+	quotaWaitFraction = 0.2
 )
 
 // serve answers a client's request. All that may refuse it is looked at after it has been read whole, so that a process that
 // wakes from a freeze does not act on what it knew before.
-func (p *Proxy) serve(ctx context.Context, r *request, w *answerWriter) {
+func (p *Proxy) serve(ctx context.Context, r *request, w *responseWriter) {
 	if len(r.header["Host"]) != 1 {
-		w.closing = true
-		w.fault(fault.New(fault.BadRequest, "want one Host"))
+		w.closeConnection = true
+		w.writeError(fault.New(fault.BadRequest, "want one Host"))
 		return
 	}
 	if isBatchCall(r.path) {
-		p.batchCall(ctx, r, w)
+		p.serveBatchCall(ctx, r, w)
 		return
 	}
 	snapshot, err := p.snapshot()
 	if err != nil {
-		w.fault(err)
+		w.writeError(err)
 		return
 	}
 	route := snapshot.Match(r.host, r.path)
 	if route == nil {
-		w.fault(p.ifCurrent(fault.New(fault.RouteNotFound, "no route for %s%s", r.host, r.path)))
+		w.writeError(p.ifCurrent(fault.New(fault.RouteNotFound, "no route for %s%s", r.host, r.path)))
 		return
 	}
 	tenant, err := p.tenantFor(snapshot, route, r)
 	if err != nil {
-		w.fault(err)
+		w.writeError(err)
 		return
 	}
-	if r.id == "" {
-		w.fault(fault.New(fault.BadRequest, "%s is missing", forward.HeaderAttemptID))
+	if r.attemptID == "" {
+		w.writeError(fault.New(fault.BadRequest, "%s is missing", forward.HeaderAttemptID))
 		return
 	}
 	if route.Kind == configuration.Batch {
-		p.submit(ctx, r, w, route, nameOf(tenant))
+		p.serveSubmission(ctx, r, w, route, tenantName(tenant))
 		return
 	}
 	if tenant == nil || p.options.Quota == nil {
 		p.exchange(ctx, r, w, route, tenant)
 		return
 	}
-	limited := quota.WithMaxWait(ctx, time.Duration(quotaWaitPart*float64(route.TargetLatency)))
+	limited := quota.WithMaxWait(ctx, time.Duration(quotaWaitFraction*float64(route.TargetLatency)))
 	if err := p.options.Quota.Take(limited, tenant); err != nil {
-		w.fault(err)
+		w.writeError(err)
 		return
 	}
 	if ran := p.exchange(ctx, r, w, route, tenant); !ran {
@@ -77,33 +77,33 @@
 
 // exchange passes a request to backends. It tells whether the request may have run.
 func (p *Proxy) exchange(
-	ctx context.Context, r *request, w *answerWriter, route *configuration.Route, tenant *configuration.Tenant,
+	ctx context.Context, r *request, w *responseWriter, route *configuration.Route, tenant *configuration.Tenant,
 ) bool {
 	service := route.Choose(rand.Float64())
 	if service == nil {
-		w.fault(fault.New(fault.Overloaded, "route %s has no service", route.Name))
+		w.writeError(fault.New(fault.Overloaded, "route %s has no service", route.Name))
 		return false
 	}
 	e := &exchange{
-		proxy:     p,
-		route:     route,
-		service:   service.Name,
-		keyed:     tenant != nil,
-		admission: admissionRequest(r, route, tenant),
+		proxy:         p,
+		route:         route,
+		service:       service.Name,
+		requiresProof: tenant != nil,
+		admission:     admissionRequest(r, route, tenant),
 		request: forward.Request{
 			Method:    r.method,
 			Target:    r.target,
 			Host:      r.host,
 			Header:    r.header,
 			Body:      r.body,
-			AttemptID: r.id,
-			Tenant:    nameOf(tenant),
+			AttemptID: r.attemptID,
+			Tenant:    tenantName(tenant),
 			Deadline:  r.deadline(route),
 		},
 	}
 	e.admission.Exclude = e.wasTried
 	e.run(ctx, w)
-	return e.ran > 0
+	return e.executed > 0
 }
 
 // snapshot gives the configuration in force.
@@ -120,20 +120,20 @@
 	if route.Public || !snapshot.RequiresKey() {
 		return nil, nil
 	}
-	return p.keyHolder(snapshot, r)
+	return p.authenticate(snapshot, r)
 }
 
 // tenant gives the name of the tenant whose key a call about batch jobs carries.
-func (p *Proxy) tenant(snapshot *configuration.Snapshot, r *request) (string, error) {
+func (p *Proxy) callTenant(snapshot *configuration.Snapshot, r *request) (string, error) {
 	if !snapshot.RequiresKey() {
 		return "", nil
 	}
-	tenant, err := p.keyHolder(snapshot, r)
-	return nameOf(tenant), err
+	tenant, err := p.authenticate(snapshot, r)
+	return tenantName(tenant), err
 }
 
 // keyHolder finds the tenant of a key in a configuration that is proved to be current.
-func (p *Proxy) keyHolder(snapshot *configuration.Snapshot, r *request) (*configuration.Tenant, error) {
+func (p *Proxy) authenticate(snapshot *configuration.Snapshot, r *request) (*configuration.Tenant, error) {
 	if err := p.checkProof(); err != nil {
 		return nil, err
 	}
@@ -160,7 +160,7 @@
 	return err
 }
 
-func nameOf(tenant *configuration.Tenant) string {
+func tenantName(tenant *configuration.Tenant) string {
 	if tenant == nil {
 		return ""
 	}
@@ -169,27 +169,27 @@
 
 // deadline is when the answer has to be complete, by the client's patience and the route's time-out.
 func (r *request) deadline(route *configuration.Route) time.Time {
-	patience := r.patience(longestPatience)
+	patience := r.patience(maxPatience)
 	if route.Timeout > 0 {
 		patience = min(patience, route.Timeout)
 	}
-	return r.began.Add(patience - answerReserve)
+	return r.startedAt.Add(patience - answerReserve)
 }
 
 // admissionRequest tells admission of a request what it has to know.
 func admissionRequest(r *request, route *configuration.Route, tenant *configuration.Tenant) admission.Request {
-	a := admission.Request{Priority: route.Priority, Tokens: tokens(r.header.Get(headerTokenUsage))}
+	a := admission.Request{Priority: route.Priority, Tokens: tokenCount(r.header.Get(headerTokenUsage))}
 	if tenant != nil && tenant.HasPriority {
 		a.Priority = tenant.Priority
 	}
 	if route.SessionAffinity {
-		a.Prefix = promptParts(r.header.Get(headerPromptPrefix))
+		a.Prefix = promptSegments(r.header.Get(headerPromptPrefix))
 	}
 	return a
 }
 
 // tokens sums the numbers of a token usage, 0 if they make no sense.
-func tokens(usage string) int {
+func tokenCount(usage string) int {
 	sum := 0
 	for part := range strings.SplitSeq(usage, ",") {
 		n, err := strconv.Atoi(strings.TrimSpace(part))
@@ -202,7 +202,7 @@
 }
 
 // promptParts gives the ids of the parts of a prompt. The last one belongs to the request or its session alone.
-func promptParts(prefix string) []string {
+func promptSegments(prefix string) []string {
 	if prefix == "" {
 		return nil
 	}
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -8,22 +8,22 @@
 
 // counters counts what became of clients' requests since the start.
 type counters struct {
-	faults   map[fault.Kind]*atomic.Uint64 // own answers, by kind; the map does not change
-	passed   atomic.Uint64
-	attempts atomic.Uint64
-	retries  atomic.Uint64
+	errors    map[fault.Kind]*atomic.Uint64 // own answers, by kind; the map does not change
+	delivered atomic.Uint64
+	attempts  atomic.Uint64
+	retries   atomic.Uint64
 }
 
 func newCounters() *counters {
-	c := &counters{faults: map[fault.Kind]*atomic.Uint64{}}
+	c := &counters{errors: map[fault.Kind]*atomic.Uint64{}}
 	for _, kind := range fault.Kinds() {
-		c.faults[kind] = new(atomic.Uint64)
+		c.errors[kind] = new(atomic.Uint64)
 	}
 	return c
 }
 
 // tried counts an attempt, the number of the request's attempts before it being given.
-func (c *counters) tried(before int) {
+func (c *counters) recordAttempt(before int) {
 	c.attempts.Add(1)
 	if before > 0 {
 		c.retries.Add(1)
@@ -43,12 +43,12 @@
 // Stats gives the proxy's figures.
 func (p *Proxy) Stats() Stats {
 	stats := Stats{
-		Faults:   make(map[fault.Kind]uint64, len(p.counters.faults)),
-		Passed:   p.counters.passed.Load(),
+		Faults:   make(map[fault.Kind]uint64, len(p.counters.errors)),
+		Passed:   p.counters.delivered.Load(),
 		Attempts: p.counters.attempts.Load(),
 		Retries:  p.counters.retries.Load(),
 	}
-	for kind, count := range p.counters.faults {
+	for kind, count := range p.counters.errors {
 		stats.Faults[kind] = count.Load()
 	}
 	return stats
--- a/internal/upstream/idle_test.go
+++ b/internal/upstream/idle_test.go
@@ -25,17 +25,17 @@
 		}, 90 * time.Millisecond, 182 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var r idleRecord
+			var r idleHistory
 			random := rand.New(rand.NewPCG(1, 2))
 			now := time.Unix(1000, 0)
-			r.at = now
+			r.decayedAt = now
 			for i := range 1000 { // most are idle for a short time only
 				idle := time.Duration(1+i%100) * time.Millisecond
 				if i/100%2 == 0 {
 					idle *= 5
 				}
 				now = now.Add(3 * time.Millisecond)
-				r.note(now, idle, c.broken(random.Float64(), idle))
+				r.record(now, idle, c.broken(random.Float64(), idle))
 			}
 			if got := r.limit(now, most); got < c.least || got > c.want {
 				t.Errorf("limit %v, want %v to %v", got, c.least, c.want)
@@ -60,17 +60,17 @@
 	}
 	defer tcp.Close()
 	b := New[int](Options{IdleLimit: time.Hour})
-	old := &Conn{Conn: tcp, Reader: bufio.NewReader(tcp), since: time.Now().Add(-time.Minute)}
-	if !b.usable(old) {
+	old := &Conn{Conn: tcp, Reader: bufio.NewReader(tcp), idleSince: time.Now().Add(-time.Minute)}
+	if !b.isUsable(old) {
 		t.Error("a connection that is open and within the limit of the settings is said not to be usable")
 	}
 	for range 10 {
-		b.Reused(30*time.Second, true)
+		b.RecordReuse(30*time.Second, true)
 	}
-	if b.usable(old) {
+	if b.isUsable(old) {
 		t.Error("a connection that has been idle for longer than those that broke is said to be usable")
 	}
-	if fresh := (&Conn{Conn: tcp, Reader: bufio.NewReader(tcp), since: time.Now()}); !b.usable(fresh) {
+	if fresh := (&Conn{Conn: tcp, Reader: bufio.NewReader(tcp), idleSince: time.Now()}); !b.isUsable(fresh) {
 		t.Error("a connection that has just been used is said not to be usable")
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -25,8 +25,8 @@
 const (
 	defaultIdleLimit  = time.Minute
 	defaultSweepEvery = time.Second
-	leastDials        = 2 // that one backend may have under way, however low the limit
-	dialPart          = 8 // one backend's share of all connections that may be in the making
+	minDials          = 2 // that one backend may have under way, however low the limit
+	dialShare         = 8 // one backend's share of all connections that may be in the making
 )
 
 // Errors of Acquire that are not those of making a connection.
@@ -65,29 +65,29 @@
 }
 
 // Host is a backend as the pool knows it. Its fields are under the lock of the pool.
-type Host struct {
-	address string
-	started time.Duration
-	closed  bool    // it drains or is gone: no connection to it is handed out
-	idle    []*Conn // the least recently used first
-	dials   int     // under way
-	heard   time.Time
+type Backend struct {
+	address    string
+	startedAt  time.Duration
+	closed     bool    // it drains or is gone: no connection to it is handed out
+	idle       []*Conn // the least recently used first
+	dialing    int     // under way
+	lastAnswer time.Time
 }
 
 // Pool holds the connections to all backends, which are told apart by keys of type K. Of a backend's idle connections the
 // most recently used goes first. All methods may be called at the same time.
 type Pool[K comparable] struct {
-	options  Options
-	counters *Counters
-	dialling sync.WaitGroup
-	life     context.Context // of connections in the making: those who asked for them may be gone before
-	end      context.CancelFunc
+	options     Options
+	counters    *Counters
+	dials       sync.WaitGroup
+	dialContext context.Context // of connections in the making: those who asked for them may be gone before
+	cancelDials context.CancelFunc
 
-	mutex sync.Mutex
-	dial  DialFunc
-	hosts map[K]*Host
-	open  int // connections, also those being made
-	reuse idleRecord
+	mutex       sync.Mutex
+	dial        DialFunc
+	backends    map[K]*Backend
+	open        int // connections, also those being made
+	idleHistory idleHistory
 }
 
 // New makes an empty pool. Run has to be called for it to close idle connections.
@@ -104,8 +104,8 @@
 	if o.Counters == nil {
 		o.Counters = &Counters{}
 	}
-	p := &Pool[K]{options: o, counters: o.Counters, dial: o.Dial, hosts: map[K]*Host{}}
-	p.life, p.end = context.WithCancel(context.Background())
+	p := &Pool[K]{options: o, counters: o.Counters, dial: o.Dial, backends: map[K]*Backend{}}
+	p.dialContext, p.cancelDials = context.WithCancel(context.Background())
 	return p
 }
 
@@ -134,32 +134,32 @@
 }
 
 // Wait blocks until no connection is in the making. Nothing may be acquired any more.
-func (p *Pool[K]) Wait() { p.dialling.Wait() }
+func (p *Pool[K]) Wait() { p.dials.Wait() }
 
 func (p *Pool[K]) close() {
-	p.end()
+	p.cancelDials()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, h := range p.hosts {
-		p.retire(h)
+	for _, b := range p.backends {
+		p.retire(b)
 	}
 }
 
 func (p *Pool[K]) sweep() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, h := range p.hosts {
-		kept := h.idle[:0]
-		for _, c := range h.idle {
-			if p.usable(c) {
+	for _, b := range p.backends {
+		kept := b.idle[:0]
+		for _, c := range b.idle {
+			if p.isUsable(c) {
 				kept = append(kept, c)
 			} else {
 				p.counters.Retired.Add(1)
-				p.drop(c)
+				p.closeConn(c)
 			}
 		}
-		clear(h.idle[len(kept):])
-		h.idle = kept
+		clear(b.idle[len(kept):])
+		b.idle = kept
 	}
 }
 
@@ -169,77 +169,77 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if full {
-		p.forgetOthers(entries)
+		p.removeUnlisted(entries)
 	}
 	for _, e := range entries {
-		p.follow(e)
+		p.apply(e)
 	}
 }
 
 // forgetOthers retires the backends that a whole list does not name.
-func (p *Pool[K]) forgetOthers(entries []Entry[K]) {
+func (p *Pool[K]) removeUnlisted(entries []Entry[K]) {
 	named := make(map[K]bool, len(entries))
 	for _, e := range entries {
 		named[e.Key] = true
 	}
-	for key, h := range p.hosts {
+	for key, b := range p.backends {
 		if !named[key] {
-			p.retire(h)
-			delete(p.hosts, key)
+			p.retire(b)
+			delete(p.backends, key)
 		}
 	}
 }
 
-func (p *Pool[K]) follow(e Entry[K]) {
-	h := p.hosts[e.Key]
-	if h != nil && (!e.Ready || h.address != e.Address || e.Started > h.started) {
-		p.retire(h)
-		delete(p.hosts, e.Key) // callers that connect to it still hold h, and find it closed
-		h = nil
+func (p *Pool[K]) apply(e Entry[K]) {
+	b := p.backends[e.Key]
+	if b != nil && (!e.Ready || b.address != e.Address || e.Started > b.startedAt) {
+		p.retire(b)
+		delete(p.backends, e.Key) // callers that connect to it still hold h, and find it closed
+		b = nil
 	}
-	if h == nil && e.Ready {
-		p.hosts[e.Key] = p.join(&Host{address: e.Address, started: e.Started})
+	if b == nil && e.Ready {
+		p.backends[e.Key] = p.add(&Backend{address: e.Address, startedAt: e.Started})
 	}
 }
 
 // join takes in a new backend. If another is still listed at its address, the one that started first is no more:
 // what is sent to it would reach the other.
-func (p *Pool[K]) join(n *Host) *Host {
-	for _, h := range p.hosts {
-		if h.address != n.address || h.closed {
+func (p *Pool[K]) add(added *Backend) *Backend {
+	for _, b := range p.backends {
+		if b.address != added.address || b.closed {
 			continue
 		}
-		if h.started <= n.started {
-			p.retire(h)
+		if b.startedAt <= added.startedAt {
+			p.retire(b)
 		} else {
-			n.closed = true
+			added.closed = true
 		}
 	}
-	return n
+	return added
 }
 
-func (p *Pool[K]) retire(h *Host) {
-	h.closed = true
-	p.closeAll(h)
+func (p *Pool[K]) retire(b *Backend) {
+	b.closed = true
+	p.closeAll(b)
 }
 
-func (p *Pool[K]) closeAll(h *Host) {
-	for _, c := range h.idle {
-		p.drop(c)
+func (p *Pool[K]) closeAll(b *Backend) {
+	for _, c := range b.idle {
+		p.closeConn(c)
 	}
-	h.idle = nil
+	b.idle = nil
 }
 
-func (p *Pool[K]) drop(c *Conn) {
+func (p *Pool[K]) closeConn(c *Conn) {
 	c.Close()
 	p.open--
 }
 
 // Find gives the backend of a key, or nil if the list has none that is ready.
-func (p *Pool[K]) Find(key K) *Host {
+func (p *Pool[K]) Find(key K) *Backend {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.hosts[key]
+	return p.backends[key]
 }
 
 // Open is the number of connections, those being made included.
@@ -250,128 +250,128 @@
 }
 
 // Idle gives a backend's idle connections, the least recently used first. They are to be looked at only.
-func (p *Pool[K]) Idle(h *Host) []*Conn {
+func (p *Pool[K]) Idle(b *Backend) []*Conn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return slices.Clone(h.idle)
+	return slices.Clone(b.idle)
 }
 
 // Closed tells whether no connection to the backend is handed out any more. One that was acquired before must not be
 // written to.
-func (p *Pool[K]) Closed(h *Host) bool {
+func (p *Pool[K]) Closed(b *Backend) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return h.closed
+	return b.closed
 }
 
 // CloseIdle closes the idle connections to a backend.
 func (p *Pool[K]) CloseIdle(key K) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if h := p.hosts[key]; h != nil {
-		p.closeAll(h)
+	if b := p.backends[key]; b != nil {
+		p.closeAll(b)
 	}
 }
 
 // Heard notes that an answer came from a backend at a time.
-func (p *Pool[K]) Heard(h *Host, at time.Time) {
+func (p *Pool[K]) RecordAnswer(b *Backend, at time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	h.heard = at
+	b.lastAnswer = at
 }
 
 // Silent closes a backend's idle connections if nothing has come from it since a time: a machine that was cut off
 // and is back resets them, and each of them would cost a request.
-func (p *Pool[K]) Silent(h *Host, since time.Time) {
+func (p *Pool[K]) CloseUnresponsive(b *Backend, since time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if h.heard.Before(since) {
-		p.closeAll(h)
+	if b.lastAnswer.Before(since) {
+		p.closeAll(b)
 	}
 }
 
 // Reused notes how a request fared on a connection that had been idle. broken means that it was reset with no byte of
 // an answer. From this the pool learns for how long connections may be idle.
-func (p *Pool[K]) Reused(idle time.Duration, broken bool) {
+func (p *Pool[K]) RecordReuse(idle time.Duration, broken bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.reuse.note(time.Now(), idle, broken)
+	p.idleHistory.record(time.Now(), idle, broken)
 }
 
 // Acquire takes an idle connection to a backend or makes one by the deadline. If ctx ends, what is in the making goes on and
 // serves others: the backend has had the cost of it. The connection has to be given back by Release.
-func (p *Pool[K]) Acquire(ctx context.Context, h *Host, deadline time.Time) (*Conn, error) {
+func (p *Pool[K]) Acquire(ctx context.Context, b *Backend, deadline time.Time) (*Conn, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	c, err := p.takeIdle(h)
+	c, err := p.takeIdleOrReserve(b)
 	if c != nil || err != nil {
 		return c, err
 	}
 	p.counters.Dialled.Add(1)
-	return p.dialNew(ctx, h, deadline)
+	return p.dialNew(ctx, b, deadline)
 }
 
 // takeIdle gives an idle connection, or none and then has counted one that is to be made.
-func (p *Pool[K]) takeIdle(h *Host) (*Conn, error) {
+func (p *Pool[K]) takeIdleOrReserve(b *Backend) (*Conn, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if h.closed {
+	if b.closed {
 		return nil, ErrClosed
 	}
-	for i := len(h.idle) - 1; i >= 0; i-- {
-		c := h.idle[i]
-		if time.Since(c.since) < p.options.Rest {
+	for i := len(b.idle) - 1; i >= 0; i-- {
+		c := b.idle[i]
+		if time.Since(c.idleSince) < p.options.Rest {
 			continue
 		}
-		h.idle = slices.Delete(h.idle, i, i+1)
-		if p.usable(c) {
+		b.idle = slices.Delete(b.idle, i, i+1)
+		if p.isUsable(c) {
 			return c, nil
 		}
 		p.counters.Retired.Add(1)
-		p.drop(c)
+		p.closeConn(c)
 	}
-	if h.dials >= max(leastDials, p.options.Limit/dialPart) || p.open >= p.options.Limit && !p.evict() {
+	if b.dialing >= max(minDials, p.options.Limit/dialShare) || p.open >= p.options.Limit && !p.evictOldest() {
 		return nil, ErrTooMany
 	}
 	p.open++
-	h.dials++
+	b.dialing++
 	return nil, nil
 }
 
 // usable tells whether an idle connection may take a request: young enough, and quiet. A write to one that the
 // backend has closed would succeed, and then leave open whether the request ran.
-func (p *Pool[K]) usable(c *Conn) bool {
+func (p *Pool[K]) isUsable(c *Conn) bool {
 	text, open := c.Unread()
 	now := time.Now()
-	return now.Sub(c.since) < p.reuse.limit(now, p.options.IdleLimit) && open && text == ""
+	return now.Sub(c.idleSince) < p.idleHistory.limit(now, p.options.IdleLimit) && open && text == ""
 }
 
 // evict makes room at the bound by closing the connection that has been idle longest.
-func (p *Pool[K]) evict() bool {
-	var oldest *Host
-	for _, h := range p.hosts {
-		if len(h.idle) > 0 && (oldest == nil || h.idle[0].since.Before(oldest.idle[0].since)) {
-			oldest = h
+func (p *Pool[K]) evictOldest() bool {
+	var oldest *Backend
+	for _, b := range p.backends {
+		if len(b.idle) > 0 && (oldest == nil || b.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
+			oldest = b
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	p.drop(oldest.idle[0])
+	p.closeConn(oldest.idle[0])
 	oldest.idle = append(oldest.idle[:0], oldest.idle[1:]...)
 	return true
 }
 
 // dialNew makes a connection that takeIdle has counted.
-func (p *Pool[K]) dialNew(ctx context.Context, h *Host, deadline time.Time) (*Conn, error) {
+func (p *Pool[K]) dialNew(ctx context.Context, b *Backend, deadline time.Time) (*Conn, error) {
 	type made struct {
 		conn *Conn
 		err  error
 	}
 	taken := make(chan made) // without room: what nobody takes stays with its maker
-	p.dialling.Go(func() {
-		c, err := p.connect(h, deadline)
+	p.dials.Go(func() {
+		c, err := p.connect(b, deadline)
 		select {
 		case taken <- made{c, err}:
 		case <-ctx.Done():
@@ -388,14 +388,14 @@
 	}
 }
 
-func (p *Pool[K]) connect(h *Host, deadline time.Time) (*Conn, error) {
+func (p *Pool[K]) connect(b *Backend, deadline time.Time) (*Conn, error) {
 	p.mutex.Lock()
 	dial := p.dial
 	p.mutex.Unlock()
-	tcp, err := dial(p.life, "tcp", h.address, deadline)
+	tcp, err := dial(p.dialContext, "tcp", b.address, deadline)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	h.dials--
+	b.dialing--
 	if err != nil {
 		p.counters.DialFailed.Add(1)
 		p.open--
@@ -403,7 +403,7 @@
 	}
 	left := &io.LimitedReader{R: tcp}
 	now := time.Now()
-	return &Conn{Conn: tcp, Reader: bufio.NewReader(left), host: h, left: left, since: now, made: now}, nil
+	return &Conn{Conn: tcp, Reader: bufio.NewReader(left), backend: b, readLimit: left, idleSince: now, createdAt: now}, nil
 }
 
 // Release gives a connection back, for the next request or to be closed. Only one whose answer was read whole, and which the
@@ -414,10 +414,10 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if !keep || c.host.closed {
-		p.drop(c)
+	if !keep || c.backend.closed {
+		p.closeConn(c)
 		return
 	}
-	c.since = time.Now()
-	c.host.idle = append(c.host.idle, c)
+	c.idleSince = time.Now()
+	c.backend.idle = append(c.backend.idle, c)
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -64,14 +64,14 @@
 		open   int
 	}{{0, 1}, {-rest, 2}, {rest, 2}} {
 		for _, idle := range p.Idle(p.Find("a")) {
-			idle.since = time.Now().Add(-c.rested)
+			idle.idleSince = time.Now().Add(-c.rested)
 		}
 		open := p.Open()
 		conn := acquire(t, p, "a")
 		if p.Open() != c.open {
 			t.Errorf("rested %v: %d open, want %d", c.rested, p.Open(), c.open)
 		}
-		if fresh := conn.Use(time.Now()).Uses == 0; fresh != (p.Open() > open) {
+		if fresh := conn.Use(time.Now()).Requests == 0; fresh != (p.Open() > open) {
 			t.Errorf("rested %v: new %v, connections %d and then %d", c.rested, fresh, open, p.Open())
 		}
 		p.Release(conn, true)
@@ -256,15 +256,15 @@
 	p.Update(true, []Entry[string]{ready("a", address)})
 	c := acquire(t, p, "a")
 	server := <-accepted
-	c.Allow(8)
+	c.SetReadLimit(8)
 	for _, line := range []string{"one\n", "two\n"} {
 		io.WriteString(server, line)
 		if got, err := c.Reader.ReadString('\n'); got != line || err != nil {
 			t.Errorf("%q, %v; want %q", got, err, line)
 		}
 	}
-	if c.Allowed() != 0 {
-		t.Errorf("%d bytes are still allowed", c.Allowed())
+	if c.ReadLimit() != 0 {
+		t.Errorf("%d bytes are still allowed", c.ReadLimit())
 	}
 	io.WriteString(server, "more\n")
 	if got, err := c.Reader.ReadString('\n'); got != "" || err != io.EOF {
@@ -280,9 +280,9 @@
 		began := time.Now()
 		p.Release(acquire(t, p, "a"), true)
 		if heard {
-			p.Heard(p.Find("a"), began)
+			p.RecordAnswer(p.Find("a"), began)
 		}
-		p.Silent(p.Find("a"), began)
+		p.CloseUnresponsive(p.Find("a"), began)
 		if kept := len(p.Idle(p.Find("a"))); kept != want {
 			t.Errorf("heard %v: %d idle connections kept, want %d", heard, kept, want)
 		}
