--- a/internal/control/api_test.go
+++ b/internal/control/api_test.go
@@ -27,11 +27,20 @@
 	t.Helper()
 	replica := &fakeReplica{}
 	service := newTestService(replica)
+	a := startTestAPI(t, service, func() controlapi.Status { return controlapi.Status{Node: "n-1"} }, noOtherNode)
+	a.replica = replica
+	a.service = service
+	return a
+}
+
+// startTestAPI serves the API on a loopback address until the test ends. Redirects are not followed by its callers.
+func startTestAPI(t *testing.T, s *service, status func() controlapi.Status, other func() (netip.AddrPort, bool)) *testAPI {
+	t.Helper()
 	listener, err := listen(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := newAPI(listener, service, func() controlapi.Status { return controlapi.Status{Node: "n-1"} }, noOtherNode)
+	a := newAPI(listener, s, status, other)
 	ended := make(chan error, 1)
 	go func() { ended <- a.run() }()
 	t.Cleanup(func() {
@@ -40,7 +49,7 @@
 			t.Errorf("the server ended with %v", err)
 		}
 	})
-	return &testAPI{t: t, address: listener.Addr().String(), replica: replica, service: service}
+	return &testAPI{t: t, address: listener.Addr().String()}
 }
 
 func noOtherNode() (netip.AddrPort, bool) { return netip.AddrPort{}, false }
@@ -61,7 +70,8 @@
 	if match != "" {
 		request.Header.Set("If-Match", match)
 	}
-	response, err := http.DefaultClient.Do(request)
+	client := &http.Client{CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
+	response, err := client.Do(request)
 	if err != nil {
 		a.t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/control/golden_test.go
@@ -0,0 +1,194 @@
+package control
+
+import (
+	"net/netip"
+	"reflect"
+	"testing"
+	"time"
+
+	"nickelline/internal/golden"
+)
+
+var (
+	goldenStore  = Store{Name: "store-1", Replica: 0x1112131415161718}
+	goldenStores = []Store{
+		{Name: "store-2", Replica: 0x2122232425262728},
+		{Name: "store-3", Replica: 0x3132333435363738},
+	}
+	goldenAdded   = Holder{Address: netip.MustParseAddrPort("10.1.2.3:7661"), Life: 0x4142434445464748}
+	goldenRemoved = Holder{Address: netip.MustParseAddrPort("10.4.5.6:7662"), Life: 0x5152535455565758}
+)
+
+func TestGoldenCommands(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		command Command
+	}{
+		{"command_configure_put", Command{Configure: &Configure{Match: 11, Body: []byte("put body")}}},
+		{"command_configure_patch", Command{Configure: &Configure{Patch: true, Match: 12, Body: []byte("patch body")}}},
+		{"command_retire", Command{Retire: &Retire{
+			Store:    goldenStore,
+			Duration: 1234 * time.Millisecond,
+			Stores:   goldenStores,
+			Minimum:  21,
+		}}},
+		{"command_complete", Command{Complete: &Complete{
+			Store:           goldenStore,
+			CurrentReplica:  0x6162636465666768,
+			ExpectedVersion: 31,
+		}}},
+		{"command_place", Command{Place: &Place{
+			ExpectedVersion:  41,
+			ExpectedRevision: 42,
+			Table:            []byte("placement table"),
+		}}},
+		{"command_holders", Command{Holders: &Holders{
+			Epoch:            51,
+			ExpectedRevision: 52,
+			Add:              []Holder{goldenAdded},
+			Remove:           []Holder{goldenRemoved},
+		}}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			golden.RoundTrip(t, c.name+".hex", &c.command, EncodeCommand, DecodeCommand)
+		})
+	}
+}
+
+func TestGoldenResults(t *testing.T) {
+	encode := func(r Result) ([]byte, error) { return EncodeResult(r), nil }
+	for _, c := range []struct {
+		name    string
+		outcome Outcome
+		number  uint8
+	}{
+		{"malformed", Malformed, 0},
+		{"accepted", Accepted, 1},
+		{"repeated", Repeated, 2},
+		{"invalid", Invalid, 3},
+		{"version_mismatch", VersionMismatch, 4},
+		{"refused", Refused, 5},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if uint8(c.outcome) != c.number {
+				t.Errorf("got number %d, want %d", c.outcome, c.number)
+			}
+			golden.RoundTrip(t, "result_"+c.name+".hex", Result{Outcome: c.outcome, Version: 61, Text: "reason"}, encode, DecodeResult)
+		})
+	}
+}
+
+func TestGoldenReport(t *testing.T) {
+	type forwardedReport struct {
+		Report    Report
+		Forwarded bool
+	}
+	encode := func(r forwardedReport) ([]byte, error) { return encodeReport(r.Report, r.Forwarded) }
+	decode := func(data []byte) (forwardedReport, error) {
+		report, forwarded, err := decodeReport(data)
+		return forwardedReport{Report: report, Forwarded: forwarded}, err
+	}
+	chains := []ChainStatus{
+		{Chain: 71, Epoch: 72, Complete: true, Running: 73},
+		{Chain: 74, Epoch: 75, CaughtUp: true, Running: 76},
+	}
+	for _, c := range []struct {
+		name  string
+		value forwardedReport
+	}{
+		{"report_forwarded", forwardedReport{Report{Store: goldenStore, Chains: chains}, true}},
+		{"report_impaired", forwardedReport{Report{Store: goldenStore, Chains: chains, Impaired: true}, false}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			golden.RoundTrip(t, c.name+".hex", c.value, encode, decode)
+		})
+	}
+}
+
+// goldenOrder is the configuration of the golden snapshot, and goldenLateOrder one that builds on a version to come.
+var (
+	goldenOrder     = Configure{Body: []byte(documentText(81, 82))}
+	goldenLateOrder = Configure{Match: 99, Body: []byte(documentText(100, 83))}
+)
+
+// goldenMachine holds something of each kind that a snapshot contains.
+func goldenMachine(t *testing.T) *Machine {
+	t.Helper()
+	m := NewMachine()
+	expect(t, m, &Command{Configure: &goldenOrder}, Accepted)
+	expect(t, m, &Command{Configure: &goldenLateOrder}, VersionMismatch)
+	expect(t, m, &Command{Retire: &Retire{Store: goldenStore, Duration: 1234 * time.Millisecond}}, Accepted)
+	expect(t, m, &Command{Complete: &Complete{Store: goldenStore, CurrentReplica: 0x6162636465666768}}, Accepted)
+	expect(t, m, &Command{Retire: &Retire{Store: goldenStores[0], Duration: 5678 * time.Millisecond}}, Accepted)
+	expect(t, m, &Command{Place: &Place{ExpectedRevision: 3, Table: []byte("placement table")}}, Accepted)
+	expect(t, m, &Command{Holders: &Holders{Epoch: 51, Add: []Holder{goldenAdded, goldenRemoved}}}, Accepted)
+	return m
+}
+
+func TestGoldenSnapshot(t *testing.T) {
+	committed := golden.Bytes(t, "snapshot.hex", goldenMachine(t).Snapshot())
+	restored := NewMachine()
+	if err := restored.Restore(committed); err != nil {
+		t.Fatalf("restore: %v", err)
+	}
+	golden.Bytes(t, "snapshot.hex", restored.Snapshot())
+	checkGoldenState(t, restored.State())
+	if !restored.Taken(goldenOrder.Digest()) {
+		t.Error("the accepted order is not remembered")
+	}
+	if !restored.refused.has(goldenLateOrder.Digest()) {
+		t.Error("the refused order is not remembered")
+	}
+}
+
+func checkGoldenState(t *testing.T, state *State) {
+	t.Helper()
+	if got := state.Version(); got != 81 {
+		t.Errorf("got configuration version %d, want 81", got)
+	}
+	golden.Text(t, "snapshot_document.json", string(state.EncodedDocument()))
+	wantRetirements := []Retirement{
+		{Store: Store{Name: "store-1", Replica: 0x6162636465666768}, Duration: 1234 * time.Millisecond, Completed: true},
+		{Store: goldenStores[0], Duration: 5678 * time.Millisecond},
+	}
+	if !reflect.DeepEqual(state.Retirements, wantRetirements) {
+		t.Errorf("got retirements %+v, want %+v", state.Retirements, wantRetirements)
+	}
+	if state.RetirementRevision != 3 || state.PlacementVersion != 1 || string(state.Placement) != "placement table" {
+		t.Errorf("got revision %d, placement %d %q", state.RetirementRevision, state.PlacementVersion, state.Placement)
+	}
+	wantHolders := HolderSet{Epoch: 51, Revision: 1, Members: []Holder{goldenAdded, goldenRemoved}}
+	if !reflect.DeepEqual(state.Holders, wantHolders) {
+		t.Errorf("got %+v, want %+v", state.Holders, wantHolders)
+	}
+}
+
+// The digests of orders are kept in snapshots, and compared with those of orders that come later.
+func TestGoldenDigest(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		order Configure
+		want  Digest
+	}{
+		{"put", Configure{Match: 11, Body: []byte("body")}, Digest{High: 0xd128c1c1651378b0, Low: 0x3ea1422c6d642344}},
+		{"patch", Configure{Patch: true, Match: 11, Body: []byte("body")}, Digest{High: 0xd3ff21eaaa0befd9, Low: 0x42adb32a2a2c459b}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := c.order.Digest(); got != c.want {
+				t.Errorf("got %#x, want %#x", got, c.want)
+			}
+		})
+	}
+}
+
+func TestGoldenNumbersAndNames(t *testing.T) {
+	if reportKind != 0x600 {
+		t.Errorf("got message kind %d of reports, want 0x600", reportKind)
+	}
+	if controlChain != 0 {
+		t.Errorf("got control chain %d, want 0", controlChain)
+	}
+	if chainDirectory != "control" {
+		t.Errorf("got directory %q of the control chain, want %q", chainDirectory, "control")
+	}
+}
--- /dev/null
+++ b/internal/view/golden_test.go
@@ -0,0 +1,133 @@
+package view
+
+import (
+	"math/rand/v2"
+	"net/netip"
+	"testing"
+
+	"nickelline/internal/golden"
+	"nickelline/internal/segment"
+	"nickelline/internal/simnet"
+)
+
+// The values of the golden messages set every field to a value of its own, so that a field that moves is noticed.
+var (
+	goldenMember = Member{
+		Replica: 0x1112131415161718,
+		Name:    "control-1",
+		Zone:    "zone-a",
+		Address: netip.MustParseAddrPort("10.1.2.3:7660"),
+		Joined:  21,
+	}
+	goldenVoter = Member{
+		Replica: 0x2122232425262728,
+		Name:    "control-2",
+		Zone:    "zone-b",
+		Address: netip.MustParseAddrPort("10.4.5.6:7661"),
+		Joined:  22,
+	}
+	goldenView = View{
+		Chain:   31,
+		Epoch:   32,
+		Members: []Member{goldenMember},
+		Voters:  []Member{goldenMember, goldenVoter},
+	}
+	goldenProposal   = Ballot{Round: 41, Replica: 0x4142434445464748}
+	goldenPromised   = Ballot{Round: 51, Replica: 0x5152535455565758}
+	goldenAcceptance = Acceptance{
+		Ballot: Ballot{Round: 61, Replica: 0x6162636465666768},
+		View:   goldenView,
+	}
+	goldenSeeds = []netip.AddrPort{
+		netip.MustParseAddrPort("10.7.8.9:7662"),
+		netip.MustParseAddrPort("10.10.11.12:7663"),
+	}
+)
+
+func TestGoldenView(t *testing.T) {
+	golden.RoundTrip(t, "view.hex", goldenView, Encode, Decode)
+}
+
+func TestGoldenViewWithoutVoters(t *testing.T) {
+	value := goldenView.Clone()
+	value.Voters = nil
+	golden.RoundTrip(t, "view_without_voters.hex", value, Encode, Decode)
+}
+
+func TestGoldenMember(t *testing.T) {
+	golden.RoundTrip(t, "member.hex", goldenMember, EncodeMember, DecodeMember)
+}
+
+func TestGoldenPrepare(t *testing.T) {
+	value := Prepare{Epoch: 71, Ballot: goldenProposal}
+	golden.RoundTrip(t, "prepare.hex", value, EncodePrepare, DecodePrepare)
+}
+
+func TestGoldenPromise(t *testing.T) {
+	// Each flag is set in one message only: two that are exchanged are noticed.
+	for _, c := range []struct {
+		name  string
+		value Promise
+	}{
+		{"promise_granted", Promise{Granted: true, Accepted: &goldenAcceptance}},
+		{"promise_votes", Promise{Votes: true}},
+		{"promise_complete", Promise{Complete: true}},
+		{"promise_leaving", Promise{Leaving: true}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			c.value.Epoch = 72
+			c.value.Ballot = goldenProposal
+			c.value.Promised = goldenPromised
+			c.value.Sender = goldenMember
+			golden.RoundTrip(t, c.name+".hex", c.value, EncodePromise, DecodePromise)
+		})
+	}
+}
+
+func TestGoldenAccept(t *testing.T) {
+	value := Accept{Epoch: 73, Ballot: goldenProposal, View: goldenView}
+	golden.RoundTrip(t, "accept.hex", value, EncodeAccept, DecodeAccept)
+}
+
+func TestGoldenAccepted(t *testing.T) {
+	value := Accepted{Epoch: 74, Ballot: goldenProposal, Granted: true, Promised: goldenPromised}
+	golden.RoundTrip(t, "accepted.hex", value, EncodeAccepted, DecodeAccepted)
+}
+
+// goldenAcceptorRecord is what the acceptor's file holds.
+type goldenAcceptorRecord struct {
+	State AcceptorState
+	Seeds []netip.AddrPort
+}
+
+func TestGoldenAcceptorState(t *testing.T) {
+	encode := func(r goldenAcceptorRecord) ([]byte, error) { return EncodeAcceptorState(r.State, r.Seeds) }
+	decode := func(data []byte) (goldenAcceptorRecord, error) {
+		state, seeds, err := DecodeAcceptorState(data)
+		return goldenAcceptorRecord{State: state, Seeds: seeds}, err
+	}
+	value := goldenAcceptorRecord{
+		State: AcceptorState{Epoch: 75, Promised: goldenPromised, Accepted: &goldenAcceptance},
+		Seeds: goldenSeeds,
+	}
+	golden.RoundTrip(t, "acceptor_state.hex", value, encode, decode)
+}
+
+// The file of a replica's identity is found by its name, and read as its committed bytes stand.
+func TestGoldenIdentity(t *testing.T) {
+	disk := simnet.NewDisk(rand.New(rand.NewPCG(1, 1)))
+	fileSystem := disk.Mount()
+	const replica = ReplicaID(0x8182838485868788)
+	content := []byte{0x88, 0x87, 0x86, 0x85, 0x84, 0x83, 0x82, 0x81}
+	committed := golden.Bytes(t, "identity.hex", content)
+	if err := fileSystem.MakeDirectory("/data"); err != nil {
+		t.Fatal(err)
+	}
+	if err := segment.SaveRecord(fileSystem, "/data/replica", committed); err != nil {
+		t.Fatal(err)
+	}
+	got, created, err := LoadIdentity(fileSystem, "/data")
+	if err != nil || created || got != replica {
+		t.Errorf("got %x, created %v, %v; want %x", got, created, err, replica)
+	}
+}
