--- a/internal/chain/attempt.go
+++ b/internal/chain/attempt.go
@@ -28,10 +28,10 @@
 	}
 	for _, candidate := range candidates {
 		if candidate.Reachable {
-			options.Hoped = append(options.Hoped, candidate.Address)
+			options.Awaited = append(options.Awaited, candidate.Address)
 		}
 		if !slices.Contains(options.Acceptors, candidate.Address) {
-			options.Witnesses = append(options.Witnesses, candidate.Address)
+			options.NonVoters = append(options.NonVoters, candidate.Address)
 		}
 	}
 	options.Choose = func(answers []view.Promise) (view.View, bool) {
@@ -44,8 +44,8 @@
 func (r *Reconfigurer) firstProposal(v view.View) view.ProposerOptions {
 	options := r.proposerOptions(v)
 	options.Acceptors = r.voter.seeds
-	options.Hoped = r.voter.seeds
-	options.PromiseWait = firstViewWait
+	options.Awaited = r.voter.seeds
+	options.PromiseTimeout = firstViewWait
 	options.Choose = func(promises []view.Promise) (view.View, bool) {
 		return view.First(options.Chain, promises, r.options.Policy)
 	}
@@ -58,7 +58,7 @@
 	return view.ProposerOptions{
 		Chain:  r.node.options.Chain,
 		Epoch:  epoch,
-		Ballot: view.Ballot{Round: round, Replica: r.self().Replica},
+		Number: view.ProposalNumber{Round: round, Replica: r.self().Replica},
 	}
 }
 
@@ -68,9 +68,9 @@
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	proposer := view.NewProposer(options)
-	events := make(chan agreementEvent, 2*len(proposer.Asked()))
+	events := make(chan agreementEvent, 2*len(proposer.Recipients()))
 	prepare := proposer.Prepare()
-	r.askAll(ctx, proposer.Asked(), agreementRequest{prepare: &prepare}, events)
+	r.askAll(ctx, proposer.Recipients(), agreementRequest{prepare: &prepare}, events)
 	timer := time.NewTimer(attemptTimeout)
 	defer timer.Stop()
 	failed := make(map[netip.AddrPort]bool)
@@ -107,7 +107,7 @@
 }
 
 // askAll puts a question to all acceptors and witnesses, to the own replica first: what it answers is on the disk before others are asked,
-// so that no ballot of this replica is used twice.
+// so that no proposal number of this replica is used twice.
 func (r *Reconfigurer) askAll(ctx context.Context, asked []netip.AddrPort, q agreementRequest, events chan<- agreementEvent) {
 	q.sender = r.self()
 	if slices.Contains(asked, r.self().Address) {
@@ -133,9 +133,9 @@
 	case event.err != nil:
 		r.node.options.Log.Debug("agreement", zap.Stringer("from", event.from), zap.Error(event.err))
 	case event.response.promise != nil:
-		proposer.Promise(r.now(), event.from, *event.response.promise)
+		proposer.HandlePromise(r.now(), event.from, *event.response.promise)
 	case event.response.accepted != nil:
-		proposer.Accepted(event.from, *event.response.accepted)
+		proposer.HandleAccepted(event.from, *event.response.accepted)
 	}
 }
 
--- a/internal/chain/codec_test.go
+++ b/internal/chain/codec_test.go
@@ -81,8 +81,8 @@
 
 func TestAgreementCodec(t *testing.T) {
 	sender := testView().Members[0]
-	prepare := view.Prepare{Epoch: 4, Ballot: view.Ballot{Round: 1, Replica: 2}}
-	accept := view.Accept{Epoch: 4, Ballot: view.Ballot{Round: 1, Replica: 2}, View: testView()}
+	prepare := view.Prepare{Epoch: 4, Number: view.ProposalNumber{Round: 1, Replica: 2}}
+	accept := view.Accept{Epoch: 4, Number: view.ProposalNumber{Round: 1, Replica: 2}, View: testView()}
 	for _, want := range []agreementRequest{
 		{chain: 4, sender: sender, prepare: &prepare},
 		{chain: 4, sender: sender, accept: &accept},
--- a/internal/chain/golden_test.go
+++ b/internal/chain/golden_test.go
@@ -95,13 +95,13 @@
 }
 
 func TestGoldenAgreementRequests(t *testing.T) {
-	ballot := view.Ballot{Round: 0xb1, Replica: 0xb2}
+	number := view.ProposalNumber{Round: 0xb1, Replica: 0xb2}
 	tests := []struct {
 		name    string
 		request agreementRequest
 	}{
-		{"prepare", agreementRequest{prepare: &view.Prepare{Epoch: 0xb3, Ballot: ballot}}},
-		{"accept", agreementRequest{accept: &view.Accept{Epoch: 0xb4, Ballot: ballot, View: goldenView()}}},
+		{"prepare", agreementRequest{prepare: &view.Prepare{Epoch: 0xb3, Number: number}}},
+		{"accept", agreementRequest{accept: &view.Accept{Epoch: 0xb4, Number: number, View: goldenView()}}},
 		{"join", agreementRequest{join: true}},
 		{"confirm", agreementRequest{confirm: 0xb5}},
 		{"view", agreementRequest{}},
@@ -128,24 +128,24 @@
 }
 
 func TestGoldenAgreementResponses(t *testing.T) {
-	ballot := view.Ballot{Round: 0xc1, Replica: 0xc2}
-	promised := view.Ballot{Round: 0xc3, Replica: 0xc4}
+	number := view.ProposalNumber{Round: 0xc1, Replica: 0xc2}
+	promised := view.ProposalNumber{Round: 0xc3, Replica: 0xc4}
 	tests := []struct {
 		name     string
 		response agreementResponse
 	}{
 		{"promise", agreementResponse{promise: &view.Promise{
 			Epoch:    0xc5,
-			Ballot:   ballot,
+			Number:   number,
 			Sender:   goldenMember(5),
 			Votes:    true,
 			Granted:  true,
 			Promised: promised,
-			Accepted: &view.Acceptance{Ballot: view.Ballot{Round: 0xc6, Replica: 0xc7}, View: goldenView()},
+			Accepted: &view.Proposal{Number: view.ProposalNumber{Round: 0xc6, Replica: 0xc7}, View: goldenView()},
 			Complete: true,
 			Leaving:  true,
 		}}},
-		{"accepted", agreementResponse{accepted: &view.Accepted{Epoch: 0xc8, Ballot: ballot, Granted: true, Promised: promised}}},
+		{"accepted", agreementResponse{accepted: &view.Accepted{Epoch: 0xc8, Number: number, Granted: true, Promised: promised}}},
 		{"confirmed", agreementResponse{confirmed: true}},
 		{"nothing", agreementResponse{}},
 	}
@@ -272,8 +272,8 @@
 	n := goldenNode(t)
 	want := view.AcceptorState{
 		Epoch:    0xf1,
-		Promised: view.Ballot{Round: 0xf2, Replica: 0xf3},
-		Accepted: &view.Acceptance{Ballot: view.Ballot{Round: 0xf4, Replica: 0xf5}, View: goldenView()},
+		Promised: view.ProposalNumber{Round: 0xf2, Replica: 0xf3},
+		Accepted: &view.Proposal{Number: view.ProposalNumber{Round: 0xf4, Replica: 0xf5}, View: goldenView()},
 	}
 	seeds := []netip.AddrPort{goldenMember(6).Address, goldenMember(7).Address}
 	written := &voter{node: n, seeds: seeds, machine: view.NewAcceptor(want)}
--- a/internal/chain/prover_test.go
+++ b/internal/chain/prover_test.go
@@ -59,16 +59,16 @@
 	ordered := c.byRank()
 	head := ordered[0]
 	old := head.node.View()
-	ballot := view.Ballot{Round: 100, Replica: ordered[1].self.Replica}
+	number := view.ProposalNumber{Round: 100, Replica: ordered[1].self.Replica}
 	next := view.View{Chain: old.Chain, Epoch: old.Epoch + 1, Members: old.Members[1:]}
 	for i, m := range ordered[1:] {
-		if _, err := m.reconfigurer.voter.prepare(view.Prepare{Epoch: next.Epoch, Ballot: ballot}); err != nil {
+		if _, err := m.reconfigurer.voter.prepare(view.Prepare{Epoch: next.Epoch, Number: number}); err != nil {
 			t.Fatal(err)
 		}
 		if !m.reconfigurer.voter.confirms(old.Epoch) {
 			t.Errorf("member %d does not confirm the view after a promise alone", i)
 		}
-		accepted, err := m.reconfigurer.voter.accept(view.Accept{Epoch: next.Epoch, Ballot: ballot, View: next})
+		accepted, err := m.reconfigurer.voter.accept(view.Accept{Epoch: next.Epoch, Number: number, View: next})
 		if err != nil || !accepted.Granted {
 			t.Fatalf("%+v, %v", accepted, err)
 		}
--- a/internal/chain/simulation_views_test.go
+++ b/internal/chain/simulation_views_test.go
@@ -129,7 +129,7 @@
 	}
 	options := view.ProposerOptions{
 		Epoch:  v.Epoch + 1,
-		Ballot: view.Ballot{Round: round, Replica: s.self.Replica},
+		Number: view.ProposalNumber{Round: round, Replica: s.self.Replica},
 		Choose: s.chooser(v, candidates),
 	}
 	for _, voter := range v.Electorate() {
@@ -137,14 +137,14 @@
 	}
 	if v.Epoch == 0 {
 		options.Acceptors = s.seeds
-		options.Hoped = s.seeds
+		options.Awaited = s.seeds
 	}
 	for _, candidate := range candidates {
 		if candidate.Reachable {
-			options.Hoped = append(options.Hoped, candidate.Address)
+			options.Awaited = append(options.Awaited, candidate.Address)
 		}
 		if !slices.Contains(options.Acceptors, candidate.Address) {
-			options.Witnesses = append(options.Witnesses, candidate.Address)
+			options.NonVoters = append(options.NonVoters, candidate.Address)
 		}
 	}
 	proposer := view.NewProposer(options)
@@ -155,9 +155,9 @@
 		}
 	})
 	prepare := proposer.Prepare()
-	s.ask(proposer, proposer.Asked(), func(other *site) func() {
+	s.ask(proposer, proposer.Recipients(), func(other *site) func() {
 		promise := other.prepare(prepare)
-		return func() { proposer.Promise(s.simulation.network.Now(), other.address, promise) }
+		return func() { proposer.HandlePromise(s.simulation.network.Now(), other.address, promise) }
 	})
 }
 
@@ -208,7 +208,7 @@
 	if accept, ok := proposer.TakeAccept(); ok {
 		s.ask(proposer, proposer.Acceptors(), func(other *site) func() {
 			accepted := other.accept(accept)
-			return func() { proposer.Accepted(other.address, accepted) }
+			return func() { proposer.HandleAccepted(other.address, accepted) }
 		})
 	}
 	if _, over := proposer.Abandoned(); over {
@@ -255,7 +255,7 @@
 }
 
 func (s *site) prepare(m view.Prepare) view.Promise {
-	answer := view.Promise{Epoch: m.Epoch, Ballot: m.Ballot}
+	answer := view.Promise{Epoch: m.Epoch, Number: m.Number}
 	if s.votes(m.Epoch) {
 		answer = s.acceptor.Prepare(m)
 		s.saveAcceptor()
--- a/internal/chain/voter.go
+++ b/internal/chain/voter.go
@@ -75,7 +75,7 @@
 func (vt *voter) prepare(m view.Prepare) (view.Promise, error) {
 	vt.mutex.Lock()
 	defer vt.mutex.Unlock()
-	answer := view.Promise{Epoch: m.Epoch, Ballot: m.Ballot}
+	answer := view.Promise{Epoch: m.Epoch, Number: m.Number}
 	if v := vt.node.View(); m.Epoch == v.Epoch+1 && vt.votes(v) {
 		before := vt.machine.State()
 		answer = vt.machine.Prepare(m)
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -44,7 +44,7 @@
 		Head:        head,
 		Replicas:    memberNames(v.Members),
 		Voters:      memberNames(v.Electorate()),
-		LossesBorne: v.LossesBorne(c.runs),
+		LossesBorne: v.ToleratedLosses(c.runs),
 		Committed:   status.Committed,
 		Appended:    status.LastAppended,
 	}
--- a/internal/view/codec.go
+++ b/internal/view/codec.go
@@ -9,14 +9,14 @@
 	"nickelline/internal/view/viewwire"
 )
 
-// Encode gives a view as a Cap'n Proto message.
+// Encode returns a view as a Cap'n Proto message.
 func Encode(v View) ([]byte, error) {
 	return capnpcodec.Marshal(0, viewwire.NewRootView, func(root viewwire.View) error {
 		return writeView(root, v)
 	})
 }
 
-// Decode reads what Encode gave.
+// Decode reads a view that Encode wrote.
 func Decode(data []byte) (View, error) {
 	root, err := capnpcodec.Unmarshal(data, viewwire.ReadRootView)
 	if err != nil {
@@ -25,16 +25,16 @@
 	return readView(root)
 }
 
-func writeView(w viewwire.View, v View) error {
-	w.SetChain(v.Chain)
-	w.SetEpoch(v.Epoch)
-	if err := writeMembers(w.NewMembers, v.Members); err != nil {
+func writeView(target viewwire.View, v View) error {
+	target.SetChain(v.Chain)
+	target.SetEpoch(v.Epoch)
+	if err := writeMembers(target.NewMembers, v.Members); err != nil {
 		return err
 	}
 	if len(v.Voters) == 0 {
 		return nil
 	}
-	return writeMembers(w.NewVoters, v.Voters)
+	return writeMembers(target.NewVoters, v.Voters)
 }
 
 func writeMembers(allocate func(int32) (viewwire.Member_List, error), members []Member) error {
@@ -50,13 +50,13 @@
 	return nil
 }
 
-func readView(r viewwire.View) (View, error) {
-	v := View{Chain: r.Chain(), Epoch: r.Epoch()}
+func readView(source viewwire.View) (View, error) {
+	v := View{Chain: source.Chain(), Epoch: source.Epoch()}
 	var err error
-	if v.Members, err = readMembers(r.Members()); err != nil {
+	if v.Members, err = readMembers(source.Members()); err != nil {
 		return View{}, err
 	}
-	if v.Voters, err = readMembers(r.Voters()); err != nil {
+	if v.Voters, err = readMembers(source.Voters()); err != nil {
 		return View{}, err
 	}
 	return v, nil
@@ -80,28 +80,28 @@
 	return members, nil
 }
 
-func writeMember(w viewwire.Member, m Member) error {
-	w.SetReplica(uint64(m.Replica))
-	w.SetJoined(m.Joined)
-	if err := w.SetName(m.Name); err != nil {
+func writeMember(target viewwire.Member, m Member) error {
+	target.SetReplica(uint64(m.Replica))
+	target.SetJoined(m.Joined)
+	if err := target.SetName(m.Name); err != nil {
 		return err
 	}
-	if err := w.SetZone(m.Zone); err != nil {
+	if err := target.SetZone(m.Zone); err != nil {
 		return err
 	}
-	return w.SetAddress(m.Address.String())
+	return target.SetAddress(m.Address.String())
 }
 
-func readMember(r viewwire.Member) (Member, error) {
-	m := Member{Replica: ReplicaID(r.Replica()), Joined: r.Joined()}
+func readMember(source viewwire.Member) (Member, error) {
+	m := Member{Replica: ReplicaID(source.Replica()), Joined: source.Joined()}
 	var err error
-	if m.Name, err = r.Name(); err != nil {
+	if m.Name, err = source.Name(); err != nil {
 		return Member{}, err
 	}
-	if m.Zone, err = r.Zone(); err != nil {
+	if m.Zone, err = source.Zone(); err != nil {
 		return Member{}, err
 	}
-	address, err := r.Address()
+	address, err := source.Address()
 	if err != nil {
 		return Member{}, err
 	}
@@ -111,14 +111,14 @@
 	return m, nil
 }
 
-// EncodeMember gives a member as a Cap'n Proto message.
+// EncodeMember returns a member as a Cap'n Proto message.
 func EncodeMember(m Member) ([]byte, error) {
 	return capnpcodec.Marshal(0, viewwire.NewRootMember, func(root viewwire.Member) error {
 		return writeMember(root, m)
 	})
 }
 
-// DecodeMember reads what EncodeMember gave.
+// DecodeMember reads a member that EncodeMember wrote.
 func DecodeMember(data []byte) (Member, error) {
 	root, err := capnpcodec.Unmarshal(data, viewwire.ReadRootMember)
 	if err != nil {
--- /dev/null
+++ b/internal/view/doc.go
@@ -0,0 +1,39 @@
+// Package view holds the membership views of a replication chain: what a view is, the policy that derives the next one,
+// and the consensus on it.
+//
+// # Views
+//
+// A View is the ordered membership of a chain during one epoch. It names two groups. Its members replicate: a member that
+// cannot be reached is dropped at once, so that the chain continues without it. Its voters agree on the next view: a replica
+// that was dropped keeps its vote until another one that has caught up replaces it, so that the consensus tolerates the loss
+// of a disk at any time.
+//
+// # Consensus
+//
+// The view of each epoch is decided by single-decree Paxos (Lamport, Paxos Made Simple). The acceptors are the voters of the
+// view of the preceding epoch; those of epoch 1 are the seeds of the first start. Acceptor and Proposer are state machines
+// without input or output: the caller sends their messages and passes the time in. Learners of the decision and the disk are
+// the caller's concern (package chain).
+//
+// # Guarantees
+//
+//   - At most one view is decided for an epoch, provided that callers save Acceptor.State durably before they send the answer
+//     to a Prepare or Accept, and that an acceptor answers for an epoch only once it has the view of the epoch before.
+//   - The head of a decided view is complete: it has everything that was committed in earlier epochs (Next, Confirm).
+//   - At most one replica without a vote gets one from a view to the next (Next).
+//   - A view names each address once.
+//   - A ReplicaID identifies a disk, not a machine. A replica that lost its disk returns under another ReplicaID
+//     (LoadIdentity), so that it never votes as if it remembered.
+//
+// # Files in reading order
+//
+//   - view.go: View, Member and the order of the chain.
+//   - identity.go: the identity of a replica on its disk.
+//   - policy.go: Policy, Candidate, and the view that should follow (Next, First).
+//   - remaining.go: which members the next view keeps.
+//   - learners.go: which replicas the next view appends.
+//   - electorate.go: which replicas vote on the view after it.
+//   - messages.go: the messages of Paxos and the order of proposal numbers.
+//   - acceptor.go, proposer.go: the two roles of Paxos.
+//   - codec.go, message_codec.go: the forms of views and messages on the wire and on disk.
+package view
--- a/internal/view/electorate.go
+++ b/internal/view/electorate.go
@@ -2,25 +2,27 @@
 
 import "slices"
 
-// LossesBorne gives how many of the replicas that run may be lost now, with their disks, so that those that are left are a
-// majority of the voters with a member that has all that was committed.
-func (v View) LossesBorne(runs func(ReplicaID) bool) int {
-	return max(0, min(countRunning(v.Electorate(), runs)-v.Majority(), countRunning(v.Members, runs)-1))
+// ToleratedLosses returns how many of the running replicas may fail now and lose their disks, so that the remaining ones are
+// a majority of the voters and include a member with everything that was committed.
+func (v View) ToleratedLosses(isRunning func(ReplicaID) bool) int {
+	voters := countRunning(v.Electorate(), isRunning) - v.Majority()
+	members := countRunning(v.Members, isRunning) - 1
+	return max(0, min(voters, members))
 }
 
-func countRunning(members []Member, runs func(ReplicaID) bool) int {
+func countRunning(members []Member, isRunning func(ReplicaID) bool) int {
 	count := 0
 	for _, member := range members {
-		if runs(member.Replica) {
+		if isRunning(member.Replica) {
 			count++
 		}
 	}
 	return count
 }
 
-// electorate gives the voters of a view with certain members: the members, and beside them those that voted before, up to a
-// number. So no replica loses its vote because it cannot be reached: only a member that takes its place in the chain, or its
-// address, replaces it as a voter. Those that are likely to answer are kept before others.
+// electorate returns the voters of a view with the given members: the members, and up to a size those that voted before.
+// So no replica loses its vote because it is unreachable: only a member that replaces it in the chain, or at its address,
+// replaces it as a voter. Former voters that are likely to answer are preferred.
 func electorate(members []Member, current View, candidates []Candidate, size int) []Member {
 	voters := slices.Clone(members)
 	for _, former := range formerVoters(members, current, candidates) {
@@ -32,8 +34,8 @@
 	return voters
 }
 
-// formerVoters gives the voters of a view that are not among the members of the next one, the most reliable ones first. One
-// whose address belongs to a member now has lost its disk.
+// formerVoters returns the voters of a view that are not among the members of the next one, the most reliable ones first.
+// One whose address belongs to a member now has lost its disk.
 func formerVoters(members []Member, current View, candidates []Candidate) []Member {
 	former := slices.DeleteFunc(slices.Clone(current.Electorate()), func(voter Member) bool {
 		return slices.ContainsFunc(members, func(m Member) bool { return m.Replica == voter.Replica || m.Address == voter.Address })
@@ -42,19 +44,26 @@
 	return former
 }
 
+// Ranks of voters by how likely they are to answer.
+const (
+	unreliable = iota
+	unreachable
+	reachable
+)
+
 // reliability ranks a voter by what is known of it.
 func reliability(voter Member, candidates []Candidate) int {
-	candidate, known := find(candidates, voter.Replica)
+	candidate, known := findCandidate(candidates, voter.Replica)
 	switch {
 	case !known || candidate.Leaving || candidate.DiskLost:
-		return 0
+		return unreliable
 	case !candidate.Reachable:
-		return 1
+		return unreachable
 	}
-	return 2
+	return reachable
 }
 
-// addsVoter tells whether members beside those of a view include one without a vote in it.
+// addsVoter reports whether any of the members has no vote in the current view.
 func addsVoter(members []Member, current View) bool {
 	return slices.ContainsFunc(members, func(m Member) bool { return !current.HasVoter(m.Replica) })
 }
--- a/internal/view/golden_test.go
+++ b/internal/view/golden_test.go
@@ -32,10 +32,10 @@
 		Members: []Member{goldenMember},
 		Voters:  []Member{goldenMember, goldenVoter},
 	}
-	goldenProposal   = Ballot{Round: 41, Replica: 0x4142434445464748}
-	goldenPromised   = Ballot{Round: 51, Replica: 0x5152535455565758}
-	goldenAcceptance = Acceptance{
-		Ballot: Ballot{Round: 61, Replica: 0x6162636465666768},
+	goldenProposal   = ProposalNumber{Round: 41, Replica: 0x4142434445464748}
+	goldenPromised   = ProposalNumber{Round: 51, Replica: 0x5152535455565758}
+	goldenAcceptance = Proposal{
+		Number: ProposalNumber{Round: 61, Replica: 0x6162636465666768},
 		View:   goldenView,
 	}
 	goldenSeeds = []netip.AddrPort{
@@ -59,7 +59,7 @@
 }
 
 func TestGoldenPrepare(t *testing.T) {
-	value := Prepare{Epoch: 71, Ballot: goldenProposal}
+	value := Prepare{Epoch: 71, Number: goldenProposal}
 	golden.RoundTrip(t, "prepare.hex", value, EncodePrepare, DecodePrepare)
 }
 
@@ -76,7 +76,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.value.Epoch = 72
-			c.value.Ballot = goldenProposal
+			c.value.Number = goldenProposal
 			c.value.Promised = goldenPromised
 			c.value.Sender = goldenMember
 			golden.RoundTrip(t, c.name+".hex", c.value, EncodePromise, DecodePromise)
@@ -85,12 +85,12 @@
 }
 
 func TestGoldenAccept(t *testing.T) {
-	value := Accept{Epoch: 73, Ballot: goldenProposal, View: goldenView}
+	value := Accept{Epoch: 73, Number: goldenProposal, View: goldenView}
 	golden.RoundTrip(t, "accept.hex", value, EncodeAccept, DecodeAccept)
 }
 
 func TestGoldenAccepted(t *testing.T) {
-	value := Accepted{Epoch: 74, Ballot: goldenProposal, Granted: true, Promised: goldenPromised}
+	value := Accepted{Epoch: 74, Number: goldenProposal, Granted: true, Promised: goldenPromised}
 	golden.RoundTrip(t, "accepted.hex", value, EncodeAccepted, DecodeAccepted)
 }
 
--- a/internal/view/identity_test.go
+++ b/internal/view/identity_test.go
@@ -13,17 +13,17 @@
 	disk := simnet.NewDisk(rand.New(rand.NewPCG(1, 1)))
 	first, created, err := LoadIdentity(disk.Mount(), "/data")
 	if err != nil || !created || first == 0 {
-		t.Fatalf("first identity: %v, created %v, %v", first, created, err)
+		t.Fatalf("first identity: got %v, created %v, %v", first, created, err)
 	}
 	disk.LosePower()
 	again, created, err := LoadIdentity(disk.Mount(), "/data")
 	if err != nil || created || again != first {
-		t.Fatalf("identity after a loss of power: %v, created %v, %v; want %v", again, created, err, first)
+		t.Fatalf("identity after a loss of power: got %v, created %v, %v; want %v", again, created, err, first)
 	}
 	disk.Wipe()
 	other, created, err := LoadIdentity(disk.Mount(), "/data")
 	if err != nil || !created || other == first {
-		t.Fatalf("identity after the loss of the disk: %v, created %v, %v", other, created, err)
+		t.Fatalf("identity after the loss of the disk: got %v, created %v, %v; want another one", other, created, err)
 	}
 }
 
@@ -32,8 +32,8 @@
 	if _, _, err := LoadIdentity(disk.Mount(), "/data"); err != nil {
 		t.Fatal(err)
 	}
-	disk.FlipBit("/data/" + identityName)
+	disk.FlipBit("/data/" + identityFile)
 	if _, _, err := LoadIdentity(disk.Mount(), "/data"); !errors.Is(err, segment.ErrDamaged) {
-		t.Fatalf("error is %v, want that the data is damaged", err)
+		t.Fatalf("got error %v, want %v", err, segment.ErrDamaged)
 	}
 }
--- a/internal/view/agreement_codec.go
+++ b/internal/view/message_codec.go
@@ -7,25 +7,25 @@
 	"nickelline/internal/view/viewwire"
 )
 
-// EncodePrepare gives a request as a Cap'n Proto message.
+// EncodePrepare returns a request as a Cap'n Proto message.
 func EncodePrepare(m Prepare) ([]byte, error) {
 	return capnpcodec.Marshal(0, viewwire.NewRootPrepare, func(root viewwire.Prepare) error {
 		root.SetEpoch(m.Epoch)
-		return writeBallot(root.NewBallot, m.Ballot)
+		return writeNumber(root.NewBallot, m.Number)
 	})
 }
 
-// DecodePrepare reads what EncodePrepare gave.
+// DecodePrepare reads a request that EncodePrepare wrote.
 func DecodePrepare(data []byte) (Prepare, error) {
 	root, err := capnpcodec.Unmarshal(data, viewwire.ReadRootPrepare)
 	if err != nil {
 		return Prepare{}, err
 	}
-	ballot, err := readBallot(root.Ballot())
-	return Prepare{Epoch: root.Epoch(), Ballot: ballot}, err
+	number, err := readNumber(root.Ballot())
+	return Prepare{Epoch: root.Epoch(), Number: number}, err
 }
 
-// EncodePromise gives an answer as a Cap'n Proto message.
+// EncodePromise returns an answer as a Cap'n Proto message.
 func EncodePromise(m Promise) ([]byte, error) {
 	return capnpcodec.Marshal(0, viewwire.NewRootPromise, func(root viewwire.Promise) error {
 		root.SetEpoch(m.Epoch)
@@ -33,10 +33,10 @@
 		root.SetVotes(m.Votes)
 		root.SetComplete(m.Complete)
 		root.SetLeaving(m.Leaving)
-		if err := writeBallot(root.NewBallot, m.Ballot); err != nil {
+		if err := writeNumber(root.NewBallot, m.Number); err != nil {
 			return err
 		}
-		if err := writeBallot(root.NewPromised, m.Promised); err != nil {
+		if err := writeNumber(root.NewPromised, m.Promised); err != nil {
 			return err
 		}
 		sender, err := root.NewSender()
@@ -46,17 +46,15 @@
 		if err := writeMember(sender, m.Sender); err != nil {
 			return err
 		}
-		if m.Accepted != nil {
-			root.SetAnyAccepted(true)
-			if err := writeAcceptance(root.NewAccepted, root.NewAcceptedView, *m.Accepted); err != nil {
-				return err
-			}
+		if m.Accepted == nil {
+			return nil
 		}
-		return nil
+		root.SetAnyAccepted(true)
+		return writeProposal(root.NewAccepted, root.NewAcceptedView, *m.Accepted)
 	})
 }
 
-// DecodePromise reads what EncodePromise gave.
+// DecodePromise reads an answer that EncodePromise wrote.
 func DecodePromise(data []byte) (Promise, error) {
 	root, err := capnpcodec.Unmarshal(data, viewwire.ReadRootPromise)
 	if err != nil {
@@ -69,10 +67,10 @@
 		Complete: root.Complete(),
 		Leaving:  root.Leaving(),
 	}
-	if m.Ballot, err = readBallot(root.Ballot()); err != nil {
+	if m.Number, err = readNumber(root.Ballot()); err != nil {
 		return Promise{}, err
 	}
-	if m.Promised, err = readBallot(root.Promised()); err != nil {
+	if m.Promised, err = readNumber(root.Promised()); err != nil {
 		return Promise{}, err
 	}
 	sender, err := root.Sender()
@@ -83,105 +81,109 @@
 		return Promise{}, err
 	}
 	if root.AnyAccepted() {
-		m.Accepted, err = readAcceptance(root.Accepted, root.AcceptedView)
+		m.Accepted, err = readProposal(root.Accepted, root.AcceptedView)
 	}
 	return m, err
 }
 
-// EncodeAccept gives a request as a Cap'n Proto message.
+// EncodeAccept returns a request as a Cap'n Proto message.
 func EncodeAccept(m Accept) ([]byte, error) {
 	return capnpcodec.Marshal(0, viewwire.NewRootAccept, func(root viewwire.Accept) error {
 		root.SetEpoch(m.Epoch)
-		return writeAcceptance(root.NewBallot, root.NewView, Acceptance{Ballot: m.Ballot, View: m.View})
+		return writeProposal(root.NewBallot, root.NewView, Proposal{Number: m.Number, View: m.View})
 	})
 }
 
-// DecodeAccept reads what EncodeAccept gave.
+// DecodeAccept reads a request that EncodeAccept wrote.
 func DecodeAccept(data []byte) (Accept, error) {
 	root, err := capnpcodec.Unmarshal(data, viewwire.ReadRootAccept)
 	if err != nil {
 		return Accept{}, err
 	}
-	acceptance, err := readAcceptance(root.Ballot, root.View)
+	proposal, err := readProposal(root.Ballot, root.View)
 	if err != nil {
 		return Accept{}, err
 	}
-	return Accept{Epoch: root.Epoch(), Ballot: acceptance.Ballot, View: acceptance.View}, nil
+	return Accept{Epoch: root.Epoch(), Number: proposal.Number, View: proposal.View}, nil
 }
 
-// EncodeAccepted gives an answer as a Cap'n Proto message.
+// EncodeAccepted returns an answer as a Cap'n Proto message.
 func EncodeAccepted(m Accepted) ([]byte, error) {
 	return capnpcodec.Marshal(0, viewwire.NewRootAccepted, func(root viewwire.Accepted) error {
 		root.SetEpoch(m.Epoch)
 		root.SetGranted(m.Granted)
-		if err := writeBallot(root.NewBallot, m.Ballot); err != nil {
+		if err := writeNumber(root.NewBallot, m.Number); err != nil {
 			return err
 		}
-		return writeBallot(root.NewPromised, m.Promised)
+		return writeNumber(root.NewPromised, m.Promised)
 	})
 }
 
-// DecodeAccepted reads what EncodeAccepted gave.
+// DecodeAccepted reads an answer that EncodeAccepted wrote.
 func DecodeAccepted(data []byte) (Accepted, error) {
 	root, err := capnpcodec.Unmarshal(data, viewwire.ReadRootAccepted)
 	if err != nil {
 		return Accepted{}, err
 	}
 	m := Accepted{Epoch: root.Epoch(), Granted: root.Granted()}
-	if m.Ballot, err = readBallot(root.Ballot()); err != nil {
+	if m.Number, err = readNumber(root.Ballot()); err != nil {
 		return Accepted{}, err
 	}
-	m.Promised, err = readBallot(root.Promised())
+	m.Promised, err = readNumber(root.Promised())
 	return m, err
 }
 
-// EncodeAcceptorState gives the state of an acceptor, and the seeds of the first start if this replica was there, as a
-// Cap'n Proto message.
+// EncodeAcceptorState returns the record that an acceptor keeps on disk, as a Cap'n Proto message: its state, and the seeds
+// of the first start if this replica took part in it.
 func EncodeAcceptorState(state AcceptorState, seeds []netip.AddrPort) ([]byte, error) {
 	return capnpcodec.Marshal(0, viewwire.NewRootAcceptorRecord, func(root viewwire.AcceptorRecord) error {
 		root.SetEpoch(state.Epoch)
-		if err := writeBallot(root.NewPromised, state.Promised); err != nil {
+		if err := writeNumber(root.NewPromised, state.Promised); err != nil {
 			return err
 		}
 		if state.Accepted != nil {
 			root.SetAnyAccepted(true)
-			if err := writeAcceptance(root.NewAccepted, root.NewAcceptedView, *state.Accepted); err != nil {
-				return err
-			}
-		}
-		list, err := root.NewSeeds(int32(len(seeds)))
-		if err != nil {
-			return err
-		}
-		for i, seed := range seeds {
-			if err := list.Set(i, seed.String()); err != nil {
+			if err := writeProposal(root.NewAccepted, root.NewAcceptedView, *state.Accepted); err != nil {
 				return err
 			}
 		}
-		return nil
+		return writeSeeds(root, seeds)
 	})
 }
 
-// DecodeAcceptorState reads what EncodeAcceptorState gave.
+// DecodeAcceptorState reads a record that EncodeAcceptorState wrote.
 func DecodeAcceptorState(data []byte) (AcceptorState, []netip.AddrPort, error) {
 	root, err := capnpcodec.Unmarshal(data, viewwire.ReadRootAcceptorRecord)
 	if err != nil {
 		return AcceptorState{}, nil, err
 	}
 	state := AcceptorState{Epoch: root.Epoch()}
-	if state.Promised, err = readBallot(root.Promised()); err != nil {
+	if state.Promised, err = readNumber(root.Promised()); err != nil {
 		return AcceptorState{}, nil, err
 	}
 	if root.AnyAccepted() {
-		if state.Accepted, err = readAcceptance(root.Accepted, root.AcceptedView); err != nil {
+		if state.Accepted, err = readProposal(root.Accepted, root.AcceptedView); err != nil {
 			return AcceptorState{}, nil, err
 		}
 	}
-	seeds, err := readAddresses(root)
+	seeds, err := readSeeds(root)
 	return state, seeds, err
 }
 
-func readAddresses(root viewwire.AcceptorRecord) ([]netip.AddrPort, error) {
+func writeSeeds(root viewwire.AcceptorRecord, seeds []netip.AddrPort) error {
+	list, err := root.NewSeeds(int32(len(seeds)))
+	if err != nil {
+		return err
+	}
+	for i, seed := range seeds {
+		if err := list.Set(i, seed.String()); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func readSeeds(root viewwire.AcceptorRecord) ([]netip.AddrPort, error) {
 	list, err := root.Seeds()
 	if err != nil {
 		return nil, err
@@ -204,46 +206,46 @@
 	return seeds, nil
 }
 
-func writeBallot(allocate func() (viewwire.Ballot, error), b Ballot) error {
-	w, err := allocate()
+func writeNumber(allocate func() (viewwire.Ballot, error), number ProposalNumber) error {
+	target, err := allocate()
 	if err != nil {
 		return err
 	}
-	w.SetRound(b.Round)
-	w.SetReplica(uint64(b.Replica))
+	target.SetRound(number.Round)
+	target.SetReplica(uint64(number.Replica))
 	return nil
 }
 
-func readBallot(r viewwire.Ballot, err error) (Ballot, error) {
+func readNumber(source viewwire.Ballot, err error) (ProposalNumber, error) {
 	if err != nil {
-		return Ballot{}, err
+		return ProposalNumber{}, err
 	}
-	return Ballot{Round: r.Round(), Replica: ReplicaID(r.Replica())}, nil
+	return ProposalNumber{Round: source.Round(), Replica: ReplicaID(source.Replica())}, nil
 }
 
-func writeAcceptance(ballot func() (viewwire.Ballot, error), allocate func() (viewwire.View, error), a Acceptance) error {
-	if err := writeBallot(ballot, a.Ballot); err != nil {
+func writeProposal(newNumber func() (viewwire.Ballot, error), newView func() (viewwire.View, error), proposal Proposal) error {
+	if err := writeNumber(newNumber, proposal.Number); err != nil {
 		return err
 	}
-	w, err := allocate()
+	target, err := newView()
 	if err != nil {
 		return err
 	}
-	return writeView(w, a.View)
+	return writeView(target, proposal.View)
 }
 
-func readAcceptance(ballot func() (viewwire.Ballot, error), stored func() (viewwire.View, error)) (*Acceptance, error) {
-	b, err := readBallot(ballot())
+func readProposal(numberOf func() (viewwire.Ballot, error), viewOf func() (viewwire.View, error)) (*Proposal, error) {
+	number, err := readNumber(numberOf())
 	if err != nil {
 		return nil, err
 	}
-	r, err := stored()
+	source, err := viewOf()
 	if err != nil {
 		return nil, err
 	}
-	v, err := readView(r)
+	decided, err := readView(source)
 	if err != nil {
 		return nil, err
 	}
-	return &Acceptance{Ballot: b, View: v}, nil
+	return &Proposal{Number: number, View: decided}, nil
 }
--- a/internal/view/proposer.go
+++ b/internal/view/proposer.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// promiseWait is how long a proposer with a majority waits for the promises of others that may be reachable.
-const promiseWait = 200 * time.Millisecond
+// defaultPromiseTimeout is how long a proposer with a majority waits for the promises of others that may be reachable.
+const defaultPromiseTimeout = 200 * time.Millisecond
 
 // ProposerOptions describe one attempt to have a view decided.
 type ProposerOptions struct {
 	Chain     uint32
 	Epoch     uint64
-	Ballot    Ballot
+	Number    ProposalNumber
 	Acceptors []netip.AddrPort
-	// Witnesses are other replicas that may be in the new view. They are sent Prepare as well, to see that they are there.
-	Witnesses []netip.AddrPort
-	// Hoped are the acceptors and witnesses whose answers are waited for a little after a majority is there.
-	Hoped []netip.AddrPort
-	// PromiseWait is how long; 0: the default.
-	PromiseWait time.Duration
-	// Choose derives the view from the answers, those of witnesses among them, if no promise holds an accepted view. It
+	// NonVoters are other replicas that may be in the new view. They are sent Prepare as well, to see that they are reachable.
+	NonVoters []netip.AddrPort
+	// Awaited are the acceptors and non-voters whose answers are awaited for a while even when a majority has answered.
+	Awaited []netip.AddrPort
+	// PromiseTimeout bounds that while. 0 stands for 200 ms.
+	PromiseTimeout time.Duration
+	// Choose derives the view from the answers, those of non-voters included, if no promise holds an accepted proposal. It
 	// reports false if no view should be proposed.
 	Choose func(answers []Promise) (View, bool)
 }
@@ -35,160 +35,187 @@
 	abandoned
 )
 
-// Proposer tries once to have a view decided.
+// Proposer tries once to have a view decided. It is a state machine for one goroutine; times are those of any clock that
+// does not go back, as long as it is the same for all calls.
 type Proposer struct {
-	options   ProposerOptions
-	phase     proposerPhase
-	promises  map[netip.AddrPort]Promise
-	witnesses map[netip.AddrPort]Promise // answers without a vote
-	granted   map[netip.AddrPort]bool    // Accept
-	refused   Ballot                     // highest ballot that an acceptor named in a refusal
-	view      View
-	chooseAt  time.Duration // 0: no majority yet
+	options  ProposerOptions
+	phase    proposerPhase
+	promises map[netip.AddrPort]Promise
+	// nonVoters are the answers to Prepare that have no vote.
+	nonVoters map[netip.AddrPort]Promise
+	// granted holds the acceptors that accepted the proposal.
+	granted map[netip.AddrPort]bool
+	// conflicting is the highest number that an acceptor named in a refusal.
+	conflicting ProposalNumber
+	view        View
+	// choiceDeadline is when the view is chosen whoever has answered, 0 before a majority has.
+	choiceDeadline time.Duration
+	// acceptDue is set from the choice of the view until TakeAccept.
 	acceptDue bool
 }
 
-// NewProposer makes a proposer. Its Prepare has to be sent to all acceptors and witnesses.
+// NewProposer returns a proposer. Its Prepare has to be sent to all Recipients.
 func NewProposer(options ProposerOptions) *Proposer {
-	if options.PromiseWait == 0 {
-		options.PromiseWait = promiseWait
+	if options.PromiseTimeout == 0 {
+		options.PromiseTimeout = defaultPromiseTimeout
 	}
 	return &Proposer{
 		options:   options,
 		promises:  make(map[netip.AddrPort]Promise),
-		witnesses: make(map[netip.AddrPort]Promise),
+		nonVoters: make(map[netip.AddrPort]Promise),
 		granted:   make(map[netip.AddrPort]bool),
 	}
 }
 
-// Prepare gives the request to be sent to all acceptors and witnesses.
+// Prepare returns the request to be sent to all Recipients.
 func (p *Proposer) Prepare() Prepare {
-	return Prepare{Epoch: p.options.Epoch, Ballot: p.options.Ballot}
+	return Prepare{Epoch: p.options.Epoch, Number: p.options.Number}
 }
 
-// Acceptors gives the addresses of all acceptors.
-func (p *Proposer) Acceptors() []netip.AddrPort { return p.options.Acceptors }
-
-// Asked gives the addresses of all to whom Prepare is sent.
-func (p *Proposer) Asked() []netip.AddrPort {
-	return slices.Concat(p.options.Acceptors, p.options.Witnesses)
-}
-
-// TakeAccept gives the request to be sent to all acceptors once a view is chosen. It is given once.
-func (p *Proposer) TakeAccept() (Accept, bool) {
-	if !p.acceptDue {
-		return Accept{}, false
-	}
-	p.acceptDue = false
-	return Accept{Epoch: p.options.Epoch, Ballot: p.options.Ballot, View: p.view.Clone()}, true
+// Recipients returns the addresses that Prepare is sent to: acceptors first, then non-voters.
+func (p *Proposer) Recipients() []netip.AddrPort {
+	return slices.Concat(p.options.Acceptors, p.options.NonVoters)
 }
 
-// Decided gives the view once a majority accepted it.
-func (p *Proposer) Decided() (View, bool) { return p.view, p.phase == decided }
-
-// Abandoned tells that this attempt cannot succeed, and the highest ballot that was in its way.
-func (p *Proposer) Abandoned() (Ballot, bool) { return p.refused, p.phase == abandoned }
+// Acceptors returns the addresses that Accept is sent to.
+func (p *Proposer) Acceptors() []netip.AddrPort { return p.options.Acceptors }
 
-// Promise takes an answer to Prepare.
-func (p *Proposer) Promise(now time.Duration, from netip.AddrPort, m Promise) {
-	if p.phase != preparing || m.Epoch != p.options.Epoch || m.Ballot != p.options.Ballot {
+// HandlePromise takes an answer to Prepare.
+func (p *Proposer) HandlePromise(now time.Duration, from netip.AddrPort, answer Promise) {
+	if p.phase != preparing || !p.isCurrent(answer.Epoch, answer.Number) {
 		return
 	}
 	switch {
-	case !m.Votes:
-		p.witnesses[from] = m
-	case !p.accepts(from):
+	case !answer.Votes:
+		p.nonVoters[from] = answer
+	case !p.isAcceptor(from):
 		return
-	case !m.Granted:
-		p.abandon(m.Promised)
+	case !answer.Granted:
+		p.abandon(answer.Promised)
 		return
 	default:
-		p.promises[from] = m
+		p.promises[from] = answer
 	}
-	if p.chooseAt == 0 && len(p.promises) >= p.majority() {
-		p.chooseAt = now + p.options.PromiseWait
+	if p.choiceDeadline == 0 && len(p.promises) >= p.majority() {
+		p.choiceDeadline = now + p.options.PromiseTimeout
 	}
 	p.Tick(now)
 }
 
-// Deadline gives the time at which Tick should be called, and whether there is one.
+// Deadline returns the time at which Tick should be called, and whether there is one.
 func (p *Proposer) Deadline() (time.Duration, bool) {
-	return p.chooseAt, p.phase == preparing && p.chooseAt != 0
+	return p.choiceDeadline, p.phase == preparing && p.choiceDeadline != 0
 }
 
-// Tick chooses the view if no further promises are waited for.
+// Tick chooses the view once a majority has promised and no further answers are awaited.
 func (p *Proposer) Tick(now time.Duration) {
-	if p.phase != preparing || p.chooseAt == 0 {
+	if p.phase != preparing || p.choiceDeadline == 0 {
 		return
 	}
-	if now < p.chooseAt && !p.hopedHere() {
+	if now < p.choiceDeadline && !p.allAwaitedAnswered() {
 		return
 	}
 	p.choose()
 }
 
-func (p *Proposer) hopedHere() bool {
-	return !slices.ContainsFunc(p.options.Hoped, func(a netip.AddrPort) bool {
-		_, promised := p.promises[a]
-		_, answered := p.witnesses[a]
-		return !promised && !answered
-	})
+// TakeAccept returns the request to be sent to all Acceptors once a view is chosen. It returns it once.
+func (p *Proposer) TakeAccept() (Accept, bool) {
+	if !p.acceptDue {
+		return Accept{}, false
+	}
+	p.acceptDue = false
+	return Accept{Epoch: p.options.Epoch, Number: p.options.Number, View: p.view.Clone()}, true
 }
 
-// choose takes the view that was accepted under the highest ballot, as it may be decided already, or else an own one.
+// HandleAccepted takes an answer to Accept.
+func (p *Proposer) HandleAccepted(from netip.AddrPort, answer Accepted) {
+	if p.phase != accepting || !p.isCurrent(answer.Epoch, answer.Number) || !p.isAcceptor(from) {
+		return
+	}
+	if !answer.Granted {
+		p.abandon(answer.Promised)
+		return
+	}
+	p.granted[from] = true
+	if len(p.granted) >= p.majority() {
+		p.phase = decided
+	}
+}
+
+// Decided returns the view, and whether a majority has accepted it.
+func (p *Proposer) Decided() (View, bool) { return p.view, p.phase == decided }
+
+// Abandoned reports whether this attempt cannot succeed any more, and returns the highest number that prevented it, zero
+// if there was no view to propose.
+func (p *Proposer) Abandoned() (ProposalNumber, bool) { return p.conflicting, p.phase == abandoned }
+
+// choose takes the view of the accepted proposal with the highest number, as it may be decided already. Only if there is
+// none does it derive a view of its own.
 func (p *Proposer) choose() {
-	var answers []Promise
-	var highest *Acceptance
+	if accepted := p.highestAccepted(); accepted != nil {
+		p.propose(accepted.View.Clone())
+		return
+	}
+	own, ok := p.options.Choose(p.answers())
+	if !ok {
+		p.abandon(ProposalNumber{})
+		return
+	}
+	p.propose(own)
+}
+
+func (p *Proposer) highestAccepted() *Proposal {
+	var highest *Proposal
 	for _, address := range p.options.Acceptors {
-		promise, here := p.promises[address]
-		if !here {
-			continue
-		}
-		answers = append(answers, promise)
-		if a := promise.Accepted; a != nil && (highest == nil || highest.Ballot.Less(a.Ballot)) {
-			highest = a
+		accepted := p.promises[address].Accepted
+		if accepted != nil && (highest == nil || highest.Number.Less(accepted.Number)) {
+			highest = accepted
 		}
 	}
-	if highest != nil {
-		p.view = highest.View.Clone()
-	} else {
-		for _, address := range p.Asked() {
-			if answer, here := p.witnesses[address]; here {
-				answers = append(answers, answer)
-			}
+	return highest
+}
+
+// answers returns the promises of acceptors, and then the answers of all that have no vote.
+func (p *Proposer) answers() []Promise {
+	var answers []Promise
+	for _, address := range p.options.Acceptors {
+		if promise, answered := p.promises[address]; answered {
+			answers = append(answers, promise)
 		}
-		chosen, ok := p.options.Choose(answers)
-		if !ok {
-			p.abandon(Ballot{})
-			return
+	}
+	for _, address := range p.Recipients() {
+		if answer, answered := p.nonVoters[address]; answered {
+			answers = append(answers, answer)
 		}
-		p.view = chosen
 	}
+	return answers
+}
+
+func (p *Proposer) propose(next View) {
+	p.view = next
 	p.phase = accepting
 	p.acceptDue = true
 }
 
-// Accepted takes an answer to Accept.
-func (p *Proposer) Accepted(from netip.AddrPort, m Accepted) {
-	if p.phase != accepting || m.Epoch != p.options.Epoch || m.Ballot != p.options.Ballot || !p.accepts(from) {
-		return
-	}
-	if !m.Granted {
-		p.abandon(m.Promised)
-		return
-	}
-	p.granted[from] = true
-	if len(p.granted) >= p.majority() {
-		p.phase = decided
-	}
+func (p *Proposer) abandon(conflicting ProposalNumber) {
+	p.phase = abandoned
+	p.conflicting = conflicting
 }
 
-func (p *Proposer) abandon(refused Ballot) {
-	p.phase = abandoned
-	p.refused = refused
+// isCurrent reports whether an answer belongs to this attempt.
+func (p *Proposer) isCurrent(epoch uint64, number ProposalNumber) bool {
+	return epoch == p.options.Epoch && number == p.options.Number
+}
+
+func (p *Proposer) allAwaitedAnswered() bool {
+	return !slices.ContainsFunc(p.options.Awaited, func(address netip.AddrPort) bool {
+		_, promised := p.promises[address]
+		_, answered := p.nonVoters[address]
+		return !promised && !answered
+	})
 }
 
-func (p *Proposer) accepts(address netip.AddrPort) bool {
+func (p *Proposer) isAcceptor(address netip.AddrPort) bool {
 	return slices.Contains(p.options.Acceptors, address)
 }
 
