--- a/cmd/nickelline/control.go
+++ b/cmd/nickelline/control.go
@@ -84,7 +84,7 @@
 
 // serveQuotas has this node share out the tenants' limits while it is the head of the control chain.
 func serveQuotas(n *node, role *control.Control) {
-	headship := role.Headship()
+	headship := role.Leadership()
 	if headship == nil {
 		return
 	}
@@ -114,10 +114,10 @@
 // holderRegister keeps the proxies that may hold leases in the control state.
 type holderRegister struct{ role *control.Control }
 
-func (r holderRegister) Current() quota.RegistryState { return registrationOf(r.role.State().Holders) }
+func (r holderRegister) Current() quota.RegistryState { return registrationOf(r.role.State().Leaseholders) }
 
 func (r holderRegister) Change(ctx context.Context, c quota.RegistryChange) (quota.RegistryState, error) {
-	set, err := r.role.ChangeHolders(ctx, &control.Holders{
+	set, err := r.role.ChangeLeaseholders(ctx, &control.ChangeLeaseholders{
 		Epoch:            c.Epoch,
 		ExpectedRevision: c.ExpectedRevision,
 		Add:              holdersOf(c.Add),
@@ -126,7 +126,7 @@
 	return registrationOf(set), err
 }
 
-func registrationOf(set control.HolderSet) quota.RegistryState {
+func registrationOf(set control.LeaseholderSet) quota.RegistryState {
 	registration := quota.RegistryState{Revision: set.Revision}
 	for _, member := range set.Members {
 		registration.Leaseholders = append(registration.Leaseholders, quota.Leaseholder(member))
@@ -134,10 +134,10 @@
 	return registration
 }
 
-func holdersOf(lives []quota.Leaseholder) []control.Holder {
-	var holders []control.Holder
+func holdersOf(lives []quota.Leaseholder) []control.Leaseholder {
+	var holders []control.Leaseholder
 	for _, life := range lives {
-		holders = append(holders, control.Holder(life))
+		holders = append(holders, control.Leaseholder(life))
 	}
 	return holders
 }
@@ -158,6 +158,6 @@
 
 var (
 	_ control.Topic    = topic{}
-	_ quota.HeadStatus = (*control.Headship)(nil)
+	_ quota.HeadStatus = (*control.Leadership)(nil)
 	_ quota.Registry   = holderRegister{}
 )
--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -31,9 +31,9 @@
 	readTimeout  = 5 * time.Second
 	writeTimeout = 5 * time.Second
 	// shutdownTime is how long calls under way may take when the server stops.
-	shutdownTime = time.Second
+	shutdownTimeout = time.Second
 	// retryAfter is the pause that a caller is told, in seconds, when its call was certainly not carried out.
-	retryAfter = "0.3"
+	retryAfterSeconds = "0.3"
 )
 
 // api serves the operator's calls over HTTP.
@@ -46,11 +46,11 @@
 }
 
 // silenceLibrary keeps the HTTP library's own messages out of the log.
-var silenceLibrary = sync.OnceFunc(func() { hlog.SetLevel(hlog.LevelFatal) })
+var disableLibraryLog = sync.OnceFunc(func() { hlog.SetLevel(hlog.LevelFatal) })
 
 // newAPI makes the server on a listener that is open already.
 func newAPI(listener net.Listener, s *service, status func() controlapi.Status, other func() (netip.AddrPort, bool)) *api {
-	silenceLibrary()
+	disableLibraryLog()
 	a := &api{service: s, status: status, other: other}
 	a.server = server.New(
 		server.WithListener(listener),
@@ -59,7 +59,7 @@
 		server.WithWriteTimeout(writeTimeout),
 		server.WithIdleTimeout(idleTimeout),
 		server.WithKeepAliveTimeout(idleTimeout),
-		server.WithExitWaitTime(shutdownTime),
+		server.WithExitWaitTime(shutdownTimeout),
 		server.WithDisablePrintRoute(true),
 		server.WithRedirectTrailingSlash(false),
 	)
@@ -102,7 +102,7 @@
 
 // stop lets the calls under way end, up to a limit.
 func (a *api) stop() {
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownTime)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	_ = a.server.Shutdown(ctx)
 }
@@ -131,7 +131,7 @@
 		answerError(request, err)
 		return
 	}
-	answerJSON(request, http.StatusOK, controlapi.Taken{Version: result.Version})
+	answerJSON(request, http.StatusOK, controlapi.ConfigurationAccepted{Version: result.Version})
 }
 
 // readMatch reads the version that an order builds on.
@@ -160,12 +160,12 @@
 }
 
 func (a *api) postRetire(ctx context.Context, request *app.RequestContext) {
-	order, err := readRetireOrder(request)
+	retire, err := readRetireRequest(request)
 	if err != nil {
 		answerError(request, err)
 		return
 	}
-	duration := time.Duration(order.DurationS * float64(time.Second))
+	duration := time.Duration(retire.DurationS * float64(time.Second))
 	if _, err := a.service.Retire(ctx, request.Param(nodeParameter), duration); err != nil {
 		answerError(request, err)
 		return
@@ -173,19 +173,19 @@
 	answerJSON(request, http.StatusOK, controlapi.Retirement{State: controlapi.RetirementInProgress})
 }
 
-func readRetireOrder(request *app.RequestContext) (controlapi.RetireOrder, error) {
-	var order controlapi.RetireOrder
+func readRetireRequest(request *app.RequestContext) (controlapi.RetireRequest, error) {
+	var retire controlapi.RetireRequest
 	body, err := request.Body()
 	if err != nil {
-		return order, fault.Wrap(fault.BadRequest, err)
+		return retire, fault.Wrap(fault.BadRequest, err)
 	}
 	if len(body) == 0 {
-		return order, nil
+		return retire, nil
 	}
-	if err := json.Unmarshal(body, &order); err != nil {
-		return order, fault.Wrap(fault.BadRequest, err)
+	if err := json.Unmarshal(body, &retire); err != nil {
+		return retire, fault.Wrap(fault.BadRequest, err)
 	}
-	return order, nil
+	return retire, nil
 }
 
 func (a *api) getRetire(ctx context.Context, request *app.RequestContext) {
@@ -204,9 +204,9 @@
 func answerError(request *app.RequestContext, err error) {
 	answer := fault.AnswerOf(fault.KindOf(err))
 	if answer.NotExecuted {
-		request.Header("Retry-After", retryAfter)
+		request.Header("Retry-After", retryAfterSeconds)
 	}
-	answerJSON(request, answer.Status, controlapi.Failure{Error: errorText(err)})
+	answerJSON(request, answer.Status, controlapi.ErrorBody{Error: errorText(err)})
 }
 
 func errorText(err error) string {
@@ -225,4 +225,4 @@
 }
 
 // closedServer tells whether the error of a server means that it was stopped.
-func closedServer(err error) bool { return err == nil || errors.Is(err, net.ErrClosed) }
+func isServerClosed(err error) bool { return err == nil || errors.Is(err, net.ErrClosed) }
--- a/internal/control/api_test.go
+++ b/internal/control/api_test.go
@@ -45,7 +45,7 @@
 	go func() { ended <- a.run() }()
 	t.Cleanup(func() {
 		a.stop()
-		if err := <-ended; !closedServer(err) {
+		if err := <-ended; !isServerClosed(err) {
 			t.Errorf("the server ended with %v", err)
 		}
 	})
--- a/internal/control/codec.go
+++ b/internal/control/codec.go
@@ -34,45 +34,45 @@
 		return fillConfigure(root, c.Configure)
 	case c.Retire != nil:
 		return fillRetire(root, c.Retire)
-	case c.Complete != nil:
-		return fillComplete(root, c.Complete)
-	case c.Place != nil:
-		return fillPlace(root, c.Place)
-	case c.Holders != nil:
-		return fillHolders(root, c.Holders)
+	case c.CompleteRetirement != nil:
+		return fillCompleteRetirement(root, c.CompleteRetirement)
+	case c.ReplacePlacement != nil:
+		return fillReplacePlacement(root, c.ReplacePlacement)
+	case c.ChangeLeaseholders != nil:
+		return fillChangeLeaseholders(root, c.ChangeLeaseholders)
 	}
 	return fault.New(fault.Internal, "a command without contents")
 }
 
-func fillConfigure(root controlwire.Command, order *Configure) error {
-	configure, err := root.NewConfigure()
+func fillConfigure(root controlwire.Command, command *Configure) error {
+	target, err := root.NewConfigure()
 	if err != nil {
 		return err
 	}
-	configure.SetPatch(order.Patch)
-	configure.SetMatch(order.Match)
-	return configure.SetBody(order.Body)
+	target.SetPatch(command.Patch)
+	target.SetMatch(command.Match)
+	return target.SetBody(command.Body)
 }
 
-func fillRetire(root controlwire.Command, order *Retire) error {
-	retire, err := root.NewRetire()
+func fillRetire(root controlwire.Command, command *Retire) error {
+	target, err := root.NewRetire()
 	if err != nil {
 		return err
 	}
-	store, err := retire.NewStore()
+	store, err := target.NewStore()
 	if err != nil {
 		return err
 	}
-	if err := fillStore(store, order.Store); err != nil {
+	if err := fillStore(store, command.Store); err != nil {
 		return err
 	}
-	retire.SetDurationMs(order.Duration.Milliseconds())
-	retire.SetMinimum(uint32(order.Minimum))
-	stores, err := retire.NewStores(int32(len(order.Stores)))
+	target.SetDurationMs(command.Duration.Milliseconds())
+	target.SetMinimum(uint32(command.Minimum))
+	stores, err := target.NewStores(int32(len(command.Stores)))
 	if err != nil {
 		return err
 	}
-	for i, other := range order.Stores {
+	for i, other := range command.Stores {
 		if err := fillStore(stores.At(i), other); err != nil {
 			return err
 		}
@@ -85,28 +85,28 @@
 	return store.SetName(s.Name)
 }
 
-func fillComplete(root controlwire.Command, order *Complete) error {
-	complete, err := root.NewComplete()
+func fillCompleteRetirement(root controlwire.Command, command *CompleteRetirement) error {
+	target, err := root.NewComplete()
 	if err != nil {
 		return err
 	}
-	complete.SetExpectedVersion(order.ExpectedVersion)
-	complete.SetCurrentReplica(order.CurrentReplica)
-	store, err := complete.NewStore()
+	target.SetExpectedVersion(command.ExpectedVersion)
+	target.SetCurrentReplica(command.CurrentReplica)
+	store, err := target.NewStore()
 	if err != nil {
 		return err
 	}
-	return fillStore(store, order.Store)
+	return fillStore(store, command.Store)
 }
 
-func fillPlace(root controlwire.Command, order *Place) error {
-	place, err := root.NewPlace()
+func fillReplacePlacement(root controlwire.Command, command *ReplacePlacement) error {
+	target, err := root.NewPlace()
 	if err != nil {
 		return err
 	}
-	place.SetExpectedVersion(order.ExpectedVersion)
-	place.SetExpectedRevision(order.ExpectedRevision)
-	return place.SetTable(order.Table)
+	target.SetExpectedVersion(command.ExpectedVersion)
+	target.SetExpectedRevision(command.ExpectedRevision)
+	return target.SetTable(command.Table)
 }
 
 // DecodeCommand reads a command. Its bodies are parts of the encoded bytes.
@@ -121,41 +121,41 @@
 	case controlwire.Command_Which_retire:
 		return readRetire(root)
 	case controlwire.Command_Which_complete:
-		return readComplete(root)
+		return readCompleteRetirement(root)
 	case controlwire.Command_Which_place:
-		return readPlace(root)
+		return readReplacePlacement(root)
 	case controlwire.Command_Which_holders:
-		return readHolders(root)
+		return readChangeLeaseholders(root)
 	}
 	return nil, fault.New(fault.Internal, "a command of unknown kind %d", root.Which())
 }
 
 func readConfigure(root controlwire.Command) (*Command, error) {
-	configure, err := root.Configure()
+	source, err := root.Configure()
 	if err != nil {
 		return nil, err
 	}
-	body, err := configure.Body()
+	body, err := source.Body()
 	if err != nil {
 		return nil, err
 	}
-	return &Command{Configure: &Configure{Patch: configure.Patch(), Match: configure.Match(), Body: body}}, nil
+	return &Command{Configure: &Configure{Patch: source.Patch(), Match: source.Match(), Body: body}}, nil
 }
 
 func readRetire(root controlwire.Command) (*Command, error) {
-	retire, err := root.Retire()
+	source, err := root.Retire()
 	if err != nil {
 		return nil, err
 	}
-	order := &Retire{Duration: milliseconds(retire.DurationMs()), Minimum: int(retire.Minimum())}
-	store, err := retire.Store()
+	command := &Retire{Duration: milliseconds(source.DurationMs()), Minimum: int(source.Minimum())}
+	store, err := source.Store()
 	if err != nil {
 		return nil, err
 	}
-	if order.Store, err = readStore(store); err != nil {
+	if command.Store, err = readStore(store); err != nil {
 		return nil, err
 	}
-	stores, err := retire.Stores()
+	stores, err := source.Stores()
 	if err != nil {
 		return nil, err
 	}
@@ -167,9 +167,9 @@
 		if err != nil {
 			return nil, err
 		}
-		order.Stores = append(order.Stores, other)
+		command.Stores = append(command.Stores, other)
 	}
-	return &Command{Retire: order}, nil
+	return &Command{Retire: command}, nil
 }
 
 func readStore(store controlwire.Store) (Store, error) {
@@ -177,37 +177,37 @@
 	return Store{Name: name, Replica: store.Replica()}, err
 }
 
-func readComplete(root controlwire.Command) (*Command, error) {
-	complete, err := root.Complete()
+func readCompleteRetirement(root controlwire.Command) (*Command, error) {
+	source, err := root.Complete()
 	if err != nil {
 		return nil, err
 	}
-	store, err := complete.Store()
+	store, err := source.Store()
 	if err != nil {
 		return nil, err
 	}
-	order := &Complete{CurrentReplica: complete.CurrentReplica(), ExpectedVersion: complete.ExpectedVersion()}
-	if order.Store, err = readStore(store); err != nil {
+	command := &CompleteRetirement{CurrentReplica: source.CurrentReplica(), ExpectedVersion: source.ExpectedVersion()}
+	if command.Store, err = readStore(store); err != nil {
 		return nil, err
 	}
-	return &Command{Complete: order}, nil
+	return &Command{CompleteRetirement: command}, nil
 }
 
-func readPlace(root controlwire.Command) (*Command, error) {
-	place, err := root.Place()
+func readReplacePlacement(root controlwire.Command) (*Command, error) {
+	source, err := root.Place()
 	if err != nil {
 		return nil, err
 	}
-	table, err := place.Table()
+	table, err := source.Table()
 	if err != nil {
 		return nil, err
 	}
-	order := &Place{
-		ExpectedVersion:  place.ExpectedVersion(),
-		ExpectedRevision: place.ExpectedRevision(),
+	command := &ReplacePlacement{
+		ExpectedVersion:  source.ExpectedVersion(),
+		ExpectedRevision: source.ExpectedRevision(),
 		Table:            table,
 	}
-	return &Command{Place: order}, nil
+	return &Command{ReplacePlacement: command}, nil
 }
 
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
@@ -231,7 +231,7 @@
 	return Result{Outcome: Outcome(root.Outcome()), Version: root.Version(), Text: text}, err
 }
 
-func encodeState(s *State, taken, refused []Digest) []byte {
+func encodeState(s *State, accepted, refused []Digest) []byte {
 	document := s.EncodedDocument()
 	return mustMarshal(controlwire.NewRootState, func(root controlwire.State) error {
 		root.SetRetirementRevision(s.RetirementRevision)
@@ -242,20 +242,20 @@
 		if err := root.SetPlacement(s.Placement); err != nil {
 			return err
 		}
-		if err := fillOrders(taken, root.NewTaken); err != nil {
+		if err := fillDigests(accepted, root.NewTaken); err != nil {
 			return err
 		}
-		if err := fillOrders(refused, root.NewRefused); err != nil {
+		if err := fillDigests(refused, root.NewRefused); err != nil {
 			return err
 		}
-		if err := fillHolderSet(root, &s.Holders); err != nil {
+		if err := fillLeaseholderSet(root, &s.Leaseholders); err != nil {
 			return err
 		}
 		return fillRetirements(root, s.Retirements)
 	})
 }
 
-func fillOrders(digests []Digest, newList func(int32) (controlwire.Order_List, error)) error {
+func fillDigests(digests []Digest, newList func(int32) (controlwire.Order_List, error)) error {
 	list, err := newList(int32(len(digests)))
 	if err != nil {
 		return err
@@ -287,7 +287,7 @@
 	return nil
 }
 
-func decodeState(encoded []byte) (state *State, taken, refused []Digest, err error) {
+func decodeState(encoded []byte) (state *State, accepted, refused []Digest, err error) {
 	root, err := capnpcodec.Unmarshal(encoded, controlwire.ReadRootState)
 	if err != nil {
 		return nil, nil, nil, err
@@ -295,11 +295,11 @@
 	if state, err = readState(root); err != nil {
 		return nil, nil, nil, err
 	}
-	if taken, err = readOrders(root.Taken()); err != nil {
+	if accepted, err = readDigests(root.Taken()); err != nil {
 		return nil, nil, nil, err
 	}
-	refused, err = readOrders(root.Refused())
-	return state, taken, refused, err
+	refused, err = readDigests(root.Refused())
+	return state, accepted, refused, err
 }
 
 func readState(root controlwire.State) (*State, error) {
@@ -312,7 +312,7 @@
 	if state.Retirements, err = readRetirements(root); err != nil {
 		return nil, err
 	}
-	if state.Holders, err = readHolderSet(root); err != nil {
+	if state.Leaseholders, err = readLeaseholderSet(root); err != nil {
 		return nil, err
 	}
 	document, err := root.Document()
@@ -334,7 +334,7 @@
 	return state.withDocument(document, snapshot), nil
 }
 
-func readOrders(list controlwire.Order_List, err error) ([]Digest, error) {
+func readDigests(list controlwire.Order_List, err error) ([]Digest, error) {
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/command.go
+++ b/internal/control/command.go
@@ -10,11 +10,11 @@
 
 // Command is one change of the control state. Exactly one of its fields is set.
 type Command struct {
-	Configure *Configure
-	Retire    *Retire
-	Complete  *Complete
-	Place     *Place
-	Holders   *Holders
+	Configure          *Configure
+	Retire             *Retire
+	CompleteRetirement *CompleteRetirement
+	ReplacePlacement   *ReplacePlacement
+	ChangeLeaseholders *ChangeLeaseholders
 }
 
 // Configure replaces the configuration, or patches it, if Match is the current version.
@@ -41,14 +41,14 @@
 
 // Complete records that a store that is being retired holds nothing any more, which was seen at a version of the
 // placement. CurrentReplica is the replica that its machine holds by now, 0 if it is gone.
-type Complete struct {
+type CompleteRetirement struct {
 	Store           Store
 	CurrentReplica  uint64
 	ExpectedVersion uint64
 }
 
 // Place replaces the placement table, if neither it nor the retirements have changed since it was computed.
-type Place struct {
+type ReplacePlacement struct {
 	ExpectedVersion  uint64
 	ExpectedRevision uint64
 	Table            []byte
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -25,14 +25,14 @@
 	// chainDirectory is where it keeps its files, within the directory of the process.
 	chainDirectory = "control"
 	// leastMembers is the number of replicas that the chain has where there are so many.
-	leastMembers = 3
+	minimumChainMembers = 3
 	// storeSilence is how long a store that sends no report is taken for alive: a few times the interval of reports. One
 	// that is cut off from the control processes may still look alive to others.
-	storeSilence = 1600 * time.Millisecond
+	storeReportTimeout = 1600 * time.Millisecond
 	// settleHeartbeats and wholeHeartbeats bound, in heartbeats, how long a new head waits for stores, and how long a new
 	// process does not know all stores.
-	settleHeartbeats = 2
-	wholeHeartbeats  = 4
+	stabilizationHeartbeats = 2
+	discoveryHeartbeats     = 4
 )
 
 // Members is the table of members: a *member.Service.
@@ -59,25 +59,25 @@
 // Control is the control role of a process. A process without a disk keeps no replica and sends the operator on to nodes
 // that do.
 type Control struct {
-	options      Options
-	machine      *Machine
-	node         *chain.Node
-	reconfigurer *chain.Reconfigurer
-	service      *service
-	distributor  *distributor
-	headship     *Headship
-	placer       *placer
-	reports      *reports
-	api          *api
-	listener     net.Listener
-	heartbeat    time.Duration
-
-	committed chan struct{}
-	proveSoon chan struct{}
-	headSoon  chan struct{}
-	placeSoon chan struct{}
-	stop      context.CancelFunc
-	running   sync.WaitGroup
+	options             Options
+	machine             *Machine
+	node                *chain.Node
+	reconfigurer        *chain.Reconfigurer
+	service             *service
+	publisher           *publisher
+	leadership          *Leadership
+	placementController *placementController
+	reports             *reportStore
+	api                 *api
+	listener            net.Listener
+	heartbeat           time.Duration
+
+	commits        chan struct{}
+	wakePublisher  chan struct{}
+	wakeLeadership chan struct{}
+	wakePlacement  chan struct{}
+	stop           context.CancelFunc
+	goroutines     sync.WaitGroup
 }
 
 // New opens the replica and the operator's address. It sets handlers on the transport.
@@ -87,15 +87,15 @@
 		return nil, err
 	}
 	c := &Control{
-		options:   o,
-		machine:   NewMachine(),
-		reports:   newReports(),
-		listener:  listener,
-		heartbeat: o.Settings.Heartbeat(),
-		committed: make(chan struct{}, 1),
-		proveSoon: make(chan struct{}, 1),
-		headSoon:  make(chan struct{}, 1),
-		placeSoon: make(chan struct{}, 1),
+		options:        o,
+		machine:        NewMachine(),
+		reports:        newReportStore(),
+		listener:       listener,
+		heartbeat:      o.Settings.Heartbeat(),
+		commits:        make(chan struct{}, 1),
+		wakePublisher:  make(chan struct{}, 1),
+		wakeLeadership: make(chan struct{}, 1),
+		wakePlacement:  make(chan struct{}, 1),
 	}
 	if o.Replica != 0 {
 		if err := c.openReplica(); err != nil {
@@ -118,22 +118,22 @@
 func (c *Control) Start() {
 	ctx, stop := context.WithCancel(context.Background())
 	c.stop = stop
-	c.running.Go(c.serve)
+	c.goroutines.Go(c.serve)
 	if c.node == nil {
 		return
 	}
 	c.options.Members.OnChange(c.observeMembers)
 	c.observeMembers(c.options.Members.Table())
-	c.running.Go(func() { c.reconfigurer.Run(ctx) })
-	c.running.Go(func() { c.distributor.run(ctx, c.proveSoon) })
-	c.running.Go(func() { c.headship.run(ctx, c.headSoon) })
-	c.running.Go(func() { c.publishCommitted(ctx) })
-	c.running.Go(func() { c.place(ctx) })
+	c.goroutines.Go(func() { c.reconfigurer.Run(ctx) })
+	c.goroutines.Go(func() { c.publisher.run(ctx, c.wakePublisher) })
+	c.goroutines.Go(func() { c.leadership.run(ctx, c.wakeLeadership) })
+	c.goroutines.Go(func() { c.publishCommitted(ctx) })
+	c.goroutines.Go(func() { c.runPlacement(ctx) })
 }
 
 // serve answers the operator until the server is stopped.
 func (c *Control) serve() {
-	if err := c.api.run(); !closedServer(err) {
+	if err := c.api.run(); !isServerClosed(err) {
 		c.options.Log.Error("operator's API", zap.Error(err))
 	}
 }
@@ -151,24 +151,24 @@
 		}
 	}
 	c.reconfigurer.SetCandidates(candidates)
-	signal(c.placeSoon)
+	signal(c.wakePlacement)
 }
 
 // publishCommitted announces what was committed as soon as it is.
 func (c *Control) publishCommitted(ctx context.Context) {
 	for {
-		c.distributor.publish()
+		c.publisher.publish()
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.committed:
-			signal(c.placeSoon)
+		case <-c.commits:
+			signal(c.wakePlacement)
 		}
 	}
 }
 
 // place keeps the placement in order whenever this node is the head.
-func (c *Control) place(ctx context.Context) {
+func (c *Control) runPlacement(ctx context.Context) {
 	ticker := time.NewTicker(c.heartbeat)
 	defer ticker.Stop()
 	for {
@@ -176,10 +176,10 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-c.placeSoon:
+		case <-c.wakePlacement:
 		}
 		_, head := c.head()
-		c.placer.round(ctx, time.Now(), head)
+		c.placementController.reconcile(ctx, time.Now(), head)
 	}
 }
 
@@ -210,7 +210,7 @@
 func (c *Control) State() *State { return c.machine.State() }
 
 // Headship tells whether this node is the head of the control chain, nil for a process without a replica.
-func (c *Control) Headship() *Headship { return c.headship }
+func (c *Control) Leadership() *Leadership { return c.leadership }
 
 // OnView registers a function that is called with each view of the control chain. It must not block.
 func (c *Control) OnView(notify func(v view.View, head bool)) {
@@ -235,7 +235,7 @@
 	if c.stop != nil {
 		c.stop()
 	}
-	c.running.Wait()
+	c.goroutines.Wait()
 	if c.node != nil {
 		c.node.Close()
 	}
--- a/internal/control/controlapi/controlapi.go
+++ b/internal/control/controlapi/controlapi.go
@@ -12,7 +12,7 @@
 const MatchHeader = "If-Match"
 
 // Taken acknowledges a configuration.
-type Taken struct {
+type ConfigurationAccepted struct {
 	Version uint64 `json:"version"`
 }
 
@@ -23,7 +23,7 @@
 )
 
 // RetireOrder asks that a store be emptied.
-type RetireOrder struct {
+type RetireRequest struct {
 	DurationS float64 `json:"durationS"`
 }
 
@@ -33,6 +33,6 @@
 }
 
 // Failure tells why a call was not carried out.
-type Failure struct {
+type ErrorBody struct {
 	Error string `json:"error"`
 }
--- a/internal/control/controlapi/golden_test.go
+++ b/internal/control/controlapi/golden_test.go
@@ -50,10 +50,10 @@
 		body any
 	}{
 		{"status.json", &goldenStatus},
-		{"taken.json", &Taken{Version: 41}},
-		{"retire_order.json", &RetireOrder{DurationS: 1.5}},
+		{"taken.json", &ConfigurationAccepted{Version: 41}},
+		{"retire_order.json", &RetireRequest{DurationS: 1.5}},
 		{"retirement.json", &Retirement{State: RetirementInProgress}},
-		{"failure.json", &Failure{Error: "reason"}},
+		{"failure.json", &ErrorBody{Error: "reason"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			encoded, err := json.Marshal(c.body)
--- a/internal/control/orders.go
+++ b/internal/control/digests.go
@@ -2,24 +2,24 @@
 
 // Numbers of orders that are remembered.
 const (
-	takenOrders   = 4096
-	refusedOrders = 256
+	maximumAcceptedDigests = 4096
+	maximumRefusedDigests  = 256
 )
 
 // orders remembers the digests of the latest orders, in the sequence in which they came.
-type orders struct {
+type digestHistory struct {
 	limit  int
 	queue  []Digest
 	member map[Digest]bool
 }
 
-func newOrders(limit int) *orders {
-	return &orders{limit: limit, member: map[Digest]bool{}}
+func newDigestHistory(limit int) *digestHistory {
+	return &digestHistory{limit: limit, member: map[Digest]bool{}}
 }
 
-func (o *orders) has(d Digest) bool { return o.member[d] }
+func (o *digestHistory) has(d Digest) bool { return o.member[d] }
 
-func (o *orders) add(d Digest) {
+func (o *digestHistory) add(d Digest) {
 	if o.member[d] {
 		return
 	}
@@ -31,7 +31,7 @@
 	o.member[d] = true
 }
 
-func (o *orders) restore(digests []Digest) {
+func (o *digestHistory) restore(digests []Digest) {
 	o.queue = nil
 	o.member = make(map[Digest]bool, len(digests))
 	for _, d := range digests {
--- a/internal/control/discard.go
+++ b/internal/control/discard.go
@@ -12,7 +12,7 @@
 
 // openFailed gives the error with which a replica could not be opened. One whose files are damaged is lost: it is discarded, and
 // the process joins as a new one when it is started again.
-func (c *Control) openFailed(err error) error {
+func (c *Control) handleOpenError(err error) error {
 	if !errors.Is(err, segment.ErrDamaged) {
 		return err
 	}
--- a/internal/control/golden_api_test.go
+++ b/internal/control/golden_api_test.go
@@ -96,7 +96,7 @@
 		t.Fatal(err)
 	}
 	machine := goldenMachine(t)
-	expect(t, machine, &Command{Place: &Place{ExpectedVersion: 1, ExpectedRevision: 3, Table: table}}, Accepted)
+	expect(t, machine, &Command{ReplacePlacement: &ReplacePlacement{ExpectedVersion: 1, ExpectedRevision: 3, Table: table}}, Accepted)
 	members := &fixedMembers{table: member.NewTable(
 		member.Member{Name: "store-1", Role: storeRole, Zone: "zone-a", Address: first.Address, State: member.Alive},
 		member.Member{Name: "store-2", Role: storeRole, Zone: "zone-b", Address: second.Address, State: member.Suspect, Leaving: true},
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -15,8 +15,8 @@
 		{Name: "store-2", Replica: 0x2122232425262728},
 		{Name: "store-3", Replica: 0x3132333435363738},
 	}
-	goldenAdded   = Holder{Address: netip.MustParseAddrPort("10.1.2.3:7661"), Life: 0x4142434445464748}
-	goldenRemoved = Holder{Address: netip.MustParseAddrPort("10.4.5.6:7662"), Life: 0x5152535455565758}
+	goldenAdded   = Leaseholder{Address: netip.MustParseAddrPort("10.1.2.3:7661"), Life: 0x4142434445464748}
+	goldenRemoved = Leaseholder{Address: netip.MustParseAddrPort("10.4.5.6:7662"), Life: 0x5152535455565758}
 )
 
 func TestGoldenCommands(t *testing.T) {
@@ -32,21 +32,21 @@
 			Stores:   goldenStores,
 			Minimum:  21,
 		}}},
-		{"command_complete", Command{Complete: &Complete{
+		{"command_complete", Command{CompleteRetirement: &CompleteRetirement{
 			Store:           goldenStore,
 			CurrentReplica:  0x6162636465666768,
 			ExpectedVersion: 31,
 		}}},
-		{"command_place", Command{Place: &Place{
+		{"command_place", Command{ReplacePlacement: &ReplacePlacement{
 			ExpectedVersion:  41,
 			ExpectedRevision: 42,
 			Table:            []byte("placement table"),
 		}}},
-		{"command_holders", Command{Holders: &Holders{
+		{"command_holders", Command{ChangeLeaseholders: &ChangeLeaseholders{
 			Epoch:            51,
 			ExpectedRevision: 52,
-			Add:              []Holder{goldenAdded},
-			Remove:           []Holder{goldenRemoved},
+			Add:              []Leaseholder{goldenAdded},
+			Remove:           []Leaseholder{goldenRemoved},
 		}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -118,10 +118,10 @@
 	expect(t, m, &Command{Configure: &goldenOrder}, Accepted)
 	expect(t, m, &Command{Configure: &goldenLateOrder}, VersionMismatch)
 	expect(t, m, &Command{Retire: &Retire{Store: goldenStore, Duration: 1234 * time.Millisecond}}, Accepted)
-	expect(t, m, &Command{Complete: &Complete{Store: goldenStore, CurrentReplica: 0x6162636465666768}}, Accepted)
+	expect(t, m, &Command{CompleteRetirement: &CompleteRetirement{Store: goldenStore, CurrentReplica: 0x6162636465666768}}, Accepted)
 	expect(t, m, &Command{Retire: &Retire{Store: goldenStores[0], Duration: 5678 * time.Millisecond}}, Accepted)
-	expect(t, m, &Command{Place: &Place{ExpectedRevision: 3, Table: []byte("placement table")}}, Accepted)
-	expect(t, m, &Command{Holders: &Holders{Epoch: 51, Add: []Holder{goldenAdded, goldenRemoved}}}, Accepted)
+	expect(t, m, &Command{ReplacePlacement: &ReplacePlacement{ExpectedRevision: 3, Table: []byte("placement table")}}, Accepted)
+	expect(t, m, &Command{ChangeLeaseholders: &ChangeLeaseholders{Epoch: 51, Add: []Leaseholder{goldenAdded, goldenRemoved}}}, Accepted)
 	return m
 }
 
@@ -133,7 +133,7 @@
 	}
 	golden.Bytes(t, "snapshot.hex", restored.Snapshot())
 	checkGoldenState(t, restored.State())
-	if !restored.Taken(goldenOrder.Digest()) {
+	if !restored.HasAccepted(goldenOrder.Digest()) {
 		t.Error("the accepted order is not remembered")
 	}
 	if !restored.refused.has(goldenLateOrder.Digest()) {
@@ -157,9 +157,9 @@
 	if state.RetirementRevision != 3 || state.PlacementVersion != 1 || string(state.Placement) != "placement table" {
 		t.Errorf("got revision %d, placement %d %q", state.RetirementRevision, state.PlacementVersion, state.Placement)
 	}
-	wantHolders := HolderSet{Epoch: 51, Revision: 1, Members: []Holder{goldenAdded, goldenRemoved}}
-	if !reflect.DeepEqual(state.Holders, wantHolders) {
-		t.Errorf("got %+v, want %+v", state.Holders, wantHolders)
+	wantHolders := LeaseholderSet{Epoch: 51, Revision: 1, Members: []Leaseholder{goldenAdded, goldenRemoved}}
+	if !reflect.DeepEqual(state.Leaseholders, wantHolders) {
+		t.Errorf("got %+v, want %+v", state.Leaseholders, wantHolders)
 	}
 }
 
--- a/internal/control/headship.go
+++ b/internal/control/leadership.go
@@ -13,32 +13,32 @@
 
 const (
 	// headProofPeriod is the time between two proofs of headship, and headProofAge how long one is used.
-	headProofPeriod = 400 * time.Millisecond
-	headProofAge    = time.Second
+	leadershipProofPeriod   = 400 * time.Millisecond
+	leadershipProofLifetime = time.Second
 )
 
 // viewConfirmer proves which view of the control chain is the newest: a *chain.Prover.
-type viewConfirmer interface {
+type viewProver interface {
 	ConfirmView(ctx context.Context) (view.View, error)
 }
 
 // Headship keeps the proof that this node is the head of the control chain. It implements quota.Headship.
-type Headship struct {
-	node      chainNode
-	confirmer viewConfirmer
-	self      view.ReplicaID
-	proofAge  time.Duration
-	log       *zap.Logger
+type Leadership struct {
+	node          chainNode
+	prover        viewProver
+	self          view.ReplicaID
+	proofLifetime time.Duration
+	log           *zap.Logger
 
 	mutex sync.Mutex
 	// proven and epoch tell when this node was proven to be the head last, and in which epoch.
-	proven time.Time
-	epoch  uint64
+	provenAt    time.Time
+	provenEpoch uint64
 }
 
 // run proves headship at intervals while this node seems to be the head, and whenever it is asked to, until ctx ends.
-func (h *Headship) run(ctx context.Context, soon <-chan struct{}) {
-	ticker := time.NewTicker(headProofPeriod)
+func (h *Leadership) run(ctx context.Context, soon <-chan struct{}) {
+	ticker := time.NewTicker(leadershipProofPeriod)
 	defer ticker.Stop()
 	for {
 		select {
@@ -52,12 +52,12 @@
 }
 
 // prove makes one proof, counted from when it begins.
-func (h *Headship) prove(ctx context.Context) {
+func (h *Leadership) prove(ctx context.Context) {
 	if !h.isHead(h.node.View()) {
 		return
 	}
 	begin := time.Now()
-	confirmed, err := h.confirmer.ConfirmView(ctx)
+	confirmed, err := h.prover.ConfirmView(ctx)
 	if err != nil {
 		h.log.Debug("no proof of headship", zap.Error(err))
 		return
@@ -65,28 +65,28 @@
 	if h.isHead(confirmed) {
 		h.mutex.Lock()
 		defer h.mutex.Unlock()
-		h.proven, h.epoch = begin, confirmed.Epoch
+		h.provenAt, h.provenEpoch = begin, confirmed.Epoch
 	}
 }
 
-func (h *Headship) isHead(v view.View) bool {
+func (h *Leadership) isHead(v view.View) bool {
 	head, ok := v.Head()
 	return ok && head.Replica == h.self
 }
 
 // Fresh tells whether a proof that is young enough shows that this node is the head.
-func (h *Headship) Fresh() bool {
+func (h *Leadership) Fresh() bool {
 	h.mutex.Lock()
-	proven, epoch := h.proven, h.epoch
+	proven, epoch := h.provenAt, h.provenEpoch
 	h.mutex.Unlock()
-	return !proven.IsZero() && epoch == h.Epoch() && time.Since(proven) < h.proofAge
+	return !proven.IsZero() && epoch == h.Epoch() && time.Since(proven) < h.proofLifetime
 }
 
 // Epoch tells the view of the control chain.
-func (h *Headship) Epoch() uint64 { return h.node.View().Epoch }
+func (h *Leadership) Epoch() uint64 { return h.node.View().Epoch }
 
 // Head is the address of the head as far as this node knows.
-func (h *Headship) Head() (netip.AddrPort, bool) {
+func (h *Leadership) Head() (netip.AddrPort, bool) {
 	head, ok := h.node.View().Head()
 	return head.Address, ok
 }
--- a/internal/control/headship_test.go
+++ b/internal/control/leadership_test.go
@@ -28,10 +28,10 @@
 	return confirmed, f.err
 }
 
-func newHeadshipFixture() (*Headship, *fakeChainNode, *fakeConfirmer) {
+func newHeadshipFixture() (*Leadership, *fakeChainNode, *fakeConfirmer) {
 	node := newDistributorFixture().node
 	confirmer := &fakeConfirmer{node: node}
-	h := &Headship{node: node, confirmer: confirmer, self: 7, proofAge: time.Hour, log: zap.NewNop()}
+	h := &Leadership{node: node, prover: confirmer, self: 7, proofLifetime: time.Hour, log: zap.NewNop()}
 	return h, node, confirmer
 }
 
@@ -93,10 +93,10 @@
 	var answered time.Time
 	confirmer.after = func() { answered = time.Now() }
 	h.prove(t.Context())
-	if h.proven.After(answered) {
+	if h.provenAt.After(answered) {
 		t.Error("the proof is younger than the answers")
 	}
-	h.proofAge = 0
+	h.proofLifetime = 0
 	if h.Fresh() {
 		t.Error("an old proof is fresh")
 	}
--- a/internal/control/holders.go
+++ b/internal/control/leaseholders.go
@@ -11,7 +11,7 @@
 )
 
 // Holder is one life of a proxy, which may hold quota leases.
-type Holder struct {
+type Leaseholder struct {
 	Address netip.AddrPort
 	Life    uint64
 }
@@ -19,54 +19,54 @@
 // Holders changes the set of proxies that may hold quota leases. The allocator of an epoch of the control chain proposes
 // it, with the revision of the set on which it builds. An earlier allocator can change nothing once a later one has made
 // a change, even an empty one.
-type Holders struct {
+type ChangeLeaseholders struct {
 	Epoch            uint64
 	ExpectedRevision uint64
 	// Add holds lives that may hold leases from now on, each in place of a former life at its address.
-	Add []Holder
+	Add []Leaseholder
 	// Remove holds lives that hold none any more.
-	Remove []Holder
+	Remove []Leaseholder
 }
 
 // HolderSet is the set of proxies that may hold quota leases.
-type HolderSet struct {
+type LeaseholderSet struct {
 	// Epoch is that of the allocator that has changed the set last, and Revision counts the changes.
 	Epoch, Revision uint64
 	// Members stand in the order of their addresses, one for each.
-	Members []Holder
+	Members []Leaseholder
 }
 
 // holders applies a change of the set of holders.
-func (m *Machine) holders(order *Holders) Result {
+func (m *Machine) changeLeaseholders(request *ChangeLeaseholders) Result {
 	state := m.State()
-	current := &state.Holders
-	if order.Epoch < current.Epoch {
+	current := &state.Leaseholders
+	if request.Epoch < current.Epoch {
 		text := fmt.Sprintf("an allocator of epoch %d has begun", current.Epoch)
 		return Result{Outcome: VersionMismatch, Version: current.Revision, Text: text}
 	}
-	if order.ExpectedRevision != current.Revision {
-		text := fmt.Sprintf("revision %d of the holders is current, not %d", current.Revision, order.ExpectedRevision)
+	if request.ExpectedRevision != current.Revision {
+		text := fmt.Sprintf("revision %d of the holders is current, not %d", current.Revision, request.ExpectedRevision)
 		return Result{Outcome: VersionMismatch, Version: current.Revision, Text: text}
 	}
-	next := state.withHolders(current.changed(order))
+	next := state.withLeaseholders(current.changed(request))
 	m.state.Store(next)
-	return Result{Outcome: Accepted, Version: next.Holders.Revision}
+	return Result{Outcome: Accepted, Version: next.Leaseholders.Revision}
 }
 
 // changed gives the set after a change.
-func (s *HolderSet) changed(order *Holders) HolderSet {
-	members := slices.DeleteFunc(slices.Clone(s.Members), func(member Holder) bool {
-		return slices.Contains(order.Remove, member)
+func (s *LeaseholderSet) changed(change *ChangeLeaseholders) LeaseholderSet {
+	members := slices.DeleteFunc(slices.Clone(s.Members), func(member Leaseholder) bool {
+		return slices.Contains(change.Remove, member)
 	})
-	for _, added := range order.Add {
-		members = withHolder(members, added)
+	for _, added := range change.Add {
+		members = insertLeaseholder(members, added)
 	}
-	return HolderSet{Epoch: order.Epoch, Revision: s.Revision + 1, Members: members}
+	return LeaseholderSet{Epoch: change.Epoch, Revision: s.Revision + 1, Members: members}
 }
 
 // withHolder puts a holder into a sorted list, in place of one with the same address.
-func withHolder(members []Holder, added Holder) []Holder {
-	i, found := slices.BinarySearchFunc(members, added, compareHolders)
+func insertLeaseholder(members []Leaseholder, added Leaseholder) []Leaseholder {
+	i, found := slices.BinarySearchFunc(members, added, compareAddresses)
 	if found {
 		members[i] = added
 		return members
@@ -74,32 +74,32 @@
 	return slices.Insert(members, i, added)
 }
 
-func compareHolders(a, b Holder) int {
+func compareAddresses(a, b Leaseholder) int {
 	return cmp.Or(a.Address.Addr().Compare(b.Address.Addr()), cmp.Compare(a.Address.Port(), b.Address.Port()))
 }
 
 // withHolders gives a state with another set of holders.
-func (s *State) withHolders(holders HolderSet) *State {
+func (s *State) withLeaseholders(leaseholders LeaseholderSet) *State {
 	next := *s
-	next.Holders = holders
+	next.Leaseholders = leaseholders
 	return &next
 }
 
 // ChangeHolders has a change of the set of holders committed and gives the set after it. After an error of another kind
 // than fault.VersionConflict the change may still be made later, unless another one is made before it.
-func (c *Control) ChangeHolders(ctx context.Context, order *Holders) (HolderSet, error) {
+func (c *Control) ChangeLeaseholders(ctx context.Context, change *ChangeLeaseholders) (LeaseholderSet, error) {
 	if c.service == nil {
-		return HolderSet{}, fault.New(fault.NotReady, "this node keeps no replica")
+		return LeaseholderSet{}, fault.New(fault.NotReady, "this node keeps no replica")
 	}
-	result, err := c.service.proposeOnce(ctx, &Command{Holders: order})
+	result, err := c.service.proposeOnce(ctx, &Command{ChangeLeaseholders: change})
 	if err != nil {
-		return HolderSet{}, err
+		return LeaseholderSet{}, err
 	}
-	holders := c.machine.State().Holders
-	if holders.Revision != result.Version {
-		return HolderSet{}, fault.New(fault.NotReady, "the holders are at revision %d here, not %d", holders.Revision, result.Version)
+	leaseholders := c.machine.State().Leaseholders
+	if leaseholders.Revision != result.Version {
+		return LeaseholderSet{}, fault.New(fault.NotReady, "the holders are at revision %d here, not %d", leaseholders.Revision, result.Version)
 	}
-	return holders, nil
+	return leaseholders, nil
 }
 
 // proposeOnce has a command applied and gives its result, without trying again.
--- a/internal/control/orders_history_test.go
+++ b/internal/control/linearizability_test.go
@@ -54,7 +54,7 @@
 func (n *orderNode) open(machine *Machine) {
 	n.machine = machine
 	n.service = newService(n, machine, nil, 0)
-	n.service.callTime, n.service.retryPause = time.Nanosecond, 0
+	n.service.callTimeout, n.service.retryInterval = time.Nanosecond, 0
 }
 
 // applyUpTo applies entries and gives the result of the last one.
@@ -296,7 +296,7 @@
 		}
 	}
 	for _, given := range trial.unclear {
-		if node.machine.Taken(given.order.Digest()) {
+		if node.machine.HasAccepted(given.order.Digest()) {
 			trial.add(given.input, configurationOutcome{taken: true}, given.began, last-1)
 		}
 	}
--- a/internal/control/machine_test.go
+++ b/internal/control/machine_test.go
@@ -65,7 +65,7 @@
 	}
 	for _, order := range []*Command{first, second, third} {
 		expect(t, m, order, Repeated)
-		if !m.Taken(order.Configure.Digest()) {
+		if !m.HasAccepted(order.Configure.Digest()) {
 			t.Error("an accepted order is not known")
 		}
 	}
@@ -152,7 +152,7 @@
 }
 
 func complete(name string, replica, version uint64) *Command {
-	return &Command{Complete: &Complete{Store: Store{name, replica}, ExpectedVersion: version}}
+	return &Command{CompleteRetirement: &CompleteRetirement{Store: Store{name, replica}, ExpectedVersion: version}}
 }
 
 func TestRetirements(t *testing.T) {
@@ -200,7 +200,7 @@
 func TestPlacementIsSwappedByVersion(t *testing.T) {
 	m := NewMachine()
 	place := func(version, revision uint64, table string) *Command {
-		return &Command{Place: &Place{ExpectedVersion: version, ExpectedRevision: revision, Table: []byte(table)}}
+		return &Command{ReplacePlacement: &ReplacePlacement{ExpectedVersion: version, ExpectedRevision: revision, Table: []byte(table)}}
 	}
 	expect(t, m, place(0, 0, "one"), Accepted)
 	expect(t, m, place(0, 0, "two"), VersionMismatch)
@@ -219,7 +219,7 @@
 	expect(t, m, retire("a", 1), Accepted)
 	expect(t, m, complete("a", 1, 0), Accepted)
 	expect(t, m, retire("b", 2), Accepted)
-	expect(t, m, &Command{Place: &Place{ExpectedRevision: 3, Table: []byte("table")}}, Accepted)
+	expect(t, m, &Command{ReplacePlacement: &ReplacePlacement{ExpectedRevision: 3, Table: []byte("table")}}, Accepted)
 	snapshot := m.Snapshot()
 	restored := NewMachine()
 	if err := restored.Restore(snapshot); err != nil {
@@ -267,7 +267,7 @@
 }
 
 func TestOrdersForgetTheOldest(t *testing.T) {
-	o := newOrders(3)
+	o := newDigestHistory(3)
 	for i := range uint64(5) {
 		o.add(Digest{High: i})
 		o.add(Digest{High: i})
--- a/internal/control/placer.go
+++ b/internal/control/placement.go
@@ -15,12 +15,12 @@
 
 // placer keeps the placement of batch partitions in order while this node is the head of the control chain. Its rounds
 // are made one at a time, whenever something may have changed.
-type placer struct {
+type placementController struct {
 	machine *Machine
 	members membership
-	reports *reports
+	reports *reportStore
 	policy  placement.Policy
-	timing  placerTiming
+	timing  placementTiming
 	propose func(ctx context.Context, command *Command) (Result, error)
 	log     *zap.Logger
 
@@ -29,21 +29,21 @@
 	// headSince is when this node became head, zero while it is not.
 	headSince time.Time
 	// stores and storesSince tell since when the same stores are there.
-	stores      int
-	storesSince time.Time
+	storeCount      int
+	storeCountSince time.Time
 }
 
 // placerTiming bounds what a placer waits for.
-type placerTiming struct {
+type placementTiming struct {
 	// settle is how long a new head waits for the stores to report, and how long stores have to stay the same before
 	// the first table is made.
-	settle time.Duration
+	stabilization time.Duration
 	// silence is how long a store may send no report before it is taken for dead.
-	silence time.Duration
+	reportTimeout time.Duration
 }
 
 // round looks whether the placement has to be changed, and has one change committed.
-func (p *placer) round(ctx context.Context, now time.Time, head bool) {
+func (p *placementController) reconcile(ctx context.Context, now time.Time, head bool) {
 	if !head {
 		p.headSince = time.Time{}
 		return
@@ -59,10 +59,10 @@
 	}
 	stores := p.observe(state, now)
 	if len(table.Partitions) == 0 {
-		p.create(ctx, now, state, stores)
+		p.createTable(ctx, now, state, stores)
 		return
 	}
-	if !p.mayJudge(now, table, stores) {
+	if !p.knowsStores(now, table, stores) {
 		return
 	}
 	policy := p.policy
@@ -82,28 +82,28 @@
 const interruptInterval = 10 * time.Second
 
 // mayInterrupt tells whether the head of a partition may be moved though items run there.
-func (p *placer) mayInterrupt(now time.Time) bool {
+func (p *placementController) mayInterrupt(now time.Time) bool {
 	return now.Sub(p.headSince) >= interruptInterval && now.Sub(p.interruptedAt) >= interruptInterval
 }
 
 // observe gathers what is known of the stores.
-func (p *placer) observe(state *State, now time.Time) []placement.Store {
+func (p *placementController) observe(state *State, now time.Time) []placement.Store {
 	var stores []placement.Store
 	for _, m := range p.members.Table().All() {
 		if m.Role == storeRole && m.Replica != 0 {
 			stores = append(stores, p.observeStore(state, &m, now))
 		}
 	}
-	p.reports.forget(now.Add(-p.timing.silence))
+	p.reports.forget(now.Add(-p.timing.reportTimeout))
 	return stores
 }
 
-func (p *placer) observeStore(state *State, m *member.Member, now time.Time) placement.Store {
-	chains, recent := p.reports.recent(m.Replica, now.Add(-p.timing.silence))
-	heardEnough := now.Sub(p.headSince) >= p.timing.silence
+func (p *placementController) observeStore(state *State, m *member.Member, now time.Time) placement.Store {
+	chains, recent := p.reports.recent(m.Replica, now.Add(-p.timing.reportTimeout))
+	waitedForReports := now.Sub(p.headSince) >= p.timing.reportTimeout
 	store := placement.Store{
 		Member:   view.Member{Replica: view.ReplicaID(m.Replica), Name: m.Name, Zone: m.Zone, Address: m.Address},
-		Alive:    m.Running() && (recent || !heardEnough),
+		Alive:    m.Running() && (recent || !waitedForReports),
 		Leaving:  m.Leaving,
 		Retiring: state.Retired(Store{Name: m.Name, Replica: m.Replica}),
 	}
@@ -114,12 +114,12 @@
 }
 
 // create makes the first table once the stores have stayed the same for a while.
-func (p *placer) create(ctx context.Context, now time.Time, state *State, stores []placement.Store) {
-	if len(stores) != p.stores || p.storesSince.IsZero() {
-		p.stores = len(stores)
-		p.storesSince = now
+func (p *placementController) createTable(ctx context.Context, now time.Time, state *State, stores []placement.Store) {
+	if len(stores) != p.storeCount || p.storeCountSince.IsZero() {
+		p.storeCount = len(stores)
+		p.storeCountSince = now
 	}
-	if now.Sub(p.storesSince) < p.timing.settle || now.Sub(p.headSince) < p.timing.settle {
+	if now.Sub(p.storeCountSince) < p.timing.stabilization || now.Sub(p.headSince) < p.timing.stabilization {
 		return
 	}
 	if table, changes, ok := placement.Create(stores, p.policy); ok {
@@ -129,15 +129,15 @@
 
 // mayJudge tells whether this node knows enough of the stores to change the placement: a new head waits for a while until
 // it has heard of each store that is placed.
-func (p *placer) mayJudge(now time.Time, table placement.Table, stores []placement.Store) bool {
-	if now.Sub(p.headSince) >= p.timing.settle {
+func (p *placementController) knowsStores(now time.Time, table placement.Table, stores []placement.Store) bool {
+	if now.Sub(p.headSince) >= p.timing.stabilization {
 		return true
 	}
 	known := map[view.ReplicaID]bool{}
 	reporting := map[netip.AddrPort]bool{}
 	for i := range stores {
 		known[stores[i].Replica] = len(stores[i].Progress) > 0 || !stores[i].Alive
-		if _, recent := p.reports.recent(uint64(stores[i].Replica), now.Add(-p.timing.silence)); recent {
+		if _, recent := p.reports.recent(uint64(stores[i].Replica), now.Add(-p.timing.reportTimeout)); recent {
 			reporting[stores[i].Address] = true
 		}
 	}
@@ -158,13 +158,13 @@
 }
 
 // commit has a table committed.
-func (p *placer) commit(ctx context.Context, state *State, table placement.Table, changes []placement.Change) {
+func (p *placementController) commit(ctx context.Context, state *State, table placement.Table, changes []placement.Change) {
 	encoded, err := placement.Encode(table)
 	if err != nil {
 		p.log.Error("placement cannot be written", zap.Error(err))
 		return
 	}
-	result, err := p.propose(ctx, &Command{Place: &Place{
+	result, err := p.propose(ctx, &Command{ReplacePlacement: &ReplacePlacement{
 		ExpectedVersion:  state.PlacementVersion,
 		ExpectedRevision: state.RetirementRevision,
 		Table:            encoded,
@@ -178,12 +178,12 @@
 }
 
 // completeRetirements records the stores that hold nothing any more.
-func (p *placer) completeRetirements(ctx context.Context, state *State, table placement.Table, stores []placement.Store) {
+func (p *placementController) completeRetirements(ctx context.Context, state *State, table placement.Table, stores []placement.Store) {
 	for _, retirement := range state.Retirements {
-		if retirement.Completed || !p.emptied(retirement.Store, table, stores) {
+		if retirement.Completed || !p.isEmptied(retirement.Store, table, stores) {
 			continue
 		}
-		_, err := p.propose(ctx, &Command{Complete: &Complete{
+		_, err := p.propose(ctx, &Command{CompleteRetirement: &CompleteRetirement{
 			Store:           retirement.Store,
 			CurrentReplica:  replicaOf(retirement.Store.Name, stores),
 			ExpectedVersion: state.PlacementVersion,
@@ -197,7 +197,7 @@
 }
 
 // emptied tells whether no replica on a machine is needed any more.
-func (p *placer) emptied(store Store, table placement.Table, stores []placement.Store) bool {
+func (p *placementController) isEmptied(store Store, table placement.Table, stores []placement.Store) bool {
 	for _, partition := range table.Partitions {
 		for _, m := range partition.View.Members {
 			if m.Name == store.Name {
--- a/internal/control/placer_test.go
+++ b/internal/control/placement_test.go
@@ -44,7 +44,7 @@
 	t       *testing.T
 	machine *Machine
 	members *fakeMembers
-	placer  *placer
+	placer  *placementController
 	now     time.Time
 	silent  map[string]bool
 	running uint32 // items at each replica, as reported
@@ -68,13 +68,13 @@
 }
 
 // newHead makes the placer of a node that has just become head.
-func (f *placerFixture) newHead(propose func(context.Context, *Command) (Result, error)) *placer {
-	return &placer{
+func (f *placerFixture) newHead(propose func(context.Context, *Command) (Result, error)) *placementController {
+	return &placementController{
 		machine: f.machine,
 		members: f.members,
-		reports: newReports(),
+		reports: newReportStore(),
 		policy:  placement.PolicyFor(1),
-		timing:  placerTiming{settle: testSettle, silence: testSilence},
+		timing:  placementTiming{stabilization: testSettle, reportTimeout: testSilence},
 		propose: propose,
 		log:     zap.NewNop(),
 	}
@@ -102,7 +102,7 @@
 func (f *placerFixture) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(testStep) {
 		f.report()
-		f.placer.round(f.t.Context(), f.now, true)
+		f.placer.reconcile(f.t.Context(), f.now, true)
 	}
 }
 
@@ -147,7 +147,7 @@
 	f := newPlacerFixture(t, 3)
 	for range 20 {
 		f.report()
-		f.placer.round(t.Context(), f.now, false)
+		f.placer.reconcile(t.Context(), f.now, false)
 		f.now = f.now.Add(testStep)
 	}
 	if f.machine.State().PlacementVersion != 0 {
@@ -185,7 +185,7 @@
 	known := f.members.members
 	f.members.members = nil
 	for range 3 {
-		f.placer.round(t.Context(), f.now, true)
+		f.placer.reconcile(t.Context(), f.now, true)
 		f.now = f.now.Add(testStep)
 	}
 	if f.machine.State().PlacementVersion != version {
@@ -395,7 +395,7 @@
 	f.members.find("s-2").Leaving = true
 	f.members.members = append(f.members.members, storeMember(4), storeMember(5))
 	f.members.find("s-4").State = member.Dead
-	directory := &storeDirectory{members: f.members, machine: f.machine, wholeFrom: f.now, now: func() time.Time { return f.now }}
+	directory := &storeDirectory{members: f.members, machine: f.machine, completeFrom: f.now, now: func() time.Time { return f.now }}
 	known, remaining, whole := directory.Stores()
 	if len(known) != 5 || !whole {
 		t.Errorf("known %v, %v", known, whole)
--- a/internal/control/distributor.go
+++ b/internal/control/publisher.go
@@ -28,14 +28,14 @@
 }
 
 // currencyConfirmer proves without the whole chain that what is applied here is current: a *chain.Prover.
-type currencyConfirmer interface {
+type currencyProver interface {
 	ConfirmCurrent(ctx context.Context) error
 }
 
 // distributor publishes what is committed, and proves now and then that it is current.
-type distributor struct {
+type publisher struct {
 	node          chainNode
-	confirmer     currencyConfirmer
+	prover        currencyProver
 	machine       *Machine
 	configuration Topic
 	placement     Topic
@@ -47,24 +47,24 @@
 	publishedPlacement     uint64
 	// proven is the time at which the newest successful barrier began: what is held here is as new as what was committed
 	// then.
-	proven time.Time
+	provenAt time.Time
 }
 
 // publish announces what was committed since the last call. A new version is as current as the one before it was proven
 // to be.
-func (d *distributor) publish() {
+func (d *publisher) publish() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	state := d.machine.State()
 	if version := state.Version(); version > d.publishedConfiguration {
 		d.publishedConfiguration = version
 		d.configuration.Publish(version, state.EncodedDocument())
-		certify(d.configuration, version, d.proven)
+		certify(d.configuration, version, d.provenAt)
 	}
 	if version := state.PlacementVersion; version > d.publishedPlacement {
 		d.publishedPlacement = version
 		d.placement.Publish(version, state.Placement)
-		certify(d.placement, version, d.proven)
+		certify(d.placement, version, d.provenAt)
 	}
 }
 
@@ -76,7 +76,7 @@
 }
 
 // run proves at intervals that what is held here is current, and whenever it is asked to, until ctx ends.
-func (d *distributor) run(ctx context.Context, soon <-chan struct{}) {
+func (d *publisher) run(ctx context.Context, soon <-chan struct{}) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -93,9 +93,9 @@
 
 // prove makes one proof, counted from when it begins. A barrier is needed only while commands are under way: it waits for
 // members that are cut off until the chain goes on without them.
-func (d *distributor) prove(ctx context.Context) {
+func (d *publisher) prove(ctx context.Context) {
 	begin := time.Now()
-	if d.confirmer.ConfirmCurrent(ctx) != nil {
+	if d.prover.ConfirmCurrent(ctx) != nil {
 		begin = time.Now()
 		ctx, cancel := context.WithTimeout(ctx, barrierTimeout)
 		defer cancel()
@@ -108,13 +108,13 @@
 	d.certifyAll(begin)
 }
 
-func (d *distributor) certifyAll(asOf time.Time) {
+func (d *publisher) certifyAll(asOf time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if !asOf.After(d.proven) {
+	if !asOf.After(d.provenAt) {
 		return
 	}
-	d.proven = asOf
+	d.provenAt = asOf
 	certify(d.configuration, d.publishedConfiguration, asOf)
 	certify(d.placement, d.publishedPlacement, asOf)
 }
--- a/internal/control/distributor_test.go
+++ b/internal/control/publisher_test.go
@@ -54,7 +54,7 @@
 }
 
 type distributorFixture struct {
-	distributor              *distributor
+	distributor              *publisher
 	node                     *fakeChainNode
 	machine                  *Machine
 	configuration, placement *fakeTopic
@@ -67,8 +67,8 @@
 		configuration: &fakeTopic{},
 		placement:     &fakeTopic{},
 	}
-	f.distributor = &distributor{
-		node: f.node, confirmer: f.node, machine: f.machine, configuration: f.configuration, placement: f.placement, log: zap.NewNop(),
+	f.distributor = &publisher{
+		node: f.node, prover: f.node, machine: f.machine, configuration: f.configuration, placement: f.placement, log: zap.NewNop(),
 	}
 	return f
 }
@@ -95,7 +95,7 @@
 		t.Errorf("after a proof: %+v", f.configuration)
 	}
 	expect(t, f.machine, put(3, documentText(5, 10)), Accepted)
-	expect(t, f.machine, &Command{Place: &Place{Table: []byte("table")}}, Accepted)
+	expect(t, f.machine, &Command{ReplacePlacement: &ReplacePlacement{Table: []byte("table")}}, Accepted)
 	f.distributor.publish()
 	if f.configuration.certified != 5 || f.configuration.asOf != proven || string(f.configuration.data) != string(f.machine.State().EncodedDocument()) {
 		t.Errorf("a newer version is as current as the older one was: %+v", f.configuration)
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -22,7 +22,7 @@
 // chainPolicy gives the sizes of the control chain where some disks may be lost at once: as many replicas vote on its views as
 // are members of a whole one.
 func chainPolicy(lost int) view.Policy {
-	whole := max(leastMembers, 2*lost+1)
+	whole := max(minimumChainMembers, 2*lost+1)
 	return view.Policy{MinimumMembers: lost + 1, MaximumMembers: whole, Voters: whole}
 }
 
@@ -52,7 +52,7 @@
 		Log:             o.Log,
 	})
 	if err != nil {
-		return c.openFailed(merry.Prepend(err, "control chain"))
+		return c.handleOpenError(merry.Prepend(err, "control chain"))
 	}
 	c.node = node
 	c.reconfigurer, err = chain.NewReconfigurer(chain.ReconfigurerOptions{
@@ -63,59 +63,59 @@
 	})
 	if err != nil {
 		node.Close()
-		return c.openFailed(merry.Prepend(err, "views of the control chain"))
+		return c.handleOpenError(merry.Prepend(err, "views of the control chain"))
 	}
-	c.build(lost)
+	c.assemble(lost)
 	return nil
 }
 
 // build makes the parts that work on the replica.
-func (c *Control) build(lost int) {
+func (c *Control) assemble(lost int) {
 	o := c.options
 	stores := &storeDirectory{
-		members:   o.Members,
-		machine:   c.machine,
-		wholeFrom: time.Now().Add(wholeHeartbeats * c.heartbeat),
-		now:       time.Now,
+		members:      o.Members,
+		machine:      c.machine,
+		completeFrom: time.Now().Add(discoveryHeartbeats * c.heartbeat),
+		now:          time.Now,
 	}
 	c.service = newService(c.node, c.machine, stores, lost+1)
 	prover := chain.NewProver(c.reconfigurer)
-	c.distributor = &distributor{
+	c.publisher = &publisher{
 		node:          c.node,
-		confirmer:     prover,
+		prover:        prover,
 		machine:       c.machine,
 		configuration: o.Configuration,
 		placement:     o.Placement,
 		period:        c.heartbeat / 2,
 		log:           o.Log,
 	}
-	c.headship = &Headship{
-		node:      c.node,
-		confirmer: prover,
-		self:      o.Replica,
-		proofAge:  headProofAge,
-		log:       o.Log,
+	c.leadership = &Leadership{
+		node:          c.node,
+		prover:        prover,
+		self:          o.Replica,
+		proofLifetime: leadershipProofLifetime,
+		log:           o.Log,
 	}
-	c.placer = &placer{
+	c.placementController = &placementController{
 		machine: c.machine,
 		members: o.Members,
 		reports: c.reports,
 		policy:  placementPolicy(o.Settings.FaultTolerance),
-		timing:  placerTiming{settle: settleHeartbeats * c.heartbeat, silence: storeSilence},
+		timing:  placementTiming{stabilization: stabilizationHeartbeats * c.heartbeat, reportTimeout: storeReportTimeout},
 		propose: c.service.propose,
 		log:     o.Log,
 	}
-	handler := &headReports{
+	handler := &reportHandler{
 		reports:   c.reports,
 		transport: o.Transport,
 		head:      c.head,
-		changed:   func() { signal(c.placeSoon) },
+		changed:   func() { signal(c.wakePlacement) },
 	}
 	o.Transport.Handle(reportKind, handler.handle)
-	c.node.OnCommit(func(uint64) { signal(c.committed) })
+	c.node.OnCommit(func(uint64) { signal(c.commits) })
 	c.node.OnView(func(view.View) {
-		signal(c.proveSoon)
-		signal(c.headSoon)
-		signal(c.placeSoon)
+		signal(c.wakePublisher)
+		signal(c.wakeLeadership)
+		signal(c.wakePlacement)
 	})
 }
--- a/internal/control/report.go
+++ b/internal/control/report.go
@@ -120,7 +120,7 @@
 }
 
 // reports keeps the newest report of each store.
-type reports struct {
+type reportStore struct {
 	mutex     sync.Mutex
 	byReplica map[uint64]receivedReport
 }
@@ -131,10 +131,10 @@
 	at       time.Time
 }
 
-func newReports() *reports { return &reports{byReplica: map[uint64]receivedReport{}} }
+func newReportStore() *reportStore { return &reportStore{byReplica: map[uint64]receivedReport{}} }
 
 // put keeps a report, and tells whether it says anything new.
-func (r *reports) put(report Report, at time.Time) bool {
+func (r *reportStore) put(report Report, at time.Time) bool {
 	slices.SortFunc(report.Chains, func(a, b ChainStatus) int { return cmp.Compare(a.Chain, b.Chain) })
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -144,7 +144,7 @@
 }
 
 // recent gives what a replica reported, and whether it did since a time and is in order.
-func (r *reports) recent(replica uint64, since time.Time) ([]ChainStatus, bool) {
+func (r *reportStore) recent(replica uint64, since time.Time) ([]ChainStatus, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	received, known := r.byReplica[replica]
@@ -152,15 +152,15 @@
 }
 
 // forget drops the reports that came before a time.
-func (r *reports) forget(before time.Time) {
+func (r *reportStore) forget(before time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	maps.DeleteFunc(r.byReplica, func(_ uint64, received receivedReport) bool { return received.at.Before(before) })
 }
 
 // headReports accepts the reports that stores send: at the head of the chain they are kept, elsewhere passed on to it.
-type headReports struct {
-	reports   *reports
+type reportHandler struct {
+	reports   *reportStore
 	transport *peer.Transport
 	// head gives the address of the head of the control chain, and whether that is this node.
 	head func() (address netip.AddrPort, own bool)
@@ -168,7 +168,7 @@
 	changed func()
 }
 
-func (h *headReports) handle(ctx context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
+func (h *reportHandler) handle(ctx context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
 	report, forwarded, err := decodeReport(m.Body)
 	if err != nil {
 		return peer.Message{}, fault.Wrap(fault.BadRequest, err)
--- a/internal/control/report_bench_test.go
+++ b/internal/control/report_bench_test.go
@@ -14,7 +14,7 @@
 			for i := range partitions {
 				report.Chains = append(report.Chains, ChainStatus{Chain: uint32(i), Epoch: 12, Complete: true, Running: 30})
 			}
-			kept := newReports()
+			kept := newReportStore()
 			size := 0
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/control/report_test.go
+++ b/internal/control/report_test.go
@@ -36,7 +36,7 @@
 }
 
 func TestImpairedStoreIsNotRecent(t *testing.T) {
-	r := newReports()
+	r := newReportStore()
 	begin := time.Now()
 	r.put(exampleReport, begin)
 	impaired := Report{Store: exampleReport.Store, Impaired: true}
@@ -63,7 +63,7 @@
 }
 
 func TestReportsGrowOld(t *testing.T) {
-	r := newReports()
+	r := newReportStore()
 	begin := time.Now()
 	if !r.put(exampleReport, begin) || r.put(exampleReport, begin) {
 		t.Error("only the first of two equal reports is news")
@@ -86,14 +86,14 @@
 }
 
 // reportNode is a control node that only accepts reports.
-func reportNode(t *testing.T, head func() (netip.AddrPort, bool)) (*reports, *peer.Transport) {
+func reportNode(t *testing.T, head func() (netip.AddrPort, bool)) (*reportStore, *peer.Transport) {
 	t.Helper()
 	transport, err := peer.Listen(netip.MustParseAddrPort("127.0.0.1:0"), zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept := newReports()
-	h := &headReports{reports: kept, transport: transport, head: head, changed: func() {}}
+	kept := newReportStore()
+	h := &reportHandler{reports: kept, transport: transport, head: head, changed: func() {}}
 	transport.Handle(reportKind, h.handle)
 	transport.Start()
 	t.Cleanup(transport.Close)
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -12,11 +12,11 @@
 // Times of the operator's calls.
 const (
 	// callTime is how long a call is tried within this node: a caller goes on to another one after a second.
-	callTime = 800 * time.Millisecond
+	callTimeout = 800 * time.Millisecond
 	// callTimePerMegabyte is added for large orders.
-	callTimePerMegabyte = time.Second
+	callTimeoutPerMegabyte = time.Second
 	// retryPause lies between two tries.
-	retryPause = 40 * time.Millisecond
+	retryInterval = 40 * time.Millisecond
 )
 
 // Replica is the control chain as the operator's calls use it: a *chain.Node.
@@ -39,8 +39,8 @@
 	stores  Stores
 	// minimumStores is how many stores must remain when one is retired.
 	minimumStores int
-	callTime      time.Duration
-	retryPause    time.Duration
+	callTimeout   time.Duration
+	retryInterval time.Duration
 }
 
 func newService(replica Replica, machine *Machine, stores Stores, minimumStores int) *service {
@@ -49,44 +49,44 @@
 		machine:       machine,
 		stores:        stores,
 		minimumStores: minimumStores,
-		callTime:      callTime,
-		retryPause:    retryPause,
+		callTimeout:   callTimeout,
+		retryInterval: retryInterval,
 	}
 }
 
 // Configure has an order taken. An error of kind fault.NotReady or fault.Unclear leaves open what became of it; any
 // other is a refusal that is never taken back.
-func (s *service) Configure(ctx context.Context, order *Configure) (Result, error) {
-	if s.machine.Taken(order.Digest()) {
+func (s *service) Configure(ctx context.Context, request *Configure) (Result, error) {
+	if s.machine.HasAccepted(request.Digest()) {
 		return Result{Outcome: Repeated, Version: s.machine.State().Version()}, nil
 	}
-	if err := checkAlone(order); err != nil {
+	if err := validateRequest(request); err != nil {
 		return Result{}, err
 	}
-	return s.propose(ctx, &Command{Configure: order})
+	return s.propose(ctx, &Command{Configure: request})
 }
 
 // checkAlone refuses an order that is invalid whatever the current configuration is.
-func checkAlone(order *Configure) error {
-	version, err := checkBody(order)
+func validateRequest(request *Configure) error {
+	version, err := validateBody(request)
 	if err != nil {
 		return err
 	}
-	if version <= order.Match {
-		return fault.New(fault.InvalidConfiguration, "version %d is not above %d, on which it builds", version, order.Match)
+	if version <= request.Match {
+		return fault.New(fault.InvalidConfiguration, "version %d is not above %d, on which it builds", version, request.Match)
 	}
 	return nil
 }
 
-func checkBody(order *Configure) (version uint64, err error) {
-	if order.Patch {
-		patch, err := configuration.ParsePatch(order.Body)
+func validateBody(request *Configure) (version uint64, err error) {
+	if request.Patch {
+		patch, err := configuration.ParsePatch(request.Body)
 		if err != nil {
 			return 0, err
 		}
 		return patch.Version(), nil
 	}
-	document, err := configuration.Parse(order.Body)
+	document, err := configuration.Parse(request.Body)
 	if err != nil {
 		return 0, err
 	}
@@ -95,7 +95,7 @@
 
 // Read gives the state that was current at some moment after the call began.
 func (s *service) Read(ctx context.Context) (*State, error) {
-	err := s.retry(ctx, s.callTime, s.replica.Barrier)
+	err := s.retry(ctx, s.callTimeout, s.replica.Barrier)
 	if err != nil {
 		return nil, fault.New(fault.NotReady, "the state cannot be read here now: %v", err)
 	}
@@ -104,21 +104,21 @@
 
 // Retire asks that the store on a machine be emptied.
 func (s *service) Retire(ctx context.Context, name string, duration time.Duration) (Result, error) {
-	known, remaining, whole := s.stores.Stores()
+	known, remaining, complete := s.stores.Stores()
 	store, found := findStore(known, name)
 	if found {
 		return s.propose(ctx, &Command{Retire: &Retire{
 			Store: store, Duration: duration, Stores: remaining, Minimum: s.minimumStores,
 		}})
 	}
-	if !whole {
+	if !complete {
 		return Result{}, fault.New(fault.NotReady, "this node does not know all stores yet")
 	}
-	return s.retireAgain(ctx, name)
+	return s.acknowledgeRetirement(ctx, name)
 }
 
 // retireAgain acknowledges the retirement of a store that is known from an earlier order only.
-func (s *service) retireAgain(ctx context.Context, name string) (Result, error) {
+func (s *service) acknowledgeRetirement(ctx context.Context, name string) (Result, error) {
 	if _, err := s.Retirement(ctx, name); err != nil {
 		return Result{}, err
 	}
@@ -156,7 +156,7 @@
 	}
 	var result Result
 	unclear := false
-	err = s.retry(ctx, s.callTime+sizeAllowance(len(encoded)), func(ctx context.Context) error {
+	err = s.retry(ctx, s.callTimeout+sizeTimeout(len(encoded)), func(ctx context.Context) error {
 		reply, err := s.replica.Propose(ctx, encoded)
 		if err != nil {
 			unclear = unclear || fault.KindOf(err) != fault.NotReady
@@ -176,9 +176,9 @@
 }
 
 // sizeAllowance is the time that an order is given for its size.
-func sizeAllowance(size int) time.Duration {
+func sizeTimeout(size int) time.Duration {
 	const megabyte = 1 << 20
-	return callTimePerMegabyte * time.Duration(size) / megabyte
+	return callTimeoutPerMegabyte * time.Duration(size) / megabyte
 }
 
 // retry calls an operation until it succeeds or the time is over, and gives its last error.
@@ -187,7 +187,7 @@
 	defer cancel()
 	for {
 		err := operation(ctx)
-		if err == nil || !pause.For(ctx, s.retryPause) {
+		if err == nil || !pause.For(ctx, s.retryInterval) {
 			return err
 		}
 	}
--- a/internal/control/service_test.go
+++ b/internal/control/service_test.go
@@ -78,8 +78,8 @@
 func newTestService(f *fakeReplica) *service {
 	f.machine = NewMachine()
 	s := newService(f, f.machine, threeStores, 2)
-	s.retryPause = time.Microsecond
-	s.callTime = testCallTime
+	s.retryInterval = time.Microsecond
+	s.callTimeout = testCallTime
 	return s
 }
 
@@ -202,8 +202,8 @@
 }
 
 func TestSizeAllowance(t *testing.T) {
-	if sizeAllowance(4<<20) != 4*callTimePerMegabyte || sizeAllowance(0) != 0 {
-		t.Errorf("%v for 4 MB", sizeAllowance(4<<20))
+	if sizeTimeout(4<<20) != 4*callTimeoutPerMegabyte || sizeTimeout(0) != 0 {
+		t.Errorf("%v for 4 MB", sizeTimeout(4<<20))
 	}
 }
 
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -21,7 +21,7 @@
 	Placement        []byte
 	PlacementVersion uint64
 	// Holders are the proxies that may hold quota leases.
-	Holders HolderSet
+	Leaseholders LeaseholderSet
 
 	encoded func() []byte
 }
--- a/internal/control/stores.go
+++ b/internal/control/stores.go
@@ -25,12 +25,12 @@
 	members membership
 	machine *Machine
 	// wholeFrom is the time from which on a store that is not known does not exist.
-	wholeFrom time.Time
-	now       func() time.Time
+	completeFrom time.Time
+	now          func() time.Time
 }
 
 // Stores implements Stores.
-func (d *storeDirectory) Stores() (known, remaining []Store, whole bool) {
+func (d *storeDirectory) Stores() (known, remaining []Store, complete bool) {
 	table := decodePlacement(d.machine.State())
 	for _, m := range d.members.Table().All() {
 		if m.Role != storeRole {
@@ -38,16 +38,16 @@
 		}
 		store := Store{Name: m.Name, Replica: m.Replica}
 		known = append(known, store)
-		if mayRemain(&m, table) {
+		if isDurable(&m, table) {
 			remaining = append(remaining, store)
 		}
 	}
-	known = appendPlaced(known, table)
-	return known, remaining, !d.now().Before(d.wholeFrom)
+	known = appendPlacedStores(known, table)
+	return known, remaining, !d.now().Before(d.completeFrom)
 }
 
 // mayRemain tells whether a store can be counted on to hold data later: it runs, or is down and has data to come back with.
-func mayRemain(m *member.Member, table placement.Table) bool {
+func isDurable(m *member.Member, table placement.Table) bool {
 	if m.Replica == 0 || m.Leaving {
 		return false
 	}
@@ -55,7 +55,7 @@
 }
 
 // appendPlaced adds the stores that the placement names but that are not known otherwise.
-func appendPlaced(known []Store, table placement.Table) []Store {
+func appendPlacedStores(known []Store, table placement.Table) []Store {
 	for _, partition := range table.Partitions {
 		for _, m := range slices.Concat(partition.View.Members, partition.Learners) {
 			if _, found := findStore(known, m.Name); !found {
--- a/internal/operator/calls.go
+++ b/internal/operator/calls.go
@@ -30,7 +30,7 @@
 }
 
 func (c *Client) configure(ctx context.Context, method string, match uint64, body []byte) (uint64, error) {
-	var taken controlapi.Taken
+	var taken controlapi.ConfigurationAccepted
 	err := c.decoded(ctx, call{
 		method: method,
 		path:   controlapi.ConfigurationPath,
@@ -42,7 +42,7 @@
 
 // Retire asks that a store be emptied.
 func (c *Client) Retire(ctx context.Context, node string, duration time.Duration) error {
-	body, err := json.Marshal(controlapi.RetireOrder{DurationS: duration.Seconds()})
+	body, err := json.Marshal(controlapi.RetireRequest{DurationS: duration.Seconds()})
 	if err != nil {
 		return err
 	}
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -68,7 +68,7 @@
 
 // failureText gives the reason that stands in the body of an answer.
 func failureText(body []byte) string {
-	var failure controlapi.Failure
+	var failure controlapi.ErrorBody
 	if err := json.Unmarshal(body, &failure); err == nil && failure.Error != "" {
 		return failure.Error
 	}
