--- a/internal/control/placement.go
+++ b/internal/control/placement.go
@@ -205,7 +205,7 @@
 			}
 		}
 	}
-	return placement.IsEmptied(table, stores, view.ReplicaID(store.Replica), p.policy)
+	return placement.CanRemove(table, stores, view.ReplicaID(store.Replica), p.policy)
 }
 
 // replicaOf gives the replica that a machine holds, 0 if it is not known.
--- a/internal/placement/balance.go
+++ b/internal/placement/balance.go
@@ -8,26 +8,26 @@
 )
 
 // worthwhileDifference is the difference between two counts from which on moving one makes them more even.
-const worthwhileDifference = 2
+const minimumLoadDifference = 2
 
 // balanceReplicas begins moves of replicas to stores that hold fewer partitions, or to zones with fewer replicas of a
 // partition: the store that is to take a replica becomes a learner.
 func (p *plan) balanceReplicas() {
-	for range p.policy.movesAtOnce() - p.movesUnderWay() {
+	for range p.policy.concurrentMoves() - p.movesInProgress() {
 		best := p.bestMove()
 		if best.gain == 0 {
 			return
 		}
-		p.begin(best)
+		p.beginMove(best)
 	}
 }
 
 // movesUnderWay counts the partitions that have more replicas than wanted, learners included.
-func (p *plan) movesUnderWay() int {
+func (p *plan) movesInProgress() int {
 	count := 0
 	for i := range p.table.Partitions {
 		partition := &p.table.Partitions[i]
-		if len(partition.View.Members)+len(partition.Learners) > p.target {
+		if len(partition.View.Members)+len(partition.Learners) > p.replicationFactor {
 			count++
 		}
 	}
@@ -46,7 +46,7 @@
 	var best replicaMove
 	lowest := p.lowestLoad()
 	for i := range p.table.Partitions {
-		if !p.mayMove(i) || !p.isUneven(i, lowest) {
+		if !p.canMove(i) || !p.isUneven(i, lowest) {
 			continue
 		}
 		if move := p.bestMoveOf(i); move.gain > best.gain {
@@ -60,7 +60,7 @@
 func (p *plan) lowestLoad() int {
 	lowest := len(p.table.Partitions)
 	for store := range p.stores {
-		if p.stores[store].mayHold() {
+		if p.stores[store].isEligible() {
 			lowest = min(lowest, p.loads[store])
 		}
 	}
@@ -69,43 +69,43 @@
 
 // isUneven tells whether a move of one of a partition's replicas may be worthwhile. It spares most searches.
 func (p *plan) isUneven(partition, lowestLoad int) bool {
-	holders := p.holders[partition]
-	least := len(holders)
+	assigned := p.assigned[partition]
+	lowestCost := len(assigned)
 	for i := range p.zones {
-		least = min(least, p.zoneCost(holders, p.zones[i].name))
+		lowestCost = min(lowestCost, p.zoneCost(assigned, p.zones[i].name))
 	}
-	return slices.ContainsFunc(holders, func(store int) bool {
-		return p.loads[store]-lowestLoad >= worthwhileDifference ||
-			p.zoneCost(holders, p.stores[store].Zone)-least >= p.worthwhileZoneDifference()
+	return slices.ContainsFunc(assigned, func(store int) bool {
+		return p.loads[store]-lowestLoad >= minimumLoadDifference ||
+			p.zoneCost(assigned, p.stores[store].Zone)-lowestCost >= p.minimumZoneDifference()
 	})
 }
 
 // worthwhileZoneDifference is the difference between the costs of two zones from which on a move between them helps. Where
 // replicas are concentrated, joining one more already does.
-func (p *plan) worthwhileZoneDifference() int {
+func (p *plan) minimumZoneDifference() int {
 	if p.policy.Concentrated {
 		return 1
 	}
-	return worthwhileDifference
+	return minimumLoadDifference
 }
 
 // mayMove tells whether a partition is in order, so that it can be changed for the sake of balance.
-func (p *plan) mayMove(partition int) bool {
+func (p *plan) canMove(partition int) bool {
 	current := &p.table.Partitions[partition]
-	return !p.changed[partition] && len(current.Learners) == 0 && len(current.View.Members) == p.target &&
-		len(p.holders[partition]) == p.target && p.settled(partition)
+	return !p.changed[partition] && len(current.Learners) == 0 && len(current.View.Members) == p.replicationFactor &&
+		len(p.assigned[partition]) == p.replicationFactor && p.isStable(partition)
 }
 
 func (p *plan) bestMoveOf(partition int) replicaMove {
 	var best replicaMove
-	holders := p.holders[partition]
-	for position, from := range holders {
-		others := slices.Concat(holders[:position], holders[position+1:])
+	assigned := p.assigned[partition]
+	for position, from := range assigned {
+		others := slices.Concat(assigned[:position], assigned[position+1:])
 		to := p.bestStore(others, from)
-		if to == none {
+		if to == noStore {
 			continue
 		}
-		if gain := p.gain(others, from, to); gain > best.gain {
+		if gain := p.moveGain(others, from, to); gain > best.gain {
 			best = replicaMove{partition: partition, from: from, to: to, gain: gain}
 		}
 	}
@@ -113,31 +113,31 @@
 }
 
 // gain tells how much better it is to have a replica beside the others at a store than at another one.
-func (p *plan) gain(others []int, from, to int) int {
+func (p *plan) moveGain(others []int, from, to int) int {
 	zones := p.zoneCost(others, p.stores[from].Zone) - p.zoneCost(others, p.stores[to].Zone)
 	difference := p.loads[from] - p.loads[to]
 	switch {
 	case zones > 0:
 		return zones*2*p.loadScale() + difference
-	case zones == 0 && difference >= worthwhileDifference:
+	case zones == 0 && difference >= minimumLoadDifference:
 		return difference
 	}
 	return 0
 }
 
-func (p *plan) begin(move replicaMove) {
-	holders := p.holders[move.partition]
+func (p *plan) beginMove(move replicaMove) {
+	assigned := p.assigned[move.partition]
 	p.addLearner(move.partition, move.to)
-	p.holders[move.partition] = slices.DeleteFunc(slices.Clone(holders), func(store int) bool { return store == move.from })
+	p.assigned[move.partition] = slices.DeleteFunc(slices.Clone(assigned), func(store int) bool { return store == move.from })
 	p.addLoad(move.from, -1)
 }
 
 // balanceHeads hands the heads of partitions to members whose stores are head of fewer: those that have nothing to run
 // first, and of the others one at most.
 func (p *plan) balanceHeads() {
-	for range p.policy.movesAtOnce() {
+	for range p.policy.concurrentMoves() {
 		partition, member := p.bestHeadMove(0)
-		if member == none {
+		if member == noStore {
 			break
 		}
 		p.moveHead(partition, member)
@@ -145,7 +145,7 @@
 	if !p.policy.MayInterrupt {
 		return
 	}
-	if partition, member := p.bestHeadMove(math.MaxUint32); member != none {
+	if partition, member := p.bestHeadMove(math.MaxUint32); member != noStore {
 		p.moveHead(partition, member)
 	}
 }
@@ -153,22 +153,22 @@
 // bestHeadMove gives the partition, and the position of the member that should be its head, with the greatest difference,
 // and of those with equal ones that with the fewest running items. Partitions with more items than a number are left out.
 func (p *plan) bestHeadMove(mostRunning uint32) (partition, member int) {
-	member = none
-	greatest := worthwhileDifference - 1
+	member = noStore
+	greatest := minimumLoadDifference - 1
 	fewest := uint32(math.MaxUint32)
 	for i := range p.table.Partitions {
-		if p.changed[i] || len(p.table.Partitions[i].Learners) > 0 || !p.settled(i) {
+		if p.changed[i] || len(p.table.Partitions[i].Learners) > 0 || !p.isStable(i) {
 			continue
 		}
-		head := p.headOf(i)
-		running := p.running(i)
+		head := p.headStore(i)
+		running := p.runningItems(i)
 		if running > mostRunning {
 			continue
 		}
 		for position, candidate := range p.table.Partitions[i].View.Members {
 			store := p.storeOf(candidate)
 			difference := p.heads[head] - p.heads[store]
-			better := difference > greatest || difference == greatest && running < fewest && member != none
+			better := difference > greatest || difference == greatest && running < fewest && member != noStore
 			if better && !p.stores[store].Retiring {
 				partition, member, greatest, fewest = i, position, difference, running
 			}
@@ -178,16 +178,16 @@
 }
 
 // running is how many items run at the head of a partition.
-func (p *plan) running(partition int) uint32 {
+func (p *plan) runningItems(partition int) uint32 {
 	v := p.table.Partitions[partition].View
-	progress, _ := p.stores[p.headOf(partition)].progress(v.Chain)
+	progress, _ := p.stores[p.headStore(partition)].progress(v.Chain)
 	return progress.Running
 }
 
 func (p *plan) moveHead(partition, position int) {
 	v := p.table.Partitions[partition].View
 	head := v.Members[position]
-	p.addHeads(p.headOf(partition), -1)
+	p.addHeads(p.headStore(partition), -1)
 	p.addHeads(p.storeOf(head), 1)
 	members := slices.Concat([]view.Member{head}, v.Members[:position], v.Members[position+1:])
 	p.setView(partition, view.View{Chain: v.Chain, Epoch: v.Epoch + 1, Members: members}, HeadMoved)
--- a/internal/placement/change.go
+++ b/internal/placement/change.go
@@ -12,9 +12,9 @@
 	// Repaired is a view without members that cannot be reached, or with learners that have caught up, or both.
 	Repaired
 	// Emptied is a view without the members on stores that are being retired.
-	Emptied
+	RetiringDropped
 	// Trimmed is a view without a member that is beyond the wanted number.
-	Trimmed
+	ExcessDropped
 	// HeadMoved is a view with another member as head.
 	HeadMoved
 	// LearnerAdded and LearnerRemoved change the learners.
@@ -23,13 +23,13 @@
 )
 
 var changeNames = map[ChangeKind]string{
-	Created:        "created",
-	Repaired:       "repaired",
-	Emptied:        "emptied",
-	Trimmed:        "trimmed",
-	HeadMoved:      "head moved",
-	LearnerAdded:   "learner added",
-	LearnerRemoved: "learner removed",
+	Created:         "created",
+	Repaired:        "repaired",
+	RetiringDropped: "emptied",
+	ExcessDropped:   "trimmed",
+	HeadMoved:       "head moved",
+	LearnerAdded:    "learner added",
+	LearnerRemoved:  "learner removed",
 }
 
 // String gives the name of the kind.
--- a/internal/placement/codec.go
+++ b/internal/placement/codec.go
@@ -23,7 +23,7 @@
 func encode(t Table) ([]byte, error) {
 	return capnpcodec.Marshal(0, placementwire.NewRootTable, func(root placementwire.Table) error {
 		root.SetVersion(t.Version)
-		replicas := newReplicaList(t)
+		replicas := newReplicaTable(t)
 		if err := replicas.encode(root); err != nil {
 			return err
 		}
@@ -31,7 +31,7 @@
 	})
 }
 
-func encodePartitions(root placementwire.Table, partitions []Partition, replicas *replicaList) error {
+func encodePartitions(root placementwire.Table, partitions []Partition, replicas *replicaTable) error {
 	list, err := root.NewPartitions(int32(len(partitions)))
 	if err != nil {
 		return err
@@ -45,13 +45,13 @@
 }
 
 // replicaList numbers the replicas that a table names. Members that differ in nothing but when they joined are one.
-type replicaList struct {
+type replicaTable struct {
 	numbers  map[view.Member]uint32
 	replicas []view.Member
 }
 
-func newReplicaList(t Table) *replicaList {
-	list := &replicaList{numbers: make(map[view.Member]uint32)}
+func newReplicaTable(t Table) *replicaTable {
+	list := &replicaTable{numbers: make(map[view.Member]uint32)}
 	for _, partition := range t.Partitions {
 		for _, member := range partition.View.Members {
 			list.add(member)
@@ -63,7 +63,7 @@
 	return list
 }
 
-func (l *replicaList) add(member view.Member) {
+func (l *replicaTable) add(member view.Member) {
 	member.Joined = 0
 	if _, ok := l.numbers[member]; ok {
 		return
@@ -72,12 +72,12 @@
 	l.replicas = append(l.replicas, member)
 }
 
-func (l *replicaList) number(member view.Member) uint32 {
+func (l *replicaTable) numberOf(member view.Member) uint32 {
 	member.Joined = 0
 	return l.numbers[member]
 }
 
-func (l *replicaList) encode(root placementwire.Table) error {
+func (l *replicaTable) encode(root placementwire.Table) error {
 	entries, err := root.NewReplicas(int32(len(l.replicas)))
 	if err != nil {
 		return err
@@ -104,7 +104,7 @@
 	return entry.SetZone(replica.Zone)
 }
 
-func (l *replicaList) encodePartition(entry placementwire.Partition, partition Partition) error {
+func (l *replicaTable) encodePartition(entry placementwire.Partition, partition Partition) error {
 	entry.SetChain(partition.View.Chain)
 	entry.SetEpoch(partition.View.Epoch)
 	members, err := entry.NewMembers(int32(len(partition.View.Members)))
@@ -112,7 +112,7 @@
 		return err
 	}
 	for i, member := range partition.View.Members {
-		members.At(i).SetReplica(l.number(member))
+		members.At(i).SetReplica(l.numberOf(member))
 		members.At(i).SetJoined(member.Joined)
 	}
 	learners, err := entry.NewLearners(int32(len(partition.Learners)))
@@ -120,7 +120,7 @@
 		return err
 	}
 	for i, learner := range partition.Learners {
-		learners.Set(i, l.number(learner))
+		learners.Set(i, l.numberOf(learner))
 	}
 	return nil
 }
--- a/internal/placement/concentrated_test.go
+++ b/internal/placement/concentrated_test.go
@@ -59,7 +59,7 @@
 	stores[0].Alive, stores[3].Alive = false, false
 	table = runUntilCalm(t, table, stores, policy)
 	for _, partition := range table.Partitions {
-		if count := len(partition.View.Members); count != policy.TargetReplicas {
+		if count := len(partition.View.Members); count != policy.ReplicationFactor {
 			t.Errorf("chain %d has %d members", partition.View.Chain, count)
 		}
 		if zones := zonesOf(partition); len(zones) > 2 {
@@ -77,7 +77,7 @@
 	policy := concentrated(1)
 	table := runUntilCalm(t, mustCreate(t, stores, policy), stores, policy)
 	for _, partition := range table.Partitions {
-		if zones := zonesOf(partition); len(zones) > 2 || len(partition.View.Members) != policy.TargetReplicas {
+		if zones := zonesOf(partition); len(zones) > 2 || len(partition.View.Members) != policy.ReplicationFactor {
 			t.Errorf("chain %d has members in zones %v", partition.View.Chain, zones)
 		}
 	}
--- a/internal/placement/create.go
+++ b/internal/placement/create.go
@@ -12,7 +12,7 @@
 	maximumPartitions  = 512
 
 	// evenPasses bounds how often the first table is gone through to even out the loads.
-	evenPasses = 4
+	maximumEvenOutPasses = 4
 
 	// firstEpoch is the epoch of the first view of a chain.
 	firstEpoch = 1
@@ -22,26 +22,26 @@
 // stays as it is from then on. It reports false before that. The caller waits until no more stores come up, as their
 // number decides about that of the partitions.
 func Create(stores []Store, policy Policy) (Table, []Change, bool) {
-	holding := 0
+	eligible := 0
 	for i := range stores {
-		if stores[i].mayHold() {
-			holding++
+		if stores[i].isEligible() {
+			eligible++
 		}
 	}
-	if holding < max(1, policy.MinimumReplicas) {
+	if eligible < max(1, policy.MinimumReplicas) {
 		return Table{}, nil, false
 	}
-	p := newPlan(Table{Partitions: make([]Partition, partitionCount(holding))}, stores, policy)
+	p := newPlan(Table{Partitions: make([]Partition, partitionCount(eligible))}, stores, policy)
 	for i := range p.table.Partitions {
-		p.assign(i)
+		p.assignStores(i)
 	}
-	for range evenPasses {
+	for range maximumEvenOutPasses {
 		if !p.evenOut() {
 			break
 		}
 	}
 	for i := range p.table.Partitions {
-		p.setView(i, view.View{Chain: ChainOf(i), Epoch: firstEpoch, Members: p.members(p.holders[i])}, Created)
+		p.setView(i, view.View{Chain: ChainOf(i), Epoch: firstEpoch, Members: p.firstMembers(p.assigned[i])}, Created)
 	}
 	created, changes := p.finish()
 	return created, changes, true
@@ -52,22 +52,22 @@
 }
 
 // assign chooses the holders of a partition, beginning with the store that is head of the fewest.
-func (p *plan) assign(partition int) {
-	head := none
+func (p *plan) assignStores(partition int) {
+	head := noStore
 	for store := range p.stores {
-		if p.stores[store].mayHold() && (head == none || p.betterHead(store, head)) {
+		if p.stores[store].isEligible() && (head == noStore || p.betterHead(store, head)) {
 			head = store
 		}
 	}
-	holders := []int{head}
+	assigned := []int{head}
 	p.addHeads(head, 1)
 	p.addLoad(head, 1)
-	for len(holders) < p.target {
-		store := p.bestStore(holders, none)
-		holders = append(holders, store)
+	for len(assigned) < p.replicationFactor {
+		store := p.bestStore(assigned, noStore)
+		assigned = append(assigned, store)
 		p.addLoad(store, 1)
 	}
-	p.holders[partition] = holders
+	p.assigned[partition] = assigned
 }
 
 // evenOut makes the best change to each partition, but for its head, and tells whether it changed any.
@@ -75,10 +75,10 @@
 	changed := false
 	for i := range p.table.Partitions {
 		move := p.bestMoveOf(i)
-		if move.gain == 0 || p.holders[i][0] == move.from {
+		if move.gain == 0 || p.assigned[i][0] == move.from {
 			continue
 		}
-		p.holders[i][slices.Index(p.holders[i], move.from)] = move.to
+		p.assigned[i][slices.Index(p.assigned[i], move.from)] = move.to
 		p.addLoad(move.from, -1)
 		p.addLoad(move.to, 1)
 		changed = true
@@ -93,9 +93,9 @@
 	return p.loads[a] < p.loads[b]
 }
 
-func (p *plan) members(holders []int) []view.Member {
-	members := make([]view.Member, 0, len(holders))
-	for _, store := range holders {
+func (p *plan) firstMembers(assigned []int) []view.Member {
+	members := make([]view.Member, 0, len(assigned))
+	for _, store := range assigned {
 		member := p.stores[store].Member
 		member.Joined = firstEpoch
 		members = append(members, member)
--- a/internal/placement/history_test.go
+++ b/internal/placement/history_test.go
@@ -141,7 +141,7 @@
 	switch {
 	case partition.View.Has(m.store.Replica):
 		r.complete = r.complete || r.epoch == partition.View.Epoch
-	case partition.learns(m.store.Replica):
+	case partition.hasLearner(m.store.Replica):
 		r.caughtUp = true
 	default:
 		delete(m.replicas, chain)
@@ -205,7 +205,7 @@
 		switch {
 		case after.View.Has(learner.Replica):
 			h.fatal("%s is a member and a learner of chain %d", learner.Name, after.View.Chain)
-		case !before.learns(learner.Replica) && !h.mayHold(learner.Replica):
+		case !before.hasLearner(learner.Replica) && !h.mayHold(learner.Replica):
 			h.fatal("%s cannot become a learner of chain %d", learner.Name, after.View.Chain)
 		}
 	}
@@ -221,7 +221,7 @@
 	healthyDropped := slices.ContainsFunc(before.Members, func(m view.Member) bool {
 		return !after.Has(m.Replica) && h.isHealthy(m.Replica)
 	})
-	if target := newPlan(Table{}, h.stores(), h.policy).target; healthyDropped && len(after.Members) < target {
+	if target := newPlan(Table{}, h.stores(), h.policy).replicationFactor; healthyDropped && len(after.Members) < target {
 		h.fatal("%d members of chain %d are left, %d are wanted", len(after.Members), after.Chain, target)
 	}
 	head, _ := after.Head()
@@ -240,7 +240,7 @@
 }
 
 func (h *history) mayHold(replica view.ReplicaID) bool {
-	return slices.ContainsFunc(h.machines, func(m *machine) bool { return m.store.Replica == replica && m.store.mayHold() })
+	return slices.ContainsFunc(h.machines, func(m *machine) bool { return m.store.Replica == replica && m.store.isEligible() })
 }
 
 func (h *history) isHealthy(replica view.ReplicaID) bool {
@@ -324,7 +324,7 @@
 func (h *history) removeEmptied() {
 	stores := h.stores()
 	h.machines = slices.DeleteFunc(h.machines, func(m *machine) bool {
-		return m.store.Retiring && IsEmptied(h.table, stores, m.store.Replica, h.policy)
+		return m.store.Retiring && CanRemove(h.table, stores, m.store.Replica, h.policy)
 	})
 }
 
@@ -357,19 +357,19 @@
 	stores := h.stores()
 	p := newPlan(h.table, stores, h.policy)
 	for i, partition := range h.table.Partitions {
-		if len(partition.View.Members) != p.target || len(partition.Learners) > 0 || !p.full(i) {
+		if len(partition.View.Members) != p.replicationFactor || len(partition.Learners) > 0 || !p.isFullyReplicated(i) {
 			h.fatal("chain %d is at rest with %+v", partition.View.Chain, partition)
 		}
 	}
 	for i := range stores {
-		if stores[i].Retiring && !IsEmptied(h.table, stores, stores[i].Replica, h.policy) {
+		if stores[i].Retiring && !CanRemove(h.table, stores, stores[i].Replica, h.policy) {
 			h.fatal("%s is not empty", stores[i].Name)
 		}
 	}
 	if difference := spread(h.table, stores, isHead); difference > 2 {
 		h.fatal("heads differ by %d", difference)
 	}
-	p.count()
+	p.countAssignments()
 	if move := p.bestMove(); move.gain > 0 {
 		h.fatal("a replica should be moved: %+v", move)
 	}
--- a/internal/placement/next.go
+++ b/internal/placement/next.go
@@ -10,7 +10,7 @@
 // nothing is to be changed the table is the same and there are no changes.
 func Next(table Table, stores []Store, policy Policy) (Table, []Change) {
 	p := newPlan(table.Clone(), stores, policy)
-	p.count()
+	p.countAssignments()
 	for i := range p.table.Partitions {
 		p.maintain(i)
 	}
@@ -21,7 +21,7 @@
 
 // maintain does what a partition needs whatever the others do.
 func (p *plan) maintain(partition int) {
-	if !p.reported(partition) {
+	if !p.hasReports(partition) {
 		return
 	}
 	p.repair(partition)
@@ -33,11 +33,11 @@
 
 // reported tells whether all members that are alive have told how far they are. A control process that has just become
 // head waits for that, so as not to change what is in order.
-func (p *plan) reported(partition int) bool {
+func (p *plan) hasReports(partition int) bool {
 	current := &p.table.Partitions[partition]
 	for _, member := range current.View.Members {
 		store := p.storeOf(member)
-		if store == none || !p.stores[store].Alive {
+		if store == noStore || !p.stores[store].Alive {
 			continue
 		}
 		if _, ok := p.stores[store].progress(current.View.Chain); !ok {
@@ -48,9 +48,9 @@
 }
 
 // complete tells whether a member is alive and has all that was ever committed.
-func (p *plan) complete(chain uint32, member view.Member) bool {
+func (p *plan) isComplete(chain uint32, member view.Member) bool {
 	store := p.storeOf(member)
-	if store == none || !p.stores[store].Alive {
+	if store == noStore || !p.stores[store].Alive {
 		return false
 	}
 	progress, _ := p.stores[store].progress(chain)
@@ -58,14 +58,14 @@
 }
 
 // settled tells whether all members of a view are complete and know the view, and none is about to end.
-func (p *plan) settled(partition int) bool {
+func (p *plan) isStable(partition int) bool {
 	v := p.table.Partitions[partition].View
-	return !slices.ContainsFunc(v.Members, func(m view.Member) bool { return !p.current(v, m) || p.stores[p.storeOf(m)].Leaving })
+	return !slices.ContainsFunc(v.Members, func(m view.Member) bool { return !p.isCurrent(v, m) || p.stores[p.storeOf(m)].Leaving })
 }
 
 // current tells whether a member is complete and knows the view.
-func (p *plan) current(v view.View, member view.Member) bool {
-	if !p.complete(v.Chain, member) {
+func (p *plan) isCurrent(v view.View, member view.Member) bool {
+	if !p.isComplete(v.Chain, member) {
 		return false
 	}
 	progress, _ := p.stores[p.storeOf(member)].progress(v.Chain)
@@ -90,20 +90,20 @@
 	var candidates []view.Candidate
 	for _, member := range current.View.Members {
 		store := p.storeOf(member)
-		if store == none {
-			candidates = append(candidates, view.Candidate{Member: member, DiskLost: p.diskLost(member)})
+		if store == noStore {
+			candidates = append(candidates, view.Candidate{Member: member, DiskLost: p.isDiskLost(member)})
 			continue
 		}
 		candidates = append(candidates, view.Candidate{
 			Member:    member,
 			Reachable: p.stores[store].Alive,
-			Complete:  p.complete(current.View.Chain, member),
+			Complete:  p.isComplete(current.View.Chain, member),
 			Leaving:   p.stores[store].Leaving,
 		})
 	}
 	for _, learner := range current.Learners {
 		store := p.storeOf(learner)
-		if store == none || !slices.Contains(p.holders[partition], store) {
+		if store == noStore || !slices.Contains(p.assigned[partition], store) {
 			continue
 		}
 		progress, _ := p.stores[store].progress(current.View.Chain)
@@ -113,7 +113,7 @@
 }
 
 // diskLost tells whether another replica is alive at the address of a member that is not known.
-func (p *plan) diskLost(member view.Member) bool {
+func (p *plan) isDiskLost(member view.Member) bool {
 	return slices.ContainsFunc(p.stores, func(s Store) bool { return s.Alive && s.Replica != 0 && s.Address == member.Address })
 }
 
@@ -123,37 +123,37 @@
 	if p.changed[partition] {
 		return
 	}
-	var staying []view.Member
+	var remaining []view.Member
 	complete := 0
 	for _, member := range v.Members {
-		if store := p.storeOf(member); store != none && p.stores[store].Retiring {
+		if store := p.storeOf(member); store != noStore && p.stores[store].Retiring {
 			continue
 		}
-		staying = append(staying, member)
-		if p.current(v, member) {
+		remaining = append(remaining, member)
+		if p.isCurrent(v, member) {
 			complete++
 		}
 	}
-	if len(staying) == len(v.Members) || complete < p.target || !p.current(v, staying[0]) {
+	if len(remaining) == len(v.Members) || complete < p.replicationFactor || !p.isCurrent(v, remaining[0]) {
 		return
 	}
-	p.setView(partition, view.View{Chain: v.Chain, Epoch: v.Epoch + 1, Members: staying}, Emptied)
+	p.setView(partition, view.View{Chain: v.Chain, Epoch: v.Epoch + 1, Members: remaining}, RetiringDropped)
 }
 
 // dropExcess drops a member beyond the wanted number.
 func (p *plan) dropExcess(partition int) {
 	v := p.table.Partitions[partition].View
-	if p.changed[partition] || len(v.Members) <= p.target || !p.settled(partition) {
+	if p.changed[partition] || len(v.Members) <= p.replicationFactor || !p.isStable(partition) {
 		return
 	}
-	staying := slices.DeleteFunc(slices.Clone(v.Members), func(m view.Member) bool {
+	remaining := slices.DeleteFunc(slices.Clone(v.Members), func(m view.Member) bool {
 		store := p.storeOf(m)
-		return !p.stores[store].Retiring && !slices.Contains(p.holders[partition], store)
+		return !p.stores[store].Retiring && !slices.Contains(p.assigned[partition], store)
 	})
-	if len(staying) == len(v.Members) || len(staying) < p.target {
+	if len(remaining) == len(v.Members) || len(remaining) < p.replicationFactor {
 		return
 	}
-	p.setView(partition, view.View{Chain: v.Chain, Epoch: v.Epoch + 1, Members: staying}, Trimmed)
+	p.setView(partition, view.View{Chain: v.Chain, Epoch: v.Epoch + 1, Members: remaining}, ExcessDropped)
 }
 
 // removeLearners removes those that are gone, or are not needed any more.
@@ -162,15 +162,15 @@
 		return
 	}
 	current := &p.table.Partitions[partition]
-	var staying []view.Member
+	var remaining []view.Member
 	for _, learner := range current.Learners {
-		if store := p.storeOf(learner); store != none && slices.Contains(p.holders[partition], store) {
-			staying = append(staying, learner)
+		if store := p.storeOf(learner); store != noStore && slices.Contains(p.assigned[partition], store) {
+			remaining = append(remaining, learner)
 			continue
 		}
-		p.change(partition, LearnerRemoved, learner.Name)
+		p.recordChange(partition, LearnerRemoved, learner.Name)
 	}
-	current.Learners = staying
+	current.Learners = remaining
 }
 
 // addLearners adds as many as are missing from the wanted number of replicas.
@@ -178,9 +178,9 @@
 	if p.changed[partition] {
 		return
 	}
-	for len(p.holders[partition]) < p.target {
-		store := p.bestStore(p.holders[partition], none)
-		if store == none {
+	for len(p.assigned[partition]) < p.replicationFactor {
+		store := p.bestStore(p.assigned[partition], noStore)
+		if store == noStore {
 			return
 		}
 		p.addLearner(partition, store)
@@ -192,7 +192,7 @@
 	learner := p.stores[store].Member
 	learner.Joined = 0
 	current.Learners = append(current.Learners, learner)
-	p.holders[partition] = append(p.holders[partition], store)
+	p.assigned[partition] = append(p.assigned[partition], store)
 	p.addLoad(store, 1)
-	p.change(partition, LearnerAdded, learner.Name)
+	p.recordChange(partition, LearnerAdded, learner.Name)
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -74,7 +74,7 @@
 func spread(table Table, stores []Store, count func(Partition, view.ReplicaID) bool) int {
 	lowest, highest := len(table.Partitions), 0
 	for i := range stores {
-		if !stores[i].mayHold() {
+		if !stores[i].isEligible() {
 			continue
 		}
 		number := 0
@@ -285,7 +285,7 @@
 	stores = append(stores, testStore(6, 3), testStore(7, 3), testStore(8, 3))
 	settle(table, stores)
 	next, changes := Next(table, stores, policy)
-	if len(changes) != DefaultMovesAtOnce {
+	if len(changes) != DefaultConcurrentMoves {
 		t.Fatalf("changes: %v", changes)
 	}
 	if _, changes := Next(next, stores, policy); len(changes) > 0 {
@@ -329,12 +329,12 @@
 	}}}
 	settle(table, stores)
 	stores[3].Progress[0].CaughtUp = false
-	next, changes := Next(table, stores, Policy{MinimumReplicas: 2, TargetReplicas: 2})
+	next, changes := Next(table, stores, Policy{MinimumReplicas: 2, ReplicationFactor: 2})
 	if len(changes) > 0 {
 		t.Fatalf("%v: %+v", changes, next.Partitions[0])
 	}
 	stores[3].Progress[0].CaughtUp = true
-	next = runUntilCalm(t, table, stores, Policy{MinimumReplicas: 2, TargetReplicas: 2})
+	next = runUntilCalm(t, table, stores, Policy{MinimumReplicas: 2, ReplicationFactor: 2})
 	if v := next.Partitions[0].View; len(v.Members) != 2 || !v.Has(stores[3].Replica) {
 		t.Fatalf("the view is %+v", v)
 	}
@@ -351,22 +351,22 @@
 			}
 			stores[1].Retiring = true
 			settle(table, stores)
-			if IsEmptied(table, stores, stores[1].Replica, policy) {
+			if CanRemove(table, stores, stores[1].Replica, policy) {
 				t.Fatal("the store counts as emptied at the start")
 			}
 			next := runUntilCalm(t, table, stores, policy)
 			if next.Names(stores[1].Replica) {
 				t.Fatal("the store is not empty")
 			}
-			if !IsEmptied(next, stores, stores[1].Replica, policy) {
+			if !CanRemove(next, stores, stores[1].Replica, policy) {
 				t.Fatal("the store does not count as emptied")
 			}
 			stores[2].Progress[0].Epoch--
-			if IsEmptied(next, stores, stores[1].Replica, policy) {
+			if CanRemove(next, stores, stores[1].Replica, policy) {
 				t.Fatal("the store counts as emptied though a member does not know the view")
 			}
 			stores[2].Progress = nil
-			if IsEmptied(next, stores, stores[1].Replica, policy) {
+			if CanRemove(next, stores, stores[1].Replica, policy) {
 				t.Fatal("the store counts as emptied though a replica elsewhere is not complete")
 			}
 		})
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -8,14 +8,14 @@
 )
 
 // none stands for no store.
-const none = -1
+const noStore = -1
 
 // plan is the state of one computation. Stores are referred to by their index.
 type plan struct {
-	table  Table
-	policy Policy
-	target int
-	stores []Store
+	table             Table
+	policy            Policy
+	replicationFactor int
+	stores            []Store
 	// zones are those that have stores that may hold partitions.
 	zones   []zone
 	index   map[view.ReplicaID]int
@@ -23,7 +23,7 @@
 	// changed tells for each partition whether this computation has changed it: it is changed once.
 	changed []bool
 	// holders are, for each partition, the stores that will hold it once what has begun is finished.
-	holders [][]int
+	assigned [][]int
 	// loads and heads count, for each store, the partitions that it will hold and those whose head it is.
 	loads []int
 	heads []int
@@ -31,56 +31,56 @@
 
 func newPlan(table Table, stores []Store, policy Policy) *plan {
 	p := &plan{
-		table:   table,
-		policy:  policy,
-		stores:  slices.Clone(stores),
-		index:   make(map[view.ReplicaID]int, len(stores)),
-		changed: make([]bool, len(table.Partitions)),
-		holders: make([][]int, len(table.Partitions)),
-		loads:   make([]int, len(stores)),
-		heads:   make([]int, len(stores)),
+		table:    table,
+		policy:   policy,
+		stores:   slices.Clone(stores),
+		index:    make(map[view.ReplicaID]int, len(stores)),
+		changed:  make([]bool, len(table.Partitions)),
+		assigned: make([][]int, len(table.Partitions)),
+		loads:    make([]int, len(stores)),
+		heads:    make([]int, len(stores)),
 	}
 	slices.SortFunc(p.stores, func(a, b Store) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Replica, b.Replica))
 	})
-	holding := 0
+	eligible := 0
 	for i := range p.stores {
 		p.index[p.stores[i].Replica] = i
-		if p.stores[i].mayHold() {
-			holding++
+		if p.stores[i].isEligible() {
+			eligible++
 			p.addToZone(i)
 		}
 	}
-	p.target = policy.target(holding)
+	p.replicationFactor = policy.replicationFactor(eligible)
 	return p
 }
 
 // count works out the holders of all partitions and the loads of all stores.
-func (p *plan) count() {
+func (p *plan) countAssignments() {
 	for i := range p.table.Partitions {
-		p.holders[i] = p.candidatesOf(&p.table.Partitions[i])
-		for _, store := range p.holders[i] {
+		p.assigned[i] = p.eligibleStores(&p.table.Partitions[i])
+		for _, store := range p.assigned[i] {
 			p.addLoad(store, 1)
 		}
-		if head := p.headOf(i); head != none {
+		if head := p.headStore(i); head != noStore {
 			p.addHeads(head, 1)
 		}
 	}
 	for i := range p.table.Partitions {
-		for len(p.holders[i]) > p.target {
-			position := p.mostDispensable(p.holders[i])
-			p.addLoad(p.holders[i][position], -1)
-			p.holders[i] = slices.Delete(p.holders[i], position, position+1)
+		for len(p.assigned[i]) > p.replicationFactor {
+			position := p.mostDispensable(p.assigned[i])
+			p.addLoad(p.assigned[i][position], -1)
+			p.assigned[i] = slices.Delete(p.assigned[i], position, position+1)
 		}
 	}
 }
 
 // candidatesOf gives the stores that hold or learn a partition and may keep it.
-func (p *plan) candidatesOf(partition *Partition) []int {
+func (p *plan) eligibleStores(partition *Partition) []int {
 	var stores []int
 	for _, members := range [][]view.Member{partition.View.Members, partition.Learners} {
 		for _, member := range members {
-			if store := p.storeOf(member); store != none && p.stores[store].mayHold() {
+			if store := p.storeOf(member); store != noStore && p.stores[store].isEligible() {
 				stores = append(stores, store)
 			}
 		}
@@ -92,25 +92,25 @@
 func (p *plan) storeOf(member view.Member) int {
 	store, ok := p.index[member.Replica]
 	if !ok || member.Replica == 0 {
-		return none
+		return noStore
 	}
 	return store
 }
 
-func (p *plan) headOf(partition int) int {
+func (p *plan) headStore(partition int) int {
 	head, ok := p.table.Partitions[partition].View.Head()
 	if !ok {
-		return none
+		return noStore
 	}
 	return p.storeOf(head)
 }
 
 // mostDispensable gives the position of the store whose removal leaves the others best placed in zones, among these the
 // one with the highest load, among these the last.
-func (p *plan) mostDispensable(holders []int) int {
+func (p *plan) mostDispensable(assigned []int) int {
 	best := 0
-	for position := 1; position < len(holders); position++ {
-		if p.dispensability(holders, position) >= p.dispensability(holders, best) {
+	for position := 1; position < len(assigned); position++ {
+		if p.dispensability(assigned, position) >= p.dispensability(assigned, best) {
 			best = position
 		}
 	}
@@ -118,15 +118,15 @@
 }
 
 // dispensability is higher the less the zone of the store at a position suits the set, then by its load.
-func (p *plan) dispensability(holders []int, position int) int {
-	store := holders[position]
-	return p.zoneCost(holders, p.stores[store].Zone)*p.loadScale() + p.loads[store]
+func (p *plan) dispensability(assigned []int, position int) int {
+	store := assigned[position]
+	return p.zoneCost(assigned, p.stores[store].Zone)*p.loadScale() + p.loads[store]
 }
 
 // loadScale is above any load.
 func (p *plan) loadScale() int { return len(p.table.Partitions) + 1 }
 
-func (p *plan) change(partition int, kind ChangeKind, store string) {
+func (p *plan) recordChange(partition int, kind ChangeKind, store string) {
 	p.changed[partition] = true
 	v := p.table.Partitions[partition].View
 	p.changes = append(p.changes, Change{Kind: kind, Chain: v.Chain, Epoch: v.Epoch, Store: store})
@@ -137,7 +137,7 @@
 	current := &p.table.Partitions[partition]
 	current.View = next
 	current.Learners = slices.DeleteFunc(current.Learners, func(m view.Member) bool { return next.Has(m.Replica) })
-	p.change(partition, kind, "")
+	p.recordChange(partition, kind, "")
 }
 
 // finish gives the table and what was changed.
--- a/internal/placement/retire.go
+++ b/internal/placement/retire.go
@@ -16,7 +16,7 @@
 		switch {
 		case stores[i].Name == name:
 			known = true
-		case stores[i].mayHold():
+		case stores[i].isEligible():
 			remaining++
 		}
 	}
@@ -31,13 +31,13 @@
 
 // IsEmptied tells whether a store that is being retired can be taken away: no partition names its replica, and each
 // partition has its full number of complete replicas elsewhere.
-func IsEmptied(table Table, stores []Store, retiring view.ReplicaID, policy Policy) bool {
+func CanRemove(table Table, stores []Store, retiring view.ReplicaID, policy Policy) bool {
 	if table.Names(retiring) {
 		return false
 	}
 	p := newPlan(table, stores, policy)
 	for i := range table.Partitions {
-		if !p.full(i) {
+		if !p.isFullyReplicated(i) {
 			return false
 		}
 	}
@@ -45,9 +45,9 @@
 }
 
 // full tells whether a partition has as many complete replicas as are wanted on stores that stay.
-func (p *plan) full(partition int) bool {
+func (p *plan) isFullyReplicated(partition int) bool {
 	v := p.table.Partitions[partition].View
-	missing := func(m view.Member) bool { return !p.current(v, m) || !p.stores[p.storeOf(m)].mayHold() }
-	staying := slices.DeleteFunc(slices.Clone(v.Members), missing)
-	return len(staying) >= p.target
+	isMissing := func(m view.Member) bool { return !p.isCurrent(v, m) || !p.stores[p.storeOf(m)].isEligible() }
+	remaining := slices.DeleteFunc(slices.Clone(v.Members), isMissing)
+	return len(remaining) >= p.replicationFactor
 }
--- a/internal/placement/running_test.go
+++ b/internal/placement/running_test.go
@@ -78,10 +78,10 @@
 		t.Fatalf("heads of %v are moved, want one", moved)
 	}
 	p := newPlan(table, stores, policy)
-	p.count()
+	p.countAssignments()
 	for i := range table.Partitions {
-		if p.running(i) < p.running(moved[0]) && p.heads[p.headOf(i)] >= p.heads[p.headOf(moved[0])] {
-			t.Errorf("partition %d has %d items running, but %d with %d is moved", i, p.running(i), moved[0], p.running(moved[0]))
+		if p.runningItems(i) < p.runningItems(moved[0]) && p.heads[p.headStore(i)] >= p.heads[p.headStore(moved[0])] {
+			t.Errorf("partition %d has %d items running, but %d with %d is moved", i, p.runningItems(i), moved[0], p.runningItems(moved[0]))
 		}
 	}
 }
--- a/internal/placement/store.go
+++ b/internal/placement/store.go
@@ -40,16 +40,16 @@
 }
 
 // mayHold tells whether the store may be given partitions.
-func (s *Store) mayHold() bool { return s.Alive && !s.Leaving && !s.Retiring && s.Replica != 0 }
+func (s *Store) isEligible() bool { return s.Alive && !s.Leaving && !s.Retiring && s.Replica != 0 }
 
 // Policy bounds the tables that Next gives.
 type Policy struct {
 	// MinimumReplicas is the number of disks that an entry has to be on: no view is made with fewer members.
 	MinimumReplicas int
 	// TargetReplicas is the number of members that views have where there are stores enough.
-	TargetReplicas int
+	ReplicationFactor int
 	// MovesAtOnce is how many partitions are balanced at the same time. 0 stands for DefaultMovesAtOnce.
-	MovesAtOnce int
+	ConcurrentMoves int
 	// Concentrated has the replicas of a partition lie in one zone as far as it has stores enough, so that what is
 	// replicated does not cross zones. It is for deployments that need not bear the loss of a zone. Otherwise replicas
 	// are spread over the zones.
@@ -60,22 +60,22 @@
 }
 
 // DefaultMovesAtOnce is how many partitions are balanced at the same time.
-const DefaultMovesAtOnce = 2
+const DefaultConcurrentMoves = 2
 
 // PolicyFor gives the policy for a number of machines that may be lost at one time: one replica more than what has to
 // remain in any case, so that a loss does not stop a partition.
 func PolicyFor(faultTolerance int) Policy {
-	return Policy{MinimumReplicas: faultTolerance + 1, TargetReplicas: faultTolerance + 2}
+	return Policy{MinimumReplicas: faultTolerance + 1, ReplicationFactor: faultTolerance + 2}
 }
 
-func (p Policy) movesAtOnce() int {
-	if p.MovesAtOnce > 0 {
-		return p.MovesAtOnce
+func (p Policy) concurrentMoves() int {
+	if p.ConcurrentMoves > 0 {
+		return p.ConcurrentMoves
 	}
-	return DefaultMovesAtOnce
+	return DefaultConcurrentMoves
 }
 
 // target is the number of members wanted with a number of stores that may hold partitions.
-func (p Policy) target(stores int) int {
-	return max(p.MinimumReplicas, min(p.TargetReplicas, stores))
+func (p Policy) replicationFactor(stores int) int {
+	return max(p.MinimumReplicas, min(p.ReplicationFactor, stores))
 }
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -32,11 +32,11 @@
 	}
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(tenant))
-	return int(mix(hash.Sum64()) % uint64(len(t.Partitions)))
+	return int(finalizeHash(hash.Sum64()) % uint64(len(t.Partitions)))
 }
 
 // mix spreads the bits of a hash, so that similar names do not fall on similar numbers (the finalizer of MurmurHash3).
-func mix(hash uint64) uint64 {
+func finalizeHash(hash uint64) uint64 {
 	hash ^= hash >> 33
 	hash *= 0xff51afd7ed558ccd
 	hash ^= hash >> 33
@@ -59,7 +59,7 @@
 		switch {
 		case partition.View.Has(replica):
 			assignments = append(assignments, Assignment{Partition: i, View: partition.View})
-		case partition.learns(replica):
+		case partition.hasLearner(replica):
 			assignments = append(assignments, Assignment{Partition: i, View: partition.View, Learner: true})
 		}
 	}
@@ -68,7 +68,7 @@
 
 // Names tells whether a replica is a member or a learner of any partition.
 func (t Table) Names(replica view.ReplicaID) bool {
-	return slices.ContainsFunc(t.Partitions, func(p Partition) bool { return p.View.Has(replica) || p.learns(replica) })
+	return slices.ContainsFunc(t.Partitions, func(p Partition) bool { return p.View.Has(replica) || p.hasLearner(replica) })
 }
 
 // Clone gives a table that shares no memory with t.
@@ -90,6 +90,6 @@
 	return p.View.Equal(other.View) && slices.Equal(p.Learners, other.Learners)
 }
 
-func (p Partition) learns(replica view.ReplicaID) bool {
+func (p Partition) hasLearner(replica view.ReplicaID) bool {
 	return slices.ContainsFunc(p.Learners, func(m view.Member) bool { return m.Replica == replica })
 }
--- a/internal/placement/zone.go
+++ b/internal/placement/zone.go
@@ -29,16 +29,16 @@
 // addLoad counts partitions that a store will hold, or will not hold any more.
 func (p *plan) addLoad(store, count int) {
 	p.loads[store] += count
-	p.unsort(store)
+	p.invalidateOrder(store)
 }
 
 // addHeads counts partitions whose head a store is, or is not any more.
 func (p *plan) addHeads(store, count int) {
 	p.heads[store] += count
-	p.unsort(store)
+	p.invalidateOrder(store)
 }
 
-func (p *plan) unsort(store int) {
+func (p *plan) invalidateOrder(store int) {
 	if i := p.zoneIndex(store); i >= 0 {
 		p.zones[i].sorted = false
 	}
@@ -50,31 +50,31 @@
 }
 
 // leastLoaded gives the store of a zone with the lowest load that is neither among the holders nor left out.
-func (p *plan) leastLoaded(z *zone, holders []int, leftOut int) int {
+func (p *plan) leastLoaded(z *zone, assigned []int, excluded int) int {
 	if !z.sorted {
 		slices.SortFunc(z.stores, p.compareLoads)
 		z.sorted = true
 	}
 	for _, store := range z.stores {
-		if store != leftOut && !slices.Contains(holders, store) {
+		if store != excluded && !slices.Contains(assigned, store) {
 			return store
 		}
 	}
-	return none
+	return noStore
 }
 
 // bestStore gives the store that should hold a partition beside the holders: one in the zone that suits them best, with a
 // low load, and with a low count of heads. One store is left out. It is none if no other is left.
-func (p *plan) bestStore(holders []int, leftOut int) int {
-	best, least := none, 0
+func (p *plan) bestStore(assigned []int, excluded int) int {
+	best, lowestCost := noStore, 0
 	for i := range p.zones {
-		store := p.leastLoaded(&p.zones[i], holders, leftOut)
-		if store == none {
+		store := p.leastLoaded(&p.zones[i], assigned, excluded)
+		if store == noStore {
 			continue
 		}
-		cost := p.zoneCost(holders, p.zones[i].name)
-		if best == none || cost < least || cost == least && p.compareLoads(store, best) < 0 {
-			best, least = store, cost
+		cost := p.zoneCost(assigned, p.zones[i].name)
+		if best == noStore || cost < lowestCost || cost == lowestCost && p.compareLoads(store, best) < 0 {
+			best, lowestCost = store, cost
 		}
 	}
 	return best
@@ -82,8 +82,8 @@
 
 // zoneCost tells how ill a zone suits one more replica beside the holders: it grows with how many of them are there, or
 // falls where replicas are concentrated.
-func (p *plan) zoneCost(holders []int, name string) int {
-	count := p.inZone(holders, name)
+func (p *plan) zoneCost(assigned []int, name string) int {
+	count := p.countInZone(assigned, name)
 	if p.policy.Concentrated {
 		return -count
 	}
@@ -91,9 +91,9 @@
 }
 
 // inZone counts the holders in a zone.
-func (p *plan) inZone(holders []int, name string) int {
+func (p *plan) countInZone(assigned []int, name string) int {
 	count := 0
-	for _, store := range holders {
+	for _, store := range assigned {
 		if p.stores[store].Zone == name {
 			count++
 		}
