--- a/cmd/nickelline/control.go
+++ b/cmd/nickelline/control.go
@@ -84,13 +84,13 @@
 
 // serveQuotas has this node share out the tenants' limits while it is the head of the control chain.
 func serveQuotas(n *node, role *control.Control) {
-	headship := role.Leadership()
-	if headship == nil {
+	headStatus := role.HeadStatus()
+	if headStatus == nil {
 		return
 	}
 	limits := func(tenant string) quota.Limit { return limitOf(role.State().Configuration, tenant) }
 	policy := quota.PolicyOf(&n.settings.Bounds)
-	service := quota.NewService(policy, headship, holderRegister{role}, limits, n.isGone, n.transport, n.log)
+	service := quota.NewService(policy, headStatus, leaseholderRegistry{role}, limits, n.isGone, n.transport, n.log)
 	role.OnView(func(v view.View, head bool) { service.ObserveView(v.Epoch, head) })
 }
 
@@ -111,35 +111,37 @@
 	return quota.Limit{Rate: found.RatePerSecond, Burst: found.Burst}
 }
 
-// holderRegister keeps the proxies that may hold leases in the control state.
-type holderRegister struct{ role *control.Control }
+// leaseholderRegistry keeps the proxies that may hold leases in the control state.
+type leaseholderRegistry struct{ role *control.Control }
 
-func (r holderRegister) Current() quota.RegistryState { return registrationOf(r.role.State().Leaseholders) }
+func (r leaseholderRegistry) Current() quota.RegistryState {
+	return registryStateOf(r.role.State().Leaseholders)
+}
 
-func (r holderRegister) Change(ctx context.Context, c quota.RegistryChange) (quota.RegistryState, error) {
+func (r leaseholderRegistry) Change(ctx context.Context, c quota.RegistryChange) (quota.RegistryState, error) {
 	set, err := r.role.ChangeLeaseholders(ctx, &control.ChangeLeaseholders{
 		Epoch:            c.Epoch,
 		ExpectedRevision: c.ExpectedRevision,
-		Add:              holdersOf(c.Add),
-		Remove:           holdersOf(c.Remove),
+		Add:              leaseholdersOf(c.Add),
+		Remove:           leaseholdersOf(c.Remove),
 	})
-	return registrationOf(set), err
+	return registryStateOf(set), err
 }
 
-func registrationOf(set control.LeaseholderSet) quota.RegistryState {
-	registration := quota.RegistryState{Revision: set.Revision}
+func registryStateOf(set control.LeaseholderSet) quota.RegistryState {
+	state := quota.RegistryState{Revision: set.Revision}
 	for _, member := range set.Members {
-		registration.Leaseholders = append(registration.Leaseholders, quota.Leaseholder(member))
+		state.Leaseholders = append(state.Leaseholders, quota.Leaseholder(member))
 	}
-	return registration
+	return state
 }
 
-func holdersOf(lives []quota.Leaseholder) []control.Leaseholder {
-	var holders []control.Leaseholder
-	for _, life := range lives {
-		holders = append(holders, control.Leaseholder(life))
+func leaseholdersOf(processes []quota.Leaseholder) []control.Leaseholder {
+	var leaseholders []control.Leaseholder
+	for _, process := range processes {
+		leaseholders = append(leaseholders, control.Leaseholder(process))
 	}
-	return holders
+	return leaseholders
 }
 
 // topic publishes the versions of one topic. A version's number orders it.
@@ -158,6 +160,6 @@
 
 var (
 	_ control.Topic    = topic{}
-	_ quota.HeadStatus = (*control.Leadership)(nil)
-	_ quota.Registry   = holderRegister{}
+	_ quota.HeadStatus = (*control.HeadStatus)(nil)
+	_ quota.Registry   = leaseholderRegistry{}
 )
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -65,7 +65,7 @@
 	reconfigurer        *chain.Reconfigurer
 	service             *service
 	publisher           *publisher
-	leadership          *Leadership
+	headStatus          *HeadStatus
 	placementController *placementController
 	reports             *reportStore
 	api                 *api
@@ -74,7 +74,7 @@
 
 	commits        chan struct{}
 	wakePublisher  chan struct{}
-	wakeLeadership chan struct{}
+	wakeHeadStatus chan struct{}
 	wakePlacement  chan struct{}
 	stop           context.CancelFunc
 	goroutines     sync.WaitGroup
@@ -94,7 +94,7 @@
 		heartbeat:      o.Settings.Heartbeat(),
 		commits:        make(chan struct{}, 1),
 		wakePublisher:  make(chan struct{}, 1),
-		wakeLeadership: make(chan struct{}, 1),
+		wakeHeadStatus: make(chan struct{}, 1),
 		wakePlacement:  make(chan struct{}, 1),
 	}
 	if o.Replica != 0 {
@@ -126,7 +126,7 @@
 	c.observeMembers(c.options.Members.Table())
 	c.goroutines.Go(func() { c.reconfigurer.Run(ctx) })
 	c.goroutines.Go(func() { c.publisher.run(ctx, c.wakePublisher) })
-	c.goroutines.Go(func() { c.leadership.run(ctx, c.wakeLeadership) })
+	c.goroutines.Go(func() { c.headStatus.run(ctx, c.wakeHeadStatus) })
 	c.goroutines.Go(func() { c.publishCommitted(ctx) })
 	c.goroutines.Go(func() { c.runPlacement(ctx) })
 }
@@ -210,7 +210,7 @@
 func (c *Control) State() *State { return c.machine.State() }
 
 // Headship tells whether this node is the head of the control chain, nil for a process without a replica.
-func (c *Control) Leadership() *Leadership { return c.leadership }
+func (c *Control) HeadStatus() *HeadStatus { return c.headStatus }
 
 // OnView registers a function that is called with each view of the control chain. It must not block.
 func (c *Control) OnView(notify func(v view.View, head bool)) {
--- a/internal/control/leadership.go
+++ b/internal/control/headstatus.go
@@ -13,8 +13,8 @@
 
 const (
 	// headProofPeriod is the time between two proofs of headship, and headProofAge how long one is used.
-	leadershipProofPeriod   = 400 * time.Millisecond
-	leadershipProofLifetime = time.Second
+	headProofPeriod   = 400 * time.Millisecond
+	headProofLifetime = time.Second
 )
 
 // viewConfirmer proves which view of the control chain is the newest: a *chain.Prover.
@@ -23,7 +23,7 @@
 }
 
 // Headship keeps the proof that this node is the head of the control chain. It implements quota.Headship.
-type Leadership struct {
+type HeadStatus struct {
 	node          chainNode
 	prover        viewProver
 	self          view.ReplicaID
@@ -37,8 +37,8 @@
 }
 
 // run proves headship at intervals while this node seems to be the head, and whenever it is asked to, until ctx ends.
-func (h *Leadership) run(ctx context.Context, soon <-chan struct{}) {
-	ticker := time.NewTicker(leadershipProofPeriod)
+func (h *HeadStatus) run(ctx context.Context, soon <-chan struct{}) {
+	ticker := time.NewTicker(headProofPeriod)
 	defer ticker.Stop()
 	for {
 		select {
@@ -52,7 +52,7 @@
 }
 
 // prove makes one proof, counted from when it begins.
-func (h *Leadership) prove(ctx context.Context) {
+func (h *HeadStatus) prove(ctx context.Context) {
 	if !h.isHead(h.node.View()) {
 		return
 	}
@@ -69,13 +69,13 @@
 	}
 }
 
-func (h *Leadership) isHead(v view.View) bool {
+func (h *HeadStatus) isHead(v view.View) bool {
 	head, ok := v.Head()
 	return ok && head.Replica == h.self
 }
 
 // Fresh tells whether a proof that is young enough shows that this node is the head.
-func (h *Leadership) Fresh() bool {
+func (h *HeadStatus) Fresh() bool {
 	h.mutex.Lock()
 	proven, epoch := h.provenAt, h.provenEpoch
 	h.mutex.Unlock()
@@ -83,10 +83,10 @@
 }
 
 // Epoch tells the view of the control chain.
-func (h *Leadership) Epoch() uint64 { return h.node.View().Epoch }
+func (h *HeadStatus) Epoch() uint64 { return h.node.View().Epoch }
 
 // Head is the address of the head as far as this node knows.
-func (h *Leadership) Head() (netip.AddrPort, bool) {
+func (h *HeadStatus) Head() (netip.AddrPort, bool) {
 	head, ok := h.node.View().Head()
 	return head.Address, ok
 }
--- a/internal/control/leadership_test.go
+++ b/internal/control/headstatus_test.go
@@ -28,10 +28,10 @@
 	return confirmed, f.err
 }
 
-func newHeadshipFixture() (*Leadership, *fakeChainNode, *fakeConfirmer) {
+func newHeadshipFixture() (*HeadStatus, *fakeChainNode, *fakeConfirmer) {
 	node := newDistributorFixture().node
 	confirmer := &fakeConfirmer{node: node}
-	h := &Leadership{node: node, prover: confirmer, self: 7, proofLifetime: time.Hour, log: zap.NewNop()}
+	h := &HeadStatus{node: node, prover: confirmer, self: 7, proofLifetime: time.Hour, log: zap.NewNop()}
 	return h, node, confirmer
 }
 
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -89,11 +89,11 @@
 		period:        c.heartbeat / 2,
 		log:           o.Log,
 	}
-	c.leadership = &Leadership{
+	c.headStatus = &HeadStatus{
 		node:          c.node,
 		prover:        prover,
 		self:          o.Replica,
-		proofLifetime: leadershipProofLifetime,
+		proofLifetime: headProofLifetime,
 		log:           o.Log,
 	}
 	c.placementController = &placementController{
@@ -115,7 +115,7 @@
 	c.node.OnCommit(func(uint64) { signal(c.commits) })
 	c.node.OnView(func(view.View) {
 		signal(c.wakePublisher)
-		signal(c.wakeLeadership)
+		signal(c.wakeHeadStatus)
 		signal(c.wakePlacement)
 	})
 }
