--- a/internal/load/bench_test.go
+++ b/internal/load/bench_test.go
@@ -24,7 +24,7 @@
 	c := newCollector("a")
 	for i := range 49 {
 		from := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(i)}), 7661)
-		c.takeReport(time.Now(), from, &report{service: "service", loads: subsetLoads(subset), complete: true})
+		c.handleReport(time.Now(), from, &report{service: "service", loads: subsetLoads(subset), complete: true})
 	}
 	from := netip.MustParseAddrPort("10.0.1.7:7661")
 	sparse, err := encodeReport(&report{service: "service", loads: subsetLoads(6)})
@@ -37,7 +37,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		body, err := encodeAnswer(c.takeReport(time.Now(), from, r))
+		body, err := encodeResponse(c.handleReport(time.Now(), from, r))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/load/candidates.go
+++ b/internal/load/candidates.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// mostCandidates is how many processes of a zone are tried as its collector.
-	mostCandidates = 3
-	// patience is how many messages to a collector may go without an answer before the next candidate is tried.
-	patience = 3
+	// maxCandidates is how many processes of a zone may be its collector.
+	maxCandidates = 3
+	// maxUnanswered is how many messages may go without a response before the next candidate is tried.
+	maxUnanswered = 3
 	// returnAfter is when the first candidate is tried again.
 	returnAfter = 4 * time.Second
 )
 
-// candidates gives the processes that may collect for the zones, by the table of members. Each node comes to the same list: the
-// zone's processes of the preferred role, then the others, both by their addresses.
+// candidates returns the processes that may be collectors of the zones. All nodes with the same membership table get
+// the same list: the zone's processes of the preferred role, then the others, both ordered by address.
 type candidates struct {
 	members   func() *member.Table
 	preferred string
@@ -29,15 +29,15 @@
 	byZone map[string][]netip.AddrPort
 }
 
-// of gives the candidates of a zone.
-func (c *candidates) of(zone string) []netip.AddrPort {
+// inZone returns the candidates of a zone.
+func (c *candidates) inZone(zone string) []netip.AddrPort {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.refresh()
 	return c.byZone[zone]
 }
 
-// zones gives all zones that have processes.
+// zones returns all zones that have processes, sorted.
 func (c *candidates) zones() []string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -50,6 +50,7 @@
 	return zones
 }
 
+// refresh computes the candidates anew if the membership table has changed. The caller holds the mutex.
 func (c *candidates) refresh() {
 	table := c.members()
 	if table == c.table {
@@ -58,39 +59,39 @@
 	c.table, c.byZone = table, map[string][]netip.AddrPort{}
 	for _, preferred := range []bool{true, false} {
 		for _, m := range table.Alive() {
-			if (m.Role == c.preferred) == preferred && !m.Leaving && len(c.byZone[m.Zone]) < mostCandidates {
+			if (m.Role == c.preferred) == preferred && !m.Leaving && len(c.byZone[m.Zone]) < maxCandidates {
 				c.byZone[m.Zone] = append(c.byZone[m.Zone], m.Address)
 			}
 		}
 	}
 }
 
-// choice is which candidate of a zone is in use. One that does not answer gives way to the next.
-type choice struct {
-	position int
-	unheard  int // messages since the last one that came
-	movedAt  time.Time
+// collectorChoice selects the candidate of a zone to use. One that does not respond is replaced by the next.
+type collectorChoice struct {
+	index      int
+	unanswered int // messages sent since the last one that was received
+	switchedAt time.Time
 }
 
-// to gives the candidate to send the next message to.
-func (c *choice) to(now time.Time, all []netip.AddrPort) (netip.AddrPort, bool) {
+// target returns the candidate to send the next message to, if there is any.
+func (c *collectorChoice) target(now time.Time, all []netip.AddrPort) (netip.AddrPort, bool) {
 	if len(all) == 0 {
 		return netip.AddrPort{}, false
 	}
 	switch {
-	case c.unheard >= patience:
-		c.position, c.unheard, c.movedAt = c.position+1, 0, now
-	case c.position != 0 && now.Sub(c.movedAt) >= returnAfter:
-		c.position, c.unheard, c.movedAt = 0, 0, now
+	case c.unanswered >= maxUnanswered:
+		c.index, c.unanswered, c.switchedAt = c.index+1, 0, now
+	case c.index != 0 && now.Sub(c.switchedAt) >= returnAfter:
+		c.index, c.unanswered, c.switchedAt = 0, 0, now
 	}
-	return all[c.position%len(all)], true
+	return all[c.index%len(all)], true
 }
 
-// asked counts a message that wants an answer.
-func (c *choice) asked() { c.unheard++ }
+// messageSent counts a message that wants a response.
+func (c *collectorChoice) messageSent() { c.unanswered++ }
 
-// answers tells whether the candidate in use has answered lately.
-func (c *choice) answers() bool { return c.unheard < patience }
+// isResponsive reports whether the current candidate has responded lately.
+func (c *collectorChoice) isResponsive() bool { return c.unanswered < maxUnanswered }
 
-// heard tells that the candidate in use has sent a message.
-func (c *choice) heard() { c.unheard = 0 }
+// messageReceived records a message from the current candidate.
+func (c *collectorChoice) messageReceived() { c.unanswered = 0 }
--- a/internal/load/codec.go
+++ b/internal/load/codec.go
@@ -11,19 +11,19 @@
 	"nickelline/internal/load/loadwire"
 )
 
-// pendingUnits is how many units a request of mean size has.
+// pendingUnits is the size of a mean request on the wire.
 const pendingUnits = 100
 
-// errLengths: a message does not name as many backends as it has loads.
-var errLengths = merry.New("other numbers of backends and of loads")
+// errCountMismatch means that a message does not have as many backends as loads.
+var errCountMismatch = merry.New("other numbers of backends and of loads")
 
-// bytesOf estimates the length of a message with some loads.
-func bytesOf(loads []admission.BackendLoad) int { return 160 + 12*len(loads) }
+// encodedSize estimates the size of a message with some loads, in bytes.
+func encodedSize(loads []admission.BackendLoad) int { return 160 + 12*len(loads) }
 
 func encodeReport(r *report) ([]byte, error) {
-	data, err := capnpcodec.Marshal(bytesOf(r.loads), loadwire.NewRootReport, func(root loadwire.Report) error {
+	data, err := capnpcodec.Marshal(encodedSize(r.loads), loadwire.NewRootReport, func(root loadwire.Report) error {
 		root.SetComplete(r.complete)
-		root.SetUnasking(r.unasking)
+		root.SetUnasking(r.oneWay)
 		if err := root.SetService(r.service); err != nil {
 			return err
 		}
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, merry.Prepend(err, "decode load report")
 	}
-	r := &report{complete: root.Complete(), unasking: root.Unasking()}
+	r := &report{complete: root.Complete(), oneWay: root.Unasking()}
 	if r.service, err = root.Service(); err != nil {
 		return nil, merry.Prepend(err, "decode load report")
 	}
@@ -53,9 +53,9 @@
 	return r, nil
 }
 
-func encodeAnswer(a *answer) ([]byte, error) {
-	data, err := capnpcodec.Marshal(bytesOf(a.loads), loadwire.NewRootAnswer, func(root loadwire.Answer) error {
-		root.SetTable(a.table)
+func encodeResponse(a *response) ([]byte, error) {
+	data, err := capnpcodec.Marshal(encodedSize(a.loads), loadwire.NewRootAnswer, func(root loadwire.Answer) error {
+		root.SetTable(a.backendsHash)
 		if err := root.SetService(a.service); err != nil {
 			return err
 		}
@@ -64,12 +64,12 @@
 	return data, merry.Prepend(err, "encode load answer")
 }
 
-func decodeAnswer(data []byte) (*answer, error) {
+func decodeResponse(data []byte) (*response, error) {
 	root, err := capnpcodec.Unmarshal(data, loadwire.ReadRootAnswer)
 	if err != nil {
 		return nil, merry.Prepend(err, "decode load answer")
 	}
-	a := &answer{table: root.Table()}
+	a := &response{backendsHash: root.Table()}
 	if a.service, err = root.Service(); err != nil {
 		return nil, merry.Prepend(err, "decode load answer")
 	}
@@ -80,8 +80,8 @@
 }
 
 func encodeSummary(s *summary) ([]byte, error) {
-	data, err := capnpcodec.Marshal(bytesOf(s.loads), loadwire.NewRootSummary, func(root loadwire.Summary) error {
-		root.SetPart(s.part)
+	data, err := capnpcodec.Marshal(encodedSize(s.loads), loadwire.NewRootSummary, func(root loadwire.Summary) error {
+		root.SetPart(s.chunk)
 		if err := root.SetService(s.service); err != nil {
 			return err
 		}
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, merry.Prepend(err, "decode load summary")
 	}
-	s := &summary{part: root.Part()}
+	s := &summary{chunk: root.Part()}
 	if s.service, err = root.Service(); err != nil {
 		return nil, merry.Prepend(err, "decode load summary")
 	}
@@ -128,14 +128,14 @@
 	return nil
 }
 
-// decodeBackends names the backends of loads.
+// decodeBackends decodes the identifiers of the backends of some loads.
 func decodeBackends(loads []admission.BackendLoad, read func() (capnp.UInt32List, error)) error {
 	list, err := read()
 	if err != nil {
 		return err
 	}
 	if list.Len() != len(loads) {
-		return errLengths
+		return errCountMismatch
 	}
 	for i := range loads {
 		loads[i].Backend = list.At(i)
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// saturated gives the nearest number that fits.
+// saturated returns the nearest number that fits into 16 bits.
 func saturated(number int) uint16 { return uint16(min(max(number, 0), math.MaxUint16)) }
 
 func decodeLoads(list loadwire.Load_List, err error) ([]admission.BackendLoad, error) {
--- a/internal/load/codec_test.go
+++ b/internal/load/codec_test.go
@@ -8,27 +8,27 @@
 	"nickelline/internal/admission"
 )
 
-func TestMessagesAreReadAsWritten(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	loads := []admission.BackendLoad{
 		{Backend: 1 << 31, InFlight: 300, Unanswered: 7, Batch: 200, Pending: 7.25},
 		{Backend: 2},
 	}
-	r := &report{service: "s", loads: loads, complete: true, unasking: true}
+	r := &report{service: "s", loads: loads, complete: true, oneWay: true}
 	if body, err := encodeReport(r); err != nil {
 		t.Error(err)
 	} else if got, err := decodeReport(body); err != nil || !reflect.DeepEqual(got, r) {
 		t.Errorf("report %+v, %v", got, err)
 	}
-	a := &answer{service: "s", loads: slices.Clone(loads), table: 77}
+	a := &response{service: "s", loads: slices.Clone(loads), backendsHash: 77}
 	for i := range a.loads {
 		a.loads[i].Backend = 0 // an answer does not name them
 	}
-	if body, err := encodeAnswer(a); err != nil {
+	if body, err := encodeResponse(a); err != nil {
 		t.Error(err)
-	} else if got, err := decodeAnswer(body); err != nil || !reflect.DeepEqual(got, a) {
+	} else if got, err := decodeResponse(body); err != nil || !reflect.DeepEqual(got, a) {
 		t.Errorf("answer %+v, %v", got, err)
 	}
-	s := &summary{service: "s", zone: "z", loads: loads, part: 3}
+	s := &summary{service: "s", zone: "z", loads: loads, chunk: 3}
 	if body, err := encodeSummary(s); err != nil {
 		t.Error(err)
 	} else if got, err := decodeSummary(body); err != nil || !reflect.DeepEqual(got, s) {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestLargeFiguresAreBounded(t *testing.T) {
+func TestLargeCountsSaturate(t *testing.T) {
 	body, err := encodeReport(&report{loads: []admission.BackendLoad{
 		{InFlight: 1 << 20, Unanswered: 1 << 20, Batch: 1 << 20}, {InFlight: -1, Unanswered: -1},
 	}})
@@ -63,7 +63,7 @@
 	f.Add(body)
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		_, _ = decodeReport(data)
-		_, _ = decodeAnswer(data)
+		_, _ = decodeResponse(data)
 		_, _ = decodeSummary(data)
 	})
 }
--- a/internal/load/collector_test.go
+++ b/internal/load/collector_test.go
@@ -25,8 +25,8 @@
 	return admission.BackendLoad{Backend: backend, InFlight: inFlight, Unanswered: unanswered}
 }
 
-// told gives what an answer says of a backend.
-func told(a *answer, backend uint32) admission.BackendLoad {
+// loadFor returns the load of a backend in a response.
+func loadFor(a *response, backend uint32) admission.BackendLoad {
 	for _, l := range a.loads {
 		if l.Backend == backend {
 			return l
@@ -37,58 +37,58 @@
 
 func TestSumsOfAllNodes(t *testing.T) {
 	c := newCollector("a")
-	c.takeReport(at(0), nodeA, reportOf(true, loadOf(1, 3, 1), loadOf(2, 0, 0)))
-	a := c.takeReport(at(time.Millisecond), nodeB, reportOf(true, loadOf(1, 2, 2), loadOf(2, 5, 0)))
-	if l := told(a, 1); l.InFlight != 5 || l.Unanswered != 3 {
+	c.handleReport(at(0), nodeA, reportOf(true, loadOf(1, 3, 1), loadOf(2, 0, 0)))
+	a := c.handleReport(at(time.Millisecond), nodeB, reportOf(true, loadOf(1, 2, 2), loadOf(2, 5, 0)))
+	if l := loadFor(a, 1); l.InFlight != 5 || l.Unanswered != 3 {
 		t.Errorf("first backend: %+v", l)
 	}
-	if l := told(a, 2); l.InFlight != 5 || l.Unanswered != 0 {
+	if l := loadFor(a, 2); l.InFlight != 5 || l.Unanswered != 0 {
 		t.Errorf("second backend: %+v", l)
 	}
-	a = c.takeReport(at(2*time.Millisecond), nodeB, reportOf(false, loadOf(1, 1, 0)))
-	if l := told(a, 1); l.InFlight != 4 || l.Unanswered != 1 {
+	a = c.handleReport(at(2*time.Millisecond), nodeB, reportOf(false, loadOf(1, 1, 0)))
+	if l := loadFor(a, 1); l.InFlight != 4 || l.Unanswered != 1 {
 		t.Errorf("a newer report did not take the place of the older one: %+v", l)
 	}
-	if l := told(a, 2); l.InFlight != 0 {
+	if l := loadFor(a, 2); l.InFlight != 0 {
 		t.Errorf("a backend that a report leaves out has %+v", l)
 	}
 }
 
-func TestIncompleteReportIsAskedFor(t *testing.T) {
+func TestCompleteReportIsRequested(t *testing.T) {
 	c := newCollector("a")
-	if a := c.takeReport(at(0), nodeA, reportOf(false, loadOf(1, 1, 0))); a.table != 0 || len(a.loads) > 0 {
+	if a := c.handleReport(at(0), nodeA, reportOf(false, loadOf(1, 1, 0))); a.backendsHash != 0 || len(a.loads) > 0 {
 		t.Errorf("answer to a node whose backends are not known: %+v", a)
 	}
-	if a := c.takeReport(at(0), nodeA, reportOf(true, loadOf(1, 1, 0))); a.table == 0 || told(a, 1).InFlight != 1 {
+	if a := c.handleReport(at(0), nodeA, reportOf(true, loadOf(1, 1, 0))); a.backendsHash == 0 || loadFor(a, 1).InFlight != 1 {
 		t.Errorf("answer to a complete report: %+v", a)
 	}
-	if a := c.takeReport(at(0), nodeA, reportOf(false)); a.table == 0 {
+	if a := c.handleReport(at(0), nodeA, reportOf(false)); a.backendsHash == 0 {
 		t.Error("the node's backends were forgotten")
 	}
 }
 
-func TestSilentNodesAreForgotten(t *testing.T) {
+func TestUnresponsiveNodesExpire(t *testing.T) {
 	c := newCollector("a")
-	c.takeReport(at(0), nodeA, reportOf(true, loadOf(1, 7, 0)))
-	c.takeSummary(at(0), remote, &summary{service: "s", zone: "b", loads: []admission.BackendLoad{loadOf(1, 2, 0)}})
+	c.handleReport(at(0), nodeA, reportOf(true, loadOf(1, 7, 0)))
+	c.handleSummary(at(0), remote, &summary{service: "s", zone: "b", loads: []admission.BackendLoad{loadOf(1, 2, 0)}})
 	for now := time.Duration(0); now <= expiry; now += Interval {
-		if l := told(c.takeReport(at(now), nodeB, reportOf(true, loadOf(1, 1, 0))), 1); l.InFlight != 10 {
+		if l := loadFor(c.handleReport(at(now), nodeB, reportOf(true, loadOf(1, 1, 0))), 1); l.InFlight != 10 {
 			t.Errorf("after %v: %+v", now, l)
 		}
 	}
-	a := c.takeReport(at(expiry+2*Interval), nodeB, reportOf(true, loadOf(1, 1, 0)))
-	if l := told(a, 1); l.InFlight != 1 {
+	a := c.handleReport(at(expiry+2*Interval), nodeB, reportOf(true, loadOf(1, 1, 0)))
+	if l := loadFor(a, 1); l.InFlight != 1 {
 		t.Errorf("what was not renewed still counts: %+v", l)
 	}
 }
 
 func TestSummariesOfOtherZones(t *testing.T) {
 	c := newCollector("a")
-	c.takeReport(at(0), nodeA, reportOf(true, loadOf(1, 3, 0)))
-	c.takeSummary(at(0), remote, &summary{service: "s", zone: "b", loads: []admission.BackendLoad{loadOf(1, 9, 4)}})
-	c.takeSummary(at(0), remote, &summary{service: "s", zone: "b", loads: []admission.BackendLoad{loadOf(1, 4, 2)}})
-	c.takeSummary(at(0), remote, &summary{service: "s", zone: "a", loads: []admission.BackendLoad{loadOf(1, 50, 0)}})
-	if l := told(c.takeReport(at(0), nodeA, reportOf(true, loadOf(1, 3, 0))), 1); l.InFlight != 7 || l.Unanswered != 2 {
+	c.handleReport(at(0), nodeA, reportOf(true, loadOf(1, 3, 0)))
+	c.handleSummary(at(0), remote, &summary{service: "s", zone: "b", loads: []admission.BackendLoad{loadOf(1, 9, 4)}})
+	c.handleSummary(at(0), remote, &summary{service: "s", zone: "b", loads: []admission.BackendLoad{loadOf(1, 4, 2)}})
+	c.handleSummary(at(0), remote, &summary{service: "s", zone: "a", loads: []admission.BackendLoad{loadOf(1, 50, 0)}})
+	if l := loadFor(c.handleReport(at(0), nodeA, reportOf(true, loadOf(1, 3, 0))), 1); l.InFlight != 7 || l.Unanswered != 2 {
 		t.Errorf("with another zone's requests: %+v", l)
 	}
 	sent := c.dueSummaries(at(0), "s")
@@ -100,13 +100,13 @@
 	}
 }
 
-func TestLongSummariesComeInParts(t *testing.T) {
+func TestLongSummariesComeInChunks(t *testing.T) {
 	c := newCollector("a")
 	var loads []admission.BackendLoad
-	for i := range uint32(3*summaryPart - 1) {
+	for i := range uint32(3*summaryChunkSize - 1) {
 		loads = append(loads, loadOf(i, 1, 0))
 	}
-	c.takeReport(at(0), nodeA, reportOf(true, loads...))
+	c.handleReport(at(0), nodeA, reportOf(true, loads...))
 	other, sum := newCollector("b"), 0
 	for _, s := range c.dueSummaries(at(0), "s") {
 		body, err := encodeSummary(s)
@@ -117,9 +117,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		other.takeSummary(at(0), nodeA, decoded)
+		other.handleSummary(at(0), nodeA, decoded)
 	}
-	for _, l := range other.takeReport(at(0), remote, reportOf(true, loads...)).loads {
+	for _, l := range other.handleReport(at(0), remote, reportOf(true, loads...)).loads {
 		sum += l.InFlight
 	}
 	if sum != 2*len(loads) {
--- a/internal/load/golden_test.go
+++ b/internal/load/golden_test.go
@@ -16,31 +16,31 @@
 }
 
 func TestGoldenReport(t *testing.T) {
-	message := &report{service: "search", loads: goldenLoads, complete: true, unasking: true}
+	message := &report{service: "search", loads: goldenLoads, complete: true, oneWay: true}
 	golden.RoundTrip(t, "report.hex", message, encodeReport, decodeReport)
 }
 
 func TestGoldenReportFlags(t *testing.T) {
 	complete := &report{service: "search", loads: goldenLoads, complete: true}
 	golden.RoundTrip(t, "report_complete.hex", complete, encodeReport, decodeReport)
-	unasking := &report{service: "search", loads: goldenLoads, unasking: true}
+	unasking := &report{service: "search", loads: goldenLoads, oneWay: true}
 	golden.RoundTrip(t, "report_unasking.hex", unasking, encodeReport, decodeReport)
 }
 
-func TestGoldenAnswer(t *testing.T) {
-	message := &answer{service: "search", table: 0x0a0b0c0d, loads: withoutBackends(goldenLoads)}
-	golden.RoundTrip(t, "answer.hex", message, encodeAnswer, decodeAnswer)
+func TestGoldenResponse(t *testing.T) {
+	message := &response{service: "search", backendsHash: 0x0a0b0c0d, loads: withoutBackends(goldenLoads)}
+	golden.RoundTrip(t, "answer.hex", message, encodeResponse, decodeResponse)
 }
 
 func TestGoldenSummary(t *testing.T) {
-	message := &summary{service: "search", zone: "north", loads: goldenLoads, part: 9}
+	message := &summary{service: "search", zone: "north", loads: goldenLoads, chunk: 9}
 	golden.RoundTrip(t, "summary.hex", message, encodeSummary, decodeSummary)
 }
 
 // The hash of a list of backends goes over the wire in place of the list, so all releases have to compute the same one.
-func TestGoldenTable(t *testing.T) {
+func TestGoldenBackendsHash(t *testing.T) {
 	const want = 0xefa3aeee
-	if got := tableOf([]uint32{0x80000001, 0x00020003, 7}); got != want {
+	if got := hashBackends([]uint32{0x80000001, 0x00020003, 7}); got != want {
 		t.Errorf("tableOf: got %#x, want %#x", got, want)
 	}
 }
--- a/internal/load/service_test.go
+++ b/internal/load/service_test.go
@@ -69,7 +69,7 @@
 				PreferredRole: "control", Log: zap.NewNop(),
 			}),
 		}
-		node.service.Add("s", node.pool)
+		node.service.AddPool("s", node.pool)
 		nodes = append(nodes, node)
 	}
 	table = member.NewTable(members...)
@@ -97,16 +97,16 @@
 	t.Fatalf("no sum of %d", want)
 }
 
-func TestRefreshBringsTheSumOfAllNodes(t *testing.T) {
+func TestRefreshSumsAllNodes(t *testing.T) {
 	nodes := newNodes(t, "a", "a", "a")
 	nodes[1].refreshUntil(t, 2)
 	nodes[2].refreshUntil(t, 5)
 }
 
-func TestTellIsKnownToTheNextThatAsks(t *testing.T) {
+func TestAnnouncedRequestIsInTheNextRefresh(t *testing.T) {
 	nodes := newNodes(t, "a", "a", "a")
 	nodes[2].refreshUntil(t, 3)
-	nodes[1].service.Tell("s")
+	nodes[1].service.Announce("s")
 	nodes[2].refreshUntil(t, 5)
 }
 
@@ -121,14 +121,14 @@
 func TestRefreshWithoutACollectorReturns(t *testing.T) {
 	nodes := newNodes(t, "a", "a")
 	nodes[0].transport.Close()
-	for range 2 * patience {
+	for range 2 * maxUnanswered {
 		nodes[1].service.Refresh(context.Background(), "s")
 	}
 	nodes[1].refreshUntil(t, 2) // the node itself is the next candidate
 }
 
-func TestUnknownServiceIsNotAskedFor(t *testing.T) {
+func TestRefreshOfUnknownServiceReturns(t *testing.T) {
 	nodes := newNodes(t, "a")
 	nodes[0].service.Refresh(context.Background(), "other")
-	nodes[0].service.Tell("other")
+	nodes[0].service.Announce("other")
 }
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -115,7 +115,7 @@
 	}
 	backend, ticket, refusal := e.proxy.options.Pick(e.service, time.Now(), e.admission)
 	if loads != nil && refusal == nil {
-		loads.Tell(e.service)
+		loads.Announce(e.service)
 	}
 	return backend, ticket, refusal
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -63,8 +63,8 @@
 type Loads interface {
 	// Refresh returns when the newest figures are known, or soon.
 	Refresh(ctx context.Context, service string)
-	// Tell has other nodes know of a request that has just been admitted.
-	Tell(service string)
+	// Announce reports a request that has just been admitted to the other nodes.
+	Announce(service string)
 }
 
 // QuotaLimiter takes a request out of a tenant's budget. It is a *quota.Limiter.
--- a/internal/proxy/stats_test.go
+++ b/internal/proxy/stats_test.go
@@ -26,7 +26,7 @@
 }
 
 func (l *recordedLoads) Refresh(context.Context, string) { l.note("refresh") }
-func (l *recordedLoads) Tell(string)                     { l.note("tell") }
+func (l *recordedLoads) Announce(string)                 { l.note("tell") }
 
 func TestLoadsAreAskedForBeforeEachPickAndToldAfterIt(t *testing.T) {
 	var loads recordedLoads
