--- a/cmd/nickelline/metrics.go
+++ b/cmd/nickelline/metrics.go
@@ -49,8 +49,8 @@
 	w.Gauge("nickelline_members_alive", float64(len(table.Alive())))
 	for _, sent := range n.transport.SentByPackage() {
 		name := metrics.Label{Name: "package", Value: sent.Package}
-		w.Counter("nickelline_sent_bytes_total", sent.Near, name, metrics.Label{Name: "to", Value: "zone"})
-		w.Counter("nickelline_sent_bytes_total", sent.Far, name, metrics.Label{Name: "to", Value: "other zones"})
+		w.Counter("nickelline_sent_bytes_total", sent.SameZone, name, metrics.Label{Name: "to", Value: "zone"})
+		w.Counter("nickelline_sent_bytes_total", sent.OtherZones, name, metrics.Label{Name: "to", Value: "other zones"})
 	}
 }
 
--- a/cmd/nickelline/node.go
+++ b/cmd/nickelline/node.go
@@ -58,7 +58,7 @@
 		Life:         rand.Uint64(),
 	}
 	n := &node{process: p, transport: transport}
-	transport.SetNear(n.isNear)
+	transport.SetSameZone(n.isNear)
 	n.members = member.New(self, p.settings.SeedInternal(), transport, p.log)
 	n.gossip = gossip.New(self, n.members.Table, transport, n.heartbeat(), p.log)
 	n.loads = load.New(load.Options{
@@ -88,7 +88,7 @@
 		Zone:   n.settings.Zone,
 		Seed:   rand.Uint64(),
 		Source: n.gossip,
-		OnPool: func(service string, pool *admission.Pool) { n.loads.Add(service, pool) },
+		OnPool: func(service string, pool *admission.Pool) { n.loads.AddPool(service, pool) },
 		Log:    n.log,
 	})
 }
--- a/cmd/nickelline/traffic.go
+++ b/cmd/nickelline/traffic.go
@@ -34,7 +34,7 @@
 func (n *node) logTraffic() {
 	var fields []zap.Field
 	for _, sent := range n.transport.SentByPackage() {
-		fields = append(fields, zap.Uint64(sent.Package+"Zone", sent.Near), zap.Uint64(sent.Package+"Far", sent.Far))
+		fields = append(fields, zap.Uint64(sent.Package+"Zone", sent.SameZone), zap.Uint64(sent.Package+"Far", sent.OtherZones))
 	}
 	n.log.Info("bytes sent", fields...)
 }
--- a/internal/peer/accept.go
+++ b/internal/peer/accept.go
@@ -13,16 +13,16 @@
 
 const acceptBackoff = 50 * time.Millisecond
 
-// adopt makes an accepted connection the one to be used for its peer, unless there is one that this side has dialled at
-// the same time. The one that it replaces is only finished. One that an earlier process at the address had made is
-// returned, to be closed.
-func (t *Transport) adopt(c *connection) (earlier *connection, ok bool) {
+// register makes an accepted connection the one to use for its peer, unless this side has dialled one at the same time.
+// A connection that it replaces is retired. One of an earlier process at the address is returned, to be closed by the
+// caller. ok is false after Close.
+func (t *Transport) register(c *connection) (earlier *connection, ok bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.closed {
 		return nil, false
 	}
-	t.all[c] = struct{}{}
+	t.open[c] = struct{}{}
 	current := t.connections[c.to]
 	if current == nil {
 		t.connections[c.to] = c
@@ -42,6 +42,7 @@
 	return current, true
 }
 
+// accept accepts connections until Close.
 func (t *Transport) accept() {
 	for {
 		socket, err := t.listener.AcceptTCP()
@@ -49,16 +50,16 @@
 			return
 		}
 		if err != nil {
-			t.log.Warn("accept", zap.Error(err))
-			t.pause(acceptBackoff)
+			t.log.Warn("accept connection failed", zap.Error(err))
+			t.backOff(acceptBackoff)
 			continue
 		}
 		t.goroutines.Go(func() { t.serve(socket) })
 	}
 }
 
-// pause waits, for example until descriptors may be free again, or until Close.
-func (t *Transport) pause(d time.Duration) {
+// backOff waits after a failure of accept, for example until descriptors are free again, or until Close.
+func (t *Transport) backOff(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -67,14 +68,14 @@
 	}
 }
 
-// serve takes the frames of an accepted connection.
+// serve reads the frames of an accepted connection.
 func (t *Transport) serve(socket *net.TCPConn) {
 	stop := context.AfterFunc(t.context, func() { _ = socket.Close() })
-	r := bufio.NewReaderSize(socket, readBuffer)
+	r := bufio.NewReaderSize(socket, readBufferSize)
 	hello, err := t.readHello(socket, r)
 	stop()
 	if err != nil {
-		t.log.Debug("connection refused", zap.Stringer("from", socket.RemoteAddr()), zap.Error(err))
+		t.log.Debug("read hello failed", zap.Stringer("from", socket.RemoteAddr()), zap.Error(err))
 		_ = socket.Close()
 		return
 	}
@@ -82,8 +83,8 @@
 	c.accepted = true
 	c.life = hello.life
 	c.socket = socket
-	c.wake <- struct{}{}
-	earlier, ok := t.adopt(c)
+	c.queueReady <- struct{}{}
+	earlier, ok := t.register(c)
 	if !ok {
 		_ = socket.Close()
 		return
@@ -95,13 +96,14 @@
 	c.read(r)
 }
 
+// readHello reads the first frame of an accepted connection.
 func (t *Transport) readHello(socket *net.TCPConn, r *bufio.Reader) (*frame, error) {
 	raw, err := socket.SyscallConn()
 	if err == nil {
 		err = setUserTimeout(raw)
 	}
 	if err != nil {
-		t.log.Warn("time-out of a connection not set", zap.Error(err))
+		t.log.Warn("set user timeout failed", zap.Stringer("from", socket.RemoteAddr()), zap.Error(err))
 	}
 	if err := socket.SetReadDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return nil, err
--- /dev/null
+++ b/internal/peer/codec.go
@@ -0,0 +1,151 @@
+package peer
+
+import (
+	"encoding/binary"
+	"io"
+	"net/netip"
+	"time"
+
+	"capnproto.org/go/capnp/v3"
+	"github.com/ansel1/merry/v2"
+
+	"nickelline/internal/capnpcodec"
+	"nickelline/internal/fault"
+	"nickelline/internal/peer/peerwire"
+)
+
+// encode returns the frame as a Cap'n Proto stream of one segment.
+func (f *frame) encode() ([]byte, error) {
+	buffer := make([]byte, streamHeader, streamHeader+frameFields+len(f.body)+wordSize)
+	message, segment, err := capnp.NewMessage(capnp.SingleSegment(buffer[streamHeader:]))
+	if err != nil {
+		return nil, err
+	}
+	root, err := peerwire.NewRootFrame(segment)
+	if err != nil {
+		return nil, err
+	}
+	if err := f.fillRoot(root); err != nil {
+		return nil, err
+	}
+	data := segment.Data()
+	if len(data) > cap(buffer)-streamHeader || &data[0] != &buffer[:streamHeader+1][streamHeader] {
+		return message.Marshal()
+	}
+	whole := buffer[:streamHeader+len(data)]
+	binary.LittleEndian.PutUint32(whole[4:], uint32(len(data)/wordSize))
+	return whole, nil
+}
+
+// fillRoot sets the fields of the encoded frame.
+func (f *frame) fillRoot(root peerwire.Frame) error {
+	root.SetKind(uint16(f.kind))
+	switch f.frameType {
+	case helloFrame:
+		root.SetHello()
+		root.Hello().SetLife(f.life)
+		if err := root.Hello().SetAddress(encodeAddress(f.address)); err != nil {
+			return err
+		}
+	case requestFrame:
+		root.SetRequest()
+		root.Request().SetCall(f.call)
+		root.Request().SetRemainingMicros(uint64(f.remaining.Microseconds()))
+	case answerFrame:
+		root.SetAnswer()
+		root.Answer().SetCall(f.call)
+	case failureFrame:
+		root.SetFailure()
+		root.Failure().SetCall(f.call)
+		root.Failure().SetErrorKind(uint8(f.errorKind))
+	case oneWayFrame:
+		root.SetOneWay()
+	case datagramFrame:
+		root.SetDatagram()
+	case retireFrame:
+		root.SetRetire()
+	}
+	if len(f.body) == 0 {
+		return nil
+	}
+	return root.SetBody(f.body)
+}
+
+// decodeFrame decodes a frame. Its body shares the memory of data.
+func decodeFrame(data []byte) (*frame, error) {
+	root, err := capnpcodec.Unmarshal(data, peerwire.ReadRootFrame)
+	if err != nil {
+		return nil, err
+	}
+	f := &frame{kind: Kind(root.Kind())}
+	if f.body, err = root.Body(); err != nil {
+		return nil, err
+	}
+	switch root.Which() {
+	case peerwire.Frame_Which_hello:
+		f.frameType = helloFrame
+		f.life = root.Hello().Life()
+		return f, f.decodeHelloAddress(root)
+	case peerwire.Frame_Which_request:
+		f.frameType = requestFrame
+		f.call = root.Request().Call()
+		f.remaining = time.Duration(root.Request().RemainingMicros()) * time.Microsecond
+	case peerwire.Frame_Which_answer:
+		f.frameType = answerFrame
+		f.call = root.Answer().Call()
+	case peerwire.Frame_Which_failure:
+		f.frameType = failureFrame
+		f.call = root.Failure().Call()
+		f.errorKind = fault.Kind(root.Failure().ErrorKind())
+	case peerwire.Frame_Which_oneWay:
+		f.frameType = oneWayFrame
+	case peerwire.Frame_Which_datagram:
+		f.frameType = datagramFrame
+	case peerwire.Frame_Which_retire:
+		f.frameType = retireFrame
+	default:
+		return nil, merry.Errorf("frame of unknown type %d", root.Which())
+	}
+	return f, nil
+}
+
+// decodeHelloAddress decodes the address of a hello frame.
+func (f *frame) decodeHelloAddress(root peerwire.Frame) error {
+	data, err := root.Hello().Address()
+	if err != nil {
+		return err
+	}
+	if len(data) != addressSize {
+		return merry.Errorf("address of %d bytes", len(data))
+	}
+	ip := netip.AddrFrom4([addressIPBytes]byte(data[:addressIPBytes]))
+	f.address = netip.AddrPortFrom(ip, binary.BigEndian.Uint16(data[addressIPBytes:]))
+	return nil
+}
+
+// encodeAddress returns the four bytes of the IPv4 address and the two of the port, in network order.
+func encodeAddress(address netip.AddrPort) []byte {
+	ip := address.Addr().As4()
+	return binary.BigEndian.AppendUint16(ip[:], address.Port())
+}
+
+// readFrame reads the next frame of a connection into memory of its own.
+func readFrame(r io.Reader) (*frame, error) {
+	var header [streamHeader]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
+		return nil, err
+	}
+	if segments := binary.LittleEndian.Uint32(header[:]); segments != 0 {
+		return nil, merry.Errorf("frame of %d segments", uint64(segments)+1)
+	}
+	size := uint64(binary.LittleEndian.Uint32(header[4:])) * wordSize
+	if size > maxFrame {
+		return nil, merry.Errorf("frame of %d bytes", size)
+	}
+	data := make([]byte, streamHeader+size)
+	copy(data, header[:])
+	if _, err := io.ReadFull(r, data[streamHeader:]); err != nil {
+		return nil, err
+	}
+	return decodeFrame(data)
+}
--- a/internal/peer/datagram.go
+++ b/internal/peer/datagram.go
@@ -12,11 +12,11 @@
 const (
 	// MaxDatagram is the longest datagram, with its frame, that Datagram sends: it fits into one packet.
 	MaxDatagram = 1400
-	// datagramBuffer has room for what others may send.
-	datagramBuffer = 2 << 10
+	// datagramBufferSize has room for what others may send.
+	datagramBufferSize = 2 << 10
 )
 
-// Datagram sends a message by UDP.
+// Datagram sends a message by UDP. It may be lost; one of more than MaxDatagram bytes is dropped.
 func (t *Transport) Datagram(to netip.AddrPort, m Message) {
 	f := &frame{frameType: datagramFrame, kind: m.Kind, body: m.Body}
 	data, err := f.encode()
@@ -27,21 +27,22 @@
 		_, err = t.packets.WriteToUDPAddrPort(data, to)
 	}
 	if err != nil {
-		t.log.Debug("datagram dropped", zap.Stringer("to", to), zap.Error(err))
+		t.log.Debug("send datagram failed", zap.Stringer("to", to), zap.Error(err))
 		return
 	}
-	t.count(to, m.Kind, len(data)+datagramHeaders)
+	t.countSent(to, m.Kind, len(data)+datagramHeaderBytes)
 }
 
+// receiveDatagrams receives datagrams until Close.
 func (t *Transport) receiveDatagrams() {
-	buffer := make([]byte, datagramBuffer)
+	buffer := make([]byte, datagramBufferSize)
 	for {
 		size, from, err := t.packets.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			t.log.Debug("datagram", zap.Error(err))
+			t.log.Debug("receive datagram failed", zap.Error(err))
 			continue
 		}
 		data := make([]byte, size)
@@ -50,10 +51,11 @@
 	}
 }
 
+// receiveDatagram passes a datagram to its handler.
 func (t *Transport) receiveDatagram(from netip.AddrPort, data []byte) {
 	f, err := decodeFrame(data)
 	if err != nil || f.frameType != datagramFrame {
-		t.log.Debug("bad datagram", zap.Stringer("from", from), zap.Error(err))
+		t.log.Debug("decode datagram failed", zap.Stringer("from", from), zap.Error(err))
 		return
 	}
 	if handler := t.datagrams[f.kind]; handler != nil {
--- a/internal/peer/dial_test.go
+++ b/internal/peer/dial_test.go
@@ -12,11 +12,11 @@
 var testAttempts = []time.Duration{time.Millisecond, 2 * time.Millisecond, time.Minute}
 
 // A machine that had no power when the opening packet came is asked again before the kernel would.
-func TestDialAgainAfterSilence(t *testing.T) {
+func TestDialRetriesAfterTimeout(t *testing.T) {
 	tries := 0
 	near, far := net.Pipe()
 	defer func() { _ = far.Close() }()
-	socket, err := dialPatiently(context.Background(), testAttempts, func(ctx context.Context) (net.Conn, error) {
+	socket, err := dialWithRetries(context.Background(), testAttempts, func(ctx context.Context) (net.Conn, error) {
 		tries++
 		if tries < len(testAttempts) {
 			<-ctx.Done()
@@ -30,9 +30,9 @@
 	_ = socket.Close()
 }
 
-func TestDialStopsAtRefusal(t *testing.T) {
+func TestDialStopsWhenRefused(t *testing.T) {
 	tries := 0
-	_, err := dialPatiently(context.Background(), testAttempts, func(context.Context) (net.Conn, error) {
+	_, err := dialWithRetries(context.Background(), testAttempts, func(context.Context) (net.Conn, error) {
 		tries++
 		return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 	})
@@ -44,7 +44,7 @@
 func TestDialStopsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	tries := 0
-	_, err := dialPatiently(ctx, testAttempts, func(attempt context.Context) (net.Conn, error) {
+	_, err := dialWithRetries(ctx, testAttempts, func(attempt context.Context) (net.Conn, error) {
 		tries++
 		cancel()
 		<-attempt.Done()
@@ -58,7 +58,7 @@
 // The attempts together take no longer than one connection may.
 func TestDialAttemptsFitTheTimeout(t *testing.T) {
 	var sum time.Duration
-	for _, patience := range dialAttempts {
+	for _, patience := range dialTimeouts {
 		sum += patience
 	}
 	if sum > dialTimeout {
--- a/internal/peer/idle.go
+++ b/internal/peer/idle.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Connections that nothing uses are closed, so that a process does not end up with one to each other process. The side
-// that finds one idle retires it: it begins nothing new on it, and tells the other side, which does the same. What is
-// under way is finished, and then the connection is closed by whoever first sees it idle for a whole period.
+// Idle connections are closed, so that a process does not end up with one to each other process. The side that finds one
+// idle retires it: it starts nothing new on it, and notifies the other side, which does the same. What is pending is
+// finished, and then the connection is closed by the side that first finds it idle for a whole period.
 const (
-	sweepPeriod    = 15 * time.Second
-	sweepsToRetire = 3
+	idleCheckPeriod    = 15 * time.Second
+	idleChecksToRetire = 3
 )
 
 var (
@@ -18,44 +18,45 @@
 	errRetired = errors.New("nothing new begins on the connection")
 )
 
-// sweep looks for idle connections until Close.
-func (t *Transport) sweep() {
-	ticker := time.NewTicker(sweepPeriod)
+// checkIdle looks for idle connections each idleCheckPeriod until Close.
+func (t *Transport) checkIdle() {
+	ticker := time.NewTicker(idleCheckPeriod)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			t.sweepOnce()
+			t.checkIdleOnce()
 		case <-t.context.Done():
 			return
 		}
 	}
 }
 
-func (t *Transport) sweepOnce() {
+// checkIdleOnce checks all connections.
+func (t *Transport) checkIdleOnce() {
 	t.mutex.Lock()
-	all := make([]*connection, 0, len(t.all))
-	for c := range t.all {
+	all := make([]*connection, 0, len(t.open))
+	for c := range t.open {
 		all = append(all, c)
 	}
 	t.mutex.Unlock()
 	for _, c := range all {
-		c.sweep()
+		c.checkIdle()
 	}
 }
 
-// sweep retires the connection after some periods without use, and closes it after another.
-func (c *connection) sweep() {
+// checkIdle retires the connection after idleChecksToRetire periods without use, and closes it after another.
+func (c *connection) checkIdle() {
 	c.mutex.Lock()
-	busy := c.used || len(c.pending) > 0 || c.handlers.Load() > 0
-	c.used = false
+	busy := c.active || len(c.pending) > 0 || c.handlers.Load() > 0
+	c.active = false
 	if busy {
-		c.idleSweeps = 0
+		c.idleChecks = 0
 	} else {
-		c.idleSweeps++
+		c.idleChecks++
 	}
-	retire := !c.retired && c.idleSweeps >= sweepsToRetire
-	end := c.retired && c.idleSweeps > 0
+	retire := !c.retired && c.idleChecks >= idleChecksToRetire
+	end := c.retired && c.idleChecks > 0
 	c.mutex.Unlock()
 	switch {
 	case end:
@@ -65,40 +66,42 @@
 	}
 }
 
+// retire starts nothing new on the connection and has the peer do the same.
 func (c *connection) retire() {
 	f := &frame{frameType: retireFrame}
 	data, err := f.encode()
 	if err == nil {
-		err = c.enqueueLast(outgoing{data: data})
+		err = c.enqueueRetire(queuedFrame{data: data})
 	}
 	if err != nil {
 		c.close(err)
 		return
 	}
-	c.transport.withdraw(c)
+	c.transport.stopUsing(c)
 }
 
-// enqueueLast adds the last frame but answers.
-func (c *connection) enqueueLast(frame outgoing) error {
+// enqueueRetire adds the retire frame. Only responses may follow it.
+func (c *connection) enqueueRetire(frame queuedFrame) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if err := c.add(frame); err != nil {
+	if err := c.append(frame); err != nil {
 		return err
 	}
 	c.retired = true
 	return nil
 }
 
-// receiveRetire is called when the peer begins nothing new on this connection.
+// receiveRetire handles the retirement of the connection by the peer.
 func (c *connection) receiveRetire() {
 	c.mutex.Lock()
 	c.retired = true
 	c.mutex.Unlock()
-	c.transport.withdraw(c)
+	c.transport.stopUsing(c)
 }
 
-func (c *connection) noteUse() {
+// markActive records that the connection is in use.
+func (c *connection) markActive() {
 	c.mutex.Lock()
-	c.used = true
+	c.active = true
 	c.mutex.Unlock()
 }
--- a/internal/peer/kinds.go
+++ b/internal/peer/kinds.go
@@ -1,6 +1,6 @@
 package peer
 
-// Kind tells what a message is, and so which package reads its body. Zero is used by the transport itself.
+// Kind says what a message is, and so which package decodes its body. Zero is used by the transport itself.
 type Kind uint16
 
 // Each package that sends messages numbers its kinds from its own block, in its own file.
--- /dev/null
+++ b/internal/peer/queue.go
@@ -0,0 +1,76 @@
+package peer
+
+// queuedFrame is an encoded frame that waits to be written.
+type queuedFrame struct {
+	data []byte
+	call uint64 // number of the call of a request; 0: no request
+}
+
+// enqueue adds a request with its pending call, or a one-way message with none.
+func (c *connection) enqueue(frame queuedFrame, call *pendingCall) error {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.closed {
+		return errConnectionClosed
+	}
+	if c.retired {
+		return errRetired
+	}
+	if c.queuedBytes >= maxQueuedBytes {
+		return errQueueFull
+	}
+	if err := c.append(frame); err != nil {
+		return err
+	}
+	if call != nil {
+		c.pending[frame.call] = call
+	}
+	return nil
+}
+
+// enqueueAnswer adds a response. The bound is higher than for requests, so that what the peer waits for is not held up
+// by what it has to work on.
+func (c *connection) enqueueAnswer(frame queuedFrame) error {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.queuedBytes >= 2*maxQueuedBytes {
+		return errQueueFull
+	}
+	return c.append(frame)
+}
+
+// append adds a frame to the queue and wakes the writer. The caller holds the mutex.
+func (c *connection) append(frame queuedFrame) error {
+	if c.closed {
+		return errConnectionClosed
+	}
+	c.queue = append(c.queue, frame)
+	c.queuedBytes += len(frame.data)
+	c.active = true
+	select {
+	case c.queueReady <- struct{}{}:
+	default:
+	}
+	return nil
+}
+
+// takeQueue empties the queue and returns its frames. From here on its requests count as sent; abandoned ones are left
+// out.
+func (c *connection) takeQueue() [][]byte {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	frames := make([][]byte, 0, len(c.queue))
+	for _, frame := range c.queue {
+		if frame.call != 0 {
+			call := c.pending[frame.call]
+			if call == nil {
+				continue
+			}
+			call.sent = true
+		}
+		frames = append(frames, frame.data)
+	}
+	c.queue = nil
+	c.queuedBytes = 0
+	return frames
+}
--- /dev/null
+++ b/internal/peer/receive.go
@@ -0,0 +1,110 @@
+package peer
+
+import (
+	"bufio"
+	"context"
+
+	"github.com/ansel1/merry/v2"
+	"go.uber.org/zap"
+
+	"nickelline/internal/fault"
+)
+
+// read reads frames until the connection fails.
+func (c *connection) read(r *bufio.Reader) {
+	for {
+		f, err := readFrame(r)
+		if err != nil {
+			c.close(err)
+			return
+		}
+		c.markActive()
+		if err := c.receive(f); err != nil {
+			c.transport.log.Warn("handle frame failed", zap.Stringer("from", c.to), zap.Error(err))
+			c.close(err)
+			return
+		}
+	}
+}
+
+// receive dispatches a frame by its type.
+func (c *connection) receive(f *frame) error {
+	switch f.frameType {
+	case helloFrame:
+		return c.receiveHello(f)
+	case requestFrame:
+		c.receiveRequest(f)
+	case answerFrame:
+		c.complete(f.call, callResult{message: Message{Kind: f.kind, Body: f.body}})
+	case failureFrame:
+		c.complete(f.call, callResult{err: fault.New(f.errorKind, "%s", f.body)})
+	case oneWayFrame:
+		if handler := c.transport.oneWay[f.kind]; handler != nil {
+			handler(c.to, Message{Kind: f.kind, Body: f.body})
+		}
+	case retireFrame:
+		c.receiveRetire()
+	default:
+		return merry.Errorf("frame of type %d on a connection", f.frameType)
+	}
+	return nil
+}
+
+// receiveHello checks the peer's address and records the number of its process.
+func (c *connection) receiveHello(f *frame) error {
+	if f.address != c.to {
+		return merry.Errorf("%v calls itself %v", c.to, f.address)
+	}
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.life = f.life
+	return nil
+}
+
+// receiveRequest starts the handler of a request, or refuses the request.
+func (c *connection) receiveRequest(f *frame) {
+	handler := c.transport.handlers[f.kind]
+	if handler == nil {
+		c.respond(f.call, Message{}, fault.New(fault.NotReady, "%v takes no messages of kind %#x", c.transport.address, f.kind))
+		return
+	}
+	if c.handlers.Add(1) > maxConcurrentRequests {
+		c.handlers.Add(-1)
+		c.respond(f.call, Message{}, fault.New(fault.NotReady, "%v works on too many requests", c.transport.address))
+		return
+	}
+	go c.serve(handler, f)
+}
+
+// serve runs a handler and responds with its result.
+func (c *connection) serve(handler Handler, f *frame) {
+	defer c.handlers.Add(-1)
+	ctx := c.transport.context
+	if f.remaining > 0 {
+		limited, cancel := context.WithTimeout(ctx, f.remaining)
+		defer cancel()
+		ctx = limited
+	}
+	message, err := handler(ctx, c.to, Message{Kind: f.kind, Body: f.body})
+	c.respond(f.call, message, err)
+}
+
+// respond queues the response to a request. If it cannot be queued, the caller runs into its deadline.
+func (c *connection) respond(id uint64, message Message, err error) {
+	f := &frame{frameType: answerFrame, kind: message.Kind, call: id, body: message.Body}
+	if err == nil && len(message.Body) > MaxBody {
+		err = merry.Errorf("answer of %d bytes", len(message.Body))
+	}
+	if err != nil {
+		f = &frame{frameType: failureFrame, call: id, errorKind: fault.KindOf(err), body: []byte(err.Error())}
+	}
+	data, err := f.encode()
+	if err == nil {
+		err = c.enqueueAnswer(queuedFrame{data: data})
+	}
+	if err != nil {
+		c.transport.log.Debug("send response failed", zap.Stringer("to", c.to), zap.Error(err))
+		return
+	}
+	c.transport.countSent(c.to, f.kind, len(data))
+}
--- a/internal/peer/socket.go
+++ b/internal/peer/socket.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// A peer without power, or behind a cut, says nothing: these bounds end its connections.
+// A peer without power or behind a network partition does not answer: these bounds end its connections.
 const (
 	dialTimeout       = time.Second
 	userTimeout       = 3 * time.Second // for data that is not acknowledged
@@ -37,15 +37,15 @@
 	return result
 }
 
-// newDialer gives a dialer whose sockets have all bounds set. One that cannot be set is logged: the deadlines of calls
+// newDialer returns a dialer whose sockets have all bounds set. A failure to set one is logged: the deadlines of calls
 // still hold.
 func newDialer(log *zap.Logger) *net.Dialer {
 	dialer := &net.Dialer{
 		Timeout:         dialTimeout,
 		KeepAliveConfig: keepAlive,
-		Control: func(_, _ string, raw syscall.RawConn) error {
+		Control: func(_, address string, raw syscall.RawConn) error {
 			if err := setUserTimeout(raw); err != nil {
-				log.Warn("time-out of a connection not set", zap.Error(err))
+				log.Warn("set user timeout failed", zap.String("to", address), zap.Error(err))
 			}
 			return nil
 		},
@@ -54,7 +54,7 @@
 	return dialer
 }
 
-// newListenConfig gives the configuration of a listener whose connections are kept alive.
+// newListenConfig returns the configuration of a listener whose connections are kept alive.
 func newListenConfig() *net.ListenConfig {
 	config := &net.ListenConfig{KeepAliveConfig: keepAlive}
 	config.SetMultipathTCP(false)
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	kindBlock = 0x100 // kinds of one package
-	blocks    = int(LoadKinds/kindBlock) + 1
+	kindsPerPackage = 0x100 // kinds that each package may use
+	packageCount    = int(LoadKinds/kindsPerPackage) + 1
 
-	// datagramHeaders are those of IPv4 and UDP.
-	datagramHeaders = 28
+	// datagramHeaderBytes is the size of the headers of IPv4 and UDP.
+	datagramHeaderBytes = 28
 )
 
-// Traffic is what a transport has sent of the messages of one package: frames, and datagrams with their headers, but not
-// the headers of TCP connections.
+// Traffic is what a transport has sent of the messages of one package, in bytes: frames, and datagrams with their
+// headers, but not the headers of TCP connections.
 type Traffic struct {
-	// Near are bytes to processes of the own zone, Far those to others.
-	Near, Far uint64
+	// SameZone is sent to processes of the same zone, OtherZones to all others.
+	SameZone, OtherZones uint64
 }
 
 // PackageTraffic is the traffic of one package.
@@ -26,14 +26,14 @@
 	Traffic
 }
 
-// packageNames are those of the blocks of kinds.
-var packageNames = [blocks]string{"peer", "member", "gossip", "chain", "quota", "batch", "control", "load"}
+// packageNames are the names of the packages, by packageIndex.
+var packageNames = [packageCount]string{"peer", "member", "gossip", "chain", "quota", "batch", "control", "load"}
 
-// SentByPackage is what has been sent since the start, of those packages of which anything was.
+// SentByPackage returns what has been sent since the start, without packages that have sent nothing.
 func (t *Transport) SentByPackage() []PackageTraffic {
 	var all []PackageTraffic
 	for i := range t.sent {
-		sent := t.Sent(Kind(i * kindBlock))
+		sent := t.Sent(Kind(i * kindsPerPackage))
 		if sent != (Traffic{}) {
 			all = append(all, PackageTraffic{Package: packageNames[i], Traffic: sent})
 		}
@@ -42,31 +42,32 @@
 }
 
 // trafficCounter counts what is sent of the messages of one package.
-type trafficCounter struct{ near, far atomic.Uint64 }
+type trafficCounter struct{ sameZone, otherZones atomic.Uint64 }
 
-// SetNear tells the transport which peers are in the own zone, for its counts of bytes. It is called before Start; without
-// it all are.
-func (t *Transport) SetNear(near func(netip.AddrPort) bool) { t.near = near }
+// SetSameZone sets the function that reports whether a peer is in the zone of this process, for the counts of sent
+// bytes. It must be called before Start; without it all peers are.
+func (t *Transport) SetSameZone(near func(netip.AddrPort) bool) { t.sameZone = near }
 
-// Sent is what has been sent since the start of the messages of the package whose first kind this is.
+// Sent returns what has been sent since the start of the messages of the package whose first kind this is.
 func (t *Transport) Sent(first Kind) Traffic {
-	counter := &t.sent[block(first)]
-	return Traffic{Near: counter.near.Load(), Far: counter.far.Load()}
+	counter := &t.sent[packageIndex(first)]
+	return Traffic{SameZone: counter.sameZone.Load(), OtherZones: counter.otherZones.Load()}
 }
 
-func (t *Transport) count(to netip.AddrPort, kind Kind, bytes int) {
-	counter := &t.sent[block(kind)]
-	if t.near == nil || t.near(to) {
-		counter.near.Add(uint64(bytes))
+// countSent adds to the counts of sent bytes.
+func (t *Transport) countSent(to netip.AddrPort, kind Kind, bytes int) {
+	counter := &t.sent[packageIndex(kind)]
+	if t.sameZone == nil || t.sameZone(to) {
+		counter.sameZone.Add(uint64(bytes))
 		return
 	}
-	counter.far.Add(uint64(bytes))
+	counter.otherZones.Add(uint64(bytes))
 }
 
-// block numbers the packages. Unknown kinds count as the transport's own.
-func block(kind Kind) int {
-	number := int(kind / kindBlock)
-	if number >= blocks {
+// packageIndex returns the index of the package that owns a kind. Unknown kinds count as the transport's own.
+func packageIndex(kind Kind) int {
+	number := int(kind / kindsPerPackage)
+	if number >= packageCount {
 		return 0
 	}
 	return number
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -53,7 +53,7 @@
 	b.Handle(testKind, echo)
 	a.Start()
 	b.Start()
-	for _, size := range []int{0, 1, 100, batchBytes, batchBytes + 1, 1 << 20, MaxBody} {
+	for _, size := range []int{0, 1, 100, writeBufferSize, writeBufferSize + 1, 1 << 20, MaxBody} {
 		body := bytes.Repeat([]byte{'x'}, size)
 		answer, err := a.Call(testContext(t), b.Address(), Message{Kind: testKind, Body: body})
 		if err != nil {
@@ -73,7 +73,7 @@
 	b.Handle(GossipKinds, echo)
 	received := make(chan Message, 1)
 	b.HandleDatagram(MemberKinds+1, func(_ netip.AddrPort, m Message) { received <- m })
-	a.SetNear(func(to netip.AddrPort) bool { return to != b.Address() })
+	a.SetSameZone(func(to netip.AddrPort) bool { return to != b.Address() })
 	a.Start()
 	b.Start()
 	const size = 1000
@@ -89,13 +89,13 @@
 		t.Fatal("the datagram was lost")
 	}
 	within := func(sent uint64) bool { return sent >= size && sent < size+2*frameFields }
-	if sent := a.Sent(GossipKinds); sent.Near != 0 || !within(sent.Far) {
+	if sent := a.Sent(GossipKinds); sent.SameZone != 0 || !within(sent.OtherZones) {
 		t.Errorf("the caller counts %+v", sent)
 	}
-	if sent := b.Sent(GossipKinds); sent.Far != 0 || !within(sent.Near) {
+	if sent := b.Sent(GossipKinds); sent.OtherZones != 0 || !within(sent.SameZone) {
 		t.Errorf("the answerer counts %+v", sent)
 	}
-	if sent := a.Sent(MemberKinds); sent.Near != 0 || !within(sent.Far) {
+	if sent := a.Sent(MemberKinds); sent.SameZone != 0 || !within(sent.OtherZones) {
 		t.Errorf("datagrams count %+v", sent)
 	}
 	if sent := a.Sent(ChainKinds); sent != (Traffic{}) {
@@ -142,7 +142,7 @@
 func connectionCount(t *Transport) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return len(t.all)
+	return len(t.open)
 }
 
 func TestCallsAtTheSameTimeFromBothSides(t *testing.T) {
@@ -183,7 +183,7 @@
 	wantKind(t, err, fault.NotReady)
 }
 
-func TestCallToNobodyIsNotReadyAndTheNextConnects(t *testing.T) {
+func TestCallToClosedPortIsNotReadyAndTheNextConnects(t *testing.T) {
 	a, b := listen(t), listen(t)
 	a.Start()
 	address := b.Address()
@@ -253,12 +253,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	call := &pendingCall{result: make(chan callResult, 1)}
-	if err := c.enqueue(outgoing{data: []byte("request"), call: 1}, call); err != nil {
+	if err := c.enqueue(queuedFrame{data: []byte("request"), call: 1}, call); err != nil {
 		t.Fatal(err)
 	}
-	_, err := c.wait(ctx, 1, call)
+	_, err := c.await(ctx, 1, call)
 	wantKind(t, err, fault.NotReady)
-	if frames := c.take(); len(frames) != 1 {
+	if frames := c.takeQueue(); len(frames) != 1 {
 		t.Errorf("%d frames to be written, want the hello alone", len(frames))
 	}
 }
@@ -266,7 +266,7 @@
 func TestQueueIsBounded(t *testing.T) {
 	a := listen(t)
 	c := newConnection(a, netip.MustParseAddrPort("127.0.0.1:9"))
-	frame := outgoing{data: make([]byte, maxQueuedBytes)}
+	frame := queuedFrame{data: make([]byte, maxQueuedBytes)}
 	if err := c.enqueue(frame, nil); err != nil {
 		t.Fatal(err)
 	}
@@ -312,7 +312,7 @@
 	a := listen(t)
 	a.Start()
 	address := netip.MustParseAddrPort("127.0.0.1:9")
-	earlier := &connection{transport: a, to: address, life: 1, pending: make(map[uint64]*pendingCall), wake: make(chan struct{}, 1)}
+	earlier := &connection{transport: a, to: address, life: 1, pending: make(map[uint64]*pendingCall), queueReady: make(chan struct{}, 1)}
 	call := &pendingCall{sent: true, result: make(chan callResult, 1)}
 	earlier.pending[1] = call
 	a.connections[address] = earlier
@@ -359,7 +359,7 @@
 			t.Fatal(err)
 		}
 		_, err = socket.Read(make([]byte, 1))
-		if failure, isNet := err.(net.Error); err == nil || isNet && failure.Timeout() {
+		if err == nil || isTimeout(err) {
 			t.Errorf("%s: the connection stays open (%v)", name, err)
 		}
 		_ = socket.Close()
@@ -432,9 +432,9 @@
 		slow <- err
 	}()
 	<-entered
-	for range 2 * sweepsToRetire {
-		a.sweepOnce()
-		b.sweepOnce()
+	for range 2 * idleChecksToRetire {
+		a.checkIdleOnce()
+		b.checkIdleOnce()
 	}
 	if a.connection(b.Address()) != first {
 		t.Fatal("a connection with a call under way was retired")
@@ -444,8 +444,8 @@
 		t.Fatal(err)
 	}
 
-	for range sweepsToRetire + 1 {
-		a.sweepOnce()
+	for range idleChecksToRetire + 1 {
+		a.checkIdleOnce()
 	}
 	if err := call(); err != nil {
 		t.Fatal(err)
--- a/internal/tools/hollow/fleet.go
+++ b/internal/tools/hollow/fleet.go
@@ -104,7 +104,7 @@
 	}
 	h := &hollow{transport: transport}
 	h.members = member.New(self, []netip.AddrPort{address(0), address(1), address(2)}, transport, log)
-	transport.SetNear(func(to netip.AddrPort) bool { return h.members.Table().InZone(to, self.Zone) })
+	transport.SetSameZone(func(to netip.AddrPort) bool { return h.members.Table().InZone(to, self.Zone) })
 	h.gossip = gossip.New(self, h.members.Table, transport, f.options.Heartbeat, log)
 	h.state = nodestate.New(nodestate.Options{Node: self.Name, Zone: self.Zone, Seed: rand.Uint64(), Source: h.gossip, Log: log})
 	h.gossip.Subscribe(gossip.Configuration, func(v gossip.Value) { f.arrived(v.Version.Sequence) })
--- a/internal/tools/hollow/measure.go
+++ b/internal/tools/hollow/measure.go
@@ -85,14 +85,14 @@
 	var all peer.Traffic
 	for _, h := range slices.Concat(f.nodes, f.ended) {
 		sent := h.transport.Sent(first)
-		all.Near += sent.Near
-		all.Far += sent.Far
+		all.SameZone += sent.SameZone
+		all.OtherZones += sent.OtherZones
 	}
 	return all
 }
 
 func perSecond(after, before peer.Traffic, seconds float64) traffic {
-	return traffic{Near: float64(after.Near-before.Near) / seconds, Far: float64(after.Far-before.Far) / seconds}
+	return traffic{Near: float64(after.SameZone-before.SameZone) / seconds, Far: float64(after.OtherZones-before.OtherZones) / seconds}
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
