--- /dev/null
+++ b/internal/chain/stored_record_test.go
@@ -0,0 +1,37 @@
+package chain
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	"nickelline/internal/segment"
+)
+
+// TestStoredRecordOfAnEarlierVersion reads the fields of stored records that no operation of a replica shows.
+func TestStoredRecordOfAnEarlierVersion(t *testing.T) {
+	tests := []struct {
+		name      string
+		directory string
+		want      Record // without its view
+		epoch     uint64
+	}{
+		{name: "control replica", directory: "../control/testdata/stored/replica/control", want: Record{CompleteEpoch: 0, Life: 3}, epoch: 1},
+		{name: "store partition", directory: "../store/testdata/stored/store/partition-1", want: Record{CompleteEpoch: 0, Life: 3}, epoch: 3},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			directory := filepath.Join(t.TempDir(), "copy")
+			if err := os.CopyFS(directory, os.DirFS(test.directory)); err != nil {
+				t.Fatal(err)
+			}
+			got, err := loadRecord(Options{FileSystem: segment.OperatingSystem{}, Directory: directory})
+			if err != nil {
+				t.Fatalf("load record: %v", err)
+			}
+			if got.View.Epoch != test.epoch || got.CompleteEpoch != test.want.CompleteEpoch || got.Life != test.want.Life {
+				t.Errorf("record: got %+v, want epoch %d and %+v", got, test.epoch, test.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/store/stored_data_test.go
@@ -0,0 +1,402 @@
+package store
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io/fs"
+	"net/netip"
+	"os"
+	"path"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"nickelline/internal/batch"
+	"nickelline/internal/batch/deflated"
+	"nickelline/internal/chain"
+	"nickelline/internal/configuration"
+	"nickelline/internal/golden"
+	"nickelline/internal/peer"
+	"nickelline/internal/segment"
+	"nickelline/internal/view"
+)
+
+// The test in this file opens a data directory of a store that an earlier version of the program has written. It guards
+// the format of stored data: names of files, kinds of records and their fields. The directory is never written anew: to
+// add one of a later format, add a directory beside it. -update writes it only where it is missing.
+
+const (
+	storedDirectory = "testdata/stored/store"
+	// storedAddress is the address in the stored view. Nothing listens there while the test runs.
+	storedAddress = "127.83.83.2:18302"
+	storedChain   = 1
+	storedSource  = 77 // of the clock of the head that wrote the directory
+	// storedClockStep lies between two stored commands, and storedClock is what the partition's clock shows after the last.
+	storedClockStep = 250 * time.Millisecond
+	storedClock     = 14 * storedClockStep
+	// storedPageBytes is more than all results.
+	storedPageBytes = 1 << 20
+)
+
+func storedSelf() view.Member {
+	return view.Member{
+		Replica: 4711, Name: "store-7", Zone: "zone-3", Address: netip.MustParseAddrPort(storedAddress), Joined: 1,
+	}
+}
+
+// Jobs of the stored partition. Each is in another state.
+var (
+	waitingJob     = batch.Key{Tenant: testTenant, Identifier: "waiting"}
+	runningJob     = batch.Key{Tenant: testTenant, Identifier: "running"}
+	endedJob       = batch.Key{Tenant: testTenant, Identifier: "ended"}
+	completeJob    = batch.Key{Tenant: "bolt", Identifier: "complete"}
+	endedBeforeJob = batch.Key{Tenant: "bolt", Identifier: "ended before it was taken"}
+	laterJob       = batch.Key{Tenant: testTenant, Identifier: "taken after the snapshot"}
+	droppedJob     = batch.Key{Tenant: testTenant, Identifier: "dropped"}
+	appendedJob    = batch.Key{Tenant: testTenant, Identifier: "taken by this version"}
+)
+
+var storedJobs = []batch.Key{waitingJob, runningJob, endedJob, completeJob, endedBeforeJob, laterJob, droppedJob, appendedJob}
+
+// storedJob makes a job whose items differ in each field.
+func storedJob(key batch.Key, items int) *batch.Take {
+	job := batch.Job{Key: key, Route: "route of " + key.Identifier, Host: strings.ReplaceAll(key.Identifier, " ", "-") + ".example"}
+	for i := range items {
+		job.Items = append(job.Items, batch.Item{
+			Identifier: fmt.Sprintf("item %d", i),
+			Path:       fmt.Sprintf("/%s/%d", key.Tenant, i),
+			Headers: []batch.Header{
+				{Name: "X-Number", Value: fmt.Sprint(i)},
+				{Name: "X-Job", Value: key.Identifier},
+			},
+			Body:   []byte(strings.Repeat(fmt.Sprintf("body %d of %s. ", i, key.Identifier), 2+i%5)),
+			Tokens: int64(10 * (i + 1)),
+		})
+	}
+	return &batch.Take{Job: job, MaxQueuedTokens: 5000}
+}
+
+func storedText(text string) []byte { return deflated.Compress([]byte(text)) }
+
+func checkpointOf(key batch.Key, index, from, events uint32, lastEvent, text string) batch.Result {
+	return batch.Result{
+		Key: key, Index: index, State: batch.Waiting, From: from, Events: events, LastEvent: lastEvent, Content: storedText(text),
+	}
+}
+
+func completedItem(key batch.Key, index, from uint32, text string) batch.Result {
+	return batch.Result{Key: key, Index: index, State: batch.Completed, From: from, Content: storedText(text)}
+}
+
+func abandonedItem(key batch.Key, index uint32) batch.Result {
+	return batch.Result{Key: key, Index: index, State: batch.Abandoned}
+}
+
+// storedCommands are the commands whose result the first snapshot holds, the one after which the second is saved, and later
+// ones.
+func storedCommands() (before []batch.Command, saving batch.Command, after []batch.Command) {
+	before = []batch.Command{
+		{Take: storedJob(waitingJob, 2)},
+		{Take: storedJob(runningJob, 25)}, // large enough to be stored compressed
+		{Take: storedJob(endedJob, 3)},
+		{Take: storedJob(completeJob, 2)},
+		{Take: storedJob(droppedJob, 1)},
+		{End: &endedBeforeJob},
+		{Append: []batch.Result{
+			checkpointOf(runningJob, 3, 0, 2, "event two", "first "),
+			checkpointOf(runningJob, 3, 2, 5, "event five", "second "),
+			checkpointOf(runningJob, 7, 0, 4, "event four", "unfinished "),
+			abandonedItem(runningJob, 1),
+			completedItem(endedJob, 2, 0, "text of an ended job"),
+		}},
+		{Append: []batch.Result{
+			completedItem(runningJob, 3, 5, "last"),
+			completedItem(completeJob, 1, 0, "one"),
+			completedItem(completeJob, 0, 0, "zero"),
+		}},
+		{End: &endedJob},
+		{End: &droppedJob},
+	}
+	saving = batch.Command{Drop: []batch.Key{droppedJob}}
+	after = []batch.Command{
+		{Take: storedJob(laterJob, 2)},
+		{Append: []batch.Result{checkpointOf(runningJob, 7, 4, 6, "event six", "after the snapshot ")}},
+		{Append: []batch.Result{checkpointOf(laterJob, 0, 0, 1, "event one", "begun ")}},
+		{Take: storedJob(endedBeforeJob, 1)},
+	}
+	return before, saving, after
+}
+
+// writeStoredStore writes the directory: a snapshot that replaced the whole log, an entry, a snapshot after it, and further
+// entries.
+func writeStoredStore(t *testing.T) {
+	t.Helper()
+	before, saving, after := storedCommands()
+	clock := time.Duration(0)
+	tick := func(commands []batch.Command) {
+		for i := range commands {
+			clock += storedClockStep
+			commands[i].Clock = batch.Reading{Source: storedSource, Elapsed: clock}
+		}
+	}
+	snapshotted := []batch.Command{saving}
+	tick(before)
+	tick(snapshotted)
+	tick(after)
+	writeStoredSnapshot(t, (*segment.Log).Reset, writeStoredCommands(t, before))
+	writeStoredSnapshot(t, (*segment.Log).SaveSnapshot, writeStoredCommands(t, snapshotted))
+	writeStoredCommands(t, after)
+}
+
+func storedPartitionDirectory() string {
+	return path.Join(storedDirectory, fmt.Sprintf("%s%d", partitionDirectory, storedChain))
+}
+
+// writeStoredSnapshot has the log keep a snapshot, by Reset or SaveSnapshot. A replica that learns from another resets its log:
+// only then does the directory depend on the snapshot, as a log that has all entries can be read without one.
+func writeStoredSnapshot(t *testing.T, write func(*segment.Log, segment.Snapshot) error, snapshot segment.Snapshot) {
+	t.Helper()
+	directory := path.Join(storedPartitionDirectory(), chain.LogDirectory)
+	log, _, err := segment.Open(segment.OperatingSystem{}, directory, segment.Options{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := write(log, snapshot); err != nil {
+		t.Fatal(err)
+	}
+	if err := log.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// writeStoredCommands has commands committed by the replica in the directory, and returns a snapshot of the state after them.
+func writeStoredCommands(t *testing.T, commands []batch.Command) segment.Snapshot {
+	t.Helper()
+	transport, err := peer.Listen(netip.MustParseAddrPort(storedAddress), zap.NewNop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer transport.Close()
+	state := newState()
+	node, err := chain.Open(chain.Options{
+		Chain:           storedChain,
+		Self:            storedSelf(),
+		Registry:        chain.NewRegistry(transport, zap.NewNop()),
+		FileSystem:      segment.OperatingSystem{},
+		Directory:       storedPartitionDirectory(),
+		Machine:         state,
+		MinimumReplicas: 1,
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer node.Close()
+	transport.Start()
+	node.Install(view.View{Chain: storedChain, Epoch: 1, Members: []view.Member{storedSelf()}})
+	node.Install(view.View{Chain: storedChain, Epoch: 3, Members: []view.Member{storedSelf()}})
+	awaitBarrier(t, node)
+	for i := range commands {
+		encoded, err := batch.EncodeCommand(&commands[i])
+		if err != nil {
+			t.Fatal(err)
+		}
+		result, err := node.Propose(t.Context(), encoded)
+		if err != nil || batch.DecodeOutcome(result) != batch.Done {
+			t.Fatalf("command %d: got outcome %v, %v, want it done", i, result, err)
+		}
+	}
+	status := node.Status()
+	return segment.Snapshot{Epoch: status.Epoch, Sequence: status.Applied, Data: state.Snapshot()}
+}
+
+// awaitBarrier returns once all that was committed is applied.
+func awaitBarrier(t *testing.T, r replica) {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	defer cancel()
+	for {
+		err := r.Barrier(ctx)
+		if err == nil {
+			return
+		}
+		select {
+		case <-ctx.Done():
+			t.Fatalf("barrier: %v", err)
+		case <-time.After(10 * time.Millisecond):
+		}
+	}
+}
+
+// storedStore is a store on a data directory. It runs no items, as it knows no configuration.
+type storedStore struct {
+	t         *testing.T
+	service   *Service
+	transport *peer.Transport
+	partition *partition
+}
+
+// openStoredStore opens a data directory as the program does.
+func openStoredStore(t *testing.T, directory string) *storedStore {
+	t.Helper()
+	transport, err := peer.Listen(netip.MustParseAddrPort("127.0.0.1:0"), zap.NewNop())
+	if err != nil {
+		t.Fatalf("listen: %v", err)
+	}
+	self := storedSelf()
+	self.Address = transport.Address()
+	service, err := New(Options{
+		Self:            self,
+		Transport:       transport,
+		Registry:        chain.NewRegistry(transport, zap.NewNop()),
+		FileSystem:      segment.OperatingSystem{},
+		Directory:       directory,
+		MinimumReplicas: 1,
+		MemoryMB:        344,
+		Admission:       &fixedAdmission{refuse: true},
+		Configuration:   func() (*configuration.Snapshot, bool) { return nil, false },
+		ControlNodes:    func() []netip.AddrPort { return nil },
+		ReportInterval:  time.Hour,
+		Log:             zap.NewNop(),
+	})
+	if err != nil {
+		transport.Close()
+		t.Fatalf("open store: %v", err)
+	}
+	transport.Start()
+	opened := service.partitions[storedChain]
+	if opened == nil {
+		t.Fatalf("opened partitions: got %d, want chain %d among them", len(service.partitions), storedChain)
+	}
+	awaitBarrier(t, opened.node)
+	return &storedStore{t: t, service: service, transport: transport, partition: opened.partition}
+}
+
+func (s *storedStore) close() {
+	s.service.Close()
+	s.transport.Close()
+}
+
+func (s *storedStore) propose(command *batch.Command) {
+	s.t.Helper()
+	outcome, err := s.partition.propose(s.t.Context(), command)
+	if err != nil || outcome != batch.Done {
+		s.t.Fatalf("propose: got outcome %d, %v, want it done", outcome, err)
+	}
+}
+
+// checkClock compares the partition's clock with the stored one. The new head may have measured some time of its own.
+func (s *storedStore) checkClock() {
+	s.t.Helper()
+	s.partition.state.read(func(m *batch.Machine) {
+		if got := m.Now(batch.Reading{}); got < storedClock || got > storedClock+time.Minute {
+			s.t.Errorf("clock: got %v, want %v or a little more", got, storedClock)
+		}
+	})
+}
+
+// describe renders all that the partition has stored.
+func (s *storedStore) describe() string {
+	s.t.Helper()
+	var text strings.Builder
+	stored := s.partition.replica.View()
+	fmt.Fprintf(&text, "view of chain %d, epoch %d\n", stored.Chain, stored.Epoch)
+	for _, m := range stored.Members {
+		fmt.Fprintf(&text, "  member %d %s %s %s joined %d\n", m.Replica, m.Name, m.Zone, m.Address, m.Joined)
+	}
+	s.partition.state.read(func(m *batch.Machine) {
+		fmt.Fprintf(&text, "jobs %d\n", m.Jobs())
+		for _, key := range storedJobs {
+			s.describeJob(&text, m, key)
+		}
+		for _, open := range m.OpenJobs() {
+			fmt.Fprintf(&text, "open %s\n", open.Key.Identifier)
+		}
+	})
+	return text.String()
+}
+
+func (s *storedStore) describeJob(text *strings.Builder, m *batch.Machine, key batch.Key) {
+	s.t.Helper()
+	page, known := m.Results(key, 0, storedPageBytes)
+	fmt.Fprintf(text, "job %q of %s: known %v, items %d, closed %v\n", key.Identifier, key.Tenant, known, page.Total, page.Closed)
+	for position, result := range page.Results {
+		content, err := deflated.Expand(result.Content)
+		if err != nil {
+			s.t.Fatalf("expand result: %v", err)
+		}
+		fmt.Fprintf(text, "  result at %d: %s, state %d, %q\n", position, result.Identifier, result.State, content)
+	}
+	open, ok := m.OpenJob(key)
+	if !ok {
+		return
+	}
+	fmt.Fprintf(text, "  open: route %q, host %q, born %s, queued tokens %d\n", open.Route, open.Host, describeBorn(open.Born),
+		m.QueuedTokens(key.Tenant, open.Route))
+	for _, item := range open.Items {
+		fmt.Fprintf(text, "  item %d: %s %s %q %q tokens %d, %d events up to %q\n", item.Index, item.Identifier, item.Path,
+			item.Headers, item.Body, item.Tokens, item.Events, item.LastEvent)
+	}
+}
+
+// describeBorn renders a time of the partition's clock. It does so only if that is within the stored log.
+func describeBorn(born time.Duration) string {
+	if born > storedClock {
+		return "later"
+	}
+	return born.String()
+}
+
+// storedFileNames lists the files below a directory.
+func storedFileNames(t *testing.T, directory string) string {
+	t.Helper()
+	var names strings.Builder
+	err := filepath.WalkDir(directory, func(name string, entry os.DirEntry, err error) error {
+		if err != nil || entry.IsDir() {
+			return err
+		}
+		relative, err := filepath.Rel(directory, name)
+		fmt.Fprintln(&names, filepath.ToSlash(relative))
+		return err
+	})
+	if err != nil {
+		t.Fatalf("list files: %v", err)
+	}
+	return names.String()
+}
+
+func TestStoredPartitionOfAnEarlierVersion(t *testing.T) {
+	if _, err := os.Stat(storedDirectory); golden.Updating() && errors.Is(err, fs.ErrNotExist) {
+		writeStoredStore(t)
+	}
+	directory := filepath.Join(t.TempDir(), "store")
+	if err := os.CopyFS(directory, os.DirFS(storedDirectory)); err != nil {
+		t.Fatalf("copy stored data: %v", err)
+	}
+	golden.Text(t, "stored/store-files.txt", storedFileNames(t, directory))
+
+	s := openStoredStore(t, directory)
+	golden.Text(t, "stored/store.txt", s.describe())
+	golden.Text(t, "stored/store-files.txt", storedFileNames(t, directory))
+	s.checkClock()
+	s.propose(&batch.Command{Append: []batch.Result{
+		completedItem(runningJob, 7, 6, "and completed by this version"),
+		checkpointOf(laterJob, 0, 1, 3, "event three", "continued "),
+		completedItem(waitingJob, 1, 0, "run by this version"),
+	}})
+	s.propose(&batch.Command{Append: []batch.Result{completedItem(laterJob, 0, 3, "and ended")}})
+	s.propose(&batch.Command{Take: storedJob(appendedJob, 2)})
+	s.propose(&batch.Command{Take: storedJob(waitingJob, 9)}) // taken before: changes nothing
+	s.propose(&batch.Command{End: &waitingJob})
+	s.propose(&batch.Command{Drop: []batch.Key{completeJob}})
+	golden.Text(t, "stored/store-appended.txt", s.describe())
+	s.close()
+
+	s = openStoredStore(t, directory)
+	defer s.close()
+	golden.Text(t, "stored/store-appended.txt", s.describe())
+	s.checkClock()
+}
