--- a/internal/segment/crash_test.go
+++ b/internal/segment/crash_test.go
@@ -56,7 +56,7 @@
 	// bases is the number of states, at most two, from which the log can be read: the newest snapshots, and the empty
 	// state as long as no segment was dropped.
 	bases int
-	// damaged tells that a snapshot was damaged.
+	// damaged is true once a snapshot was damaged.
 	damaged bool
 }
 
@@ -108,7 +108,7 @@
 	}
 }
 
-// replay gives the states from that of the recovered snapshot on.
+// replay returns the states from that of the recovered snapshot on.
 func (h *history) replay(recovered segment.Recovered) []state {
 	states := []state{{}}
 	if s := recovered.Snapshot; s != nil {
@@ -128,13 +128,13 @@
 	h.states = h.replay(recovered)
 	h.snapshotAt = h.states[0].sequence
 	if !slices.Contains(h.allowed, h.last()) {
-		h.fatal("recovered %v, allowed %v", h.last(), h.allowed)
+		h.fatal("recovered state: got %v, want one of %v", h.last(), h.allowed)
 	}
 	if recovered.DamagedSnapshots > 0 && !h.damaged {
-		h.fatal("%d snapshots are damaged", recovered.DamagedSnapshots)
+		h.fatal("damaged snapshots: got %d, want 0", recovered.DamagedSnapshots)
 	}
 	if last := h.log.LastSequence(); last != h.last().sequence {
-		h.fatal("last sequence %d, want %d", last, h.last().sequence)
+		h.fatal("last sequence: got %d, want %d", last, h.last().sequence)
 	}
 	h.allowed = []state{h.last()}
 }
@@ -147,7 +147,7 @@
 	}
 }
 
-// files gives the names of the log's files with a suffix.
+// files returns the names of the log's files with a suffix.
 func (h *history) files(suffix string) []string {
 	names, err := h.disk.Mount().List(logDirectory)
 	if err != nil {
@@ -171,9 +171,9 @@
 			h.reset()
 		}
 	case 13:
-		h.lose()
+		h.stop()
 	case 14:
-		h.trouble()
+		h.injectFault()
 	case 15:
 		h.disk.SetCapacity(0)
 	case 16:
@@ -181,7 +181,7 @@
 	}
 }
 
-// handle looks at the error of an operation: it tells whether it succeeded, and opens the log again if it closed.
+// handle looks at the error of an operation: it reports whether it succeeded, and opens the log again if it closed.
 func (h *history) handle(err error) (succeeded bool) {
 	switch {
 	case err == nil:
@@ -265,8 +265,8 @@
 	}
 }
 
-// lose ends the process in some way and opens the log again.
-func (h *history) lose() {
+// stop ends the process in some way and opens the log again.
+func (h *history) stop() {
 	switch h.random.IntN(4) {
 	case 0:
 		h.disk.LosePowerAfter(h.random.IntN(8))
@@ -284,7 +284,8 @@
 	h.open()
 }
 
-func (h *history) trouble() {
+// injectFault makes a sync fail or fills the disk.
+func (h *history) injectFault() {
 	switch h.random.IntN(2) {
 	case 0:
 		h.disk.FailSyncs(1)
@@ -317,9 +318,9 @@
 	}
 }
 
-// TestDamageIsNeverTakenForData flips a bit somewhere in the files of a log and checks that the log either reports it or
+// TestDamageIsNeverReadAsData flips a bit somewhere in the files of a log and checks that the log either reports it or
 // opens in a state that it had before, and that what it reports as read is such a state, too.
-func TestDamageIsNeverTakenForData(t *testing.T) {
+func TestDamageIsNeverReadAsData(t *testing.T) {
 	reported := 0
 	for seed := range uint64(histories) {
 		h := newHistory(t, seed)
@@ -342,11 +343,11 @@
 		}
 		for _, s := range h.replay(recovered) {
 			if !h.ever[s] {
-				h.fatal("recovered %v, which the log never held", s)
+				h.fatal("recovered state: got %v, want one that the log had", s)
 			}
 		}
 	}
 	if reported < histories/10 {
-		t.Errorf("damage was reported for %d of %d seeds", reported, histories)
+		t.Errorf("seeds with reported damage: got %d of %d, want at least %d", reported, histories, histories/10)
 	}
 }
--- a/internal/segment/filesystem.go
+++ b/internal/segment/filesystem.go
@@ -15,28 +15,28 @@
 // File is a file that is open for writing at its end.
 type File interface {
 	io.WriteCloser
-	// Sync returns once the contents are on the disk. After a failure it is not known what of them is.
+	// Sync returns once the contents are on the disk. After a failure it is not known which of them are.
 	Sync() error
-	// Truncate cuts the file to a size. Later writes continue there.
+	// Truncate reduces the file to a size in bytes. Later writes continue there.
 	Truncate(size int64) error
 }
 
-// FileSystem is what the log needs of a file system. Paths are separated by slashes. Errors for files that do not exist
+// FileSystem is what the package needs of a file system. Paths are separated by slashes. Errors for files that do not exist
 // match fs.ErrNotExist.
 type FileSystem interface {
-	// Create makes an empty file, in the place of an older one of that name if there is one.
+	// Create creates an empty file. An existing one of that name is truncated.
 	Create(path string) (File, error)
 	// OpenAppend opens a file that exists.
 	OpenAppend(path string) (File, error)
-	// ReadFile reads a whole file.
+	// ReadFile returns the contents of a file.
 	ReadFile(path string) ([]byte, error)
 	// Rename gives a file a new name, replacing the file that has it.
 	Rename(from, to string) error
 	// Remove removes a file.
 	Remove(path string) error
-	// List gives the names in a directory, sorted.
+	// List returns the names in a directory, sorted.
 	List(directory string) ([]string, error)
-	// MakeDirectory makes a directory and those above it, and does nothing if it exists.
+	// MakeDirectory creates a directory and its parents, and does nothing if it exists.
 	MakeDirectory(path string) error
 	// SyncDirectory returns once the names in the directory are on the disk.
 	SyncDirectory(path string) error
@@ -87,7 +87,7 @@
 	return names, nil
 }
 
-// MakeDirectory implements FileSystem. The name of a new directory is synced in the one above it.
+// MakeDirectory implements FileSystem. The parent of a new directory is synced.
 func (o OperatingSystem) MakeDirectory(path string) error {
 	if _, err := os.Stat(path); err == nil {
 		return nil
--- a/internal/segment/frame.go
+++ b/internal/segment/frame.go
@@ -5,29 +5,29 @@
 	"hash/crc32"
 )
 
-// frameKind tells what a frame of a segment does.
+// frameKind is the operation that a frame of a segment records.
 type frameKind uint32
 
 const (
 	// entryFrame appends an entry.
 	entryFrame frameKind = iota + 1
-	// truncationFrame takes away all entries after its sequence number.
+	// truncationFrame removes all entries after its sequence number.
 	truncationFrame
 )
 
-// Layout of the header of a frame. The checksum covers all that follows it, the data included.
+// Offsets in the header of a frame, whose numbers are little-endian. The checksum covers the rest of the header and the data.
 const (
-	checksumOffset = 0
-	lengthOffset   = 4
-	kindOffset     = 8
-	unsyncedOffset = 12
-	epochOffset    = 16
-	sequenceOffset = 24
-	ordinalOffset  = 32
-	frameHeader    = 40
+	checksumOffset  = 0
+	lengthOffset    = 4
+	kindOffset      = 8
+	unsyncedOffset  = 12
+	epochOffset     = 16
+	sequenceOffset  = 24
+	ordinalOffset   = 32
+	frameHeaderSize = 40
 )
 
-// MaximumEntrySize is the most bytes that the data of an entry may have.
+// MaximumEntrySize is the greatest size of the data of an entry, in bytes.
 const MaximumEntrySize = 8 << 20
 
 // frame is one record of a segment.
@@ -35,15 +35,15 @@
 	kind frameKind
 	// ordinal counts the frames of a generation from 1.
 	ordinal uint64
-	// unsynced is how many frames before this one were not known to be on the disk when it was written. It tells damage
-	// from a torn tail: a frame that is followed by one that counts it as synced was not torn.
+	// unsynced is how many frames before this one were not known to be on the disk when it was written. It distinguishes
+	// damage from a torn tail: a frame that a later one counts as synced was on the disk, and cannot be torn.
 	unsynced uint32
 	entry    Entry
 }
 
-// header encodes all of a frame but its data.
+// header returns the encoded frame without its data.
 func (f frame) header() []byte {
-	header := make([]byte, frameHeader)
+	header := make([]byte, frameHeaderSize)
 	binary.LittleEndian.PutUint32(header[lengthOffset:], uint32(len(f.entry.Data)))
 	binary.LittleEndian.PutUint32(header[kindOffset:], uint32(f.kind))
 	binary.LittleEndian.PutUint32(header[unsyncedOffset:], f.unsynced)
@@ -56,15 +56,16 @@
 	return header
 }
 
-// size is the number of bytes that the frame takes in a segment.
-func (f frame) size() int { return frameHeader + len(f.entry.Data) }
+// size returns the number of bytes that the frame takes in a segment.
+func (f frame) size() int { return frameHeaderSize + len(f.entry.Data) }
 
-// lastSynced is the ordinal of the last frame that was known to be on the disk when this one was written.
+// lastSynced returns the ordinal of the last frame that was known to be on the disk when this one was written.
 func (f frame) lastSynced() uint64 { return f.ordinal - 1 - uint64(f.unsynced) }
 
-// decodeFrame reads the frame at the start of the contents, whose bytes it shares. It tells whether there is a whole one.
+// decodeFrame decodes the frame at the start of the contents, and reports whether there is a complete one. Its data shares the
+// memory of the contents.
 func decodeFrame(contents []byte) (frame, bool) {
-	if len(contents) < frameHeader {
+	if len(contents) < frameHeaderSize {
 		return frame{}, false
 	}
 	length := binary.LittleEndian.Uint32(contents[lengthOffset:])
@@ -72,7 +73,7 @@
 	if kind != entryFrame && kind != truncationFrame || length > MaximumEntrySize {
 		return frame{}, false
 	}
-	end := frameHeader + int(length)
+	end := frameHeaderSize + int(length)
 	if len(contents) < end {
 		return frame{}, false
 	}
@@ -86,15 +87,15 @@
 		entry: Entry{
 			Epoch:    binary.LittleEndian.Uint64(contents[epochOffset:]),
 			Sequence: binary.LittleEndian.Uint64(contents[sequenceOffset:]),
-			Data:     contents[frameHeader:end:end],
+			Data:     contents[frameHeaderSize:end:end],
 		},
 	}, true
 }
 
-// countsAsSynced tells whether a whole frame in the contents shows that the frame with the ordinal was on the disk when
-// it was written.
-func countsAsSynced(contents []byte, ordinal uint64) bool {
-	for offset := 0; offset+frameHeader <= len(contents); offset++ {
+// showsSynced reports whether a complete frame in the contents proves that the frame with the ordinal had been on the disk
+// before.
+func showsSynced(contents []byte, ordinal uint64) bool {
+	for offset := 0; offset+frameHeaderSize <= len(contents); offset++ {
 		f, ok := decodeFrame(contents[offset:])
 		if ok && f.ordinal > ordinal && f.lastSynced() >= ordinal {
 			return true
--- a/internal/segment/log_test.go
+++ b/internal/segment/log_test.go
@@ -38,16 +38,17 @@
 func checkEntries(t *testing.T, got, want []Entry) {
 	t.Helper()
 	if len(got) != len(want) {
-		t.Fatalf("%d entries, want %d", len(got), len(want))
+		t.Fatalf("number of entries: got %d, want %d", len(got), len(want))
 	}
 	for i := range want {
 		if got[i].Epoch != want[i].Epoch || got[i].Sequence != want[i].Sequence || !bytes.Equal(got[i].Data, want[i].Data) {
-			t.Fatalf("entry at %d is %v, want %v", i, got[i], want[i])
+			t.Fatalf("entry at %d: got %v, want %v", i, got[i], want[i])
 		}
 	}
 }
 
-func onlyFile(t *testing.T, directory, pattern string, index int) string {
+// fileAt returns the file at an index, from the end if it is negative, among those that match a pattern.
+func fileAt(t *testing.T, directory, pattern string, index int) string {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(directory, pattern))
 	mustSucceed(t, err)
@@ -55,12 +56,13 @@
 		index += len(names)
 	}
 	if index < 0 || index >= len(names) {
-		t.Fatalf("%d files match %s", len(names), pattern)
+		t.Fatalf("files matching %s: got %d, want one at %d", pattern, len(names), index)
 	}
 	return names[index]
 }
 
-func changeByte(t *testing.T, name string, offset int) {
+// flipBit changes a bit of the byte at an offset, from the end if it is negative.
+func flipBit(t *testing.T, name string, offset int) {
 	t.Helper()
 	contents, err := os.ReadFile(name)
 	mustSucceed(t, err)
@@ -71,11 +73,11 @@
 	mustSucceed(t, os.WriteFile(name, contents, filePermissions))
 }
 
-func TestOpenGivesWhatWasAppended(t *testing.T) {
+func TestOpenRecoversEntries(t *testing.T) {
 	directory := filepath.Join(t.TempDir(), "a", "log")
 	log, recovered := openLog(t, directory, Options{})
 	if recovered.Snapshot != nil || len(recovered.Entries) != 0 {
-		t.Fatalf("a new log holds %v", recovered)
+		t.Fatalf("new log: got %v, want nothing", recovered)
 	}
 	entries := numberedEntries(1, 20)
 	entries[4].Data = bytes.Repeat([]byte("large "), directWriteSize)
@@ -88,25 +90,25 @@
 	checkEntries(t, recovered.Entries, entries)
 }
 
-func TestAppendRefusesWhatDoesNotFollow(t *testing.T) {
+func TestAppendRejectsInvalidEntries(t *testing.T) {
 	log, _ := openLog(t, t.TempDir(), Options{})
 	mustSucceed(t, log.Append(numberedEntries(1, 3)...))
 	if err := log.Append(numberedEntries(5, 5)...); !errors.Is(err, ErrOutOfOrder) {
-		t.Fatalf("a gap gives %v", err)
+		t.Fatalf("append with a gap: got %v, want ErrOutOfOrder", err)
 	}
 	if err := log.Append(Entry{Sequence: 4}, Entry{Sequence: 6}); !errors.Is(err, ErrOutOfOrder) {
-		t.Fatalf("a gap inside gives %v", err)
+		t.Fatalf("append with a gap between entries: got %v, want ErrOutOfOrder", err)
 	}
 	if err := log.Append(Entry{Sequence: 4, Data: make([]byte, MaximumEntrySize+1)}); !errors.Is(err, ErrTooLarge) {
-		t.Fatalf("a large entry gives %v", err)
+		t.Fatalf("append of a large entry: got %v, want ErrTooLarge", err)
 	}
 	if last := log.LastSequence(); last != 3 {
-		t.Fatalf("last sequence is %d", last)
+		t.Fatalf("last sequence: got %d, want 3", last)
 	}
 	mustSucceed(t, log.Append(numberedEntries(4, 4)...))
 }
 
-func TestTruncationIsKept(t *testing.T) {
+func TestTruncationIsRecovered(t *testing.T) {
 	directory := t.TempDir()
 	log, _ := openLog(t, directory, Options{SegmentSize: 100, BufferSize: 1})
 	for _, entry := range numberedEntries(1, 20) {
@@ -120,7 +122,7 @@
 	checkEntries(t, recovered.Entries, append(numberedEntries(1, 7), other))
 }
 
-func TestSnapshotDropsSegments(t *testing.T) {
+func TestSnapshotRemovesSegments(t *testing.T) {
 	directory := t.TempDir()
 	log, _ := openLog(t, directory, Options{SegmentSize: 1000})
 	next := uint64(1)
@@ -135,23 +137,23 @@
 	names, err := os.ReadDir(directory)
 	mustSucceed(t, err)
 	if len(names) > 2+2*4 {
-		t.Fatalf("%d files are left", len(names))
+		t.Fatalf("files: got %d, want at most %d", len(names), 2+2*4)
 	}
 	if size := log.SizeSinceSnapshot(); size > 1000 {
-		t.Fatalf("%d bytes since the snapshot", size)
+		t.Fatalf("bytes since the snapshot: got %d, want at most 1000", size)
 	}
 	if err := log.TruncateAfter(next - 6); !errors.Is(err, ErrOutOfOrder) {
-		t.Fatalf("truncating into the snapshot gives %v", err)
+		t.Fatalf("truncation into the snapshot: got %v, want ErrOutOfOrder", err)
 	}
 	mustSucceed(t, log.Close())
 	_, recovered := openLog(t, directory, Options{})
 	if s := recovered.Snapshot; s == nil || s.Epoch != 19 || s.Sequence != next-5 || string(s.Data) != fmt.Sprintf("state %d", next-5) {
-		t.Fatalf("snapshot is %v", recovered.Snapshot)
+		t.Fatalf("recovered snapshot: got %v, want that of %d", recovered.Snapshot, next-5)
 	}
 	checkEntries(t, recovered.Entries, numberedEntries(next-4, next-1))
 }
 
-func TestOlderSnapshotTakesThePlaceOfADamagedOne(t *testing.T) {
+func TestDamagedSnapshotFallsBackToOlderOne(t *testing.T) {
 	directory := t.TempDir()
 	log, _ := openLog(t, directory, Options{SegmentSize: 200})
 	for sequence := uint64(1); sequence <= 60; sequence++ {
@@ -162,32 +164,32 @@
 		}
 	}
 	mustSucceed(t, log.Close())
-	changeByte(t, onlyFile(t, directory, "*.snapshot", -1), -1)
+	flipBit(t, fileAt(t, directory, "*.snapshot", -1), -1)
 	log, recovered := openLog(t, directory, Options{SegmentSize: 200})
 	if recovered.Snapshot == nil || recovered.Snapshot.Sequence != 40 || recovered.DamagedSnapshots != 1 {
-		t.Fatalf("recovered %+v", recovered.Snapshot)
+		t.Fatalf("recovered snapshot: got %+v with %d damaged ones, want that of 40 with 1", recovered.Snapshot, recovered.DamagedSnapshots)
 	}
 	checkEntries(t, recovered.Entries, numberedEntries(41, 60))
 	mustSucceed(t, log.SaveSnapshot(Snapshot{Sequence: 60, Data: []byte("state")}))
 	mustSucceed(t, log.Close())
 	_, recovered = openLog(t, directory, Options{})
 	if recovered.Snapshot.Sequence != 60 || len(recovered.Entries) != 0 {
-		t.Fatalf("recovered %+v", recovered)
+		t.Fatalf("recovered: got %+v, want the snapshot of 60 and no entries", recovered)
 	}
 }
 
-func TestFirstSnapshotDamaged(t *testing.T) {
+func TestDamagedFirstSnapshotFallsBackToSegments(t *testing.T) {
 	directory := t.TempDir()
 	log, _ := openLog(t, directory, Options{})
 	mustSucceed(t, log.Append(numberedEntries(1, 10)...))
 	mustSucceed(t, log.SaveSnapshot(Snapshot{Sequence: 10}))
 	mustSucceed(t, log.Close())
-	changeByte(t, onlyFile(t, directory, "*.snapshot", 0), 20)
+	flipBit(t, fileAt(t, directory, "*.snapshot", 0), 20)
 	_, recovered := openLog(t, directory, Options{})
 	checkEntries(t, recovered.Entries, numberedEntries(1, 10))
 }
 
-func TestResetReplacesTheLog(t *testing.T) {
+func TestResetReplacesLog(t *testing.T) {
 	directory := t.TempDir()
 	log, _ := openLog(t, directory, Options{SegmentSize: 200})
 	mustSucceed(t, log.Append(numberedEntries(1, 30)...))
@@ -195,43 +197,43 @@
 	mustSucceed(t, log.Append(numberedEntries(31, 40)...))
 	mustSucceed(t, log.Reset(Snapshot{Epoch: 8, Sequence: 12, Data: []byte("other state")}))
 	if last := log.LastSequence(); last != 12 {
-		t.Fatalf("last sequence is %d", last)
+		t.Fatalf("last sequence: got %d, want 12", last)
 	}
 	mustSucceed(t, log.Append(numberedEntries(13, 15)...))
 	mustSucceed(t, log.Close())
 	_, recovered := openLog(t, directory, Options{})
 	if recovered.Snapshot == nil || recovered.Snapshot.Epoch != 8 || string(recovered.Snapshot.Data) != "other state" {
-		t.Fatalf("recovered %+v", recovered.Snapshot)
+		t.Fatalf("recovered snapshot: got %+v, want that of epoch 8", recovered.Snapshot)
 	}
 	checkEntries(t, recovered.Entries, numberedEntries(13, 15))
 
-	changeByte(t, onlyFile(t, directory, "*.snapshot", 0), -1)
+	flipBit(t, fileAt(t, directory, "*.snapshot", 0), -1)
 	if _, _, err := Open(OperatingSystem{}, directory, Options{}); !errors.Is(err, ErrDamaged) {
-		t.Fatalf("damage of the only snapshot gives %v", err)
+		t.Fatalf("open after damage of the only snapshot: got %v, want ErrDamaged", err)
 	}
 	mustSucceed(t, Clear(OperatingSystem{}, directory))
 	_, recovered = openLog(t, directory, Options{})
 	if recovered.Snapshot != nil || recovered.Entries != nil {
-		t.Fatalf("recovered %+v", recovered)
+		t.Fatalf("recovered after Clear: got %+v, want nothing", recovered)
 	}
 }
 
-func TestTornTailIsCut(t *testing.T) {
+func TestTornTailIsTruncated(t *testing.T) {
 	directory := t.TempDir()
 	log, _ := openLog(t, directory, Options{})
 	mustSucceed(t, log.Append(numberedEntries(1, 10)...))
 	mustSucceed(t, log.Close())
-	changeByte(t, onlyFile(t, directory, "*.segment", 0), -1)
+	flipBit(t, fileAt(t, directory, "*.segment", 0), -1)
 	log, recovered := openLog(t, directory, Options{})
 	checkEntries(t, recovered.Entries, numberedEntries(1, 9))
-	if recovered.CutBytes == 0 {
-		t.Fatal("no bytes were cut")
+	if recovered.TruncatedBytes == 0 {
+		t.Fatal("truncated bytes: got 0, want some")
 	}
 	mustSucceed(t, log.Append(Entry{Sequence: 10, Data: []byte("again")}))
 	mustSucceed(t, log.Close())
 	_, recovered = openLog(t, directory, Options{})
 	if len(recovered.Entries) != 10 || string(recovered.Entries[9].Data) != "again" {
-		t.Fatalf("recovered %v", recovered.Entries)
+		t.Fatalf("recovered entries: got %v, want 10, the last one appended again", recovered.Entries)
 	}
 }
 
@@ -245,14 +247,14 @@
 				mustSucceed(t, log.Sync())
 			}
 			mustSucceed(t, log.Close())
-			changeByte(t, onlyFile(t, directory, "*.segment", segment), frameHeader)
+			flipBit(t, fileAt(t, directory, "*.segment", segment), frameHeaderSize)
 			_, recovered, err := Open(OperatingSystem{}, directory, Options{})
 			if !errors.Is(err, ErrDamaged) {
-				t.Fatalf("damage gives %v", err)
+				t.Fatalf("open after damage: got %v, want ErrDamaged", err)
 			}
 			checkEntries(t, recovered.Entries, numberedEntries(1, uint64(len(recovered.Entries))))
 			if segment < 0 && len(recovered.Entries) == 0 {
-				t.Fatal("nothing was read before the damage")
+				t.Fatal("entries before the damage: got none, want some")
 			}
 		})
 	}
@@ -265,13 +267,13 @@
 		mustSucceed(t, log.Append(entry))
 	}
 	mustSucceed(t, log.Close())
-	mustSucceed(t, os.Remove(onlyFile(t, directory, "*.segment", 1)))
+	mustSucceed(t, os.Remove(fileAt(t, directory, "*.segment", 1)))
 	if _, _, err := Open(OperatingSystem{}, directory, Options{}); !errors.Is(err, ErrDamaged) {
-		t.Fatalf("a missing segment gives %v", err)
+		t.Fatalf("open without a segment: got %v, want ErrDamaged", err)
 	}
 }
 
-// TestMissingFrameIsReported takes a frame out of a segment whose frames are whole without it.
+// TestMissingFrameIsReported removes a frame from a segment. All other frames are complete.
 func TestMissingFrameIsReported(t *testing.T) {
 	directory := t.TempDir()
 	log, _ := openLog(t, directory, Options{})
@@ -284,19 +286,19 @@
 	mustSucceed(t, log.Append(numberedEntries(2, 2)...))
 	mustSucceed(t, log.Close())
 
-	name := onlyFile(t, directory, "*.segment", 0)
+	name := fileAt(t, directory, "*.segment", 0)
 	contents, err := os.ReadFile(name)
 	mustSucceed(t, err)
-	contents = slices.Delete(contents, int(before), int(before)+frameHeader)
+	contents = slices.Delete(contents, int(before), int(before)+frameHeaderSize)
 	mustSucceed(t, os.WriteFile(name, contents, filePermissions))
 	if _, _, err := Open(OperatingSystem{}, directory, Options{}); !errors.Is(err, ErrDamaged) {
-		t.Fatalf("a missing frame gives %v", err)
+		t.Fatalf("open without a frame: got %v, want ErrDamaged", err)
 	}
 }
 
-// TestDamageBehindASnapshotIsReported damages frames that could pass for a torn tail if no snapshot had been made after
+// TestDamageBeforeSnapshotIsReported damages frames that could pass for a torn tail if no snapshot had been made after
 // them.
-func TestDamageBehindASnapshotIsReported(t *testing.T) {
+func TestDamageBeforeSnapshotIsReported(t *testing.T) {
 	directory := t.TempDir()
 	log, _ := openLog(t, directory, Options{})
 	mustSucceed(t, log.Append(numberedEntries(1, 5)...))
@@ -307,17 +309,17 @@
 	mustSucceed(t, log.SaveSnapshot(Snapshot{Epoch: 9, Sequence: 4, Data: []byte("state")}))
 	mustSucceed(t, log.Close())
 
-	changeByte(t, onlyFile(t, directory, "*.segment", 0), int(before)+sequenceOffset)
+	flipBit(t, fileAt(t, directory, "*.segment", 0), int(before)+sequenceOffset)
 	_, recovered, err := Open(OperatingSystem{}, directory, Options{})
 	if !errors.Is(err, ErrDamaged) {
-		t.Fatalf("damage gives %v", err)
+		t.Fatalf("open after damage: got %v, want ErrDamaged", err)
 	}
 	if recovered.Snapshot == nil || recovered.Snapshot.Sequence != 4 || len(recovered.Entries) > 0 {
-		t.Fatalf("recovered %+v", recovered)
+		t.Fatalf("recovered: got %+v, want the snapshot of 4 and no entries", recovered)
 	}
 }
 
-func TestClosedLogRefuses(t *testing.T) {
+func TestClosedLogReturnsErrClosed(t *testing.T) {
 	log, _ := openLog(t, t.TempDir(), Options{})
 	mustSucceed(t, log.Close())
 	for name, err := range map[string]error{
@@ -328,26 +330,26 @@
 		"reset":    log.Reset(Snapshot{}),
 	} {
 		if !errors.Is(err, ErrClosed) {
-			t.Errorf("%s gives %v", name, err)
+			t.Errorf("%s: got %v, want ErrClosed", name, err)
 		}
 	}
 }
 
-func TestRecord(t *testing.T) {
+func TestRecordRoundTrip(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "record")
 	if _, err := LoadRecord(OperatingSystem{}, name); !errors.Is(err, os.ErrNotExist) {
-		t.Fatalf("a missing record gives %v", err)
+		t.Fatalf("load of a missing record: got %v, want os.ErrNotExist", err)
 	}
 	for _, data := range [][]byte{[]byte("first"), nil, bytes.Repeat([]byte("x"), 2*directWriteSize)} {
 		mustSucceed(t, SaveRecord(OperatingSystem{}, name, data))
 		got, err := LoadRecord(OperatingSystem{}, name)
 		mustSucceed(t, err)
 		if !bytes.Equal(got, data) {
-			t.Fatalf("read %d bytes, want %d", len(got), len(data))
+			t.Fatalf("data: got %d bytes, want %d", len(got), len(data))
 		}
 	}
-	changeByte(t, name, 5)
+	flipBit(t, name, 5)
 	if _, err := LoadRecord(OperatingSystem{}, name); !errors.Is(err, ErrDamaged) {
-		t.Fatalf("a damaged record gives %v", err)
+		t.Fatalf("load of a damaged record: got %v, want ErrDamaged", err)
 	}
 }
--- a/internal/segment/names.go
+++ b/internal/segment/names.go
@@ -14,7 +14,7 @@
 	snapshotFormat = "%08x-%016x-%016x.snapshot"
 )
 
-// snapshotName is what the name of a snapshot file tells.
+// snapshotName holds the fields of the name of a snapshot file.
 type snapshotName struct {
 	generation uint32
 	index      uint64
@@ -22,57 +22,61 @@
 	firstSegment uint64
 }
 
+// String returns the name of the file.
 func (n snapshotName) String() string {
 	return fmt.Sprintf(snapshotFormat, n.generation, n.index, n.firstSegment)
 }
 
-// segmentName is what the name of a segment file tells.
+// segmentName holds the fields of the name of a segment file.
 type segmentName struct {
 	generation uint32
 	index      uint64
 }
 
+// String returns the name of the file.
 func (n segmentName) String() string { return fmt.Sprintf(segmentFormat, n.generation, n.index) }
 
-// contents are the log's files in a directory.
-type contents struct {
+// directoryListing names the log's files in a directory.
+type directoryListing struct {
 	generation uint32
 	// snapshots and segments of the generation, each in order of their index.
 	snapshots []snapshotName
 	segments  []segmentName
-	// obsolete are files of an older generation and such as were not finished.
+	// obsolete are the files of older generations and the temporary ones.
 	obsolete []string
 }
 
-// listContents reads the names in a directory. Names that are not the log's are left alone.
-func listContents(fileSystem FileSystem, directory string) (contents, error) {
+// listDirectory reads the names in a directory and ignores those that are not the log's.
+func listDirectory(fileSystem FileSystem, directory string) (directoryListing, error) {
 	names, err := fileSystem.List(directory)
 	if err != nil {
-		return contents{}, merry.Prepend(err, "list directory")
+		return directoryListing{}, merry.Prepend(err, "list directory")
 	}
-	var all contents
+	var all directoryListing
 	for _, name := range names {
 		all.add(name)
 	}
 	return all.newestGeneration(), nil
 }
 
-func (c *contents) add(name string) {
+// add parses a name of any generation.
+func (d *directoryListing) add(name string) {
 	var snapshot snapshotName
 	var segment segmentName
 	complete, temporary := strings.CutSuffix(name, temporarySuffix)
 	switch {
 	case parseName(complete, snapshotFormat, &snapshot.generation, &snapshot.index, &snapshot.firstSegment):
 		if temporary {
-			c.obsolete = append(c.obsolete, name)
+			d.obsolete = append(d.obsolete, name)
 			return
 		}
-		c.snapshots = append(c.snapshots, snapshot)
+		d.snapshots = append(d.snapshots, snapshot)
 	case parseName(name, segmentFormat, &segment.generation, &segment.index):
-		c.segments = append(c.segments, segment)
+		d.segments = append(d.segments, segment)
 	}
 }
 
+// parseName reads the fields of a name and reports whether the name is exactly what the format makes of them.
 func parseName(name, format string, fields ...any) bool {
 	if count, err := fmt.Sscanf(name, format, fields...); err != nil || count != len(fields) {
 		return false
@@ -88,23 +92,17 @@
 	return name == fmt.Sprintf(format, fields...)
 }
 
-// newestGeneration keeps the files of the newest generation.
-func (c contents) newestGeneration() contents {
-	newest := contents{obsolete: c.obsolete}
-	for _, snapshot := range c.snapshots {
-		newest.generation = max(newest.generation, snapshot.generation)
-	}
-	for _, segment := range c.segments {
-		newest.generation = max(newest.generation, segment.generation)
-	}
-	for _, snapshot := range c.snapshots {
+// newestGeneration returns the files of the newest generation, in order, with all others among the obsolete ones.
+func (d directoryListing) newestGeneration() directoryListing {
+	newest := directoryListing{generation: d.highestGeneration(), obsolete: d.obsolete}
+	for _, snapshot := range d.snapshots {
 		if snapshot.generation == newest.generation {
 			newest.snapshots = append(newest.snapshots, snapshot)
 		} else {
 			newest.obsolete = append(newest.obsolete, snapshot.String())
 		}
 	}
-	for _, segment := range c.segments {
+	for _, segment := range d.segments {
 		if segment.generation == newest.generation {
 			newest.segments = append(newest.segments, segment)
 		} else {
@@ -115,3 +113,14 @@
 	slices.SortFunc(newest.segments, func(a, b segmentName) int { return cmp.Compare(a.index, b.index) })
 	return newest
 }
+
+func (d directoryListing) highestGeneration() uint32 {
+	highest := uint32(0)
+	for _, snapshot := range d.snapshots {
+		highest = max(highest, snapshot.generation)
+	}
+	for _, segment := range d.segments {
+		highest = max(highest, segment.generation)
+	}
+	return highest
+}
--- a/internal/segment/record.go
+++ b/internal/segment/record.go
@@ -2,35 +2,38 @@
 
 import (
 	"encoding/binary"
-	"errors"
 	"hash/crc32"
 	"path"
 
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrDamaged is matched by the error for contents that had been written whole and cannot be read back.
-var ErrDamaged = errors.New("stored data is damaged")
-
 // temporarySuffix is the end of the name of a file that is being written.
 const temporarySuffix = ".temporary"
 
-// A record file is its magic number, the CRC-32C of all that follows, the length of the data and the data.
+// recordMagic is the number with which a record file begins.
+const recordMagic = 0x4e4c5243
+
+// Offsets in the header of a record file, whose numbers are little-endian. The data follows the header. The checksum covers the
+// length and the data.
 const (
-	recordMagic      = 0x4e4c5243
-	recordHeaderSize = 16
+	recordMagicOffset    = 0
+	recordChecksumOffset = 4
+	recordLengthOffset   = 8
+	recordHeaderSize     = 16
 )
 
+// castagnoli is the table of the CRC-32C.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // SaveRecord replaces the contents of a small file. It returns once the new contents are on the disk; after a failure or
-// a loss of power the file holds either the old or the new ones.
+// a loss of power the file holds either the former or the new ones.
 func SaveRecord(fileSystem FileSystem, name string, data []byte) error {
 	return saveRecord(fileSystem, name, data)
 }
 
-// LoadRecord reads what SaveRecord wrote. What it returns stays on the disk, also where the writer was killed before it
-// knew of its success. The error matches fs.ErrNotExist where there is no file, and ErrDamaged where it cannot be read.
+// LoadRecord returns the data that SaveRecord wrote. The data is durable, even if the writer was killed before SaveRecord had
+// returned. The error matches fs.ErrNotExist if there is no file, and ErrDamaged if its contents are not a valid record.
 func LoadRecord(fileSystem FileSystem, name string) ([]byte, error) {
 	data, err := loadRecord(fileSystem, name)
 	if err != nil {
@@ -42,10 +45,10 @@
 	return data, nil
 }
 
-// saveRecord writes the parts, one after the other, as the data of a record file.
-func saveRecord(fileSystem FileSystem, name string, parts ...[]byte) error {
+// saveRecord writes the chunks, in order, as the data of a record file.
+func saveRecord(fileSystem FileSystem, name string, chunks ...[]byte) error {
 	temporary := name + temporarySuffix
-	if err := writeRecord(fileSystem, temporary, parts); err != nil {
+	if err := writeRecord(fileSystem, temporary, chunks); err != nil {
 		_ = fileSystem.Remove(temporary)
 		return merry.Prependf(err, "write %s", temporary)
 	}
@@ -59,50 +62,52 @@
 	return nil
 }
 
-func writeRecord(fileSystem FileSystem, name string, parts [][]byte) error {
+// writeRecord writes and syncs a record file without the guarantee that a former one of that name survives a failure.
+func writeRecord(fileSystem FileSystem, name string, chunks [][]byte) error {
 	file, err := fileSystem.Create(name)
 	if err != nil {
 		return err
 	}
-	if err := writeParts(file, parts); err != nil {
+	if err := writeChunks(file, chunks); err != nil {
 		_ = file.Close()
 		return err
 	}
 	return file.Close()
 }
 
-func writeParts(file File, parts [][]byte) error {
-	header := recordHeader(parts)
-	if total := binary.LittleEndian.Uint64(header[8:]); total <= directWriteSize {
-		whole := append(make([]byte, 0, recordHeaderSize+total), header...)
-		for _, part := range parts {
-			whole = append(whole, part...)
+// writeChunks writes the header and the chunks, a small record in one write.
+func writeChunks(file File, chunks [][]byte) error {
+	header := recordHeader(chunks)
+	if length := binary.LittleEndian.Uint64(header[recordLengthOffset:]); length <= directWriteSize {
+		whole := append(make([]byte, 0, recordHeaderSize+length), header...)
+		for _, chunk := range chunks {
+			whole = append(whole, chunk...)
 		}
-		parts = [][]byte{whole}
+		chunks = [][]byte{whole}
 	} else {
-		parts = append([][]byte{header}, parts...)
+		chunks = append([][]byte{header}, chunks...)
 	}
-	for _, part := range parts {
-		if _, err := file.Write(part); err != nil {
+	for _, chunk := range chunks {
+		if _, err := file.Write(chunk); err != nil {
 			return err
 		}
 	}
 	return file.Sync()
 }
 
-func recordHeader(parts [][]byte) []byte {
+func recordHeader(chunks [][]byte) []byte {
 	header := make([]byte, recordHeaderSize)
 	length := 0
-	for _, part := range parts {
-		length += len(part)
+	for _, chunk := range chunks {
+		length += len(chunk)
 	}
-	binary.LittleEndian.PutUint32(header, recordMagic)
-	binary.LittleEndian.PutUint64(header[8:], uint64(length))
-	checksum := crc32.Checksum(header[8:], castagnoli)
-	for _, part := range parts {
-		checksum = crc32.Update(checksum, castagnoli, part)
+	binary.LittleEndian.PutUint32(header[recordMagicOffset:], recordMagic)
+	binary.LittleEndian.PutUint64(header[recordLengthOffset:], uint64(length))
+	checksum := crc32.Checksum(header[recordLengthOffset:], castagnoli)
+	for _, chunk := range chunks {
+		checksum = crc32.Update(checksum, castagnoli, chunk)
 	}
-	binary.LittleEndian.PutUint32(header[4:], checksum)
+	binary.LittleEndian.PutUint32(header[recordChecksumOffset:], checksum)
 	return header
 }
 
@@ -111,14 +116,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(contents) < recordHeaderSize || binary.LittleEndian.Uint32(contents) != recordMagic {
+	if len(contents) < recordHeaderSize || binary.LittleEndian.Uint32(contents[recordMagicOffset:]) != recordMagic {
 		return nil, merry.Prependf(ErrDamaged, "%s has no header", name)
 	}
 	data := contents[recordHeaderSize:]
-	if binary.LittleEndian.Uint64(contents[8:]) != uint64(len(data)) {
+	if binary.LittleEndian.Uint64(contents[recordLengthOffset:]) != uint64(len(data)) {
 		return nil, merry.Prependf(ErrDamaged, "%s has the wrong length", name)
 	}
-	if binary.LittleEndian.Uint32(contents[4:]) != crc32.Checksum(contents[8:], castagnoli) {
+	if binary.LittleEndian.Uint32(contents[recordChecksumOffset:]) != crc32.Checksum(contents[recordLengthOffset:], castagnoli) {
 		return nil, merry.Prependf(ErrDamaged, "%s has the wrong checksum", name)
 	}
 	return data, nil
--- a/internal/segment/remove.go
+++ b/internal/segment/remove.go
@@ -4,10 +4,12 @@
 	"errors"
 	"io/fs"
 	"path"
+
+	"github.com/ansel1/merry/v2"
 )
 
-// RemoveFiles removes the files of directories, and leaves directories in them. Each is emptied on the disk before the next one
-// is touched. One that is not there counts as empty.
+// RemoveFiles removes the files in each of the directories, but no directories. The removal is durable in one directory before
+// it begins in the next. A directory that does not exist counts as empty.
 func RemoveFiles(fileSystem FileSystem, directories ...string) error {
 	for _, directory := range directories {
 		if err := emptyDirectory(fileSystem, directory); err != nil {
@@ -30,3 +32,32 @@
 	}
 	return fileSystem.SyncDirectory(directory)
 }
+
+// Clear removes the files of a log that is not open. The replica thereby loses what it acknowledged, and has to take a new
+// identity.
+func Clear(fileSystem FileSystem, directory string) error {
+	found, err := listDirectory(fileSystem, directory)
+	if err != nil {
+		return err
+	}
+	names := found.obsolete
+	for _, name := range found.segments {
+		names = append(names, name.String())
+	}
+	for _, name := range found.snapshots {
+		names = append(names, name.String())
+	}
+	if err := removeFiles(fileSystem, directory, names); err != nil {
+		return err
+	}
+	return fileSystem.SyncDirectory(directory)
+}
+
+func removeFiles(fileSystem FileSystem, directory string, names []string) error {
+	for _, name := range names {
+		if err := fileSystem.Remove(joinPath(directory, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+			return merry.Prependf(err, "remove %s", name)
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/segment/resume.go
@@ -0,0 +1,119 @@
+package segment
+
+import (
+	"slices"
+
+	"github.com/ansel1/merry/v2"
+)
+
+// resume prepares the log for further entries and makes what was recovered durable.
+func (r *recovery) resume(log *Log) error {
+	r.snapshots = r.snapshots[max(0, len(r.snapshots)-retainedSnapshots):]
+	obsolete := append(r.obsoleteFiles(), r.dropEmptySegment()...)
+	if err := removeFiles(r.fileSystem, r.directory, obsolete); err != nil {
+		return err
+	}
+	log.files = files{
+		generation:        r.found.generation,
+		snapshots:         r.snapshots,
+		nextSnapshot:      r.nextSnapshot(),
+		segments:          r.segments,
+		oldestSegment:     r.oldestSegment(),
+		sizeSinceSnapshot: r.sizeSinceSnapshot(),
+	}
+	log.snapshotSequence = r.snapshotSequence()
+	log.lastSequence = r.lastSequence
+	log.lastOrdinal = r.lastOrdinal
+	log.syncedOrdinal = r.lastOrdinal
+	if len(r.segments) == 0 {
+		log.files.segments = []segmentState{{index: firstIndex}}
+		return nil
+	}
+	return r.openCurrent(log)
+}
+
+// obsoleteFiles returns the names of files that are not needed any more: a loss of power may have brought back some that had
+// been removed.
+func (r *recovery) obsoleteFiles() []string {
+	names := r.found.obsolete
+	for _, name := range r.found.snapshots {
+		if !slices.Contains(r.snapshots, name) {
+			names = append(names, name.String())
+		}
+	}
+	for _, name := range r.found.segments {
+		if name.index < r.oldestSegment() {
+			names = append(names, name.String())
+		}
+	}
+	return names
+}
+
+// dropEmptySegment drops the last segment if it holds no frame and is not the only one, and returns its name.
+func (r *recovery) dropEmptySegment() []string {
+	last := len(r.segments) - 1
+	if last <= 0 || r.segments[last].size > 0 {
+		return nil
+	}
+	name := segmentName{r.found.generation, r.segments[last].index}
+	r.segments = r.segments[:last]
+	return []string{name.String()}
+}
+
+// oldestSegment returns the index of the first segment that is needed with the older one of two snapshots. All are needed
+// while there are fewer snapshots.
+func (r *recovery) oldestSegment() uint64 {
+	if len(r.snapshots) < retainedSnapshots {
+		return firstIndex
+	}
+	return r.snapshots[0].firstSegment
+}
+
+// nextSnapshot returns the index of the snapshot that will be saved next.
+func (r *recovery) nextSnapshot() uint64 {
+	if len(r.found.snapshots) == 0 {
+		return firstIndex
+	}
+	return r.found.snapshots[len(r.found.snapshots)-1].index + 1
+}
+
+// sizeSinceSnapshot returns the number of bytes in the segments that were read.
+func (r *recovery) sizeSinceSnapshot() int64 {
+	size := int64(0)
+	for _, segment := range r.segments {
+		size += segment.size
+	}
+	return size
+}
+
+// openCurrent opens the last segment, truncates a torn tail and syncs it: a process that was killed may have left writes that
+// are not on the disk yet.
+func (r *recovery) openCurrent(log *Log) error {
+	current := log.files.currentSegment()
+	file, err := r.fileSystem.OpenAppend(log.path(segmentName{r.found.generation, current.index}.String()))
+	if err != nil {
+		return merry.Prepend(err, "open segment")
+	}
+	if err := r.syncRecovered(file, current.size); err != nil {
+		_ = file.Close()
+		return err
+	}
+	log.files.current = file
+	return nil
+}
+
+// syncRecovered truncates a segment to its complete frames and syncs it.
+func (r *recovery) syncRecovered(file File, size int64) error {
+	if r.result.TruncatedBytes > 0 {
+		if err := file.Truncate(size); err != nil {
+			return merry.Prepend(err, "truncate torn tail")
+		}
+	}
+	if err := file.Sync(); err != nil {
+		return merry.Prepend(err, "sync segment")
+	}
+	if err := r.fileSystem.SyncDirectory(r.directory); err != nil {
+		return merry.Prepend(err, "sync directory")
+	}
+	return nil
+}
--- a/internal/segment/snapshot.go
+++ b/internal/segment/snapshot.go
@@ -1,28 +1,13 @@
 package segment
 
-import (
-	"encoding/binary"
-	"path"
+import "github.com/ansel1/merry/v2"
 
-	"github.com/ansel1/merry/v2"
-)
-
-// snapshotHeader is the size of the numbers that stand before the data of a snapshot.
-const snapshotHeader = 24
-
-// storedSnapshot is a snapshot as it is on the disk.
-type storedSnapshot struct {
-	Snapshot
-	// ordinal is that of the last frame that had been written when the snapshot was begun. The snapshot holds what the
-	// log says only from there on: before, the log may hold entries that were truncated later.
-	ordinal uint64
-}
-
-// SaveSnapshot saves the state after the entries up to the snapshot's sequence number and drops segments that neither it
-// nor the snapshot before it needs. Entries may be appended and synced meanwhile. If it fails, the log is as it was.
+// SaveSnapshot saves the state after the entries up to the snapshot's sequence number, and removes segments that neither it nor
+// the snapshot before it needs. Entries may be appended and synced meanwhile. If it fails, the log is unchanged. The error
+// matches ErrOutOfOrder if the sequence number is outside the log.
 func (l *Log) SaveSnapshot(s Snapshot) error {
-	l.snapshotting.Lock()
-	defer l.snapshotting.Unlock()
+	l.snapshotMutex.Lock()
+	defer l.snapshotMutex.Unlock()
 	if err := l.checkSnapshot(s); err != nil {
 		return err
 	}
@@ -35,21 +20,21 @@
 		_ = l.fileSystem.Remove(l.path(plan.name.String()))
 		return err
 	}
-	return l.useSnapshot(plan, s)
+	return l.adoptSnapshot(plan, s)
 }
 
-// Reset replaces the whole log by a snapshot. If it fails, the log is either as it was or closed.
+// Reset replaces the whole log by a snapshot and begins a generation. If it fails, the log is either unchanged or closed.
 func (l *Log) Reset(s Snapshot) error {
-	l.snapshotting.Lock()
-	defer l.snapshotting.Unlock()
-	l.writing.Lock()
-	defer l.writing.Unlock()
+	l.snapshotMutex.Lock()
+	defer l.snapshotMutex.Unlock()
+	l.writeMutex.Lock()
+	defer l.writeMutex.Unlock()
 	if err := l.failed(); err != nil {
 		return err
 	}
 	name := snapshotName{generation: l.files.generation + 1, index: firstIndex, firstSegment: firstIndex}
 	temporary := l.path(name.String()) + temporarySuffix
-	if err := writeRecord(l.fileSystem, temporary, storedSnapshot{Snapshot: s}.parts()); err != nil {
+	if err := writeRecord(l.fileSystem, temporary, storedSnapshot{Snapshot: s}.chunks()); err != nil {
 		_ = l.fileSystem.Remove(temporary)
 		return merry.Prepend(err, "write snapshot")
 	}
@@ -62,12 +47,12 @@
 	return l.beginGeneration(name, s)
 }
 
-// snapshotPlan is what was decided about a snapshot before it is written.
+// snapshotPlan describes a snapshot that is about to be written.
 type snapshotPlan struct {
 	name snapshotName
-	// size is that of all entries that were written before the snapshot was begun.
+	// size is the number of bytes that were written to segments between the snapshot before and this one.
 	size int64
-	// ordinal is that of the last frame of these.
+	// ordinal is that of the last frame among these.
 	ordinal uint64
 }
 
@@ -83,10 +68,10 @@
 	return nil
 }
 
-// planSnapshot syncs the log, so that it holds what the snapshot does, and names the snapshot.
+// planSnapshot syncs the log, so that it is never behind the snapshot, and chooses the name of the snapshot.
 func (l *Log) planSnapshot(s Snapshot) (snapshotPlan, error) {
-	l.writing.Lock()
-	defer l.writing.Unlock()
+	l.writeMutex.Lock()
+	defer l.writeMutex.Unlock()
 	if err := l.syncFiles(); err != nil {
 		return snapshotPlan{}, err
 	}
@@ -99,7 +84,7 @@
 		}
 	}
 	f.nextSnapshot++
-	return snapshotPlan{name: name, size: f.laterSize, ordinal: l.lastSynced()}, nil
+	return snapshotPlan{name: name, size: f.sizeSinceSnapshot, ordinal: l.lastSynced()}, nil
 }
 
 func (l *Log) lastSynced() uint64 {
@@ -108,10 +93,10 @@
 	return l.syncedOrdinal
 }
 
-// useSnapshot makes the saved snapshot the newest one and drops what is not needed any more.
-func (l *Log) useSnapshot(plan snapshotPlan, s Snapshot) error {
-	l.writing.Lock()
-	defer l.writing.Unlock()
+// adoptSnapshot makes the saved snapshot the newest one and removes the files that are no longer needed.
+func (l *Log) adoptSnapshot(plan snapshotPlan, s Snapshot) error {
+	l.writeMutex.Lock()
+	defer l.writeMutex.Unlock()
 	if err := l.failed(); err != nil {
 		return err
 	}
@@ -120,23 +105,23 @@
 	l.mutex.Unlock()
 
 	f := &l.files
-	f.laterSize -= plan.size
+	f.sizeSinceSnapshot -= plan.size
 	f.snapshots = append(f.snapshots, plan.name)
 	for f.segments[0].index < plan.name.firstSegment {
 		f.segments = f.segments[1:]
 	}
-	return l.dropObsolete()
+	return l.removeObsolete()
 }
 
-// dropObsolete removes all but the newest snapshots, and the segments that are not needed after the older of them. The
+// removeObsolete removes all but the newest snapshots, and the segments that are not needed after the older of them. The
 // directory is not synced: a file that a loss of power brings back is removed when the log is opened.
-func (l *Log) dropObsolete() error {
+func (l *Log) removeObsolete() error {
 	f := &l.files
-	if len(f.snapshots) < snapshotsKept {
+	if len(f.snapshots) < retainedSnapshots {
 		return nil
 	}
 	var names []string
-	for len(f.snapshots) > snapshotsKept {
+	for len(f.snapshots) > retainedSnapshots {
 		names = append(names, f.snapshots[0].String())
 		f.snapshots = f.snapshots[1:]
 	}
@@ -160,7 +145,7 @@
 		oldestSegment: firstIndex,
 	}
 	l.mutex.Lock()
-	l.pending = batch{}
+	l.pending = writeBuffer{}
 	l.snapshotSequence = s.Sequence
 	l.lastSequence = s.Sequence
 	l.lastOrdinal = 0
@@ -168,42 +153,3 @@
 	l.mutex.Unlock()
 	return removeFiles(l.fileSystem, l.directory, old.names())
 }
-
-// names are those of all files.
-func (f *files) names() []string {
-	var names []string
-	for _, snapshot := range f.snapshots {
-		names = append(names, snapshot.String())
-	}
-	for index := f.oldestSegment; index <= f.currentSegment().index; index++ {
-		names = append(names, segmentName{f.generation, index}.String())
-	}
-	return names
-}
-
-func (s storedSnapshot) parts() [][]byte {
-	header := make([]byte, snapshotHeader)
-	binary.LittleEndian.PutUint64(header, s.Epoch)
-	binary.LittleEndian.PutUint64(header[8:], s.Sequence)
-	binary.LittleEndian.PutUint64(header[16:], s.ordinal)
-	return [][]byte{header, s.Data}
-}
-
-func saveSnapshot(fileSystem FileSystem, name string, s storedSnapshot) error {
-	return merry.Prependf(saveRecord(fileSystem, name, s.parts()...), "snapshot of %d", s.Sequence)
-}
-
-func loadSnapshot(fileSystem FileSystem, name string) (*storedSnapshot, error) {
-	data, err := loadRecord(fileSystem, name)
-	if err != nil {
-		return nil, err
-	}
-	if len(data) < snapshotHeader {
-		return nil, merry.Prependf(ErrDamaged, "%s is too short", path.Base(name))
-	}
-	stored := &storedSnapshot{ordinal: binary.LittleEndian.Uint64(data[16:])}
-	stored.Epoch = binary.LittleEndian.Uint64(data)
-	stored.Sequence = binary.LittleEndian.Uint64(data[8:])
-	stored.Data = data[snapshotHeader:]
-	return stored, nil
-}
--- a/internal/segment/writer.go
+++ b/internal/segment/writer.go
@@ -2,14 +2,14 @@
 
 import "github.com/ansel1/merry/v2"
 
-// flush writes what is pending to the current segment. The caller does not hold writing.
+// flush writes the pending frames to the current segment.
 func (l *Log) flush() error {
-	l.writing.Lock()
-	defer l.writing.Unlock()
+	l.writeMutex.Lock()
+	defer l.writeMutex.Unlock()
 	return l.writePending()
 }
 
-// syncFiles writes what is pending and syncs it. The caller holds writing.
+// syncFiles writes the pending frames and syncs them. The caller holds writeMutex, as for all methods below.
 func (l *Log) syncFiles() error {
 	if err := l.writePending(); err != nil {
 		return err
@@ -17,9 +17,9 @@
 	return l.syncCurrent()
 }
 
-// writePending writes what is pending. If that fails the file is cut to what it was, and the batch stays pending.
+// writePending writes the pending frames. If that fails the file is truncated to its former size, and the frames stay pending.
 func (l *Log) writePending() error {
-	if waiting, err := l.hasPending(); err != nil || !waiting {
+	if pending, err := l.hasPending(); err != nil || !pending {
 		return err
 	}
 	if err := l.prepareSegment(); err != nil {
@@ -35,9 +35,9 @@
 	return nil
 }
 
-// written notes a batch that was written to the current segment.
-func (f *files) written(b batch) {
-	f.laterSize += int64(b.size)
+// written records that the frames of a buffer were written to the current segment.
+func (f *files) written(b writeBuffer) {
+	f.sizeSinceSnapshot += int64(b.size)
 	segment := f.currentSegment()
 	segment.size += int64(b.size)
 	segment.highestSequence = max(segment.highestSequence, b.highestSequence)
@@ -58,22 +58,22 @@
 	return l.pending.size > 0, l.failure
 }
 
-func (l *Log) takePending() batch {
+func (l *Log) takePending() writeBuffer {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	pending := l.pending
-	l.pending = batch{}
+	l.pending = writeBuffer{}
 	return pending
 }
 
-func (l *Log) restorePending(pending batch) {
+func (l *Log) restorePending(pending writeBuffer) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.pending = pending.join(l.pending)
 }
 
-// undoWrite cuts off what a failed write may have left in the current segment.
-func (l *Log) undoWrite(pending batch, cause error) error {
+// undoWrite truncates what a failed write may have left in the current segment.
+func (l *Log) undoWrite(pending writeBuffer, cause error) error {
 	if err := l.files.current.Truncate(l.files.currentSegment().size); err != nil {
 		return l.fail(merry.Prepend(cause, "write segment"))
 	}
@@ -81,7 +81,7 @@
 	return merry.Prepend(cause, "write segment")
 }
 
-// prepareSegment makes the current segment one that may be written to.
+// prepareSegment opens a segment for writing if there is none, or if the current one has reached its size.
 func (l *Log) prepareSegment() error {
 	f := &l.files
 	if f.current != nil && f.currentSegment().size < int64(l.options.SegmentSize) {
@@ -98,12 +98,12 @@
 	if err != nil {
 		return merry.Prepend(err, "create segment")
 	}
-	l.useSegment(index, file)
+	l.switchSegment(index, file)
 	return nil
 }
 
-// useSegment makes a new, empty file the current segment.
-func (l *Log) useSegment(index uint64, file File) {
+// switchSegment makes a new, empty file the current segment.
+func (l *Log) switchSegment(index uint64, file File) {
 	f := &l.files
 	if f.current != nil {
 		_ = f.current.Close()
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// markSynced notes that all frames but the pending ones are on the disk.
+// markSynced records that all frames except the pending ones are on the disk.
 func (l *Log) markSynced() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
