--- a/internal/control/stored_data_test.go
+++ b/internal/control/stored_data_test.go
@@ -88,7 +88,7 @@
 	s.control.api.stop()
 	if s.control.stop != nil {
 		s.control.stop()
-		s.control.running.Wait()
+		s.control.goroutines.Wait()
 	} else if err := s.control.listener.Close(); err != nil {
 		s.t.Errorf("close listener: %v", err)
 	}
@@ -191,8 +191,8 @@
 	for _, r := range state.Retirements {
 		fmt.Fprintf(text, "  %s replica %d within %s completed %v\n", r.Store.Name, r.Store.Replica, r.Duration, r.Completed)
 	}
-	fmt.Fprintf(text, "quota leaseholders of epoch %d, revision %d\n", state.Holders.Epoch, state.Holders.Revision)
-	for _, m := range state.Holders.Members {
+	fmt.Fprintf(text, "quota leaseholders of epoch %d, revision %d\n", state.Leaseholders.Epoch, state.Leaseholders.Revision)
+	for _, m := range state.Leaseholders.Members {
 		fmt.Fprintf(text, "  %s process %d\n", m.Address, m.Life)
 	}
 	fmt.Fprintf(text, "placement of version %d\n", state.PlacementVersion)
@@ -228,12 +228,12 @@
 	return data
 }
 
-func storedHolders(revision uint64, add, remove []Holder) *Command {
-	return &Command{Holders: &Holders{Epoch: 2, ExpectedRevision: revision, Add: add, Remove: remove}}
+func storedLeaseholders(revision uint64, add, remove []Leaseholder) *Command {
+	return &Command{ChangeLeaseholders: &ChangeLeaseholders{Epoch: 2, ExpectedRevision: revision, Add: add, Remove: remove}}
 }
 
-func storedHolder(n byte) Holder {
-	return Holder{Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 0, n}), 7100+uint16(n)), Life: 1000 + uint64(n)}
+func storedLeaseholder(n byte) Leaseholder {
+	return Leaseholder{Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 0, n}), 7100+uint16(n)), Life: 1000 + uint64(n)}
 }
 
 // refusedOrder builds on a version that does not exist yet when it is proposed, so that it stays refused.
@@ -251,8 +251,8 @@
 	s.propose(retire("a", 1), Accepted)
 	s.propose(complete("a", 1, 0), Accepted)
 	s.propose(retire("b", 2), Accepted)
-	s.propose(&Command{Place: &Place{ExpectedRevision: 3, Table: storedPlacement(t, 1)}}, Accepted)
-	s.propose(storedHolders(0, []Holder{storedHolder(1), storedHolder(2)}, nil), Accepted)
+	s.propose(&Command{ReplacePlacement: &ReplacePlacement{ExpectedRevision: 3, Table: storedPlacement(t, 1)}}, Accepted)
+	s.propose(storedLeaseholders(0, []Leaseholder{storedLeaseholder(1), storedLeaseholder(2)}, nil), Accepted)
 	writeStoredSnapshot(t, (*segment.Log).Reset, s.closeWithSnapshot())
 	s = openStoredReplica(t, storedDirectory, storedAddress, false)
 	s.awaitApplied()
@@ -261,8 +261,8 @@
 	s = openStoredReplica(t, storedDirectory, storedAddress, false)
 	s.awaitApplied()
 	s.propose(patch(5, patchText(9, 30)), Accepted)
-	s.propose(&Command{Place: &Place{ExpectedVersion: 1, ExpectedRevision: 3, Table: storedPlacement(t, 2)}}, Accepted)
-	s.propose(storedHolders(1, []Holder{storedHolder(3)}, []Holder{storedHolder(1)}), Accepted)
+	s.propose(&Command{ReplacePlacement: &ReplacePlacement{ExpectedVersion: 1, ExpectedRevision: 3, Table: storedPlacement(t, 2)}}, Accepted)
+	s.propose(storedLeaseholders(1, []Leaseholder{storedLeaseholder(3)}, []Leaseholder{storedLeaseholder(1)}), Accepted)
 	s.close()
 }
 
@@ -321,7 +321,7 @@
 	s.propose(patch(9, patchText(11, 40)), Accepted)
 	s.propose(retire("b", 2), Repeated)
 	s.propose(complete("b", 2, 2), Accepted)
-	s.propose(storedHolders(2, []Holder{storedHolder(4)}, nil), Accepted)
+	s.propose(storedLeaseholders(2, []Leaseholder{storedLeaseholder(4)}, nil), Accepted)
 	want := s.describe()
 	golden.Text(t, "stored/replica-appended.txt", want)
 	s.close()
--- a/internal/store/stored_data_test.go
+++ b/internal/store/stored_data_test.go
@@ -153,7 +153,7 @@
 }
 
 func storedPartitionDirectory() string {
-	return path.Join(storedDirectory, fmt.Sprintf("%s%d", partitionDirectory, storedChain))
+	return path.Join(storedDirectory, fmt.Sprintf("%s%d", partitionDirectoryPrefix, storedChain))
 }
 
 // writeStoredSnapshot has the log keep a snapshot, by Reset or SaveSnapshot. A replica that learns from another resets its log:
