--- a/internal/discovery/simulation_test.go
+++ b/internal/discovery/simulation_test.go
@@ -1,34 +1,17 @@
 package discovery
 
 import (
-	"container/heap"
 	"context"
 	"math/rand/v2"
 	"testing"
 	"time"
+
+	"nickelline/internal/simnet"
 )
 
 // A simulation of who reads the listing and how readings spread: nodes exchange proofs with a partner each heartbeat,
 // and changes go out as rumours. After each drain that the listing shows, the time is measured until a node knows.
 
-type simulatedEvent struct {
-	at  time.Duration
-	run func()
-}
-
-type eventQueue []simulatedEvent
-
-func (q eventQueue) Len() int           { return len(q) }
-func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
-func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(e any)        { *q = append(*q, e.(simulatedEvent)) }
-func (q *eventQueue) Pop() any {
-	old := *q
-	last := old[len(old)-1]
-	*q = old[:len(old)-1]
-	return last
-}
-
 type simulatedNode struct {
 	control        bool
 	rank           int
@@ -43,9 +26,8 @@
 }
 
 type simulation struct {
-	now             time.Duration
+	clock           simnet.Clock
 	start           time.Time
-	events          eventQueue
 	random          *rand.Rand
 	nodes           []*simulatedNode
 	platformVersion int // changes that the platform shows
@@ -88,44 +70,29 @@
 		n := &simulatedNode{control: i < site.controls, rank: i, zone: i % simulatedZones, asOf: -time.Hour, knownChanges: map[int]bool{}}
 		n.schedule = newSchedule(testHeartbeat, site.drain, testRate, seed<<8|uint64(i), s.start)
 		s.nodes = append(s.nodes, n)
-		s.after(0, func() { s.step(n) })
-		s.after(time.Duration(s.random.Int64N(int64(testHeartbeat))), func() { s.exchange(n) })
+		s.clock.After(0, func() { s.step(n) })
+		s.clock.After(time.Duration(s.random.Int64N(int64(testHeartbeat))), func() { s.exchange(n) })
 	}
 	return s
 }
 
-func (s *simulation) after(d time.Duration, run func()) {
-	heap.Push(&s.events, simulatedEvent{at: s.now + d, run: run})
-}
-
-func (s *simulation) at(d time.Duration, run func()) {
-	heap.Push(&s.events, simulatedEvent{at: d, run: run})
-}
-
-func (s *simulation) runUntil(end time.Duration) {
-	for len(s.events) > 0 && s.events[0].at <= end {
-		e := heap.Pop(&s.events).(simulatedEvent)
-		s.now = e.at
-		e.run()
-	}
-}
-
-func (s *simulation) clock() time.Time { return s.start.Add(s.now) }
+// wallTime returns the time of the simulated clock.
+func (s *simulation) wallTime() time.Time { return s.start.Add(s.clock.Now()) }
 
 // step lets a node read if it is due, or wait.
 func (s *simulation) step(n *simulatedNode) {
 	if n.frozen {
-		s.after(minPause, func() { s.step(n) })
+		s.clock.After(minPause, func() { s.step(n) })
 		return
 	}
-	st := nodeRole{Control: n.control, Rank: n.rank, Members: s.site.nodes, ProofAge: s.now - n.asOf}
+	st := nodeRole{Control: n.control, Rank: n.rank, Members: s.site.nodes, ProofAge: s.clock.Now() - n.asOf}
 	if n.version == 0 && n.asOf < 0 {
 		st.ProofAge = unproven
 	}
-	if s.now < s.site.joined {
+	if s.clock.Now() < s.site.joined {
 		st.Rank, st.Members = 0, 1
 	}
-	wait, askWait := n.schedule.pollWait(s.clock(), st), n.schedule.pullWait(s.clock(), st)
+	wait, askWait := n.schedule.pollWait(s.wallTime(), st), n.schedule.pullWait(s.wallTime(), st)
 	if wait > 0 && askWait <= 0 {
 		s.pull(n)
 		return
@@ -135,11 +102,11 @@
 		if st.ProofAge == unproven {
 			wait = min(wait, maxStartPause)
 		}
-		s.after(max(wait, minPause), func() { s.step(n) })
+		s.clock.After(max(wait, minPause), func() { s.step(n) })
 		return
 	}
-	n.schedule.pollStarted(s.clock())
-	s.readPage(n, simulatedPoll{began: s.now, version: s.platformVersion, pacing: callPacing{ratePerS: testRate, primary: st.isPrimary()}})
+	n.schedule.pollStarted(s.wallTime())
+	s.readPage(n, simulatedPoll{began: s.clock.Now(), version: s.platformVersion, pacing: callPacing{ratePerS: testRate, primary: st.isPrimary()}})
 }
 
 // simulatedPoll is one pass over the listing.
@@ -154,7 +121,7 @@
 // readPage calls for the next page, as Platform.Read does.
 func (s *simulation) readPage(n *simulatedNode, r simulatedPoll) {
 	s.calls++
-	if s.now-r.began > n.schedule.maxPollTime(n.version > 0) {
+	if s.clock.Now()-r.began > n.schedule.maxPollTime(n.version > 0) {
 		s.pollEnded(n, r, context.DeadlineExceeded)
 		return
 	}
@@ -165,16 +132,16 @@
 			s.pollEnded(n, r, ErrRateLimited)
 			return
 		}
-		s.after(jittered(wait), func() { s.readPage(n, r) })
+		s.clock.After(jittered(wait), func() { s.readPage(n, r) })
 		return
 	}
 	r.pages, r.refusals = r.pages+1, 0
 	s.handlePage(n, r.pages-1)
 	if r.pages < s.site.pages {
-		s.after(5*time.Millisecond+r.pacing.callGap(r.pages), func() { s.readPage(n, r) })
+		s.clock.After(5*time.Millisecond+r.pacing.callGap(r.pages), func() { s.readPage(n, r) })
 		return
 	}
-	s.after(5*time.Millisecond, func() {
+	s.clock.After(5*time.Millisecond, func() {
 		s.learnVersion(n, r.version, r.began)
 		s.pollEnded(n, r, nil)
 	})
@@ -195,7 +162,7 @@
 		return false
 	}
 	n.knownChanges[change] = true
-	s.worstDelay = max(s.worstDelay, s.now-s.shownAt[change])
+	s.worstDelay = max(s.worstDelay, s.clock.Now()-s.shownAt[change])
 	return true
 }
 
@@ -208,14 +175,14 @@
 }
 
 func (s *simulation) pollEnded(n *simulatedNode, r simulatedPoll, err error) {
-	n.schedule.pollFinished(s.clock(), r.pages, err)
-	s.after(time.Millisecond, func() { s.step(n) })
+	n.schedule.pollFinished(s.wallTime(), r.pages, err)
+	s.clock.After(time.Millisecond, func() { s.step(n) })
 }
 
 // admitsCall counts a call against the platform's rate, with a second's worth saved up at most.
 func (s *simulation) admitsCall() bool {
-	s.tokens = min(testRate, s.tokens+(s.now-s.tokensAt).Seconds()*testRate)
-	s.tokensAt = s.now
+	s.tokens = min(testRate, s.tokens+(s.clock.Now()-s.tokensAt).Seconds()*testRate)
+	s.tokensAt = s.clock.Now()
 	if s.tokens < 1 {
 		return false
 	}
@@ -226,18 +193,18 @@
 // pull has a node exchange with the control nodes in their order, as Reader.ask does.
 func (s *simulation) pull(n *simulatedNode) {
 	s.pulls++
-	n.schedule.pullStarted(s.clock())
-	if s.now < s.site.joined {
-		s.after(minPause, func() { s.step(n) })
+	n.schedule.pullStarted(s.wallTime())
+	if s.clock.Now() < s.site.joined {
+		s.clock.After(minPause, func() { s.step(n) })
 		return
 	}
 	partner := s.nodes[n.fruitlessPulls%s.site.controls]
 	n.fruitlessPulls++
 	if partner == n || n.partitioned || partner.partitioned || partner.frozen {
-		s.after(pullTimeout, func() { s.step(n) })
+		s.clock.After(pullTimeout, func() { s.step(n) })
 		return
 	}
-	s.after(5*time.Millisecond, func() {
+	s.clock.After(5*time.Millisecond, func() {
 		if partner.asOf > n.asOf {
 			n.fruitlessPulls = 0
 		}
@@ -276,7 +243,7 @@
 	}
 	for range 3 {
 		to := s.nodes[s.random.IntN(s.site.nodes)]
-		s.after(time.Duration(2+s.random.IntN(20))*time.Millisecond, func() {
+		s.clock.After(time.Duration(2+s.random.IntN(20))*time.Millisecond, func() {
 			if !to.partitioned {
 				hear(to)
 			}
@@ -286,7 +253,7 @@
 
 // exchange lets a node hear of a partner's version and proof, each heartbeat.
 func (s *simulation) exchange(n *simulatedNode) {
-	s.after(testHeartbeat, func() { s.exchange(n) })
+	s.clock.After(testHeartbeat, func() { s.exchange(n) })
 	partner := s.nodes[s.random.IntN(s.site.nodes)]
 	if s.random.IntN(4) > 0 {
 		partner = s.nodes[n.zone+simulatedZones*s.random.IntN(s.site.controls/simulatedZones)]
@@ -310,9 +277,9 @@
 // scheduleDrains lets the listing change now and then.
 func (s *simulation) scheduleDrains(from, until time.Duration) {
 	for at := from; at < until; at += time.Duration(200+s.random.IntN(1500)) * time.Millisecond {
-		s.at(at, func() {
+		s.clock.At(at, func() {
 			s.platformVersion++
-			s.shownAt[s.platformVersion] = s.now
+			s.shownAt[s.platformVersion] = s.clock.Now()
 		})
 	}
 }
@@ -336,11 +303,11 @@
 	}{
 		"calm": {func(*simulation) {}, cycle},
 		"node cut off": {func(s *simulation) {
-			s.at(lost, func() { s.nodes[17].partitioned = true })
+			s.clock.At(lost, func() { s.nodes[17].partitioned = true })
 		}, cycle},
 		"reader frozen": {func(s *simulation) {
-			s.at(lost, func() { s.nodes[0].frozen = true })
-			s.at(noticed, func() {
+			s.clock.At(lost, func() { s.nodes[0].frozen = true })
+			s.clock.At(noticed, func() {
 				for _, n := range s.nodes[:s.site.controls] {
 					n.rank--
 				}
@@ -353,7 +320,7 @@
 				s := newSimulation(seed, targetSite)
 				s.scheduleDrains(started, end-2*targetSite.drain)
 				c.trouble(s)
-				s.runUntil(end)
+				s.clock.RunUntil(end)
 				for i, n := range s.nodes {
 					if !n.frozen && !n.partitioned && len(n.knownChanges) != s.platformVersion {
 						t.Errorf("seed %d: node %d knows %d changes of %d", seed, i, len(n.knownChanges), s.platformVersion)
@@ -381,9 +348,9 @@
 		for seed := range uint64(5) {
 			s := newSimulation(seed, site)
 			s.scheduleDrains(firstDrain, end)
-			s.runUntil(begin)
+			s.clock.RunUntil(begin)
 			before, asked := s.calls, s.pulls
-			s.runUntil(end)
+			s.clock.RunUntil(end)
 			readings := float64(s.calls - before)
 			own := float64(end-begin) / float64(s.nodes[0].schedule.period())
 			t.Logf("%s, seed %d: %v readings, %v of them the reader's, %d questions", name, seed, readings, own, s.pulls-asked)
@@ -410,11 +377,10 @@
 				}
 				return count
 			}
-			for s.now < bound && known() < site.nodes {
-				s.runUntil(s.now + 20*time.Millisecond)
-				s.now += 20 * time.Millisecond
+			for s.clock.Now() < bound && known() < site.nodes {
+				s.clock.RunUntil(s.clock.Now() + 20*time.Millisecond)
 			}
-			t.Logf("%s, seed %d: %d nodes know the list after %v, %d calls", name, seed, known(), s.now, s.calls)
+			t.Logf("%s, seed %d: %d nodes know the list after %v, %d calls", name, seed, known(), s.clock.Now(), s.calls)
 			if known() < site.nodes {
 				t.Errorf("%s, seed %d: only %d nodes know the list after %v", name, seed, known(), bound)
 			}
@@ -426,16 +392,16 @@
 	for name, trouble := range map[string]func(*simulation){
 		"calm": func(*simulation) {},
 		"reader frozen": func(s *simulation) {
-			s.at(10*time.Second, func() { s.nodes[0].frozen = true })
+			s.clock.At(10*time.Second, func() { s.nodes[0].frozen = true })
 		},
 		"two control nodes frozen": func(s *simulation) {
-			s.at(10*time.Second, func() { s.nodes[0].frozen, s.nodes[1].frozen = true, true })
+			s.clock.At(10*time.Second, func() { s.nodes[0].frozen, s.nodes[1].frozen = true, true })
 		},
 		"node cut off": func(s *simulation) {
-			s.at(10*time.Second, func() { s.nodes[7].partitioned = true })
+			s.clock.At(10*time.Second, func() { s.nodes[7].partitioned = true })
 		},
 		"control nodes cut off": func(s *simulation) {
-			s.at(10*time.Second, func() {
+			s.clock.At(10*time.Second, func() {
 				for _, n := range s.nodes[:site.controls] {
 					n.partitioned = true
 				}
@@ -449,7 +415,7 @@
 				s := newSimulation(seed, site)
 				s.scheduleDrains(firstDrain, end-site.drain)
 				trouble(s)
-				s.runUntil(end)
+				s.clock.RunUntil(end)
 				for _, n := range s.nodes {
 					if !n.frozen && n.version != s.platformVersion {
 						t.Errorf("seed %d: a node knows version %d of %d", seed, n.version, s.platformVersion)
--- a/internal/quota/scenarios_test.go
+++ b/internal/quota/scenarios_test.go
@@ -45,7 +45,7 @@
 		for _, tenant := range s.tenants {
 			s.traffic(tenant, tenant.demand, lead, lead+30*time.Second)
 		}
-		s.runUntil(lead + 31*time.Second)
+		s.clock.RunUntil(lead + 31*time.Second)
 		worst = max(worst, refusedFraction(s.tenants))
 		t.Logf("seed %d: %d calls in 30 s", seed, s.calls)
 	}
@@ -65,7 +65,7 @@
 			}
 			s.traffic(tenant, demand, lead, lead+20*time.Second)
 		}
-		s.runUntil(lead + 21*time.Second)
+		s.clock.RunUntil(lead + 21*time.Second)
 		hot := s.tenants[2]
 		if served := float64(len(hot.admitted)) / 20; served < 0.9*hot.limit.Rate {
 			t.Errorf("seed %d: %.1f a second of the hot tenant admitted, its rate is %v", seed, served, hot.limit.Rate)
@@ -85,7 +85,7 @@
 			s.traffic(tenant, tenant.demand, lead, lead+20*time.Second)
 		}
 		s.failOver(lead+5*time.Second, 2500*time.Millisecond, 0)
-		s.runUntil(lead + 21*time.Second)
+		s.clock.RunUntil(lead + 21*time.Second)
 		worst = max(worst, refusedFraction(s.tenants))
 	}
 	t.Logf("refused under the limit over a fail-over: %.4f at worst", worst)
@@ -112,7 +112,7 @@
 		s.failOver(lead+3*time.Second, time.Second, 0)
 		s.failOver(lead+11*time.Second, 0, HeadProofLifetime)
 		s.failOver(lead+18*time.Second, 0, HeadProofLifetime)
-		s.runUntil(lead + 26*time.Second)
+		s.clock.RunUntil(lead + 26*time.Second)
 	}
 }
 
@@ -126,7 +126,7 @@
 		for i := range 5 {
 			s.proxies[i].restart(lead + 6*time.Second)
 		}
-		s.runUntil(lead + 13*time.Second)
+		s.clock.RunUntil(lead + 13*time.Second)
 		if part := refusedFraction(s.tenants); part > 0.05 {
 			t.Errorf("seed %d: %.4f refused", seed, part)
 		}
@@ -144,8 +144,8 @@
 		}
 		for at := lead + 2*time.Second; at < lead+24*time.Second; at += 2500 * time.Millisecond {
 			s.failOver(at, 0, HeadProofLifetime)
-			s.at(at, s.partitionHeads)
-			s.at(at+time.Duration(s.random.Int64N(int64(6*time.Second))), s.healHeads)
+			s.clock.At(at, s.partitionHeads)
+			s.clock.At(at+time.Duration(s.random.Int64N(int64(6*time.Second))), s.healHeads)
 			for range 4 {
 				within := at + time.Duration(s.random.Int64N(int64(HeadProofLifetime)))
 				span := time.Duration(s.random.Int64N(int64(3 * time.Second)))
@@ -154,7 +154,7 @@
 				s.proxies[s.random.IntN(10)].partition(within-span, within)
 			}
 		}
-		s.runUntil(lead + 26*time.Second)
+		s.clock.RunUntil(lead + 26*time.Second)
 	}
 }
 
@@ -188,9 +188,9 @@
 				p.kill(at, at+down+time.Duration(s.random.Int64N(int64(300*time.Millisecond))))
 			}
 			s.restartHead(at, down+400*time.Millisecond)
-			s.runUntil(at + down + 900*time.Millisecond)
+			s.clock.RunUntil(at + down + 900*time.Millisecond)
 			sent, refused := s.counts()
-			s.runUntil(lead + 21*time.Second)
+			s.clock.RunUntil(lead + 21*time.Second)
 			sentAfter, refusedAfter := s.counts()
 			part := float64(refusedAfter-refused) / float64(sentAfter-sent)
 			if use < 1 && part > 0.05 {
@@ -213,16 +213,16 @@
 			p.kill(at, at+time.Hour)
 		}
 		s.failOver(at, time.Second, 0)
-		s.runUntil(at + time.Second + rulePolicy.Lease + HeadProofLifetime + 100*time.Millisecond)
-		if a := s.heads[0].allocator; a == nil || !a.graceEnded(s.now) {
+		s.clock.RunUntil(at + time.Second + rulePolicy.Lease + HeadProofLifetime + 100*time.Millisecond)
+		if a := s.heads[0].allocator; a == nil || !a.graceEnded(s.wallTime()) {
 			t.Errorf("seed %d: the allocator waits longer than leases may last", seed)
 		}
 		s.failOver(at+30*time.Second, time.Second, 0)
-		s.runUntil(at + 31500*time.Millisecond)
-		if a := s.heads[0].allocator; a == nil || !a.graceEnded(s.now) {
+		s.clock.RunUntil(at + 31500*time.Millisecond)
+		if a := s.heads[0].allocator; a == nil || !a.graceEnded(s.wallTime()) {
 			t.Errorf("seed %d: the second allocator waits for proxies that have gone", seed)
 		}
-		s.runUntil(lead + 46*time.Second)
+		s.clock.RunUntil(lead + 46*time.Second)
 	}
 }
 
@@ -236,9 +236,9 @@
 		}
 		at := lead + 5*time.Second
 		s.failOver(at, 2*time.Second, 0)
-		s.runUntil(at + 2300*time.Millisecond)
+		s.clock.RunUntil(at + 2300*time.Millisecond)
 		sent, refused := s.counts()
-		s.runUntil(lead + 21*time.Second)
+		s.clock.RunUntil(lead + 21*time.Second)
 		sentAfter, refusedAfter := s.counts()
 		worst = max(worst, float64(refusedAfter-refused)/float64(sentAfter-sent))
 	}
--- a/internal/quota/simulation_head_test.go
+++ b/internal/quota/simulation_head_test.go
@@ -52,22 +52,22 @@
 // failOver lets a head end and a new one begin; for a while both may think themselves head.
 func (s *simulation) failOver(at, gap, both time.Duration) {
 	if gap > 0 {
-		s.at(at, func() { s.endHeads(nil) })
+		s.clock.At(at, func() { s.endHeads(nil) })
 	}
-	s.at(at+gap, func() {
+	s.clock.At(at+gap, func() {
 		for _, h := range s.heads {
 			h.cut = true
 		}
 		s.epoch++
 		newest := s.startHead(s.epoch)
-		s.after(both, func() { s.endHeads(newest) })
+		s.clock.After(both, func() { s.endHeads(newest) })
 	})
 }
 
 // restartHead kills the head, which returns in the same epoch.
 func (s *simulation) restartHead(at, down time.Duration) {
-	s.at(at, func() { s.endHeads(nil) })
-	s.at(at+down, func() { s.startHead(s.epoch) })
+	s.clock.At(at, func() { s.endHeads(nil) })
+	s.clock.At(at+down, func() { s.startHead(s.epoch) })
 }
 
 // receive answers a renewal, after the allocator has begun and the proxy is registered.
@@ -86,7 +86,7 @@
 		h.afterChange(func() { h.receive(from, r, reply) })
 		return
 	}
-	grants, err := h.allocator.Renew(h.s.now, from, r)
+	grants, err := h.allocator.Renew(h.s.wallTime(), from, r)
 	if err != nil {
 		return
 	}
@@ -115,11 +115,11 @@
 		return
 	}
 	h.changing = true
-	h.s.after(5*h.s.trip(), func() {
+	h.s.clock.After(5*h.s.trip(), func() {
 		committed := !h.cut && h.s.registry.commit(c)
 		after := h.s.registry.current
 		heard := committed && h.s.random.IntN(20) > 0
-		h.s.after(2*h.s.trip(), func() { h.finish(begins, heard, after) })
+		h.s.clock.After(2*h.s.trip(), func() { h.finish(begins, heard, after) })
 	})
 }
 
@@ -131,7 +131,7 @@
 		}
 	}
 	clear(h.waiting)
-	return added, h.allocator.TakeRemovable(h.s.now)
+	return added, h.allocator.TakeRemovable(h.s.wallTime())
 }
 
 // finish takes over the register after a change, or tries again.
@@ -141,13 +141,13 @@
 	case h.ended:
 		return
 	case !done:
-		h.s.after(changePause, h.retry)
+		h.s.clock.After(changePause, h.retry)
 		return
 	case begins:
-		h.allocator = NewAllocator(h.s.policy, h.s.limitOf, after.Leaseholders, h.s.now)
+		h.allocator = NewAllocator(h.s.policy, h.s.limitOf, after.Leaseholders, h.s.wallTime())
 		h.announce()
 	default:
-		h.allocator.SetRegistered(h.s.now, after.Leaseholders)
+		h.allocator.SetRegistered(h.s.wallTime(), after.Leaseholders)
 	}
 	h.runLater()
 }
@@ -171,16 +171,16 @@
 
 // announce tells proxies of a new allocator until they have presented their leases.
 func (h *simulatedHead) announce() {
-	addresses := h.allocator.Unreclaimed(h.s.now)
+	addresses := h.allocator.Unreclaimed(h.s.wallTime())
 	if h.ended || len(addresses) == 0 {
 		return
 	}
 	for _, p := range h.s.proxies {
 		for _, address := range addresses {
 			if p.address == address {
-				h.s.after(h.s.trip(), func() { p.follow(h.epoch) })
+				h.s.clock.After(h.s.trip(), func() { p.follow(h.epoch) })
 			}
 		}
 	}
-	h.s.after(announceInterval, h.announce)
+	h.s.clock.After(announceInterval, h.announce)
 }
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -1,34 +1,17 @@
 package quota
 
 import (
-	"container/heap"
 	"math/rand/v2"
 	"net/netip"
 	"testing"
 	"time"
+
+	"nickelline/internal/simnet"
 )
 
 // A simulation of proxies and allocators: requests arrive in clumps at random proxies, messages take time, allocators
 // change, proxies freeze, restart, are cut off and go. After each admitted request the rule's window is checked.
 
-type simulatedEvent struct {
-	at  time.Time
-	run func()
-}
-
-type eventQueue []simulatedEvent
-
-func (q eventQueue) Len() int           { return len(q) }
-func (q eventQueue) Less(i, j int) bool { return q[i].at.Before(q[j].at) }
-func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(e any)        { *q = append(*q, e.(simulatedEvent)) }
-func (q *eventQueue) Pop() any {
-	old := *q
-	last := old[len(old)-1]
-	*q = old[:len(old)-1]
-	return last
-}
-
 type simulatedTenant struct {
 	name     string
 	limit    Limit
@@ -76,33 +59,32 @@
 }
 
 type simulation struct {
-	t          *testing.T
-	now, start time.Time
-	events     eventQueue
-	random     *rand.Rand
-	policy     Policy
-	tenants    []*simulatedTenant
-	proxies    []*simulatedProxy
-	heads      []*simulatedHead // those that think themselves head
-	epoch      uint64           // of the newest view
-	registry   simulatedRegistry
-	calls      int
-	violated   bool
-	lossy      bool // some answers are lost
+	t        *testing.T
+	clock    simnet.Clock
+	start    time.Time
+	random   *rand.Rand
+	policy   Policy
+	tenants  []*simulatedTenant
+	proxies  []*simulatedProxy
+	heads    []*simulatedHead // those that think themselves head
+	epoch    uint64           // of the newest view
+	registry simulatedRegistry
+	calls    int
+	violated bool
+	lossy    bool // some answers are lost
 }
 
 var rulePolicy = Policy{Window: 5 * time.Second, Lease: 4 * time.Second, Overshoot: 0.1, Allowance: 20}
 
 func newSimulation(t *testing.T, seed uint64, proxies int, tenants []*simulatedTenant) *simulation {
 	s := &simulation{
-		t: t, now: time.Now(), random: rand.New(rand.NewPCG(seed, 7)), policy: rulePolicy, tenants: tenants,
+		t: t, start: time.Now(), random: rand.New(rand.NewPCG(seed, 7)), policy: rulePolicy, tenants: tenants,
 	}
-	s.start = s.now
 	for i := range proxies {
 		p := &simulatedProxy{s: s, address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7661)}
 		p.reset()
 		s.proxies = append(s.proxies, p)
-		s.after(time.Duration(s.random.Int64N(int64(renewPeriod))), p.periodic)
+		s.clock.After(time.Duration(s.random.Int64N(int64(renewPeriod))), p.periodic)
 	}
 	s.epoch = 1
 	s.startHead(s.epoch)
@@ -126,21 +108,8 @@
 	return time.Duration((1 + s.random.ExpFloat64()) * float64(time.Millisecond))
 }
 
-func (s *simulation) after(d time.Duration, run func()) {
-	heap.Push(&s.events, simulatedEvent{at: s.now.Add(d), run: run})
-}
-
-func (s *simulation) at(d time.Duration, run func()) {
-	heap.Push(&s.events, simulatedEvent{at: s.start.Add(d), run: run})
-}
-
-func (s *simulation) runUntil(d time.Duration) {
-	for len(s.events) > 0 && s.events[0].at.Sub(s.start) <= d {
-		e := heap.Pop(&s.events).(simulatedEvent)
-		s.now = e.at
-		e.run()
-	}
-}
+// wallTime returns the time of the simulated clock.
+func (s *simulation) wallTime() time.Time { return s.start.Add(s.clock.Now()) }
 
 // traffic lets a tenant's requests arrive in clumps at proxies of uneven shares.
 func (s *simulation) traffic(t *simulatedTenant, rate float64, from, to time.Duration) {
@@ -154,7 +123,7 @@
 	for at := from.Seconds(); at < to.Seconds(); at += s.random.ExpFloat64() * clump / rate {
 		proxy := s.proxies[pickShare(s.random.Float64()*sum, shares)]
 		for i := range 1 + s.random.IntN(2*clump-1) {
-			s.at(time.Duration((at+0.005*float64(i))*float64(time.Second)), func() { proxy.arrive(t) })
+			s.clock.At(time.Duration((at+0.005*float64(i))*float64(time.Second)), func() { proxy.arrive(t) })
 		}
 	}
 }
@@ -171,15 +140,15 @@
 
 // admit notes a request that is sent, and checks the window that ends with it.
 func (s *simulation) admit(t *simulatedTenant) {
-	t.admitted = append(t.admitted, s.now)
+	t.admitted = append(t.admitted, s.wallTime())
 	most := (t.limit.Rate*s.policy.Window.Seconds()+t.limit.Burst)*(1+s.policy.Overshoot) + s.policy.Allowance
-	for s.now.Sub(t.admitted[t.first]) >= s.policy.Window {
+	for s.wallTime().Sub(t.admitted[t.first]) >= s.policy.Window {
 		t.first++
 	}
 	count := len(t.admitted) - t.first
 	if float64(count) > most && !s.violated {
 		s.violated = true
-		s.t.Errorf("%s: %d requests in a window at %v, at most %.1f", t.name, count, s.now.Sub(s.start), most)
+		s.t.Errorf("%s: %d requests in a window at %v, at most %.1f", t.name, count, s.clock.Now(), most)
 	}
 }
 
@@ -190,7 +159,7 @@
 		sum := Share{}
 		for _, p := range s.proxies {
 			b := p.buckets.byTenant[t.name]
-			if b != nil && !p.down && s.now.Before(b.expiresAt) {
+			if b != nil && !p.down && s.wallTime().Before(b.expiresAt) {
 				sum.Rate += b.lease.Rate
 				sum.Depth += b.lease.Depth
 			}
@@ -198,7 +167,7 @@
 		const rounding = 1e-6
 		if over := sum.Rate > t.limit.Rate+rounding || sum.Depth > s.policy.capacity(t.limit)+rounding; over && !s.violated {
 			s.violated = true
-			s.t.Errorf("%s: leases of %+v at %v, limit %+v", t.name, sum, s.now.Sub(s.start), t.limit)
+			s.t.Errorf("%s: leases of %+v at %v, limit %+v", t.name, sum, s.clock.Now(), t.limit)
 		}
 	}
 }
@@ -231,12 +200,12 @@
 		return // clients go elsewhere
 	}
 	t.sent++
-	t.ideal.arrive(p.s.now, t.limit)
+	t.ideal.arrive(p.s.wallTime(), t.limit)
 	p.whileRunning(p.life, func() {
 		switch {
-		case p.buckets.takeOnArrival(p.s.now, t.name):
+		case p.buckets.takeOnArrival(p.s.wallTime(), t.name):
 			p.s.admit(t)
-		case p.s.now.Sub(p.failedAt) < unreachableSpan, p.buckets.exhaustedFor(p.s.now, t.name) > 0:
+		case p.s.wallTime().Sub(p.failedAt) < unreachableSpan, p.buckets.exhaustedFor(p.s.wallTime(), t.name) > 0:
 			t.refused++
 		default:
 			p.waiting[t.name]++
@@ -246,7 +215,7 @@
 }
 
 func (p *simulatedProxy) periodic() {
-	p.s.after(renewPeriod, p.periodic)
+	p.s.clock.After(renewPeriod, p.periodic)
 	p.whileRunning(p.life, func() { p.call(true) })
 }
 
@@ -257,7 +226,7 @@
 	}
 	needs := p.waiting
 	complete := all || p.mustReclaim
-	entries := p.buckets.renewalEntries(p.s.now, needs, complete)
+	entries := p.buckets.renewalEntries(p.s.wallTime(), needs, complete)
 	if len(entries) == 0 && !p.mustReclaim {
 		return
 	}
@@ -265,7 +234,7 @@
 	p.calling = true
 	p.s.calls++
 	p.sequence++
-	life, askedAt := p.life, p.s.now
+	life, askedAt := p.life, p.s.wallTime()
 	r := &Renewal{Life: life, Sequence: p.sequence, Epoch: p.epoch, Complete: complete, Entries: entries}
 	answered := false
 	finish := func(a *answer) {
@@ -276,15 +245,15 @@
 			}
 		})
 	}
-	p.s.after(callTimeout, func() { finish(nil) })
+	p.s.clock.After(callTimeout, func() { finish(nil) })
 	if p.partitioned || len(p.s.heads) == 0 {
 		return
 	}
 	head := p.reachedHead()
-	p.s.after(p.s.trip(), func() {
+	p.s.clock.After(p.s.trip(), func() {
 		head.receive(Leaseholder{Address: p.address, Life: life}, r, func(a *answer) {
 			if !p.partitioned && !(p.s.lossy && p.s.random.IntN(200) == 0) {
-				p.s.after(p.s.trip(), func() { finish(a) })
+				p.s.clock.After(p.s.trip(), func() { finish(a) })
 			}
 		})
 	})
@@ -337,14 +306,14 @@
 		p.epoch = a.epoch
 		p.failedAt = time.Time{}
 		p.mustReclaim = a.mustReclaim || p.mustReclaim && !r.Complete
-		granted = p.buckets.apply(p.s.now, askedAt, r.Entries, a.grants)
+		granted = p.buckets.apply(p.s.wallTime(), askedAt, r.Entries, a.grants)
 	} else {
-		p.failedAt = p.s.now
+		p.failedAt = p.s.wallTime()
 		pause = failurePause
 	}
 	for _, t := range p.s.tenants {
 		for range needs[t.name] {
-			b := p.buckets.bucket(p.s.now, t.name)
+			b := p.buckets.bucket(p.s.wallTime(), t.name)
 			switch {
 			case granted[t.name] > 0:
 				granted[t.name]--
@@ -358,7 +327,7 @@
 	}
 	p.s.checkLeases(r.Entries)
 	life := p.life
-	p.s.after(pause, func() {
+	p.s.clock.After(pause, func() {
 		p.whileRunning(life, func() {
 			p.calling = false
 			if len(p.waiting) > 0 || p.mustReclaim {
@@ -369,8 +338,8 @@
 }
 
 func (p *simulatedProxy) freeze(from, to time.Duration) {
-	p.s.at(from, func() { p.frozen = true })
-	p.s.at(to, func() {
+	p.s.clock.At(from, func() { p.frozen = true })
+	p.s.clock.At(to, func() {
 		p.frozen = false
 		held := p.deferred
 		p.deferred = nil
@@ -381,16 +350,16 @@
 }
 
 func (p *simulatedProxy) partition(from, to time.Duration) {
-	p.s.at(from, func() { p.partitioned = true })
-	p.s.at(to, func() { p.partitioned = false })
+	p.s.clock.At(from, func() { p.partitioned = true })
+	p.s.clock.At(to, func() { p.partitioned = false })
 }
 
-func (p *simulatedProxy) restart(at time.Duration) { p.s.at(at, p.reset) }
+func (p *simulatedProxy) restart(at time.Duration) { p.s.clock.At(at, p.reset) }
 
 // kill ends a proxy for some time.
 func (p *simulatedProxy) kill(from, to time.Duration) {
-	p.s.at(from, func() { p.down = true })
-	p.s.at(to, func() {
+	p.s.clock.At(from, func() { p.down = true })
+	p.s.clock.At(to, func() {
 		p.down = false
 		p.reset()
 	})
--- a/internal/simnet/network.go
+++ b/internal/simnet/network.go
@@ -1,7 +1,6 @@
 package simnet
 
 import (
-	"container/heap"
 	"math/rand/v2"
 	"net/netip"
 	"time"
@@ -23,9 +22,7 @@
 	Random     *rand.Rand
 	Conditions Conditions
 
-	now       time.Duration
-	events    eventHeap
-	count     uint64
+	clock     Clock
 	processes map[netip.AddrPort]*process
 	cuts      map[link]bool
 	latest    map[link]time.Duration
@@ -47,15 +44,15 @@
 	return &Network{
 		Random:     rand.New(rand.NewPCG(seed, 0)),
 		Conditions: conditions,
-		now:        time.Second,
+		clock:      Clock{now: time.Second},
 		processes:  make(map[netip.AddrPort]*process),
 		cuts:       make(map[link]bool),
 		latest:     make(map[link]time.Duration),
 	}
 }
 
-// Now reads the clock.
-func (n *Network) Now() time.Duration { return n.now }
+// Now returns the time of the network's clock.
+func (n *Network) Now() time.Duration { return n.clock.Now() }
 
 // Start begins a new life of the process at an address.
 func (n *Network) Start(address netip.AddrPort) {
@@ -91,7 +88,7 @@
 	p.frozen = false
 	p.held = nil
 	for _, f := range held {
-		n.At(n.now, n.ofLife(address, p.life, f))
+		n.clock.After(0, n.ofLife(address, p.life, f))
 	}
 }
 
@@ -116,7 +113,7 @@
 		return
 	}
 	l := link{from, to}
-	at := n.now + n.delay()
+	at := n.Now() + n.delay()
 	if n.Random.Float64() >= n.Conditions.Reordering {
 		at = max(at, n.latest[l])
 		n.latest[l] = at
@@ -130,25 +127,14 @@
 
 // After has the process at an address do something later, unless its life ends before.
 func (n *Network) After(address netip.AddrPort, wait time.Duration, f func()) {
-	n.At(n.now+wait, n.ofLife(address, n.process(address).life, f))
+	n.clock.After(wait, n.ofLife(address, n.process(address).life, f))
 }
 
 // At has something done at a time, whatever happens to processes.
-func (n *Network) At(at time.Duration, f func()) {
-	n.count++
-	heap.Push(&n.events, event{at: max(at, n.now), order: n.count, do: f})
-}
+func (n *Network) At(at time.Duration, f func()) { n.clock.At(at, f) }
 
-// Step carries out the next event. It reports false if there is none.
-func (n *Network) Step() bool {
-	if len(n.events) == 0 {
-		return false
-	}
-	next := heap.Pop(&n.events).(event)
-	n.now = next.at
-	next.do()
-	return true
-}
+// Step carries out the next event. It reports whether there was one.
+func (n *Network) Step() bool { return n.clock.Step() }
 
 func (n *Network) delay() time.Duration {
 	spread := n.Conditions.MaximumDelay - n.Conditions.MinimumDelay
@@ -180,33 +166,3 @@
 		}
 	}
 }
-
-// event is something that happens at a time. Events of the same time happen in the order in which they were added.
-type event struct {
-	at    time.Duration
-	order uint64
-	do    func()
-}
-
-type eventHeap []event
-
-func (h eventHeap) Len() int { return len(h) }
-
-func (h eventHeap) Less(i, j int) bool {
-	if h[i].at != h[j].at {
-		return h[i].at < h[j].at
-	}
-	return h[i].order < h[j].order
-}
-
-func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-
-func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
-
-func (h *eventHeap) Pop() any {
-	last := len(*h) - 1
-	e := (*h)[last]
-	(*h)[last] = event{}
-	*h = (*h)[:last]
-	return e
-}
