--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -48,13 +48,11 @@
 	buckets     *leasedBuckets
 	waiting     map[string]int
 	calling     bool
-	frozen      bool
+	process     simnet.Process
 	partitioned bool
-	down        bool
 	reach       reach
-	epoch       uint64   // the newest that is known
-	mustReclaim bool     // the allocator may not know all leases
-	deferred    []func() // what happens when the proxy wakes
+	epoch       uint64 // the newest that is known
+	mustReclaim bool   // the allocator may not know all leases
 	failedAt    time.Time
 }
 
@@ -159,7 +157,7 @@
 		sum := Share{}
 		for _, p := range s.proxies {
 			b := p.buckets.byTenant[t.name]
-			if b != nil && !p.down && s.wallTime().Before(b.expiresAt) {
+			if b != nil && !p.process.Stopped() && s.wallTime().Before(b.expiresAt) {
 				sum.Rate += b.lease.Rate
 				sum.Depth += b.lease.Depth
 			}
@@ -184,19 +182,17 @@
 	p.call(true)
 }
 
-// whileRunning runs something now, or when the proxy wakes. What a former life was to do is dropped.
+// whileRunning runs something now, or when the proxy thaws. What a former process at its address was to do is dropped.
 func (p *simulatedProxy) whileRunning(life uint64, run func()) {
-	switch {
-	case life != p.life, p.down:
-	case p.frozen:
-		p.deferred = append(p.deferred, func() { p.whileRunning(life, run) })
-	default:
-		run()
-	}
+	p.process.Do(func() {
+		if life == p.life {
+			run()
+		}
+	})
 }
 
 func (p *simulatedProxy) arrive(t *simulatedTenant) {
-	if p.down {
+	if p.process.Stopped() {
 		return // clients go elsewhere
 	}
 	t.sent++
@@ -221,7 +217,7 @@
 
 // call sends a renewal to one of the heads, unless one is under way.
 func (p *simulatedProxy) call(all bool) {
-	if p.calling || p.down {
+	if p.calling || p.process.Stopped() {
 		return
 	}
 	needs := p.waiting
@@ -337,16 +333,10 @@
 	})
 }
 
+// freeze puts off all that a proxy does in a span.
 func (p *simulatedProxy) freeze(from, to time.Duration) {
-	p.s.clock.At(from, func() { p.frozen = true })
-	p.s.clock.At(to, func() {
-		p.frozen = false
-		held := p.deferred
-		p.deferred = nil
-		for _, run := range held {
-			run()
-		}
-	})
+	p.s.clock.At(from, p.process.Freeze)
+	p.s.clock.At(to, p.process.Thaw)
 }
 
 func (p *simulatedProxy) partition(from, to time.Duration) {
@@ -358,9 +348,9 @@
 
 // kill ends a proxy for some time.
 func (p *simulatedProxy) kill(from, to time.Duration) {
-	p.s.clock.At(from, func() { p.down = true })
+	p.s.clock.At(from, p.process.Stop)
 	p.s.clock.At(to, func() {
-		p.down = false
+		p.process.Start()
 		p.reset()
 	})
 }
--- a/internal/simnet/network.go
+++ b/internal/simnet/network.go
@@ -33,10 +33,8 @@
 
 // process is what runs at an address.
 type process struct {
-	up     bool
-	life   int // counts its starts
-	frozen bool
-	held   []func() // what it would have done since it was frozen
+	Process
+	generation int // counts its starts and stops
 }
 
 // New makes a network without processes.
@@ -54,41 +52,34 @@
 // Now returns the time of the network's clock.
 func (n *Network) Now() time.Duration { return n.clock.Now() }
 
-// Start begins a new life of the process at an address.
+// Start starts a process at an address. What was meant for an earlier process there is lost.
 func (n *Network) Start(address netip.AddrPort) {
 	p := n.process(address)
-	p.up = true
-	p.frozen = false
-	p.held = nil
-	p.life++
+	p.Process.Start()
+	p.generation++
 }
 
 // Stop ends the process at an address. What was on its way to it, and its timers, are lost.
 func (n *Network) Stop(address netip.AddrPort) {
 	p := n.process(address)
-	p.up = false
-	p.frozen = false
-	p.held = nil
-	p.life++
+	p.Process.Stop()
+	p.generation++
 }
 
-// Up tells whether there is a process at an address.
-func (n *Network) Up(address netip.AddrPort) bool { return n.process(address).up }
+// Up reports whether there is a process at an address.
+func (n *Network) Up(address netip.AddrPort) bool { return !n.process(address).Stopped() }
 
-// Frozen tells whether the process at an address is frozen.
-func (n *Network) Frozen(address netip.AddrPort) bool { return n.process(address).frozen }
+// Frozen reports whether the process at an address is frozen.
+func (n *Network) Frozen(address netip.AddrPort) bool { return n.process(address).Frozen() }
 
-// Freeze holds back all that the process at an address would do.
-func (n *Network) Freeze(address netip.AddrPort) { n.process(address).frozen = n.process(address).up }
+// Freeze puts off all that the process at an address would do.
+func (n *Network) Freeze(address netip.AddrPort) { n.process(address).Freeze() }
 
-// Thaw has a frozen process do at once what was held back.
+// Thaw has a frozen process do at once what was put off.
 func (n *Network) Thaw(address netip.AddrPort) {
 	p := n.process(address)
-	held := p.held
-	p.frozen = false
-	p.held = nil
-	for _, f := range held {
-		n.clock.After(0, n.ofLife(address, p.life, f))
+	for _, f := range p.release() {
+		n.clock.After(0, n.ofGeneration(address, p.generation, f))
 	}
 }
 
@@ -101,7 +92,7 @@
 	delete(n.cuts, link{from, to})
 }
 
-// IsCut tells whether messages from one address to another are lost by a cut.
+// IsCut reports whether messages from one address to another are lost by a cut.
 func (n *Network) IsCut(from, to netip.AddrPort) bool { return n.cuts[link{from, to}] }
 
 // Heal ends all cuts.
@@ -118,16 +109,16 @@
 		at = max(at, n.latest[l])
 		n.latest[l] = at
 	}
-	life := n.process(to).life
-	if !n.process(to).up {
+	p := n.process(to)
+	if p.Stopped() {
 		return
 	}
-	n.At(at, n.ofLife(to, life, deliver))
+	n.At(at, n.ofGeneration(to, p.generation, deliver))
 }
 
-// After has the process at an address do something later, unless its life ends before.
+// After has the process at an address do something later, unless it ends before.
 func (n *Network) After(address netip.AddrPort, wait time.Duration, f func()) {
-	n.clock.After(wait, n.ofLife(address, n.process(address).life, f))
+	n.clock.After(wait, n.ofGeneration(address, n.process(address).generation, f))
 }
 
 // At has something done at a time, whatever happens to processes.
@@ -148,21 +139,17 @@
 	p := n.processes[address]
 	if p == nil {
 		p = &process{}
+		p.Process.Stop()
 		n.processes[address] = p
 	}
 	return p
 }
 
-// ofLife wraps what happens to a process in one life of it.
-func (n *Network) ofLife(address netip.AddrPort, life int, f func()) func() {
+// ofGeneration returns a function that has a process do f, unless another one runs at its address by then.
+func (n *Network) ofGeneration(address netip.AddrPort, generation int, f func()) func() {
 	return func() {
-		p := n.process(address)
-		switch {
-		case !p.up || p.life != life:
-		case p.frozen:
-			p.held = append(p.held, f)
-		default:
-			f()
+		if p := n.process(address); p.generation == generation {
+			p.Do(f)
 		}
 	}
 }
