--- a/internal/discovery/codec_test.go
+++ b/internal/discovery/codec_test.go
@@ -36,11 +36,11 @@
 			t.Fatal(err)
 		}
 		if got.Len() != n {
-			t.Fatalf("%d backends, want %d", got.Len(), n)
+			t.Fatalf("backends: got %d, want %d", got.Len(), n)
 		}
 		for i, b := range got.All() {
 			if b != list.All()[i] {
-				t.Fatalf("backend %d is %+v, want %+v", i, b, list.All()[i])
+				t.Fatalf("backend %d: got %+v, want %+v", i, b, list.All()[i])
 			}
 		}
 	}
@@ -67,19 +67,19 @@
 	for i := range 5 {
 		for _, b := range list.ByService(fmt.Sprintf("service%d", i)) {
 			if b.Draining {
-				t.Errorf("%s is draining", b.ID)
+				t.Errorf("ByService: got %s, which is draining", b.ID)
 			}
 			ready++
 		}
 	}
 	if ready != 60 {
-		t.Errorf("%d ready backends, want 60", ready)
+		t.Errorf("ready backends: got %d, want 60", ready)
 	}
 	if b, ok := list.Get("i-00000003"); !ok || !b.Draining {
-		t.Error("a draining backend must be found by its ID")
+		t.Error("Get of a draining backend: want found and draining")
 	}
 	if _, ok := list.Get("i-unknown"); ok {
-		t.Error("found a backend that is not listed")
+		t.Error("Get of an unlisted backend: got found, want not")
 	}
 }
 
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -29,6 +29,6 @@
 		t.Fatalf("Encode: %v", err)
 	}
 	if got := pageCount(golden.Bytes(t, "list.hex", encoded)); got != 15 {
-		t.Errorf("pagesOf: got %d, want 15", got)
+		t.Errorf("pageCount: got %d, want 15", got)
 	}
 }
--- a/internal/discovery/platform_test.go
+++ b/internal/discovery/platform_test.go
@@ -67,13 +67,13 @@
 		t.Fatal(err)
 	}
 	if reading.List.Len() != 5 || reading.Pages != 3 || calls.Load() != 3 {
-		t.Errorf("%d backends in %d pages by %d calls", reading.List.Len(), reading.Pages, calls.Load())
+		t.Errorf("Read: got %d backends in %d pages by %d calls, want 5, 3 and 3", reading.List.Len(), reading.Pages, calls.Load())
 	}
 	if b, ok := reading.List.Get("i-7"); !ok || !b.Draining {
-		t.Errorf("the draining backend is %+v", b)
+		t.Errorf("draining backend: got %+v", b)
 	}
 	if ready := reading.List.ByService("s"); len(ready) != 4 || ready[0].ID != "i-5" || ready[0].Slots != 6 {
-		t.Errorf("ready backends: %+v", ready)
+		t.Errorf("ready backends: got %+v, want 4", ready)
 	}
 }
 
@@ -86,7 +86,7 @@
 	})
 	reading, err := platform.Read(t.Context(), false, ignorePage)
 	if err != nil || reading.List.Len() != 5 || calls.Load() != 4 {
-		t.Errorf("reading %+v by %d calls, error %v", reading, calls.Load(), err)
+		t.Errorf("Read: got %+v by %d calls, error %v; want 5 backends by 4 calls", reading, calls.Load(), err)
 	}
 }
 
@@ -99,12 +99,12 @@
 			return 0
 		})
 		if reading, err := platform.Read(t.Context(), false, ignorePage); err == nil || reading.List != nil {
-			t.Errorf("status %d on the third page: reading %+v, error %v", status, reading, err)
+			t.Errorf("status %d on the third page: got %+v, error %v; want no list and an error", status, reading, err)
 		}
 	}
 }
 
-// Each page is told at once, and a listing of many pages is called for no faster than the platform's rate allows.
+// Each page is reported at once, and a listing of many pages is called for no faster than the platform's rate allows.
 func TestReadReportsPagesAndKeepsToTheRate(t *testing.T) {
 	const pages = 60
 	entries := make([]instance, 2*pages)
@@ -114,16 +114,16 @@
 	platform, calls := fakePlatform(t, entries, noFailure)
 	var paused time.Duration
 	platform.pause = func(_ context.Context, d time.Duration) error { paused += d; return nil }
-	told := 0
+	reported := 0
 	reading, err := platform.Read(t.Context(), true, func(page []Backend) {
-		if told++; int64(told) != calls.Load() || len(page) != 2 {
-			t.Errorf("page %d of %d backends told after %d calls", told, len(page), calls.Load())
+		if reported++; int64(reported) != calls.Load() || len(page) != 2 {
+			t.Errorf("onPage: got page %d of %d backends after %d calls", reported, len(page), calls.Load())
 		}
 	})
-	if err != nil || reading.Pages != pages || told != pages {
-		t.Fatalf("%d pages, %d told, error %v", reading.Pages, told, err)
+	if err != nil || reading.Pages != pages || reported != pages {
+		t.Fatalf("Read: got %d pages, %d of them reported, error %v; want %d", reading.Pages, reported, err, pages)
 	}
 	if least := fraction(time.Second, (pages-testRate)/testRate); paused < least {
-		t.Errorf("%d pages within %v: over the rate of %v", pages, paused, testRate)
+		t.Errorf("%d pages: got pauses of %v, too short for a rate of %v", pages, paused, testRate)
 	}
 }
--- a/internal/discovery/poller_test.go
+++ b/internal/discovery/poller_test.go
@@ -31,15 +31,15 @@
 	for rank := range 8 {
 		wait := newTestSchedule(now).pollWait(now, nodeRole{Control: true, Rank: rank, Members: 13})
 		if wait < last {
-			t.Errorf("rank %d reads after %v, before the rank below it (%v)", rank, wait, last)
+			t.Errorf("rank %d: got a wait of %v, want no less than that of the rank below (%v)", rank, wait, last)
 		}
 		if wait >= testDrain*6/10 {
-			t.Errorf("rank %d reads after %v: too late", rank, wait)
+			t.Errorf("rank %d: got a wait of %v, want less than 0.6 of the drain time-out", rank, wait)
 		}
 		last = wait
 	}
 	if wait := newTestSchedule(now).pollWait(now, nodeRole{Control: true, Members: 13, ProofAge: unknownAge}); wait != 0 {
-		t.Errorf("the first control node without any proof waits %v", wait)
+		t.Errorf("rank 0 without a proof: got a wait of %v, want 0", wait)
 	}
 }
 
@@ -47,16 +47,16 @@
 	now := time.Now()
 	alone := nodeRole{Control: true, Members: 1, ProofAge: unknownAge}
 	if wait := newTestSchedule(now).pollWait(now, alone); wait != joinTime {
-		t.Errorf("a control node that has met no other waits %v", wait)
+		t.Errorf("control node alone: got a wait of %v, want %v", wait, joinTime)
 	}
 	if wait := newTestSchedule(now).pollWait(now.Add(joinTime), alone); wait != 0 {
-		t.Errorf("a control node that goes on meeting no other waits %v more", wait)
+		t.Errorf("control node alone after joinTime: got a wait of %v, want 0", wait)
 	}
 	last := -startStep
 	for rank := range maxStartSteps {
 		wait := newTestSchedule(now).pollWait(now, nodeRole{Control: true, Rank: rank, Members: 13, ProofAge: unknownAge})
 		if wait < last+startStep {
-			t.Errorf("rank %d reads after %v, soon after the rank below it (%v)", rank, wait, last)
+			t.Errorf("rank %d: got a wait of %v, want startStep more than the rank below (%v)", rank, wait, last)
 		}
 		last = wait
 	}
@@ -66,16 +66,16 @@
 	now := time.Now()
 	s := newTestSchedule(now)
 	if wait := s.pollWait(now, nodeRole{Members: 13, ProofAge: unknownAge}); wait < startWait {
-		t.Errorf("a started node waits only %v", wait)
+		t.Errorf("started node: got a wait of %v, want %v at least", wait, startWait)
 	}
 	now = now.Add(10 * time.Second)
 	st := nodeRole{Members: 13, ProofAge: testDrain / 2}
 	if s.pollWait(now, st) == 0 {
-		t.Error("a node with news reads")
+		t.Error("node with a young proof: got no wait, want one")
 	}
 	st.ProofAge = testDrain * 3 / 4
 	if wait := s.pollWait(now, st); wait != 0 {
-		t.Errorf("a node without news waits %v", wait)
+		t.Errorf("node with an old proof: got a wait of %v, want 0", wait)
 	}
 }
 
@@ -102,7 +102,7 @@
 		}
 	}
 	if rate := float64(calls) / span.Seconds(); rate > testRate {
-		t.Errorf("%.1f calls a second, over %v", rate, testRate)
+		t.Errorf("calls a second: got %.1f, want %v at most", rate, testRate)
 	}
 }
 
@@ -116,13 +116,13 @@
 		s.pollFinished(now, 0, errors.New("silence"))
 		wait := s.pollWait(now, st)
 		if wait <= last {
-			t.Errorf("waits %v after %v", wait, last)
+			t.Errorf("wait after another failure: got %v, want more than %v", wait, last)
 		}
 		last, now = wait, now.Add(wait)
 	}
 	s.pollFinished(now, 1, nil)
 	if wait := s.pollWait(now, st); wait != 0 {
-		t.Errorf("waits %v after a success", wait)
+		t.Errorf("wait after a success: got %v, want 0", wait)
 	}
 }
 
@@ -197,18 +197,18 @@
 	r.poll(t.Context(), true)
 	first := d.sequence
 	if d.changes != 1 || d.proof.IsZero() {
-		t.Fatalf("%d changes, proof %v", d.changes, d.proof)
+		t.Fatalf("first poll: got %d changes, proof %v; want 1 and a proof", d.changes, d.proof)
 	}
 	proof := d.proof
 	backends[1].Cold -= time.Millisecond // still cold
 	r.poll(t.Context(), true)
 	if d.changes != 1 || !d.proof.After(proof) {
-		t.Errorf("%d changes, proof %v after %v", d.changes, d.proof, proof)
+		t.Errorf("same listing: got %d changes, proof %v after %v; want 1 and a younger proof", d.changes, d.proof, proof)
 	}
 	backends[1].Draining = true
 	r.poll(t.Context(), true)
 	if d.changes != 2 || d.sequence <= first {
-		t.Errorf("%d changes, version %d after %d", d.changes, d.sequence, first)
+		t.Errorf("changed listing: got %d changes, version %d after %d; want 2 and a higher version", d.changes, d.sequence, first)
 	}
 }
 
@@ -225,10 +225,10 @@
 	}))
 	r.poll(t.Context(), true)
 	if d.changes != 1 {
-		t.Errorf("%d changes: a reading replaced what was heard of while it was made", d.changes)
+		t.Errorf("newer version during the poll: got %d changes, want 1", d.changes)
 	}
 	if !d.proof.IsZero() {
-		t.Error("a dropped reading certified the other version")
+		t.Error("dropped listing: got a proof of the other version, want none")
 	}
 }
 
@@ -237,7 +237,7 @@
 	r := newTestPoller(d, sourceFunc(func() (Listing, error) { return Listing{}, errors.New("silence") }))
 	r.poll(t.Context(), true)
 	if d.changes != 0 || !d.proof.IsZero() {
-		t.Error("a failed reading changed the list")
+		t.Error("failed poll: got a change or a proof, want neither")
 	}
 }
 
@@ -246,7 +246,7 @@
 	for _, writer := range []string{"10.1.0.7:7660", "10.1.0.7:7661", "10.2.0.7:7660", "10.1.0.8:7660"} {
 		next := nextSequence(5<<writerBits|3, netip.MustParseAddrPort(writer))
 		if seen[next] || next>>writerBits != 6 {
-			t.Errorf("%s writes %x", writer, next)
+			t.Errorf("nextSequence of %s: got %x, want another one with counter 6", writer, next)
 		}
 		seen[next] = true
 	}
@@ -276,25 +276,25 @@
 		source.each = func() { published = append(published, d.changes-first) }
 		r.poll(t.Context(), true)
 		if len(published) != 3 || published[0] != 0 || published[1] != 1 || published[2] != 1 {
-			t.Fatalf("changes after each page: %v", published)
+			t.Fatalf("changes after each page: got %v, want [0 1 1]", published)
 		}
 		list, err := Decode(d.data)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if b, listed := list.Get(backends[5].ID); !listed || !b.Draining {
-			t.Errorf("failure %v: the draining backend is %+v", failure, b)
+			t.Errorf("failure %v: draining backend: got %+v", failure, b)
 		}
 		_, hasNew := list.Get(fresh.ID)
 		_, hasOld := list.Get(backends[11].ID)
 		if hasNew != (failure == nil) || hasOld != (failure != nil) {
-			t.Errorf("failure %v: new one listed: %v, lacking one listed: %v", failure, hasNew, hasOld)
+			t.Errorf("failure %v: got new backend listed: %v, missing backend listed: %v", failure, hasNew, hasOld)
 		}
 		if failure != nil && (d.proof.After(proof.Add(time.Second)) || d.proof.IsZero()) {
-			t.Errorf("proof %v, of the reading before %v", d.proof, proof)
+			t.Errorf("proof after a failed poll: got %v, want that of the poll before, %v", d.proof, proof)
 		}
 		if failure == nil && !d.proof.After(proof) {
-			t.Error("the whole reading is no proof")
+			t.Error("proof after a complete poll: want a younger one")
 		}
 	}
 }
@@ -307,20 +307,20 @@
 	s.pollStarted(now)
 	s.pollFinished(now, pages, nil)
 	if calls := pages / s.period().Seconds(); calls > testRate*0.81 || calls < testRate*0.79 {
-		t.Errorf("%.1f calls a second", calls)
+		t.Errorf("calls a second: got %.1f, want 0.8 of the rate", calls)
 	}
 	if s.maxPollTime(true) < s.period() {
-		t.Errorf("a reading may take %v, its pages need %v", s.maxPollTime(true), s.period())
+		t.Errorf("maxPollTime: got %v, want the %v that the pages need", s.maxPollTime(true), s.period())
 	}
 	last := time.Duration(0)
 	for rank := range 4 {
 		due := s.pollAge(nodeRole{Control: true, Rank: rank, Members: 390})
 		if due <= last {
-			t.Errorf("rank %d reads at an age of %v, the rank below it at %v", rank, due, last)
+			t.Errorf("rank %d: got a poll at age %v, want later than the rank below (%v)", rank, due, last)
 		}
 		last = due
 	}
 	if due := s.pollAge(nodeRole{Members: 390}); due <= s.period() {
-		t.Errorf("others read at an age of %v, the reader each %v", due, s.period())
+		t.Errorf("other nodes: got a poll at age %v, want later than the period of %v", due, s.period())
 	}
 }
--- a/internal/discovery/simulation_test.go
+++ b/internal/discovery/simulation_test.go
@@ -9,8 +9,8 @@
 	"nickelline/internal/simnet"
 )
 
-// A simulation of who reads the listing and how readings spread: nodes exchange proofs with a partner each heartbeat,
-// and changes go out as rumours. After each drain that the listing shows, the time is measured until a node knows.
+// A simulation of who polls the listing and how lists spread: nodes exchange proofs with a partner each heartbeat, and
+// changes are gossiped. For each drain that the listing shows, the time until all nodes know it is measured.
 
 type simulatedNode struct {
 	control        bool
@@ -323,7 +323,7 @@
 				s.clock.RunUntil(end)
 				for i, n := range s.nodes {
 					if !n.frozen && !n.partitioned && len(n.knownChanges) != s.platformVersion {
-						t.Errorf("seed %d: node %d knows %d changes of %d", seed, i, len(n.knownChanges), s.platformVersion)
+						t.Errorf("seed %d: changes that node %d knows: got %d, want %d", seed, i, len(n.knownChanges), s.platformVersion)
 					}
 				}
 				worst, calls = max(worst, s.worstDelay), max(calls, s.calls)
@@ -331,10 +331,10 @@
 			rate := float64(calls) / end.Seconds()
 			t.Logf("known everywhere after %v, %.1f calls a second", worst, rate)
 			if worst > c.worst {
-				t.Errorf("a drain is known after %v", worst)
+				t.Errorf("time until a drain is known: got %v", worst)
 			}
 			if rate > testRate {
-				t.Errorf("%.1f calls a second", rate)
+				t.Errorf("calls a second: got %.1f", rate)
 			}
 		})
 	}
@@ -355,7 +355,7 @@
 			own := float64(end-begin) / float64(s.nodes[0].schedule.period())
 			t.Logf("%s, seed %d: %v readings, %v of them the reader's, %d questions", name, seed, readings, own, s.pulls-asked)
 			if readings > 1.1*own {
-				t.Errorf("%s, seed %d: %v readings, %v of them the reader's", name, seed, readings, own)
+				t.Errorf("%s, seed %d: got %v polls, the primary makes %v", name, seed, readings, own)
 			}
 		}
 	}
@@ -382,7 +382,7 @@
 			}
 			t.Logf("%s, seed %d: %d nodes know the list after %v, %d calls", name, seed, known(), s.clock.Now(), s.calls)
 			if known() < site.nodes {
-				t.Errorf("%s, seed %d: only %d nodes know the list after %v", name, seed, known(), bound)
+				t.Errorf("%s, seed %d: nodes that know the list: got %d after %v", name, seed, known(), bound)
 			}
 		}
 	}
@@ -418,7 +418,7 @@
 				s.clock.RunUntil(end)
 				for _, n := range s.nodes {
 					if !n.frozen && n.version != s.platformVersion {
-						t.Errorf("seed %d: a node knows version %d of %d", seed, n.version, s.platformVersion)
+						t.Errorf("seed %d: version of a node: got %d, want %d", seed, n.version, s.platformVersion)
 					}
 				}
 				worst = max(worst, s.worstDelay)
@@ -427,10 +427,10 @@
 			rate := float64(calls) / end.Seconds()
 			t.Logf("known everywhere after %v, %.1f calls a second", worst, rate)
 			if worst > site.drain*9/10 {
-				t.Errorf("a drain is known after %v", worst)
+				t.Errorf("time until a drain is known: got %v", worst)
 			}
 			if rate > testRate/2 {
-				t.Errorf("%.1f calls a second", rate)
+				t.Errorf("calls a second: got %.1f", rate)
 			}
 		})
 	}
--- a/internal/load/candidates_test.go
+++ b/internal/load/candidates_test.go
@@ -25,14 +25,14 @@
 		memberAt(6, "proxy", "a"), memberAt(7, "proxy", "a"))
 	c := &candidates{members: func() *member.Table { return table }, preferred: "control"}
 	if got := fmt.Sprint(c.inZone("a")); got != "[10.0.0.3:7660 10.0.0.1:7660 10.0.0.6:7660]" {
-		t.Errorf("candidates of the zone: %v", got)
+		t.Errorf("candidates of zone a: got %v", got)
 	}
 	if got := fmt.Sprint(c.zones()); got != "[a b]" {
-		t.Errorf("zones: %v", got)
+		t.Errorf("zones: got %v, want [a b]", got)
 	}
 	table = member.NewTable(memberAt(7, "proxy", "a"))
 	if got := fmt.Sprint(c.inZone("a")); got != "[10.0.0.7:7660]" {
-		t.Errorf("candidates of a newer table: %v", got)
+		t.Errorf("candidates of a newer table: got %v, want [10.0.0.7:7660]", got)
 	}
 }
 
@@ -48,7 +48,7 @@
 	}
 	for range 10 {
 		if to := ask(); to != nodeA {
-			t.Fatalf("%v is asked though the first candidate answers", to)
+			t.Fatalf("target while the first candidate responds: got %v, want %v", to, nodeA)
 		}
 		c.messageReceived()
 	}
@@ -56,7 +56,7 @@
 		ask()
 	}
 	if to := ask(); to != nodeB {
-		t.Fatalf("%v is asked after the first candidate was silent", to)
+		t.Fatalf("target after the first candidate did not respond: got %v, want %v", to, nodeB)
 	}
 	returned := false
 	for end := now.Add(returnAfter + Interval); now.Before(end); {
@@ -64,13 +64,13 @@
 		c.messageReceived()
 	}
 	if !returned {
-		t.Error("the first candidate is not tried again")
+		t.Error("first candidate after returnAfter: got not tried, want tried again")
 	}
 }
 
 func TestNoCandidates(t *testing.T) {
 	var c collectorChoice
 	if _, ok := c.target(time.Now(), nil); ok {
-		t.Error("a candidate out of none")
+		t.Error("target without candidates: got one, want none")
 	}
 }
--- a/internal/load/codec_test.go
+++ b/internal/load/codec_test.go
@@ -17,7 +17,7 @@
 	if body, err := encodeReport(r); err != nil {
 		t.Error(err)
 	} else if got, err := decodeReport(body); err != nil || !reflect.DeepEqual(got, r) {
-		t.Errorf("report %+v, %v", got, err)
+		t.Errorf("report: got %+v, %v; want %+v", got, err, r)
 	}
 	a := &response{service: "s", loads: slices.Clone(loads), backendsHash: 77}
 	for i := range a.loads {
@@ -26,13 +26,13 @@
 	if body, err := encodeResponse(a); err != nil {
 		t.Error(err)
 	} else if got, err := decodeResponse(body); err != nil || !reflect.DeepEqual(got, a) {
-		t.Errorf("answer %+v, %v", got, err)
+		t.Errorf("response: got %+v, %v; want %+v", got, err, a)
 	}
 	s := &summary{service: "s", zone: "z", loads: loads, chunk: 3}
 	if body, err := encodeSummary(s); err != nil {
 		t.Error(err)
 	} else if got, err := decodeSummary(body); err != nil || !reflect.DeepEqual(got, s) {
-		t.Errorf("summary %+v, %v", got, err)
+		t.Errorf("summary: got %+v, %v; want %+v", got, err, s)
 	}
 }
 
@@ -48,10 +48,10 @@
 		t.Fatal(err)
 	}
 	if l := r.loads[0]; l.InFlight != 65535 || l.Unanswered != 255 {
-		t.Errorf("large figures: %+v", l)
+		t.Errorf("large counts: got %+v, want the largest that fit", l)
 	}
 	if l := r.loads[1]; l != (admission.BackendLoad{}) {
-		t.Errorf("negative figures: %+v", l)
+		t.Errorf("negative counts: got %+v, want 0", l)
 	}
 }
 
--- a/internal/load/collector_test.go
+++ b/internal/load/collector_test.go
@@ -40,30 +40,30 @@
 	c.handleReport(at(0), nodeA, reportOf(true, loadOf(1, 3, 1), loadOf(2, 0, 0)))
 	a := c.handleReport(at(time.Millisecond), nodeB, reportOf(true, loadOf(1, 2, 2), loadOf(2, 5, 0)))
 	if l := loadFor(a, 1); l.InFlight != 5 || l.Unanswered != 3 {
-		t.Errorf("first backend: %+v", l)
+		t.Errorf("first backend: got %+v, want 5 in flight, 3 unanswered", l)
 	}
 	if l := loadFor(a, 2); l.InFlight != 5 || l.Unanswered != 0 {
-		t.Errorf("second backend: %+v", l)
+		t.Errorf("second backend: got %+v, want 5 in flight, 0 unanswered", l)
 	}
 	a = c.handleReport(at(2*time.Millisecond), nodeB, reportOf(false, loadOf(1, 1, 0)))
 	if l := loadFor(a, 1); l.InFlight != 4 || l.Unanswered != 1 {
-		t.Errorf("a newer report did not take the place of the older one: %+v", l)
+		t.Errorf("after a newer report: got %+v, want 4 in flight, 1 unanswered", l)
 	}
 	if l := loadFor(a, 2); l.InFlight != 0 {
-		t.Errorf("a backend that a report leaves out has %+v", l)
+		t.Errorf("backend that the report left out: got %+v, want 0 in flight", l)
 	}
 }
 
 func TestCompleteReportIsRequested(t *testing.T) {
 	c := newCollector("a")
 	if a := c.handleReport(at(0), nodeA, reportOf(false, loadOf(1, 1, 0))); a.backendsHash != 0 || len(a.loads) > 0 {
-		t.Errorf("answer to a node whose backends are not known: %+v", a)
+		t.Errorf("response to a node with unknown backends: got %+v, want hash 0 and no loads", a)
 	}
 	if a := c.handleReport(at(0), nodeA, reportOf(true, loadOf(1, 1, 0))); a.backendsHash == 0 || loadFor(a, 1).InFlight != 1 {
-		t.Errorf("answer to a complete report: %+v", a)
+		t.Errorf("response to a complete report: got %+v, want a hash and 1 in flight", a)
 	}
 	if a := c.handleReport(at(0), nodeA, reportOf(false)); a.backendsHash == 0 {
-		t.Error("the node's backends were forgotten")
+		t.Error("response after a complete report: got hash 0, want the hash of its backends")
 	}
 }
 
@@ -73,12 +73,12 @@
 	c.handleSummary(at(0), remote, &summary{service: "s", zone: "b", loads: []admission.BackendLoad{loadOf(1, 2, 0)}})
 	for now := time.Duration(0); now <= expiry; now += Interval {
 		if l := loadFor(c.handleReport(at(now), nodeB, reportOf(true, loadOf(1, 1, 0))), 1); l.InFlight != 10 {
-			t.Errorf("after %v: %+v", now, l)
+			t.Errorf("after %v: got %+v, want 10 in flight", now, l)
 		}
 	}
 	a := c.handleReport(at(expiry+2*Interval), nodeB, reportOf(true, loadOf(1, 1, 0)))
 	if l := loadFor(a, 1); l.InFlight != 1 {
-		t.Errorf("what was not renewed still counts: %+v", l)
+		t.Errorf("after expiry: got %+v, want 1 in flight", l)
 	}
 }
 
@@ -89,14 +89,14 @@
 	c.handleSummary(at(0), remote, &summary{service: "s", zone: "b", loads: []admission.BackendLoad{loadOf(1, 4, 2)}})
 	c.handleSummary(at(0), remote, &summary{service: "s", zone: "a", loads: []admission.BackendLoad{loadOf(1, 50, 0)}})
 	if l := loadFor(c.handleReport(at(0), nodeA, reportOf(true, loadOf(1, 3, 0))), 1); l.InFlight != 7 || l.Unanswered != 2 {
-		t.Errorf("with another zone's requests: %+v", l)
+		t.Errorf("with another zone: got %+v, want 7 in flight, 2 unanswered", l)
 	}
 	sent := c.dueSummaries(at(0), "s")
 	if len(sent) != 1 || len(sent[0].loads) != 1 || sent[0].loads[0].InFlight != 3 {
-		t.Fatalf("summary of the own zone: %+v", sent)
+		t.Fatalf("summary of the local zone: got %+v, want 3 in flight at one backend", sent)
 	}
 	if again := c.dueSummaries(at(Interval-1), "s"); again != nil {
-		t.Errorf("a second summary within an interval: %+v", again)
+		t.Errorf("second summary within an Interval: got %+v, want none", again)
 	}
 }
 
@@ -111,7 +111,7 @@
 	for _, s := range c.dueSummaries(at(0), "s") {
 		body, err := encodeSummary(s)
 		if err != nil || len(body) > 1300 {
-			t.Fatalf("part of %d bytes: %v", len(body), err)
+			t.Fatalf("chunk: got %d bytes, error %v; want 1300 bytes at most", len(body), err)
 		}
 		decoded, err := decodeSummary(body)
 		if err != nil {
@@ -123,6 +123,6 @@
 		sum += l.InFlight
 	}
 	if sum != 2*len(loads) {
-		t.Errorf("%d requests in all, want %d", sum, 2*len(loads))
+		t.Errorf("sum of requests: got %d, want %d", sum, 2*len(loads))
 	}
 }
--- a/internal/load/golden_test.go
+++ b/internal/load/golden_test.go
@@ -41,7 +41,7 @@
 func TestGoldenBackendsHash(t *testing.T) {
 	const want = 0xefa3aeee
 	if got := hashBackends([]uint32{0x80000001, 0x00020003, 7}); got != want {
-		t.Errorf("tableOf: got %#x, want %#x", got, want)
+		t.Errorf("hashBackends: got %#x, want %#x", got, want)
 	}
 }
 
--- a/internal/load/service_test.go
+++ b/internal/load/service_test.go
@@ -44,7 +44,7 @@
 	transport *peer.Transport
 }
 
-// newNodes makes nodes that know each other. The first of them is the collector.
+// newNodes starts nodes that know each other. The first of them is the collector.
 func newNodes(t *testing.T, zones ...string) []*testNode {
 	t.Helper()
 	var members []member.Member
@@ -94,7 +94,7 @@
 		default:
 		}
 	}
-	t.Fatalf("no sum of %d", want)
+	t.Fatalf("in flight at the backend: want a sum of %d within the time", want)
 }
 
 func TestRefreshSumsAllNodes(t *testing.T) {
--- a/internal/peer/dial_test.go
+++ b/internal/peer/dial_test.go
@@ -25,7 +25,7 @@
 		return near, nil
 	})
 	if err != nil || tries != len(testAttempts) {
-		t.Fatalf("%d attempts, error %v", tries, err)
+		t.Fatalf("got %d attempts, error %v", tries, err)
 	}
 	_ = socket.Close()
 }
@@ -37,7 +37,7 @@
 		return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 	})
 	if !errors.Is(err, syscall.ECONNREFUSED) || tries != 1 {
-		t.Fatalf("%d attempts, error %v", tries, err)
+		t.Fatalf("got %d attempts, error %v", tries, err)
 	}
 }
 
@@ -51,7 +51,7 @@
 		return nil, &net.OpError{Op: "dial", Err: context.DeadlineExceeded}
 	})
 	if err == nil || tries != 1 {
-		t.Fatalf("%d attempts, error %v", tries, err)
+		t.Fatalf("got %d attempts, error %v", tries, err)
 	}
 }
 
@@ -62,6 +62,6 @@
 		sum += patience
 	}
 	if sum > dialTimeout {
-		t.Fatalf("attempts take %v, a connection may take %v", sum, dialTimeout)
+		t.Fatalf("sum of dialTimeouts: got %v, want %v", sum, dialTimeout)
 	}
 }
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -21,10 +21,10 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if read, err := readFrame(bytes.NewReader(data)); err == nil && read == nil {
-			t.Error("neither a frame nor an error")
+			t.Error("got neither a frame nor an error")
 		}
 		if read, err := decodeFrame(data); err == nil && read == nil {
-			t.Error("neither a frame nor an error")
+			t.Error("got neither a frame nor an error")
 		}
 	})
 }
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -44,7 +44,7 @@
 func wantKind(t *testing.T, err error, kind fault.Kind) {
 	t.Helper()
 	if err == nil || fault.KindOf(err) != kind {
-		t.Errorf("error %v of kind %d, want kind %d", err, fault.KindOf(err), kind)
+		t.Errorf("error %v: got kind %d, want kind %d", err, fault.KindOf(err), kind)
 	}
 }
 
@@ -57,10 +57,10 @@
 		body := bytes.Repeat([]byte{'x'}, size)
 		answer, err := a.Call(testContext(t), b.Address(), Message{Kind: testKind, Body: body})
 		if err != nil {
-			t.Fatalf("%d bytes: %v", size, err)
+			t.Fatalf("Call with %d bytes: got error %v", size, err)
 		}
 		if answer.Kind != testKind || !bytes.Equal(answer.Body, body) {
-			t.Fatalf("%d bytes came back as %d", size, len(answer.Body))
+			t.Fatalf("size of the response: want %d, got %d", size, len(answer.Body))
 		}
 	}
 	_, err := a.Call(testContext(t), b.Address(), Message{Kind: testKind, Body: make([]byte, MaxBody+1)})
@@ -86,24 +86,24 @@
 	select {
 	case <-received:
 	case <-testContext(t).Done():
-		t.Fatal("the datagram was lost")
+		t.Fatal("no datagram arrived in time")
 	}
 	within := func(sent uint64) bool { return sent >= size && sent < size+2*frameFields }
 	if sent := a.Sent(GossipKinds); sent.SameZone != 0 || !within(sent.OtherZones) {
-		t.Errorf("the caller counts %+v", sent)
+		t.Errorf("sent by the caller: got %+v", sent)
 	}
 	if sent := b.Sent(GossipKinds); sent.OtherZones != 0 || !within(sent.SameZone) {
-		t.Errorf("the answerer counts %+v", sent)
+		t.Errorf("sent by the responder: got %+v", sent)
 	}
 	if sent := a.Sent(MemberKinds); sent.SameZone != 0 || !within(sent.OtherZones) {
-		t.Errorf("datagrams count %+v", sent)
+		t.Errorf("datagrams sent: got %+v", sent)
 	}
 	if sent := a.Sent(ChainKinds); sent != (Traffic{}) {
-		t.Errorf("nothing counts %+v", sent)
+		t.Errorf("sent by a package without messages: got %+v, want nothing", sent)
 	}
 	byPackage := a.SentByPackage()
 	if len(byPackage) != 2 || byPackage[0].Package != "member" || byPackage[1].Package != "gossip" || byPackage[1].Traffic != a.Sent(GossipKinds) {
-		t.Errorf("by package: %+v", byPackage)
+		t.Errorf("SentByPackage: got %+v", byPackage)
 	}
 }
 
@@ -131,10 +131,10 @@
 	call(b, a)
 	for _, transport := range []*Transport{a, b} {
 		if count := connectionCount(transport); count != 1 {
-			t.Errorf("%d connections, want 1", count)
+			t.Errorf("connections: got %d, want 1", count)
 		}
 		if _, known := origins.Load(transport.Address()); !known {
-			t.Errorf("no message from the listening address %v", transport.Address())
+			t.Errorf("sender of messages: want the listening address %v", transport.Address())
 		}
 	}
 }
@@ -177,7 +177,7 @@
 	_, err := a.Call(testContext(t), b.Address(), Message{Kind: testKind})
 	wantKind(t, err, fault.VersionConflict)
 	if !strings.Contains(err.Error(), "version 7 is current") {
-		t.Errorf("text of the error is %q", err)
+		t.Errorf("text of the error: got %q", err)
 	}
 	_, err = a.Call(testContext(t), b.Address(), Message{Kind: otherKind})
 	wantKind(t, err, fault.NotReady)
@@ -241,7 +241,7 @@
 	_, err := a.Call(ctx, b.Address(), Message{Kind: testKind})
 	wantKind(t, err, fault.Unclear)
 	if told := <-remaining; told > 200*time.Millisecond {
-		t.Errorf("the handler was told of %v", told)
+		t.Errorf("deadline of the handler: got %v", told)
 	}
 	_, err = a.Call(ctx, b.Address(), Message{Kind: testKind})
 	wantKind(t, err, fault.NotReady)
@@ -259,7 +259,7 @@
 	_, err := c.await(ctx, 1, call)
 	wantKind(t, err, fault.NotReady)
 	if frames := c.takeQueue(); len(frames) != 1 {
-		t.Errorf("%d frames to be written, want the hello alone", len(frames))
+		t.Errorf("queued frames: got %d, want only the hello", len(frames))
 	}
 }
 
@@ -271,7 +271,7 @@
 		t.Fatal(err)
 	}
 	if err := c.enqueue(frame, nil); err == nil {
-		t.Error("a frame was queued over the bound")
+		t.Error("queue over maxQueuedBytes: got no error, want errQueueFull")
 	}
 }
 
@@ -287,7 +287,7 @@
 	}
 	for i := range uint64(count) {
 		if got := <-received; got != i {
-			t.Fatalf("message %d came as number %d", got, i)
+			t.Fatalf("message: got %d, want %d", got, i)
 		}
 	}
 }
@@ -304,7 +304,7 @@
 	b.Start()
 	a.Datagram(b.Address(), Message{Kind: testKind, Body: []byte("hello")})
 	if from := <-received; from != a.Address() {
-		t.Errorf("from %v, want %v", from, a.Address())
+		t.Errorf("sender: got %v, want %v", from, a.Address())
 	}
 }
 
@@ -360,7 +360,7 @@
 		}
 		_, err = socket.Read(make([]byte, 1))
 		if err == nil || isTimeout(err) {
-			t.Errorf("%s: the connection stays open (%v)", name, err)
+			t.Errorf("%s: got the connection open (%v), want it closed", name, err)
 		}
 		_ = socket.Close()
 	}
@@ -385,7 +385,7 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(got.body, f.body) {
-			t.Errorf("body of %d bytes came as %d", len(f.body), len(got.body))
+			t.Errorf("body: want %d bytes, got %d", len(f.body), len(got.body))
 		}
 		got.body, f.body = nil, nil
 		if !reflect.DeepEqual(got, f) {
@@ -437,7 +437,7 @@
 		b.checkIdleOnce()
 	}
 	if a.connection(b.Address()) != first {
-		t.Fatal("a connection with a call under way was retired")
+		t.Fatal("connection with a pending call: got retired, want kept")
 	}
 	close(release)
 	if err := <-slow; err != nil {
@@ -451,7 +451,7 @@
 		t.Fatal(err)
 	}
 	if a.connection(b.Address()) == first {
-		t.Error("the idle connection is still used")
+		t.Error("idle connection: got used again, want another one")
 	}
 }
 
--- a/internal/peer/unreliable_test.go
+++ b/internal/peer/unreliable_test.go
@@ -173,7 +173,7 @@
 					answer, err := a.Call(ctx, p.address, Message{Kind: testKind, Body: body})
 					cancel()
 					if err == nil && !bytes.Equal(answer.Body, body) {
-						t.Errorf("seed %d: call %d got the answer of another one", seed, number)
+						t.Errorf("seed %d: call %d: got the response of another call", seed, number)
 					}
 					errorsOf[number] = err
 				}
@@ -186,13 +186,13 @@
 			count := p.received[uint64(number)]
 			switch {
 			case count > 1:
-				t.Errorf("seed %d: request %d was sent %d times", seed, number, count)
+				t.Errorf("seed %d: request %d: got sent %d times, want once at most", seed, number, count)
 			case err == nil:
 				answered++
 			case fault.KindOf(err) == fault.NotReady:
 				unsent++
 				if count > 0 {
-					t.Errorf("seed %d: request %d was sent though its call ended with %v", seed, number, err)
+					t.Errorf("seed %d: request %d: got sent although its call failed with %v", seed, number, err)
 				}
 			default:
 				lost++
@@ -202,6 +202,6 @@
 	}
 	t.Logf("%d calls answered, %d lost, %d not sent", answered, lost, unsent)
 	if answered == 0 || lost == 0 {
-		t.Error("that tests too little")
+		t.Error("too few calls were tested")
 	}
 }
--- a/internal/quota/leaseholders_test.go
+++ b/internal/quota/leaseholders_test.go
@@ -14,7 +14,7 @@
 	testLeaseholder = Leaseholder{proxyAddress, 1}
 )
 
-// reclaimAll presents all leases of a life.
+// reclaimAll renews with all leases of a process.
 func reclaimAll(t *testing.T, a *Allocator, now time.Time, h Leaseholder, sequence uint64, entries ...Entry) []Grant {
 	t.Helper()
 	grants, err := a.Renew(now, h, &Renewal{Life: h.Life, Sequence: sequence, Complete: true, Entries: entries})
@@ -28,7 +28,7 @@
 	a := NewAllocator(rulePolicy, oneLimit(testLimit), nil, testStart)
 	g := mustRenew(t, a, after(0), testLeaseholder, 1, Entry{Tenant: "t", Demand: 100})[0]
 	if g.Lease.Rate < 40 {
-		t.Errorf("%+v though nobody holds a lease", g)
+		t.Errorf("grant without other leases: got %+v, want a rate of 40 at least", g)
 	}
 }
 
@@ -37,22 +37,22 @@
 	held := Entry{Tenant: "t", Held: Share{Rate: 20, Depth: 5}, Demand: 100}
 	reclaimAll(t, a, after(time.Millisecond), testLeaseholder, 1, held)
 	if addresses := a.Unreclaimed(after(time.Millisecond)); !slices.Equal(addresses, []netip.AddrPort{otherLeaseholder.Address}) {
-		t.Errorf("not heard of: %v", addresses)
+		t.Errorf("Unreclaimed: got %v, want only %v", addresses, otherLeaseholder.Address)
 	}
 	if g := mustRenew(t, a, after(2*time.Millisecond), testLeaseholder, 2, held)[0]; g.Lease.Rate > 20 {
-		t.Errorf("%+v before the other leases are known", g)
+		t.Errorf("grant in the grace period: got %+v, want a rate of 20 at most", g)
 	}
 	mustRenew(t, a, after(3*time.Millisecond), otherLeaseholder, 1, held) // perhaps not all of its leases
 	if g := mustRenew(t, a, after(4*time.Millisecond), testLeaseholder, 3, held)[0]; g.Lease.Rate > 20 {
-		t.Errorf("%+v before the other leases are known", g)
+		t.Errorf("grant in the grace period: got %+v, want a rate of 20 at most", g)
 	}
 	reclaimAll(t, a, after(5*time.Millisecond), otherLeaseholder, 2, held)
 	g := mustRenew(t, a, after(6*time.Millisecond), testLeaseholder, 4, held)[0]
 	if g.Lease.Rate <= 20 || g.Lease.Rate > 30 {
-		t.Errorf("%+v with all leases known, 20 of 50 held by another", g)
+		t.Errorf("grant after the grace period: got %+v, want a rate over 20 and up to 30", g)
 	}
 	if addresses := a.Unreclaimed(after(6 * time.Millisecond)); len(addresses) != 0 {
-		t.Errorf("not heard of: %v", addresses)
+		t.Errorf("Unreclaimed after the grace period: got %v, want none", addresses)
 	}
 }
 
@@ -60,14 +60,14 @@
 	a := NewAllocator(rulePolicy, oneLimit(testLimit), []Leaseholder{testLeaseholder}, testStart)
 	restarted := Leaseholder{proxyAddress, 2}
 	if a.StatusOf(restarted) != Unregistered || a.HasReclaimed(restarted) {
-		t.Error("a life that is not registered is admitted")
+		t.Error("restarted process: got registered or reclaimed, want neither")
 	}
 	register(a, after(0), restarted)
 	if g := mustRenew(t, a, after(0), restarted, 1, Entry{Tenant: "t", Demand: 100})[0]; g.Lease.Rate < 40 {
-		t.Errorf("%+v though the only holder has restarted", g)
+		t.Errorf("grant after the restart: got %+v, want a rate of 40 at least", g)
 	}
 	if a.StatusOf(testLeaseholder) != Former {
-		t.Error("the former life is admitted")
+		t.Error("status of the former process: want Former")
 	}
 }
 
@@ -75,7 +75,7 @@
 	a, now := allocatorAfterGrace(testLimit)
 	_, err := a.Renew(now, testLeaseholder, &Renewal{Life: 1, Sequence: 1, Entries: []Entry{{Tenant: "t", Need: 1}}})
 	if fault.KindOf(err) != fault.Conflict {
-		t.Errorf("error %v", err)
+		t.Errorf("Renew of an unregistered process: got error %v, want fault.Conflict", err)
 	}
 }
 
@@ -86,15 +86,15 @@
 	mustRenew(t, a, late.Add(-time.Second), otherLeaseholder, 1, Entry{Tenant: "t", Demand: 100})
 	mustRenew(t, a, late, otherLeaseholder, 2, Entry{Tenant: "t", Demand: 100})
 	if !a.HasRemovable() {
-		t.Fatal("no silent life is noticed")
+		t.Fatal("HasRemovable: got false, want true")
 	}
-	if silent := a.TakeRemovable(late); !slices.Equal(silent, []Leaseholder{testLeaseholder}) {
-		t.Errorf("silent: %v", silent)
+	if removable := a.TakeRemovable(late); !slices.Equal(removable, []Leaseholder{testLeaseholder}) {
+		t.Errorf("TakeRemovable: got %v, want only %v", removable, testLeaseholder)
 	}
 	if a.StatusOf(testLeaseholder) != Unregistered {
-		t.Error("a life that is to be removed is admitted")
+		t.Error("status of a removable process: want Unregistered")
 	}
-	if silent := a.TakeRemovable(late); len(silent) != 0 || a.HasRemovable() {
-		t.Errorf("silent once more: %v", silent)
+	if removable := a.TakeRemovable(late); len(removable) != 0 || a.HasRemovable() {
+		t.Errorf("second TakeRemovable: got %v, want none", removable)
 	}
 }
--- a/internal/quota/leave_test.go
+++ b/internal/quota/leave_test.go
@@ -20,17 +20,17 @@
 		t.Fatal(err)
 	}
 	if !a.HasRemovable() {
-		t.Error("no removal is called for")
+		t.Error("HasRemovable: got false, want true")
 	}
-	if silent := a.TakeRemovable(now); !slices.Equal(silent, []Leaseholder{testLeaseholder}) {
-		t.Errorf("to be removed: %v", silent)
+	if removable := a.TakeRemovable(now); !slices.Equal(removable, []Leaseholder{testLeaseholder}) {
+		t.Errorf("TakeRemovable: got %v, want only %v", removable, testLeaseholder)
 	}
 	if g := mustRenew(t, a, now, otherLeaseholder, 1, Entry{Tenant: "t", Demand: 100})[0]; g.Lease.Rate < 40 {
-		t.Errorf("%+v though the only other holder has left", g)
+		t.Errorf("grant after the other leaseholder left: got %+v, want a rate of 40 at least", g)
 	}
 }
 
-// A new allocator does not wait for one that left while its leases were not all known.
+// A new allocator does not wait for a process that left during the grace period.
 func TestGraceDoesNotWaitForLeavingProxy(t *testing.T) {
 	a := NewAllocator(rulePolicy, oneLimit(testLimit), []Leaseholder{testLeaseholder}, testStart)
 	if _, err := a.Renew(after(0), testLeaseholder, &Renewal{Life: 1, Sequence: 1, Complete: true, Leaving: true}); err != nil {
@@ -38,7 +38,7 @@
 	}
 	register(a, after(0), otherLeaseholder)
 	if g := mustRenew(t, a, after(0), otherLeaseholder, 1, Entry{Tenant: "t", Demand: 100})[0]; g.Lease.Rate < 40 {
-		t.Errorf("%+v though the only holder has left", g)
+		t.Errorf("grant after the only leaseholder left: got %+v, want a rate of 40 at least", g)
 	}
 }
 
@@ -46,8 +46,8 @@
 	head := &fakeHead{}
 	head.fresh.Store(true)
 	transport := startTransport(t)
-	register := &fakeRegistry{}
-	service := newServiceAt(t, transport, head, register, Limit{Rate: 100, Burst: 40})
+	registry := &fakeRegistry{}
+	service := newServiceAt(t, transport, head, registry, Limit{Rate: 100, Burst: 40})
 	endGrace(t, service)
 	own := startTransport(t)
 	limiter := NewLimiter(rulePolicy, own, func() []netip.AddrPort { return []netip.AddrPort{transport.Address()} }, zap.NewNop())
@@ -61,40 +61,41 @@
 	}
 	stop()
 	running.Wait()
-	if len(register.Current().Leaseholders) != 1 {
-		t.Fatalf("registered: %v", register.Current().Leaseholders)
+	if len(registry.Current().Leaseholders) != 1 {
+		t.Fatalf("registry: got %v, want one leaseholder", registry.Current().Leaseholders)
 	}
 	bounded, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	limiter.Leave(bounded)
-	for len(register.Current().Leaseholders) > 0 {
+	for len(registry.Current().Leaseholders) > 0 {
 		service.mutex.Lock()
 		changed := service.updater.startUpdates()
 		service.mutex.Unlock()
 		select {
 		case <-changed:
 		case <-bounded.Done():
-			t.Fatalf("still registered: %v", register.Current().Leaseholders)
+			t.Fatalf("registry after Leave: got %v, want none", registry.Current().Leaseholders)
 		}
 	}
 }
 
-// A life that is gone is forgotten when its leases have ended; one that runs without a renewal stays registered for longer.
+// A process that is down is removed when its leases have expired; one that runs without a renewal stays registered for
+// longer.
 func TestDownLeaseholderIsRemovedOnceItsLeasesExpire(t *testing.T) {
-	for _, gone := range []bool{false, true} {
+	for _, down := range []bool{false, true} {
 		a, now := allocatorAfterGrace(testLimit)
-		a.isDown = func(address netip.AddrPort) bool { return gone && address == testLeaseholder.Address }
+		a.isDown = func(address netip.AddrPort) bool { return down && address == testLeaseholder.Address }
 		mustRenew(t, a, now, testLeaseholder, 1, Entry{Tenant: "t", Demand: 100})
 		renewedAgain := now.Add(rulePolicy.Lease)
 		mustRenew(t, a, renewedAgain, otherLeaseholder, 1, Entry{Tenant: "t", Demand: 100})
 		if a.HasRemovable() {
-			t.Error("a life that holds a lease is to be removed")
+			t.Error("HasRemovable with a lease in force: got true, want false")
 		}
 		ended := now.Add(rulePolicy.Lease + HeadProofLifetime + time.Second)
 		mustRenew(t, a, ended, otherLeaseholder, 2, Entry{Tenant: "t", Demand: 100})
 		mustRenew(t, a, ended.Add(sweepInterval), otherLeaseholder, 3, Entry{Tenant: "t", Demand: 100})
-		if a.HasRemovable() != gone {
-			t.Errorf("gone is %v, to be removed %v", gone, a.HasRemovable())
+		if a.HasRemovable() != down {
+			t.Errorf("HasRemovable after expiry: got %v, want %v", a.HasRemovable(), down)
 		}
 	}
 }
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -18,7 +18,7 @@
 	"nickelline/internal/peer"
 )
 
-// fakeHead is a control node's place in the control chain.
+// fakeHead is the position of a control node in the control chain.
 type fakeHead struct {
 	fresh atomic.Bool
 	epoch atomic.Uint64
@@ -29,7 +29,7 @@
 func (h *fakeHead) Epoch() uint64                { return h.epoch.Load() }
 func (h *fakeHead) Head() (netip.AddrPort, bool) { return h.head, h.head.IsValid() }
 
-// fakeRegistry is a register that commits at once.
+// fakeRegistry is a Registry that commits at once.
 type fakeRegistry struct {
 	mutex   sync.Mutex
 	epoch   uint64
@@ -58,7 +58,7 @@
 	return r.current, nil
 }
 
-// changedMembers applies a change to the members of a register.
+// changedMembers applies a change to the leaseholders of a registry.
 func changedMembers(members []Leaseholder, c RegistryChange) []Leaseholder {
 	var changed []Leaseholder
 	for _, m := range members {
@@ -109,17 +109,17 @@
 		}
 		<-changed
 	}
-	t.Fatal("no allocator begins")
+	t.Fatal("no allocator was started")
 }
 
-// allocatorOf gives the allocator that a service has.
+// allocatorOf returns the allocator of a service.
 func allocatorOf(s *Service) *Allocator {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.allocator
 }
 
-// endGrace lets a service's allocator know all leases for some time.
+// endGrace ends the grace period of a service's allocator.
 func endGrace(t *testing.T, s *Service) {
 	t.Helper()
 	activate(t, s)
@@ -159,13 +159,13 @@
 			case fault.KindOf(err) == fault.QuotaExceeded && RetryAfter(err) > 0:
 				refused.Add(1)
 			default:
-				t.Errorf("refused with %v", err)
+				t.Errorf("Take: got error %v, want fault.QuotaExceeded with RetryAfter", err)
 			}
 		})
 	}
 	requests.Wait()
 	if admitted.Load() < 30 || refused.Load() < 100 {
-		t.Errorf("%d admitted, %d refused of 400 at once", admitted.Load(), refused.Load())
+		t.Errorf("400 requests at once: got %d admitted and %d refused, want 30 and 100 at least", admitted.Load(), refused.Load())
 	}
 }
 
@@ -173,7 +173,7 @@
 	l := NewLimiter(rulePolicy, nil, nil, zap.NewNop())
 	for _, tenant := range []*configuration.Tenant{nil, {Name: "t"}, {Name: "t", Burst: 5}} {
 		if err := l.Take(t.Context(), tenant); err != nil {
-			t.Errorf("%+v: %v", tenant, err)
+			t.Errorf("Take of %+v: got error %v, want none", tenant, err)
 		}
 	}
 }
@@ -183,7 +183,7 @@
 	limiter := startLimiter(t, control.Address())
 	err := limiter.Take(t.Context(), &configuration.Tenant{Name: "t", RatePerSecond: 10})
 	if fault.KindOf(err) != fault.NotReady {
-		t.Errorf("refused with %v", err)
+		t.Errorf("Take: got error %v, want fault.NotReady", err)
 	}
 }
 
@@ -193,7 +193,7 @@
 	cancel(errors.New("client left"))
 	err := l.Take(ctx, &configuration.Tenant{Name: "t", RatePerSecond: 10})
 	if fault.KindOf(err) != fault.NotReady {
-		t.Errorf("refused with %v", err)
+		t.Errorf("Take: got error %v, want fault.NotReady", err)
 	}
 }
 
@@ -208,16 +208,16 @@
 	head.epoch.Store(4)
 	activate(t, service)
 	if allocatorOf(service) != first {
-		t.Error("a head that stays begins anew")
+		t.Error("head stays: got a new allocator, want the same")
 	}
 	head.epoch.Store(6)
 	activate(t, service)
 	if allocatorOf(service) == first {
-		t.Error("a head that may have been another in between goes on")
+		t.Error("other head in between: got the same allocator, want a new one")
 	}
 	service.ObserveView(7, false)
 	if allocatorOf(service) != nil {
-		t.Error("a node that is no head goes on")
+		t.Error("no head any more: got an allocator, want none")
 	}
 }
 
@@ -226,14 +226,14 @@
 	_, service := newControl(t, head, Limit{Rate: 10})
 	activateOnce(service)
 	if allocatorOf(service) != nil {
-		t.Error("an allocator without a proof of headship")
+		t.Error("without proof of being head: got an allocator, want none")
 	}
 	head.fresh.Store(true)
 	for tries := 0; tries < 100 && allocatorOf(service) == nil; tries++ {
 		activateOnce(service)
 	}
 	if allocatorOf(service) == nil {
-		t.Error("no allocator though the node is proven to be the head")
+		t.Error("with proof of being head: got no allocator, want one")
 	}
 }
 
@@ -253,7 +253,7 @@
 	service := newServiceAt(t, startTransport(t), head, register, Limit{Rate: 10})
 	activateOnce(service)
 	if allocatorOf(service) != nil {
-		t.Error("an allocator begins that has not shut out its predecessors")
+		t.Error("registry not changed: got an allocator, want none")
 	}
 	head.fresh.Store(false) // ends the tries
 }
@@ -281,11 +281,11 @@
 	settled := allocator.graceEnded(time.Now())
 	secondService.mutex.Unlock()
 	if !settled {
-		t.Error("the allocator still waits though the only holder has presented its leases")
+		t.Error("all leases reclaimed: got grace period, want its end")
 	}
 	takeOnce(t, limiter, tenant)
 	if got := len(register.Current().Leaseholders); got != 1 {
-		t.Errorf("%d registered", got)
+		t.Errorf("registered processes: got %d, want 1", got)
 	}
 }
 
@@ -324,14 +324,14 @@
 	}
 	l.followAllocator(next, 4)
 	if err := l.checkAnswer(old, &answer{epoch: 3}, 0); fault.KindOf(err) != fault.NotReady {
-		t.Errorf("the answer of a former allocator: %v", err)
+		t.Errorf("answer of a former allocator: got error %v, want fault.NotReady", err)
 	}
 	if err := l.checkAnswer(old, &answer{moved: true}, 0); err != nil || l.allocator != next {
-		t.Errorf("the allocator is %v after a late answer, error %v", l.allocator, err)
+		t.Errorf("allocator after a late answer: got %v, error %v", l.allocator, err)
 	}
 	l.followAllocator(old, 3)
 	if l.allocator != next {
-		t.Error("a former allocator is followed")
+		t.Error("announcement of a former allocator: got followed, want ignored")
 	}
 }
 
@@ -343,11 +343,11 @@
 	l.buckets.apply(time.Now(), time.Now(), entries, []Grant{{Lease: Share{Rate: 1e9, Depth: 9}}})
 	l.dropAllocator(proxyAddress, fault.New(fault.NotReady, "out of reach"))
 	if l.life != life || l.buckets.bucket(time.Now(), "t").lease.Rate == 0 {
-		t.Error("a failed call ends the leases")
+		t.Error("failed call: got the leases ended, want them kept")
 	}
 	l.dropAllocator(proxyAddress, fault.New(fault.Conflict, "a former life"))
 	if l.life == life || l.buckets.bucket(time.Now(), "t").lease.Rate != 0 {
-		t.Error("the life or a lease has stayed")
+		t.Error("taken for a former process: want a new identity without leases")
 	}
 }
 
@@ -360,12 +360,12 @@
 	tenant := &configuration.Tenant{Name: "t", RatePerSecond: 100}
 	for range 5 {
 		if err := l.Take(t.Context(), tenant); err != nil {
-			t.Fatalf("a request is refused that gets a token in 10 ms: %v", err)
+			t.Fatalf("request with a token in 10 ms: got error %v, want none", err)
 		}
 	}
 	slow := &configuration.Tenant{Name: "slow", RatePerSecond: 100}
 	if err := l.Take(t.Context(), slow); fault.KindOf(err) != fault.NotReady {
-		t.Errorf("a request of a tenant without a lease: %v", err)
+		t.Errorf("request of a tenant without a lease: got error %v", err)
 	}
 	impatient := WithMaxWait(t.Context(), time.Microsecond)
 	refusals := 0
@@ -375,6 +375,6 @@
 		}
 	}
 	if refusals < 4 {
-		t.Errorf("%d of 5 requests refused that cannot wait", refusals)
+		t.Errorf("requests that cannot wait: got %d of 5 refused", refusals)
 	}
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -23,12 +23,12 @@
 
 func oneLimit(l Limit) func(string) Limit { return func(string) Limit { return l } }
 
-// allocatorAfterGrace gives an allocator that knows all leases.
+// allocatorAfterGrace returns an allocator that knows all leases, and the time.
 func allocatorAfterGrace(l Limit) (*Allocator, time.Time) {
 	return NewAllocator(rulePolicy, oneLimit(l), nil, testStart), testStart
 }
 
-// register adds a life to those that an allocator knows to be registered.
+// register adds a process to those that an allocator knows to be registered.
 func register(a *Allocator, now time.Time, added Leaseholder) {
 	members := []Leaseholder{added}
 	for address, h := range a.leaseholders {
@@ -39,7 +39,7 @@
 	a.SetRegistered(now, members)
 }
 
-// mustRenew renews leases for a life, which it has registered before.
+// mustRenew registers a process if necessary and renews its leases.
 func mustRenew(t *testing.T, a *Allocator, now time.Time, h Leaseholder, sequence uint64, entries ...Entry) []Grant {
 	t.Helper()
 	if a.StatusOf(h) == Unregistered {
@@ -55,10 +55,10 @@
 func TestPolicyOfBounds(t *testing.T) {
 	p := PolicyOf(&settings.Bounds{QuotaWindowS: 5, QuotaOvershoot: 0.1, QuotaAllowance: 20})
 	if p != rulePolicy {
-		t.Errorf("%+v, want %+v", p, rulePolicy)
+		t.Errorf("PolicyOf: got %+v, want %+v", p, rulePolicy)
 	}
 	if p := PolicyOf(&settings.Bounds{}); p.Lease <= 0 || p.Window <= 0 {
-		t.Errorf("%+v without bounds", p)
+		t.Errorf("PolicyOf without bounds: got %+v, want a lease and a window", p)
 	}
 }
 
@@ -68,11 +68,11 @@
 	held := Share{Rate: 20, Depth: 5}
 	g := mustRenew(t, a, after(0), h, 1, Entry{Tenant: "t", Held: held, Demand: 40, Need: 3})[0]
 	if g.Granted != 0 || g.Lease.Rate > held.Rate || g.Lease.Depth > held.Depth || g.RetryAfter == 0 {
-		t.Errorf("%+v before the leases of a former allocator have ended", g)
+		t.Errorf("grant in the grace period: got %+v, want no more than %+v", g, held)
 	}
 	g = mustRenew(t, a, a.graceEndsAt.Add(time.Second), h, 2, Entry{Tenant: "t", Held: g.Lease, Demand: 40, Need: 3})[0]
 	if g.Granted != 3 || g.Lease.Rate <= 20 {
-		t.Errorf("%+v with all leases known", g)
+		t.Errorf("grant after the grace period: got %+v, want 3 granted and a rate over 20", g)
 	}
 }
 
@@ -82,24 +82,24 @@
 	g := mustRenew(t, a, now, first, 1, Entry{Tenant: "t", Demand: 100})[0]
 	held := g.Lease
 	if held.Rate < 40 {
-		t.Fatalf("the only proxy gets %+v", held)
+		t.Fatalf("lease of the only proxy: got %+v, want a rate of 40 at least", held)
 	}
 	g = mustRenew(t, a, now, second, 1, Entry{Tenant: "t", Demand: 100})[0]
 	if held.Rate+g.Lease.Rate > 50 {
-		t.Errorf("leases of %v and %v", held.Rate, g.Lease.Rate)
+		t.Errorf("rates of both leases: got %v and %v, want 50 at most together", held.Rate, g.Lease.Rate)
 	}
 	lower := mustRenew(t, a, now, first, 2, Entry{Tenant: "t", Held: held, Demand: 100})[0].Lease
 	if lower.Rate >= held.Rate {
-		t.Fatalf("not reduced: %v after %v", lower.Rate, held.Rate)
+		t.Fatalf("reduced rate: got %v, want less than %v", lower.Rate, held.Rate)
 	}
 	g = mustRenew(t, a, now, second, 2, Entry{Tenant: "t", Held: g.Lease, Demand: 100})[0]
 	if held.Rate+g.Lease.Rate > 50 {
-		t.Errorf("leases of %v (not yet given up) and %v", held.Rate, g.Lease.Rate)
+		t.Errorf("rates of both leases before the confirmation: got %v and %v, want 50 at most together", held.Rate, g.Lease.Rate)
 	}
 	mustRenew(t, a, now, first, 3, Entry{Tenant: "t", Held: lower, Demand: 100})
 	grown := mustRenew(t, a, now, second, 3, Entry{Tenant: "t", Held: g.Lease, Demand: 100})[0].Lease
 	if grown.Rate <= g.Lease.Rate || lower.Rate+grown.Rate > 50 {
-		t.Errorf("leases of %v and %v after the reduction", lower.Rate, grown.Rate)
+		t.Errorf("rates of both leases after the confirmation: got %v and %v, want growth to 50 at most together", lower.Rate, grown.Rate)
 	}
 }
 
@@ -110,12 +110,12 @@
 	late := now.Add(rulePolicy.Lease + HeadProofLifetime/2) // a successor may have extended it meanwhile
 	g := mustRenew(t, a, late, other, 1, Entry{Tenant: "t", Demand: 100})[0]
 	if g.Lease.Rate > 10 {
-		t.Errorf("%+v while a successor may have renewed the other lease", g)
+		t.Errorf("grant while the other lease may be in force: got %+v, want a rate of 10 at most", g)
 	}
 	late = now.Add(rulePolicy.Lease + HeadProofLifetime + time.Millisecond)
 	g = mustRenew(t, a, late, other, 2, Entry{Tenant: "t", Held: g.Lease, Demand: 100})[0]
 	if g.Lease.Rate < 40 {
-		t.Errorf("%+v after the other lease has ended", g)
+		t.Errorf("grant after the other lease expired: got %+v, want a rate of 40 at least", g)
 	}
 }
 
@@ -124,11 +124,11 @@
 	mustRenew(t, a, now, Leaseholder{proxyAddress, 1}, 7, Entry{Tenant: "t", Demand: 100})
 	g := mustRenew(t, a, now, Leaseholder{proxyAddress, 2}, 1, Entry{Tenant: "t", Demand: 100})[0]
 	if g.Lease.Rate < 40 {
-		t.Errorf("a restarted proxy gets %+v", g)
+		t.Errorf("grant of a restarted proxy: got %+v, want a rate of 40 at least", g)
 	}
 	_, err := a.Renew(now, Leaseholder{proxyAddress, 1}, &Renewal{Life: 1, Sequence: 8})
 	if fault.KindOf(err) != fault.Conflict {
-		t.Errorf("a message of a former life: %v", err)
+		t.Errorf("renewal of a former process: got error %v, want fault.Conflict", err)
 	}
 }
 
@@ -139,7 +139,7 @@
 	for _, sequence := range []uint64{1, 2} {
 		_, err := a.Renew(now, h, &Renewal{Life: 1, Sequence: sequence})
 		if fault.KindOf(err) != fault.Conflict {
-			t.Errorf("sequence %d after 2: %v", sequence, err)
+			t.Errorf("sequence %d after 2: got error %v, want fault.Conflict", sequence, err)
 		}
 	}
 }
@@ -148,25 +148,25 @@
 	a, now := allocatorAfterGrace(Limit{})
 	g := mustRenew(t, a, now, Leaseholder{proxyAddress, 1}, 1, Entry{Tenant: "t", Need: 9})[0]
 	if g.Granted != 9 {
-		t.Errorf("%+v", g)
+		t.Errorf("grant without a limit: got %+v, want 9 granted", g)
 	}
 }
 
 func TestBucketNeedsALease(t *testing.T) {
 	b := newLeasedBuckets(rulePolicy)
 	if b.takeOnArrival(after(0), "t") {
-		t.Fatal("a token without a lease")
+		t.Fatal("without a lease: got a token, want none")
 	}
 	entries := b.renewalEntries(after(0), map[string]int{"t": 1}, false)
 	b.apply(after(time.Second), after(0), entries, []Grant{{Lease: Share{Rate: 10, Depth: 3}}})
 	if b.takeOnArrival(after(time.Second), "t") {
-		t.Error("a new lease must begin with an empty bucket")
+		t.Error("new lease: got a token, want an empty bucket")
 	}
 	if !b.takeOnArrival(after(1200*time.Millisecond), "t") {
-		t.Error("no token after 0.2 s of 10 a second")
+		t.Error("after 0.2 s of 10 a second: got no token, want one")
 	}
 	if b.takeOnArrival(after(rulePolicy.Lease), "t") {
-		t.Error("a token after the end of the lease, counted from when it was asked for")
+		t.Error("after Policy.Lease since the request: got a token, want none")
 	}
 }
 
@@ -177,10 +177,10 @@
 	b.apply(after(0), after(0), entries, []Grant{{Lease: Share{Rate: 10, Depth: 3}}})
 	entries = b.renewalEntries(after(time.Second), nil, true)
 	if got := entries[0].Returned; math.Abs(got-5) > 1e-9 { // of 10 given 3 are saved, 5 come in a period
-		t.Errorf("%v returned", got)
+		t.Errorf("returned surplus: got %v, want 5", got)
 	}
 	if again := b.renewalEntries(after(time.Second), nil, true)[0].Returned; again != 0 {
-		t.Errorf("%v returned once more", again)
+		t.Errorf("surplus returned again: got %v, want 0", again)
 	}
 }
 
@@ -191,11 +191,11 @@
 	b.apply(after(0), after(0), entries, []Grant{{Lease: Share{Rate: 1, Depth: 1}}})
 	now := after(time.Second)
 	if !b.takeOnArrival(now, "t") || b.takeOnArrival(now, "t") {
-		t.Fatal("one token expected")
+		t.Fatal("tokens: want exactly one")
 	}
 	b.refund(now, "t")
 	if !b.takeOnArrival(now, "t") {
-		t.Error("the token is lost")
+		t.Error("after refund: got no token, want one")
 	}
 }
 
@@ -203,7 +203,7 @@
 	b := newLeasedBuckets(rulePolicy)
 	b.takeOnArrival(after(0), "t")
 	if entries := b.renewalEntries(after(idleTimeout+time.Second), nil, true); len(entries) != 0 || len(b.byTenant) != 0 {
-		t.Errorf("%d entries, %d tenants", len(entries), len(b.byTenant))
+		t.Errorf("idle tenant: got %d entries and %d buckets, want none", len(entries), len(b.byTenant))
 	}
 }
 
@@ -218,7 +218,7 @@
 	}
 	got, err := decodeRenewal(data)
 	if err != nil || fmt.Sprint(got) != fmt.Sprint(r) {
-		t.Errorf("%v, want %v (error %v)", got, r, err)
+		t.Errorf("decoded renewal: got %v, want %v (error %v)", got, r, err)
 	}
 	a := &answer{
 		grants:      []Grant{{Lease: Share{Rate: 1, Depth: 2}, Granted: 3, RetryAfter: 40 * time.Millisecond}},
@@ -232,7 +232,7 @@
 	}
 	gotAnswer, err := decodeAnswer(data)
 	if err != nil || fmt.Sprint(gotAnswer) != fmt.Sprint(a) {
-		t.Errorf("%v, want %v (error %v)", gotAnswer, a, err)
+		t.Errorf("decoded answer: got %v, want %v (error %v)", gotAnswer, a, err)
 	}
 	for cut := range data {
 		_, _ = decodeAnswer(data[:cut]) // must not panic
@@ -243,17 +243,17 @@
 		t.Fatal(err)
 	}
 	if epoch, err := decodeAnnouncement(data); err != nil || epoch != 6 {
-		t.Errorf("epoch %d, error %v", epoch, err)
+		t.Errorf("decoded announcement: got epoch %d and error %v, want 6", epoch, err)
 	}
 }
 
 func TestRefusalCarriesRetryAfter(t *testing.T) {
 	err := newRefusal(fault.QuotaExceeded, "t", 70*time.Millisecond)
 	if fault.KindOf(err) != fault.QuotaExceeded || RetryAfter(err) != 70*time.Millisecond {
-		t.Errorf("kind %v, retry after %v", fault.KindOf(err), RetryAfter(err))
+		t.Errorf("refusal: got kind %v and RetryAfter %v, want fault.QuotaExceeded and 70 ms", fault.KindOf(err), RetryAfter(err))
 	}
 	if RetryAfter(errors.New("other")) != 0 {
-		t.Error("another error tells a time")
+		t.Error("RetryAfter of another error: want 0")
 	}
 }
 
--- a/internal/quota/scenarios_test.go
+++ b/internal/quota/scenarios_test.go
@@ -51,7 +51,7 @@
 	}
 	t.Logf("refused under the limit: %.4f at worst", worst)
 	if worst > 0.01 {
-		t.Errorf("%.4f of the requests refused under their tenants' limits", worst)
+		t.Errorf("requests refused below the limits: got a fraction of %.4f", worst)
 	}
 }
 
@@ -68,11 +68,11 @@
 		s.clock.RunUntil(lead + 21*time.Second)
 		hot := s.tenants[2]
 		if served := float64(len(hot.admitted)) / 20; served < 0.9*hot.limit.Rate {
-			t.Errorf("seed %d: %.1f a second of the hot tenant admitted, its rate is %v", seed, served, hot.limit.Rate)
+			t.Errorf("seed %d: hot tenant: got %.1f a second admitted, its rate is %v", seed, served, hot.limit.Rate)
 		}
 		others := append(append([]*simulatedTenant{}, s.tenants[:2]...), s.tenants[3:]...)
 		if part := refusedFraction(others); part > idealRefusedFraction(others)+0.005 {
-			t.Errorf("seed %d: %.4f refused of the other tenants, by one bucket %.4f", seed, part, idealRefusedFraction(others))
+			t.Errorf("seed %d: other tenants: got a fraction of %.4f refused, by one bucket %.4f", seed, part, idealRefusedFraction(others))
 		}
 	}
 }
@@ -90,7 +90,7 @@
 	}
 	t.Logf("refused under the limit over a fail-over: %.4f at worst", worst)
 	if worst > 0.1 {
-		t.Errorf("%.4f of the requests refused over a fail-over", worst)
+		t.Errorf("requests refused during a fail-over: got a fraction of %.4f", worst)
 	}
 }
 
@@ -128,7 +128,7 @@
 		}
 		s.clock.RunUntil(lead + 13*time.Second)
 		if part := refusedFraction(s.tenants); part > 0.05 {
-			t.Errorf("seed %d: %.4f refused", seed, part)
+			t.Errorf("seed %d: requests refused: got a fraction of %.4f", seed, part)
 		}
 	}
 }
@@ -194,7 +194,7 @@
 			sentAfter, refusedAfter := s.counts()
 			part := float64(refusedAfter-refused) / float64(sentAfter-sent)
 			if use < 1 && part > 0.05 {
-				t.Errorf("seed %d: %.4f refused from half a second after the return", seed, part)
+				t.Errorf("seed %d: requests refused from half a second after the return: got a fraction of %.4f", seed, part)
 			}
 		}
 	}
@@ -215,12 +215,12 @@
 		s.failOver(at, time.Second, 0)
 		s.clock.RunUntil(at + time.Second + rulePolicy.Lease + HeadProofLifetime + 100*time.Millisecond)
 		if a := s.heads[0].allocator; a == nil || !a.graceEnded(s.wallTime()) {
-			t.Errorf("seed %d: the allocator waits longer than leases may last", seed)
+			t.Errorf("seed %d: grace period: got longer than leases last", seed)
 		}
 		s.failOver(at+30*time.Second, time.Second, 0)
 		s.clock.RunUntil(at + 31500*time.Millisecond)
 		if a := s.heads[0].allocator; a == nil || !a.graceEnded(s.wallTime()) {
-			t.Errorf("seed %d: the second allocator waits for proxies that have gone", seed)
+			t.Errorf("seed %d: second allocator: got a grace period for proxies that are down, want none", seed)
 		}
 		s.clock.RunUntil(lead + 46*time.Second)
 	}
@@ -244,6 +244,6 @@
 	}
 	t.Logf("refused from 0.3 s after the start of the new head: %.4f at worst", worst)
 	if worst > 0.03 {
-		t.Errorf("%.4f of the requests refused after a new head has begun", worst)
+		t.Errorf("requests refused after the start of a new head: got a fraction of %.4f", worst)
 	}
 }
--- a/internal/quota/simulation_head_test.go
+++ b/internal/quota/simulation_head_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// simulatedRegistry is the register in the control state.
+// simulatedRegistry is the registry in the control state.
 type simulatedRegistry struct {
 	epoch   uint64
 	current RegistryState
 }
 
-// commit applies a change, and tells whether it was allowed.
+// commit applies a change, and reports whether it was allowed.
 func (r *simulatedRegistry) commit(c RegistryChange) bool {
 	if c.Epoch < r.epoch || c.ExpectedRevision != r.current.Revision {
 		return false
@@ -21,7 +21,7 @@
 	return true
 }
 
-// simulatedHead is a control node that thinks itself head of the chain.
+// simulatedHead is a control node that takes itself for the head of the chain.
 type simulatedHead struct {
 	s         *simulation
 	epoch     uint64
@@ -33,7 +33,7 @@
 	later     []func() // renewals that wait for a change
 }
 
-// startHead begins a view with a new head.
+// startHead starts a view with a new head.
 func (s *simulation) startHead(epoch uint64) *simulatedHead {
 	h := &simulatedHead{s: s, epoch: epoch, waiting: map[netip.AddrPort]uint64{}}
 	s.heads = append(s.heads, h)
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -146,7 +146,7 @@
 	count := len(t.admitted) - t.first
 	if float64(count) > most && !s.violated {
 		s.violated = true
-		s.t.Errorf("%s: %d requests in a window at %v, at most %.1f", t.name, count, s.clock.Now(), most)
+		s.t.Errorf("%s: requests in a window: got %d at %v, want %.1f at most", t.name, count, s.clock.Now(), most)
 	}
 }
 
@@ -165,7 +165,7 @@
 		const rounding = 1e-6
 		if over := sum.Rate > t.limit.Rate+rounding || sum.Depth > s.policy.capacity(t.limit)+rounding; over && !s.violated {
 			s.violated = true
-			s.t.Errorf("%s: leases of %+v at %v, limit %+v", t.name, sum, s.clock.Now(), t.limit)
+			s.t.Errorf("%s: sum of leases: got %+v at %v, limit %+v", t.name, sum, s.clock.Now(), t.limit)
 		}
 	}
 }
@@ -271,6 +271,7 @@
 		return heads[0]
 	case reachNewest:
 		return heads[len(heads)-1]
+	case reachAll:
 	}
 	return heads[p.s.random.IntN(len(heads))]
 }
--- a/internal/quota/stats_test.go
+++ b/internal/quota/stats_test.go
@@ -17,6 +17,6 @@
 	}
 	l.waiting["one"] = []*waiter{{}, {}}
 	if stats := l.Stats(now); stats != (Stats{Leases: 2, Waiting: 2, Rate: 7}) {
-		t.Errorf("%+v", stats)
+		t.Errorf("Stats: got %+v", stats)
 	}
 }
