--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -1,11 +1,12 @@
 package admission
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"testing"
 	"time"
+
+	"nickelline/internal/simnet"
 )
 
 // A small simulation: nodes with a pool each, and backends that work on their slots, slow down with each running request,
@@ -21,27 +22,8 @@
 	most         int
 }
 
-type simulatedEvent struct {
-	at  time.Time
-	run func()
-}
-
-type eventQueue []simulatedEvent
-
-func (q eventQueue) Len() int           { return len(q) }
-func (q eventQueue) Less(i, j int) bool { return q[i].at.Before(q[j].at) }
-func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(e any)        { *q = append(*q, e.(simulatedEvent)) }
-func (q *eventQueue) Pop() any {
-	old := *q
-	last := old[len(old)-1]
-	*q = old[:len(old)-1]
-	return last
-}
-
 type simulation struct {
-	now      time.Time
-	events   eventQueue
+	clock    simnet.Clock
 	random   *rand.Rand
 	pools    []*Pool
 	backends map[string]*simulatedBackend
@@ -56,7 +38,7 @@
 const simulatedTrip = time.Millisecond
 
 func newSimulation(seed uint64, nodes, backends, slots int, service time.Duration) *simulation {
-	s := &simulation{now: start, random: rand.New(rand.NewPCG(seed, 1)), backends: map[string]*simulatedBackend{}}
+	s := &simulation{random: rand.New(rand.NewPCG(seed, 1)), backends: map[string]*simulatedBackend{}}
 	listed := backendsOf(backends, slots, "a", "b", "c")
 	for _, b := range listed {
 		s.backends[b.ID] = &simulatedBackend{slots: slots, queue: 4 * slots, service: service}
@@ -69,52 +51,43 @@
 	return s
 }
 
-func (s *simulation) after(d time.Duration, run func()) {
-	heap.Push(&s.events, simulatedEvent{at: s.now.Add(d), run: run})
-}
+// now returns the time of the simulated clock.
+func (s *simulation) now() time.Time { return start.Add(s.clock.Now()) }
 
 // arrivals has requests of a class arrive at a rate, at random nodes, for a time.
 func (s *simulation) arrivals(c class, rate float64, from, to time.Duration) {
 	for t := from.Seconds(); t < to.Seconds(); t += s.random.ExpFloat64() / rate {
-		at := start.Add(time.Duration(t * float64(time.Second)))
+		at := time.Duration(t * float64(time.Second))
 		node := s.random.IntN(len(s.pools))
-		heap.Push(&s.events, simulatedEvent{at: at, run: func() { s.request(s.pools[node], c) }})
-	}
-}
-
-func (s *simulation) run(until time.Duration) {
-	for len(s.events) > 0 && s.events[0].at.Sub(start) <= until {
-		e := heap.Pop(&s.events).(simulatedEvent)
-		s.now = e.at
-		e.run()
+		s.clock.At(at, func() { s.request(s.pools[node], c) })
 	}
 }
 
 func (s *simulation) request(p *Pool, c class) {
 	r := &s.results[c]
 	r.sent++
-	ticket, _ := p.Pick(s.now, Request{Batch: c == batch})
+	ticket, _ := p.Pick(s.now(), Request{Batch: c == batch})
 	if ticket == nil {
 		r.refused++
 		return
 	}
-	sentAt := s.now
-	s.after(simulatedTrip, func() {
+	sentAt := s.now()
+	s.clock.After(simulatedTrip, func() {
 		s.atBackend(s.backends[ticket.Backend.ID], func(o Outcome, load *Load) {
-			ticket.Done(s.now, o, load)
+			ticket.Done(s.now(), o, load)
 			if o != OK {
 				r.failed++
 				return
 			}
 			r.served++
-			r.latency += s.now.Sub(sentAt)
+			r.latency += s.now().Sub(sentAt)
 		})
 	})
 }
 
 func (s *simulation) atBackend(b *simulatedBackend, answer func(Outcome, *Load)) {
 	if b.down {
-		s.after(simulatedTrip, func() { answer(Failed, nil) })
+		s.clock.After(simulatedTrip, func() { answer(Failed, nil) })
 		return
 	}
 	begin := func() {
@@ -122,7 +95,7 @@
 		b.most = max(b.most, b.running+len(b.waiting))
 		slowdown := 1 + float64(b.running)/float64(b.slots)
 		took := time.Duration(float64(b.service) * slowdown * (0.5 + s.random.Float64()))
-		s.after(took, func() { s.finish(b, answer) })
+		s.clock.After(took, func() { s.finish(b, answer) })
 	}
 	switch {
 	case b.running < b.slots:
@@ -131,7 +104,7 @@
 		b.waiting = append(b.waiting, begin)
 		b.most = max(b.most, b.running+len(b.waiting))
 	default:
-		s.after(simulatedTrip, func() { answer(Full, &Load{b.running, len(b.waiting), b.slots}) })
+		s.clock.After(simulatedTrip, func() { answer(Full, &Load{b.running, len(b.waiting), b.slots}) })
 	}
 }
 
@@ -144,7 +117,7 @@
 		next()
 	}
 	load := &Load{b.running, len(b.waiting), b.slots}
-	s.after(simulatedTrip, func() { answer(OK, load) })
+	s.clock.After(simulatedTrip, func() { answer(OK, load) })
 }
 
 // capacity returns the number of requests a second that all backends can serve.
@@ -160,7 +133,7 @@
 	for seed := range uint64(3) {
 		s := newSimulation(seed, 10, 9, 16, 40*time.Millisecond)
 		s.arrivals(live, 0.6*s.capacity(), 0, 10*time.Second)
-		s.run(20 * time.Second)
+		s.clock.RunUntil(20 * time.Second)
 		r := s.results[live]
 		if r.refused > 0 || r.failed > 0 {
 			t.Errorf("seed %d: %+v at 0.6 of the capacity", seed, r)
@@ -182,7 +155,7 @@
 		s := newSimulation(seed, 10, 9, 16, 40*time.Millisecond)
 		s.arrivals(live, 0.8*s.capacity(), 0, 10*time.Second)
 		s.arrivals(batch, 0.8*s.capacity(), 0, 10*time.Second)
-		s.run(20 * time.Second)
+		s.clock.RunUntil(20 * time.Second)
 		first, other := s.results[live], s.results[batch]
 		if first.refused+first.failed > first.sent/20 {
 			t.Errorf("seed %d: live requests %+v with 0.8 of the capacity for them", seed, first)
@@ -200,7 +173,7 @@
 	for seed := range uint64(3) {
 		s := newSimulation(seed, 10, 9, 16, 40*time.Millisecond)
 		s.arrivals(live, 3*s.capacity(), 0, 4*time.Second)
-		s.run(4500 * time.Millisecond)
+		s.clock.RunUntil(4500 * time.Millisecond)
 		burst := s.results[live]
 		if done := float64(burst.served) / 4; done < 0.8*s.capacity() {
 			t.Errorf("seed %d: %.0f served a second of %.0f in a burst", seed, done, s.capacity())
@@ -210,7 +183,7 @@
 		}
 		s.results[live] = simulatedResults{}
 		s.arrivals(live, 0.5*s.capacity(), 5*time.Second, 9*time.Second)
-		s.run(12 * time.Second)
+		s.clock.RunUntil(12 * time.Second)
 		if after := s.results[live]; after.refused > after.sent/50 {
 			t.Errorf("seed %d: after the burst %+v", seed, after)
 		}
@@ -221,15 +194,15 @@
 	for seed := range uint64(3) {
 		s := newSimulation(seed, 10, 9, 16, 40*time.Millisecond)
 		s.arrivals(live, 0.4*s.capacity(), 0, 12*time.Second)
-		s.after(2*time.Second, func() { s.backends["i-0003"].down = true })
-		s.after(6*time.Second, func() { s.backends["i-0003"].down = false })
-		s.run(6 * time.Second)
+		s.clock.After(2*time.Second, func() { s.backends["i-0003"].down = true })
+		s.clock.After(6*time.Second, func() { s.backends["i-0003"].down = false })
+		s.clock.RunUntil(6 * time.Second)
 		failed := s.results[live].failed
 		if failed > s.results[live].sent/50 {
 			t.Errorf("seed %d: %+v with one of nine backends down", seed, s.results[live])
 		}
 		before := s.backends["i-0003"].served
-		s.run(20 * time.Second)
+		s.clock.RunUntil(20 * time.Second)
 		if s.backends["i-0003"].served == before {
 			t.Errorf("seed %d: no request went to the backend after its recovery", seed)
 		}
@@ -240,13 +213,13 @@
 	for seed := range uint64(3) {
 		s := newSimulation(seed, 10, 9, 16, 40*time.Millisecond)
 		s.arrivals(live, 0.6*s.capacity(), 0, 6*time.Second)
-		s.run(3 * time.Second)
+		s.clock.RunUntil(3 * time.Second)
 		for i := range s.pools { // all restart
 			p := NewPool("s", fmt.Sprintf("node-%d", i), s.pools[i].zone, seed+1)
 			p.SetBackends(backendsOf(9, 16, "a", "b", "c"), 0)
 			s.pools[i] = p
 		}
-		s.run(10 * time.Second)
+		s.clock.RunUntil(10 * time.Second)
 		for id, b := range s.backends {
 			if b.most > 2*b.slots {
 				t.Errorf("seed %d: %s had up to %d requests", seed, id, b.most)
--- a/internal/discovery/simulation_test.go
+++ b/internal/discovery/simulation_test.go
@@ -76,8 +76,8 @@
 	return s
 }
 
-// wallTime returns the time of the simulated clock.
-func (s *simulation) wallTime() time.Time { return s.start.Add(s.clock.Now()) }
+// now returns the time of the simulated clock.
+func (s *simulation) now() time.Time { return s.start.Add(s.clock.Now()) }
 
 // step lets a node read if it is due, or wait.
 func (s *simulation) step(n *simulatedNode) {
@@ -92,7 +92,7 @@
 	if s.clock.Now() < s.site.joined {
 		st.Rank, st.Members = 0, 1
 	}
-	wait, askWait := n.schedule.pollWait(s.wallTime(), st), n.schedule.pullWait(s.wallTime(), st)
+	wait, askWait := n.schedule.pollWait(s.now(), st), n.schedule.pullWait(s.now(), st)
 	if wait > 0 && askWait <= 0 {
 		s.pull(n)
 		return
@@ -105,7 +105,7 @@
 		s.clock.After(max(wait, minPause), func() { s.step(n) })
 		return
 	}
-	n.schedule.pollStarted(s.wallTime())
+	n.schedule.pollStarted(s.now())
 	s.readPage(n, simulatedPoll{began: s.clock.Now(), version: s.platformVersion, pacing: callPacing{ratePerS: testRate, primary: st.isPrimary()}})
 }
 
@@ -175,7 +175,7 @@
 }
 
 func (s *simulation) pollEnded(n *simulatedNode, r simulatedPoll, err error) {
-	n.schedule.pollFinished(s.wallTime(), r.pages, err)
+	n.schedule.pollFinished(s.now(), r.pages, err)
 	s.clock.After(time.Millisecond, func() { s.step(n) })
 }
 
@@ -193,7 +193,7 @@
 // pull has a node exchange with the control nodes in their order, as Reader.ask does.
 func (s *simulation) pull(n *simulatedNode) {
 	s.pulls++
-	n.schedule.pullStarted(s.wallTime())
+	n.schedule.pullStarted(s.now())
 	if s.clock.Now() < s.site.joined {
 		s.clock.After(minPause, func() { s.step(n) })
 		return
--- a/internal/quota/scenarios_test.go
+++ b/internal/quota/scenarios_test.go
@@ -214,12 +214,12 @@
 		}
 		s.failOver(at, time.Second, 0)
 		s.clock.RunUntil(at + time.Second + rulePolicy.Lease + HeadProofLifetime + 100*time.Millisecond)
-		if a := s.heads[0].allocator; a == nil || !a.graceEnded(s.wallTime()) {
+		if a := s.heads[0].allocator; a == nil || !a.graceEnded(s.now()) {
 			t.Errorf("seed %d: grace period: got longer than leases last", seed)
 		}
 		s.failOver(at+30*time.Second, time.Second, 0)
 		s.clock.RunUntil(at + 31500*time.Millisecond)
-		if a := s.heads[0].allocator; a == nil || !a.graceEnded(s.wallTime()) {
+		if a := s.heads[0].allocator; a == nil || !a.graceEnded(s.now()) {
 			t.Errorf("seed %d: second allocator: got a grace period for proxies that are down, want none", seed)
 		}
 		s.clock.RunUntil(lead + 46*time.Second)
--- a/internal/quota/simulation_head_test.go
+++ b/internal/quota/simulation_head_test.go
@@ -86,7 +86,7 @@
 		h.afterChange(func() { h.receive(from, r, reply) })
 		return
 	}
-	grants, err := h.allocator.Renew(h.s.wallTime(), from, r)
+	grants, err := h.allocator.Renew(h.s.now(), from, r)
 	if err != nil {
 		return
 	}
@@ -131,7 +131,7 @@
 		}
 	}
 	clear(h.waiting)
-	return added, h.allocator.TakeRemovable(h.s.wallTime())
+	return added, h.allocator.TakeRemovable(h.s.now())
 }
 
 // finish takes over the register after a change, or tries again.
@@ -144,10 +144,10 @@
 		h.s.clock.After(changePause, h.retry)
 		return
 	case begins:
-		h.allocator = NewAllocator(h.s.policy, h.s.limitOf, after.Leaseholders, h.s.wallTime())
+		h.allocator = NewAllocator(h.s.policy, h.s.limitOf, after.Leaseholders, h.s.now())
 		h.announce()
 	default:
-		h.allocator.SetRegistered(h.s.wallTime(), after.Leaseholders)
+		h.allocator.SetRegistered(h.s.now(), after.Leaseholders)
 	}
 	h.runLater()
 }
@@ -171,7 +171,7 @@
 
 // announce tells proxies of a new allocator until they have presented their leases.
 func (h *simulatedHead) announce() {
-	addresses := h.allocator.Unreclaimed(h.s.wallTime())
+	addresses := h.allocator.Unreclaimed(h.s.now())
 	if h.ended || len(addresses) == 0 {
 		return
 	}
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -106,8 +106,8 @@
 	return time.Duration((1 + s.random.ExpFloat64()) * float64(time.Millisecond))
 }
 
-// wallTime returns the time of the simulated clock.
-func (s *simulation) wallTime() time.Time { return s.start.Add(s.clock.Now()) }
+// now returns the time of the simulated clock.
+func (s *simulation) now() time.Time { return s.start.Add(s.clock.Now()) }
 
 // traffic lets a tenant's requests arrive in clumps at proxies of uneven shares.
 func (s *simulation) traffic(t *simulatedTenant, rate float64, from, to time.Duration) {
@@ -138,9 +138,9 @@
 
 // admit notes a request that is sent, and checks the window that ends with it.
 func (s *simulation) admit(t *simulatedTenant) {
-	t.admitted = append(t.admitted, s.wallTime())
+	t.admitted = append(t.admitted, s.now())
 	most := (t.limit.Rate*s.policy.Window.Seconds()+t.limit.Burst)*(1+s.policy.Overshoot) + s.policy.Allowance
-	for s.wallTime().Sub(t.admitted[t.first]) >= s.policy.Window {
+	for s.now().Sub(t.admitted[t.first]) >= s.policy.Window {
 		t.first++
 	}
 	count := len(t.admitted) - t.first
@@ -157,7 +157,7 @@
 		sum := Share{}
 		for _, p := range s.proxies {
 			b := p.buckets.byTenant[t.name]
-			if b != nil && !p.process.Stopped() && s.wallTime().Before(b.expiresAt) {
+			if b != nil && !p.process.Stopped() && s.now().Before(b.expiresAt) {
 				sum.Rate += b.lease.Rate
 				sum.Depth += b.lease.Depth
 			}
@@ -196,12 +196,12 @@
 		return // clients go elsewhere
 	}
 	t.sent++
-	t.ideal.arrive(p.s.wallTime(), t.limit)
+	t.ideal.arrive(p.s.now(), t.limit)
 	p.whileRunning(p.life, func() {
 		switch {
-		case p.buckets.takeOnArrival(p.s.wallTime(), t.name):
+		case p.buckets.takeOnArrival(p.s.now(), t.name):
 			p.s.admit(t)
-		case p.s.wallTime().Sub(p.failedAt) < unreachableSpan, p.buckets.exhaustedFor(p.s.wallTime(), t.name) > 0:
+		case p.s.now().Sub(p.failedAt) < unreachableSpan, p.buckets.exhaustedFor(p.s.now(), t.name) > 0:
 			t.refused++
 		default:
 			p.waiting[t.name]++
@@ -222,7 +222,7 @@
 	}
 	needs := p.waiting
 	complete := all || p.mustReclaim
-	entries := p.buckets.renewalEntries(p.s.wallTime(), needs, complete)
+	entries := p.buckets.renewalEntries(p.s.now(), needs, complete)
 	if len(entries) == 0 && !p.mustReclaim {
 		return
 	}
@@ -230,7 +230,7 @@
 	p.calling = true
 	p.s.calls++
 	p.sequence++
-	life, askedAt := p.life, p.s.wallTime()
+	life, askedAt := p.life, p.s.now()
 	r := &Renewal{Life: life, Sequence: p.sequence, Epoch: p.epoch, Complete: complete, Entries: entries}
 	answered := false
 	finish := func(a *answer) {
@@ -303,14 +303,14 @@
 		p.epoch = a.epoch
 		p.failedAt = time.Time{}
 		p.mustReclaim = a.mustReclaim || p.mustReclaim && !r.Complete
-		granted = p.buckets.apply(p.s.wallTime(), askedAt, r.Entries, a.grants)
+		granted = p.buckets.apply(p.s.now(), askedAt, r.Entries, a.grants)
 	} else {
-		p.failedAt = p.s.wallTime()
+		p.failedAt = p.s.now()
 		pause = failurePause
 	}
 	for _, t := range p.s.tenants {
 		for range needs[t.name] {
-			b := p.buckets.bucket(p.s.wallTime(), t.name)
+			b := p.buckets.bucket(p.s.now(), t.name)
 			switch {
 			case granted[t.name] > 0:
 				granted[t.name]--
