--- a/internal/discovery/platform_test.go
+++ b/internal/discovery/platform_test.go
@@ -62,17 +62,17 @@
 
 func TestReadAllPages(t *testing.T) {
 	platform, calls := fakePlatform(t, fiveEntries(), noFailure)
-	reading, err := platform.Read(t.Context(), false, ignorePage)
+	listing, err := platform.Read(t.Context(), false, ignorePage)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if reading.List.Len() != 5 || reading.Pages != 3 || calls.Load() != 3 {
-		t.Errorf("Read: got %d backends in %d pages by %d calls, want 5, 3 and 3", reading.List.Len(), reading.Pages, calls.Load())
+	if listing.List.Len() != 5 || listing.Pages != 3 || calls.Load() != 3 {
+		t.Errorf("Read: got %d backends in %d pages by %d calls, want 5, 3 and 3", listing.List.Len(), listing.Pages, calls.Load())
 	}
-	if b, ok := reading.List.Get("i-7"); !ok || !b.Draining {
+	if b, ok := listing.List.Get("i-7"); !ok || !b.Draining {
 		t.Errorf("draining backend: got %+v", b)
 	}
-	if ready := reading.List.ByService("s"); len(ready) != 4 || ready[0].ID != "i-5" || ready[0].Slots != 6 {
+	if ready := listing.List.ByService("s"); len(ready) != 4 || ready[0].ID != "i-5" || ready[0].Slots != 6 {
 		t.Errorf("ready backends: got %+v, want 4", ready)
 	}
 }
@@ -84,9 +84,9 @@
 		}
 		return 0
 	})
-	reading, err := platform.Read(t.Context(), false, ignorePage)
-	if err != nil || reading.List.Len() != 5 || calls.Load() != 4 {
-		t.Errorf("Read: got %+v by %d calls, error %v; want 5 backends by 4 calls", reading, calls.Load(), err)
+	listing, err := platform.Read(t.Context(), false, ignorePage)
+	if err != nil || listing.List.Len() != 5 || calls.Load() != 4 {
+		t.Errorf("Read: got %+v by %d calls, error %v; want 5 backends by 4 calls", listing, calls.Load(), err)
 	}
 }
 
@@ -98,8 +98,8 @@
 			}
 			return 0
 		})
-		if reading, err := platform.Read(t.Context(), false, ignorePage); err == nil || reading.List != nil {
-			t.Errorf("status %d on the third page: got %+v, error %v; want no list and an error", status, reading, err)
+		if listing, err := platform.Read(t.Context(), false, ignorePage); err == nil || listing.List != nil {
+			t.Errorf("status %d on the third page: got %+v, error %v; want no list and an error", status, listing, err)
 		}
 	}
 }
@@ -115,13 +115,13 @@
 	var paused time.Duration
 	platform.pause = func(_ context.Context, d time.Duration) error { paused += d; return nil }
 	reported := 0
-	reading, err := platform.Read(t.Context(), true, func(page []Backend) {
+	listing, err := platform.Read(t.Context(), true, func(page []Backend) {
 		if reported++; int64(reported) != calls.Load() || len(page) != 2 {
 			t.Errorf("onPage: got page %d of %d backends after %d calls", reported, len(page), calls.Load())
 		}
 	})
-	if err != nil || reading.Pages != pages || reported != pages {
-		t.Fatalf("Read: got %d pages, %d of them reported, error %v; want %d", reading.Pages, reported, err, pages)
+	if err != nil || listing.Pages != pages || reported != pages {
+		t.Fatalf("Read: got %d pages, %d of them reported, error %v; want %d", listing.Pages, reported, err, pages)
 	}
 	if least := fraction(time.Second, (pages-testRate)/testRate); paused < least {
 		t.Errorf("%d pages: got pauses of %v, too short for a rate of %v", pages, paused, testRate)
--- a/internal/discovery/poller_test.go
+++ b/internal/discovery/poller_test.go
@@ -69,12 +69,12 @@
 		t.Errorf("started node: got a wait of %v, want %v at least", wait, startWait)
 	}
 	now = now.Add(10 * time.Second)
-	st := nodeRole{Members: 13, ProofAge: testDrain / 2}
-	if s.pollWait(now, st) == 0 {
+	role := nodeRole{Members: 13, ProofAge: testDrain / 2}
+	if s.pollWait(now, role) == 0 {
 		t.Error("node with a young proof: got no wait, want one")
 	}
-	st.ProofAge = testDrain * 3 / 4
-	if wait := s.pollWait(now, st); wait != 0 {
+	role.ProofAge = testDrain * 3 / 4
+	if wait := s.pollWait(now, role); wait != 0 {
 		t.Errorf("node with an old proof: got a wait of %v, want 0", wait)
 	}
 }
@@ -109,19 +109,19 @@
 func TestFailuresBackOff(t *testing.T) {
 	now := time.Now()
 	s := newTestSchedule(now)
-	st := nodeRole{Control: true, Members: 13, ProofAge: unknownAge}
+	role := nodeRole{Control: true, Members: 13, ProofAge: unknownAge}
 	last := time.Duration(0)
 	for range 3 {
 		s.pollStarted(now)
 		s.pollFinished(now, 0, errors.New("silence"))
-		wait := s.pollWait(now, st)
+		wait := s.pollWait(now, role)
 		if wait <= last {
 			t.Errorf("wait after another failure: got %v, want more than %v", wait, last)
 		}
 		last, now = wait, now.Add(wait)
 	}
 	s.pollFinished(now, 1, nil)
-	if wait := s.pollWait(now, st); wait != 0 {
+	if wait := s.pollWait(now, role); wait != 0 {
 		t.Errorf("wait after a success: got %v, want 0", wait)
 	}
 }
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -50,7 +50,7 @@
 }
 
 // isPrimary reports whether the node is the one that polls all the time.
-func (st nodeRole) isPrimary() bool { return st.Control && st.Rank == 0 }
+func (role nodeRole) isPrimary() bool { return role.Control && role.Rank == 0 }
 
 // schedule decides when a node polls and pulls. It reads no clock.
 type schedule struct {
@@ -76,14 +76,14 @@
 }
 
 // pollWait returns how long the node waits before it polls, unless a younger proof arrives; 0: it polls now.
-func (s *schedule) pollWait(now time.Time, st nodeRole) time.Duration {
-	due, retry := s.pollAge(st)-min(st.ProofAge, s.drain), s.retryAt
-	if st.ProofAge == unproven {
-		due = s.startDelay(st) - now.Sub(s.started)
-		retry = retry.Add(startStagger(st.Rank))
+func (s *schedule) pollWait(now time.Time, role nodeRole) time.Duration {
+	due, retry := s.pollAge(role)-min(role.ProofAge, s.drain), s.retryAt
+	if role.ProofAge == unproven {
+		due = s.startDelay(role) - now.Sub(s.started)
+		retry = retry.Add(startStagger(role.Rank))
 	}
-	if !st.Control {
-		due = max(due, s.minInterval(st.Members)-now.Sub(s.lastPollAt))
+	if !role.Control {
+		due = max(due, s.minInterval(role.Members)-now.Sub(s.lastPollAt))
 	}
 	if s.failures > 0 {
 		due = max(due, retry.Sub(now))
@@ -93,18 +93,18 @@
 
 // pullWait returns how long the node waits before it pulls a younger proof, 0: it pulls now. A pull costs less than a
 // poll and does not put it off: one that brings nothing leaves pollWait as it is.
-func (s *schedule) pullWait(now time.Time, st nodeRole) time.Duration {
-	if st.isPrimary() {
+func (s *schedule) pullWait(now time.Time, role nodeRole) time.Duration {
+	if role.isPrimary() {
 		return never
 	}
-	due := s.pullAge(st) - min(st.ProofAge, s.drain)
+	due := s.pullAge(role) - min(role.ProofAge, s.drain)
 	return max(0, due, s.lastPullAt.Add(fraction(s.drain, pullGapPerDrain)).Sub(now))
 }
 
 // pullAge returns the age of the proof at which the node pulls.
-func (s *schedule) pullAge(st nodeRole) time.Duration {
-	if !st.Control {
-		return s.pollAge(st) - fraction(s.drain, pullLeadPerDrain)
+func (s *schedule) pullAge(role nodeRole) time.Duration {
+	if !role.Control {
+		return s.pollAge(role) - fraction(s.drain, pullLeadPerDrain)
 	}
 	return s.nextExpectedAge() + fraction(s.drain, pullMarginPerDrain)
 }
@@ -119,17 +119,17 @@
 }
 
 // pollAge returns the age of the proof at which the node polls.
-func (s *schedule) pollAge(st nodeRole) time.Duration {
-	if !st.Control {
+func (s *schedule) pollAge(role nodeRole) time.Duration {
+	if !role.Control {
 		early := max(fraction(s.drain, fallbackAgePerDrain), s.nextExpectedAge()+fallbackSteps*fraction(s.drain, rankStepPerDrain))
 		return early - fraction(s.drain, fallbackJitter*s.jitter)
 	}
-	if st.Rank == 0 {
+	if role.Rank == 0 {
 		return s.period()
 	}
 	step := fraction(s.drain, rankStepPerDrain)
 	last := max(fraction(s.drain, maxRankAgePerDrain), s.nextExpectedAge()+maxRankSteps*step)
-	return min(s.nextExpectedAge()+time.Duration(st.Rank)*step, last)
+	return min(s.nextExpectedAge()+time.Duration(role.Rank)*step, last)
 }
 
 // nextExpectedAge returns the age of the proof at which the next one of the primary is expected, less one step of
@@ -140,17 +140,17 @@
 
 // startDelay returns how long a started node waits for the list from others before it polls. Control nodes that start
 // at the same time poll one after the other: together they would use up the rate, and none would get a whole listing.
-func (s *schedule) startDelay(st nodeRole) time.Duration {
+func (s *schedule) startDelay(role nodeRole) time.Duration {
 	switch {
-	case !st.Control:
-		return startWait + fraction(max(startWait, s.fairInterval(st.Members)), s.jitter)
-	case st.Rank == 0 && st.Members <= 1:
+	case !role.Control:
+		return startWait + fraction(max(startWait, s.fairInterval(role.Members)), s.jitter)
+	case role.Rank == 0 && role.Members <= 1:
 		return joinTime
 	}
-	if st.Rank == 0 {
+	if role.Rank == 0 {
 		return 0
 	}
-	return joinTime + startStagger(st.Rank)
+	return joinTime + startStagger(role.Rank)
 }
 
 // startStagger returns by how much a rank polls later than rank 0 after its start.
--- a/internal/discovery/simulation_test.go
+++ b/internal/discovery/simulation_test.go
@@ -85,28 +85,28 @@
 		s.clock.After(minPause, func() { s.step(n) })
 		return
 	}
-	st := nodeRole{Control: n.control, Rank: n.rank, Members: s.site.nodes, ProofAge: s.clock.Now() - n.asOf}
+	role := nodeRole{Control: n.control, Rank: n.rank, Members: s.site.nodes, ProofAge: s.clock.Now() - n.asOf}
 	if n.version == 0 && n.asOf < 0 {
-		st.ProofAge = unproven
+		role.ProofAge = unproven
 	}
 	if s.clock.Now() < s.site.joined {
-		st.Rank, st.Members = 0, 1
+		role.Rank, role.Members = 0, 1
 	}
-	wait, askWait := n.schedule.pollWait(s.now(), st), n.schedule.pullWait(s.now(), st)
+	wait, askWait := n.schedule.pollWait(s.now(), role), n.schedule.pullWait(s.now(), role)
 	if wait > 0 && askWait <= 0 {
 		s.pull(n)
 		return
 	}
 	if wait > 0 {
 		wait = min(wait, askWait)
-		if st.ProofAge == unproven {
+		if role.ProofAge == unproven {
 			wait = min(wait, maxStartPause)
 		}
 		s.clock.After(max(wait, minPause), func() { s.step(n) })
 		return
 	}
 	n.schedule.pollStarted(s.now())
-	s.readPage(n, simulatedPoll{began: s.clock.Now(), version: s.platformVersion, pacing: callPacing{ratePerS: testRate, primary: st.isPrimary()}})
+	s.readPage(n, simulatedPoll{began: s.clock.Now(), version: s.platformVersion, pacing: callPacing{ratePerS: testRate, primary: role.isPrimary()}})
 }
 
 // simulatedPoll is one pass over the listing.
--- a/internal/load/codec.go
+++ b/internal/load/codec.go
@@ -53,13 +53,13 @@
 	return r, nil
 }
 
-func encodeResponse(a *response) ([]byte, error) {
-	data, err := capnpcodec.Marshal(encodedSize(a.loads), loadwire.NewRootAnswer, func(root loadwire.Answer) error {
-		root.SetTable(a.backendsHash)
-		if err := root.SetService(a.service); err != nil {
+func encodeResponse(totals *response) ([]byte, error) {
+	data, err := capnpcodec.Marshal(encodedSize(totals.loads), loadwire.NewRootAnswer, func(root loadwire.Answer) error {
+		root.SetTable(totals.backendsHash)
+		if err := root.SetService(totals.service); err != nil {
 			return err
 		}
-		return encodeLoads(root.NewLoads, a.loads)
+		return encodeLoads(root.NewLoads, totals.loads)
 	})
 	return data, merry.Prepend(err, "encode load answer")
 }
@@ -69,14 +69,14 @@
 	if err != nil {
 		return nil, merry.Prepend(err, "decode load answer")
 	}
-	a := &response{backendsHash: root.Table()}
-	if a.service, err = root.Service(); err != nil {
+	totals := &response{backendsHash: root.Table()}
+	if totals.service, err = root.Service(); err != nil {
 		return nil, merry.Prepend(err, "decode load answer")
 	}
-	if a.loads, err = decodeLoads(root.Loads()); err != nil {
+	if totals.loads, err = decodeLoads(root.Loads()); err != nil {
 		return nil, merry.Prepend(err, "decode load answer")
 	}
-	return a, nil
+	return totals, nil
 }
 
 func encodeSummary(s *summary) ([]byte, error) {
--- a/internal/load/codec_test.go
+++ b/internal/load/codec_test.go
@@ -19,14 +19,14 @@
 	} else if got, err := decodeReport(body); err != nil || !reflect.DeepEqual(got, r) {
 		t.Errorf("report: got %+v, %v; want %+v", got, err, r)
 	}
-	a := &response{service: "s", loads: slices.Clone(loads), backendsHash: 77}
-	for i := range a.loads {
-		a.loads[i].Backend = 0 // an answer does not name them
+	totals := &response{service: "s", loads: slices.Clone(loads), backendsHash: 77}
+	for i := range totals.loads {
+		totals.loads[i].Backend = 0 // an answer does not name them
 	}
-	if body, err := encodeResponse(a); err != nil {
+	if body, err := encodeResponse(totals); err != nil {
 		t.Error(err)
-	} else if got, err := decodeResponse(body); err != nil || !reflect.DeepEqual(got, a) {
-		t.Errorf("response: got %+v, %v; want %+v", got, err, a)
+	} else if got, err := decodeResponse(body); err != nil || !reflect.DeepEqual(got, totals) {
+		t.Errorf("response: got %+v, %v; want %+v", got, err, totals)
 	}
 	s := &summary{service: "s", zone: "z", loads: loads, chunk: 3}
 	if body, err := encodeSummary(s); err != nil {
--- a/internal/load/collector_test.go
+++ b/internal/load/collector_test.go
@@ -26,8 +26,8 @@
 }
 
 // loadFor returns the load of a backend in a response.
-func loadFor(a *response, backend uint32) admission.BackendLoad {
-	for _, l := range a.loads {
+func loadFor(totals *response, backend uint32) admission.BackendLoad {
+	for _, l := range totals.loads {
 		if l.Backend == backend {
 			return l
 		}
@@ -38,31 +38,31 @@
 func TestSumsOfAllNodes(t *testing.T) {
 	c := newCollector("a")
 	c.handleReport(at(0), nodeA, reportOf(true, loadOf(1, 3, 1), loadOf(2, 0, 0)))
-	a := c.handleReport(at(time.Millisecond), nodeB, reportOf(true, loadOf(1, 2, 2), loadOf(2, 5, 0)))
-	if l := loadFor(a, 1); l.InFlight != 5 || l.Unanswered != 3 {
+	totals := c.handleReport(at(time.Millisecond), nodeB, reportOf(true, loadOf(1, 2, 2), loadOf(2, 5, 0)))
+	if l := loadFor(totals, 1); l.InFlight != 5 || l.Unanswered != 3 {
 		t.Errorf("first backend: got %+v, want 5 in flight, 3 unanswered", l)
 	}
-	if l := loadFor(a, 2); l.InFlight != 5 || l.Unanswered != 0 {
+	if l := loadFor(totals, 2); l.InFlight != 5 || l.Unanswered != 0 {
 		t.Errorf("second backend: got %+v, want 5 in flight, 0 unanswered", l)
 	}
-	a = c.handleReport(at(2*time.Millisecond), nodeB, reportOf(false, loadOf(1, 1, 0)))
-	if l := loadFor(a, 1); l.InFlight != 4 || l.Unanswered != 1 {
+	totals = c.handleReport(at(2*time.Millisecond), nodeB, reportOf(false, loadOf(1, 1, 0)))
+	if l := loadFor(totals, 1); l.InFlight != 4 || l.Unanswered != 1 {
 		t.Errorf("after a newer report: got %+v, want 4 in flight, 1 unanswered", l)
 	}
-	if l := loadFor(a, 2); l.InFlight != 0 {
+	if l := loadFor(totals, 2); l.InFlight != 0 {
 		t.Errorf("backend that the report left out: got %+v, want 0 in flight", l)
 	}
 }
 
 func TestCompleteReportIsRequested(t *testing.T) {
 	c := newCollector("a")
-	if a := c.handleReport(at(0), nodeA, reportOf(false, loadOf(1, 1, 0))); a.backendsHash != 0 || len(a.loads) > 0 {
-		t.Errorf("response to a node with unknown backends: got %+v, want hash 0 and no loads", a)
+	if totals := c.handleReport(at(0), nodeA, reportOf(false, loadOf(1, 1, 0))); totals.backendsHash != 0 || len(totals.loads) > 0 {
+		t.Errorf("response to a node with unknown backends: got %+v, want hash 0 and no loads", totals)
 	}
-	if a := c.handleReport(at(0), nodeA, reportOf(true, loadOf(1, 1, 0))); a.backendsHash == 0 || loadFor(a, 1).InFlight != 1 {
-		t.Errorf("response to a complete report: got %+v, want a hash and 1 in flight", a)
+	if totals := c.handleReport(at(0), nodeA, reportOf(true, loadOf(1, 1, 0))); totals.backendsHash == 0 || loadFor(totals, 1).InFlight != 1 {
+		t.Errorf("response to a complete report: got %+v, want a hash and 1 in flight", totals)
 	}
-	if a := c.handleReport(at(0), nodeA, reportOf(false)); a.backendsHash == 0 {
+	if totals := c.handleReport(at(0), nodeA, reportOf(false)); totals.backendsHash == 0 {
 		t.Error("response after a complete report: got hash 0, want the hash of its backends")
 	}
 }
@@ -76,8 +76,8 @@
 			t.Errorf("after %v: got %+v, want 10 in flight", now, l)
 		}
 	}
-	a := c.handleReport(at(expiry+2*Interval), nodeB, reportOf(true, loadOf(1, 1, 0)))
-	if l := loadFor(a, 1); l.InFlight != 1 {
+	totals := c.handleReport(at(expiry+2*Interval), nodeB, reportOf(true, loadOf(1, 1, 0)))
+	if l := loadFor(totals, 1); l.InFlight != 1 {
 		t.Errorf("after expiry: got %+v, want 1 in flight", l)
 	}
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -35,17 +35,17 @@
 func (s *Service) reportAll(now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for service, r := range s.pools {
-		if now.Sub(r.reportedAt) >= Interval/2 {
-			s.report(now, service, r, false)
+	for service, reported := range s.pools {
+		if now.Sub(reported.reportedAt) >= Interval/2 {
+			s.report(now, service, reported, false)
 		}
 	}
 }
 
 // report sends a pool's loads to the collector. It reports whether a response can be expected.
-func (s *Service) report(now time.Time, service string, r *reportedPool, oneWay bool) bool {
-	complete := !oneWay && (r.backendsHash == 0 || r.sinceComplete >= reportsPerComplete)
-	loads, wanted := r.pool.Report(now, complete)
+func (s *Service) report(now time.Time, service string, reported *reportedPool, oneWay bool) bool {
+	complete := !oneWay && (reported.backendsHash == 0 || reported.sinceComplete >= reportsPerComplete)
+	loads, wanted := reported.pool.Report(now, complete)
 	if !wanted {
 		return false
 	}
@@ -53,11 +53,11 @@
 	if !ok {
 		return false
 	}
-	r.reportedAt = now
-	r.sinceComplete++
+	reported.reportedAt = now
+	reported.sinceComplete++
 	if complete {
-		r.backends, r.sinceComplete = backendsOf(loads), 0
-		r.backendsHash = hashBackends(r.backends)
+		reported.backends, reported.sinceComplete = backendsOf(loads), 0
+		reported.backendsHash = hashBackends(reported.backends)
 	}
 	if !oneWay {
 		s.local.messageSent()
@@ -88,28 +88,28 @@
 func (s *Service) requestTotals(service string) <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	r := s.pools[service]
-	if r == nil || !s.report(time.Now(), service, r, false) {
+	reported := s.pools[service]
+	if reported == nil || !s.report(time.Now(), service, reported, false) {
 		return nil
 	}
-	if r.answered == nil {
-		r.answered = make(chan struct{})
+	if reported.answered == nil {
+		reported.answered = make(chan struct{})
 	}
-	return r.answered
+	return reported.answered
 }
 
 // Announce reports a new request at once, without waiting for a response.
 func (s *Service) Announce(service string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if r := s.pools[service]; r != nil {
-		s.report(time.Now(), service, r, true)
+	if reported := s.pools[service]; reported != nil {
+		s.report(time.Now(), service, reported, true)
 	}
 }
 
 // handleResponse passes the totals on to the pool.
 func (s *Service) handleResponse(from netip.AddrPort, m peer.Message) {
-	a, err := decodeResponse(m.Body)
+	totals, err := decodeResponse(m.Body)
 	if err != nil {
 		s.options.Log.Debug("decode load response failed", zap.Stringer("from", from), zap.Error(err))
 		return
@@ -117,21 +117,21 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.local.messageReceived()
-	r := s.pools[a.service]
-	if r == nil {
+	reported := s.pools[totals.service]
+	if reported == nil {
 		return
 	}
-	if r.answered != nil {
-		close(r.answered)
-		r.answered = nil
+	if reported.answered != nil {
+		close(reported.answered)
+		reported.answered = nil
 	}
 	switch {
-	case a.backendsHash == 0:
-		r.backendsHash = 0
-	case a.backendsHash == r.backendsHash && len(a.loads) == len(r.backends):
-		for i := range a.loads {
-			a.loads[i].Backend = r.backends[i]
+	case totals.backendsHash == 0:
+		reported.backendsHash = 0
+	case totals.backendsHash == reported.backendsHash && len(totals.loads) == len(reported.backends):
+		for i := range totals.loads {
+			totals.loads[i].Backend = reported.backends[i]
 		}
-		r.pool.Share(time.Now(), a.loads)
+		reported.pool.Share(time.Now(), totals.loads)
 	}
 }
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// account is what the allocator keeps of a tenant.
-type account struct {
+// tenantAccount is what the allocator keeps of a tenant.
+type tenantAccount struct {
 	leased   Share     // sum of what is outstanding
 	released Share     // given up by leaseholders during the grace period
 	demand   float64   // sum over all leases
@@ -16,82 +16,87 @@
 }
 
 // accountOf returns a tenant's account, with its bucket filled up to now.
-func (a *Allocator) accountOf(now time.Time, tenant string, limit Limit) *account {
-	t := a.tenants[tenant]
-	if t == nil {
-		t = &account{filledAt: now}
+func (a *Allocator) accountOf(now time.Time, tenant string, limit Limit) *tenantAccount {
+	account := a.tenants[tenant]
+	if account == nil {
+		account = &tenantAccount{filledAt: now}
 		if a.graceEnded(now) {
-			t.filledAt = a.graceEndsAt
+			account.filledAt = a.graceEndsAt
 		}
-		a.tenants[tenant] = t
+		a.tenants[tenant] = account
 	}
-	a.fill(now, t, limit)
-	return t
+	a.fill(now, account, limit)
+	return account
 }
 
 // fill adds to the tenant's bucket what of its rate was not leased since the last call.
-func (a *Allocator) fill(now time.Time, t *account, limit Limit) {
-	from := t.filledAt
-	t.filledAt = now
+func (a *Allocator) fill(now time.Time, account *tenantAccount, limit Limit) {
+	from := account.filledAt
+	account.filledAt = now
 	if !a.graceEnded(now) {
 		return
 	}
 	if from.Before(a.graceEndsAt) {
 		from = a.graceEndsAt
 	}
-	free := a.free(now, t, limit)
-	t.tokens += max(0, free.Rate) * now.Sub(from).Seconds()
+	free := a.free(now, account, limit)
+	account.tokens += max(0, free.Rate) * now.Sub(from).Seconds()
 	capacity := a.policy.capacity(limit)
-	t.tokens = min(t.tokens, (1-depthFraction)*capacity, max(0, capacity-t.leased.Depth))
+	account.tokens = min(account.tokens, (1-depthFraction)*capacity, max(0, capacity-account.leased.Depth))
 }
 
 // free returns the share that may be leased in addition. During the grace period that is only what leaseholders have
 // released.
-func (a *Allocator) free(now time.Time, t *account, limit Limit) Share {
+func (a *Allocator) free(now time.Time, account *tenantAccount, limit Limit) Share {
 	if !a.graceEnded(now) {
-		return t.released
+		return account.released
+	}
+	return Share{
+		Rate:  limit.Rate - account.leased.Rate,
+		Depth: a.policy.capacity(limit) - account.leased.Depth - account.tokens,
 	}
-	return Share{Rate: limit.Rate - t.leased.Rate, Depth: a.policy.capacity(limit) - t.leased.Depth - t.tokens}
 }
 
 // reclaim records the share that the leaseholder says it has: of a lease of this allocator, which it may have reduced,
 // or of a lease of a former one.
-func (a *Allocator) reclaim(now time.Time, h *leaseholder, t *account, e *Entry) *lease {
-	l := h.leases[e.Tenant]
-	if l == nil {
-		l = &lease{outstanding: e.Held}
-		h.leases[e.Tenant] = l
-		t.leased.Rate += e.Held.Rate
-		t.leased.Depth += e.Held.Depth
-		t.leases++
-		return l
+func (a *Allocator) reclaim(
+	now time.Time, leaseholder *leaseholderRecord, account *tenantAccount, entry *Entry,
+) *leaseRecord {
+	lease := leaseholder.leases[entry.Tenant]
+	if lease == nil {
+		lease = &leaseRecord{outstanding: entry.Held}
+		leaseholder.leases[entry.Tenant] = lease
+		account.leased.Rate += entry.Held.Rate
+		account.leased.Depth += entry.Held.Depth
+		account.leases++
+		return lease
 	}
-	a.setOutstanding(now, t, l, Share{Rate: min(l.outstanding.Rate, e.Held.Rate), Depth: min(l.outstanding.Depth, e.Held.Depth)})
-	return l
+	a.setOutstanding(now, account, lease, minShare(lease.outstanding, entry.Held))
+	return lease
 }
 
 // setOutstanding changes the share that counts as leased.
-func (a *Allocator) setOutstanding(now time.Time, t *account, l *lease, share Share) {
-	rate, depth := share.Rate-l.outstanding.Rate, share.Depth-l.outstanding.Depth
-	t.leased.Rate += rate
-	t.leased.Depth += depth
+func (a *Allocator) setOutstanding(now time.Time, account *tenantAccount, lease *leaseRecord, share Share) {
+	rate, depth := share.Rate-lease.outstanding.Rate, share.Depth-lease.outstanding.Depth
+	account.leased.Rate += rate
+	account.leased.Depth += depth
 	if !a.graceEnded(now) {
-		t.released.Rate = max(0, t.released.Rate-rate)
-		t.released.Depth = max(0, t.released.Depth-depth)
+		account.released.Rate = max(0, account.released.Rate-rate)
+		account.released.Depth = max(0, account.released.Depth-depth)
 	}
-	l.outstanding = share
+	lease.outstanding = share
 }
 
 // target returns the share that a lease should have for its demand.
-func (a *Allocator) target(t *account, l *lease, limit Limit) Share {
+func (a *Allocator) target(account *tenantAccount, lease *leaseRecord, limit Limit) Share {
 	even := 0.0
-	if t.leases <= maxEvenLeases {
-		even = evenFraction * limit.Rate / float64(t.leases)
+	if account.leases <= maxEvenLeases {
+		even = evenFraction * limit.Rate / float64(account.leases)
 	}
-	rate := even + demandFactor*l.demand
-	wanted := even*float64(t.leases) + demandFactor*t.demand
-	depth := minDepth + demandDepthSpan.Seconds()*l.demand
-	wantedDepth := minDepth*float64(t.leases) + demandDepthSpan.Seconds()*t.demand
+	rate := even + demandFactor*lease.demand
+	wanted := even*float64(account.leases) + demandFactor*account.demand
+	depth := minDepth + demandDepthSpan.Seconds()*lease.demand
+	wantedDepth := minDepth*float64(account.leases) + demandDepthSpan.Seconds()*account.demand
 	capacity := a.policy.capacity(limit)
 	return Share{
 		Rate:  rate * min(1, leasedFraction*limit.Rate/max(wanted, math.SmallestNonzeroFloat64)),
@@ -101,40 +106,40 @@
 
 // resize moves a lease towards its target and returns the share that the leaseholder may use from now on. A lease grows
 // by what is free; a reduction stays outstanding until the leaseholder has confirmed it.
-func (a *Allocator) resize(now time.Time, t *account, l *lease, target Share, limit Limit) Share {
-	free := a.free(now, t, limit)
+func (a *Allocator) resize(now time.Time, account *tenantAccount, lease *leaseRecord, target Share, limit Limit) Share {
+	free := a.free(now, account, limit)
 	given := Share{
-		Rate:  min(target.Rate, l.outstanding.Rate+max(0, free.Rate)),
-		Depth: min(target.Depth, l.outstanding.Depth+max(0, free.Depth)),
+		Rate:  min(target.Rate, lease.outstanding.Rate+max(0, free.Rate)),
+		Depth: min(target.Depth, lease.outstanding.Depth+max(0, free.Depth)),
 	}
-	a.setOutstanding(now, t, l, Share{Rate: max(l.outstanding.Rate, given.Rate), Depth: max(l.outstanding.Depth, given.Depth)})
+	a.setOutstanding(now, account, lease, maxShare(lease.outstanding, given))
 	return given
 }
 
 // retryAfter returns when the bucket is expected to hold enough for the requests that got nothing, 0 if there are none.
-func (a *Allocator) retryAfter(now time.Time, t *account, limit Limit, short int) time.Duration {
+func (a *Allocator) retryAfter(now time.Time, account *tenantAccount, limit Limit, short int) time.Duration {
 	if short <= 0 {
 		return 0
 	}
-	rate := a.free(now, t, limit).Rate
+	rate := a.free(now, account, limit).Rate
 	if !a.graceEnded(now) {
 		return graceRetryAfter
 	}
 	if rate <= 0 {
 		return maxRetryAfter
 	}
-	wait := (1 - t.tokens + float64(short-1)) / rate
+	wait := (1 - account.tokens + float64(short-1)) / rate
 	return min(time.Duration(wait*float64(time.Second)), maxRetryAfter)
 }
 
 // endLease returns the share of a lease to its tenant.
-func (a *Allocator) endLease(now time.Time, h *leaseholder, tenant string, l *lease) {
-	t := a.accountOf(now, tenant, a.limits(tenant))
-	a.setOutstanding(now, t, l, Share{})
-	t.demand -= l.demand
-	t.leases--
-	delete(h.leases, tenant)
-	if t.leases == 0 {
-		t.leased, t.demand = Share{}, 0 // drop rounding errors
+func (a *Allocator) endLease(now time.Time, leaseholder *leaseholderRecord, tenant string, lease *leaseRecord) {
+	account := a.accountOf(now, tenant, a.limits(tenant))
+	a.setOutstanding(now, account, lease, Share{})
+	account.demand -= lease.demand
+	account.leases--
+	delete(leaseholder.leases, tenant)
+	if account.leases == 0 {
+		account.leased, account.demand = Share{}, 0 // drop rounding errors
 	}
 }
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -29,10 +29,10 @@
 type Allocator struct {
 	policy       Policy
 	limits       func(tenant string) Limit
-	graceEndsAt  time.Time           // end of the grace period: all outstanding leases are known
-	sweepAt      time.Time           // when sweep looks for expired leases next
-	tenants      map[string]*account // by name
-	leaseholders map[netip.AddrPort]*leaseholder
+	graceEndsAt  time.Time                 // end of the grace period: all outstanding leases are known
+	sweepAt      time.Time                 // when sweep looks for expired leases next
+	tenants      map[string]*tenantAccount // by name
+	leaseholders map[netip.AddrPort]*leaseholderRecord
 	unreclaimed  int  // leaseholders that have still to reclaim their leases
 	removable    bool // TakeRemovable may have something to return
 	// isDown reports whether the process at an address is known not to run; nil: it is never known.
@@ -48,14 +48,14 @@
 		limits:       limits,
 		graceEndsAt:  now.Add(p.Lease + HeadProofLifetime),
 		sweepAt:      now.Add(sweepInterval),
-		tenants:      make(map[string]*account),
-		leaseholders: make(map[netip.AddrPort]*leaseholder),
+		tenants:      make(map[string]*tenantAccount),
+		leaseholders: make(map[netip.AddrPort]*leaseholderRecord),
 		unreclaimed:  len(registered),
 	}
-	for _, r := range registered {
-		h := newLeaseholder(r.Life, now)
-		h.registered = true
-		a.leaseholders[r.Address] = h
+	for _, registered := range registered {
+		leaseholder := newLeaseholderRecord(registered.Life, now)
+		leaseholder.registered = true
+		a.leaseholders[registered.Address] = leaseholder
 	}
 	a.endGraceIfReclaimed(now)
 	return a
@@ -63,44 +63,44 @@
 
 // Renew renews a proxy's leases and returns a grant for each entry, in their order. It fails with fault.Conflict if the
 // process is not registered, or the renewal is older than one that was seen before.
-func (a *Allocator) Renew(now time.Time, from Leaseholder, r *Renewal) ([]Grant, error) {
+func (a *Allocator) Renew(now time.Time, from Leaseholder, renewal *Renewal) ([]Grant, error) {
 	a.sweep(now)
 	if a.StatusOf(from) != Registered {
 		return nil, fault.New(fault.Conflict, "life %x of %v is not registered", from.Life, from.Address)
 	}
-	h := a.leaseholders[from.Address]
-	if r.Sequence <= h.sequence {
-		return nil, fault.New(fault.Conflict, "renewal %d of %v is out of date", r.Sequence, from.Address)
+	leaseholder := a.leaseholders[from.Address]
+	if renewal.Sequence <= leaseholder.sequence {
+		return nil, fault.New(fault.Conflict, "renewal %d of %v is out of date", renewal.Sequence, from.Address)
 	}
-	h.sequence = r.Sequence
-	h.renewedAt = now
-	grants := make([]Grant, len(r.Entries))
-	for i := range r.Entries {
-		grants[i] = a.renewEntry(now, h, &r.Entries[i])
+	leaseholder.sequence = renewal.Sequence
+	leaseholder.renewedAt = now
+	grants := make([]Grant, len(renewal.Entries))
+	for i := range renewal.Entries {
+		grants[i] = a.renewEntry(now, leaseholder, &renewal.Entries[i])
 	}
-	if r.Complete {
-		a.markReclaimed(now, h)
+	if renewal.Complete {
+		a.markReclaimed(now, leaseholder)
 	}
-	if r.Leaving {
-		a.endByLeaving(now, h)
+	if renewal.Leaving {
+		a.endByLeaving(now, leaseholder)
 	}
 	return grants, nil
 }
 
 // renewEntry renews one lease and grants waiting requests.
-func (a *Allocator) renewEntry(now time.Time, h *leaseholder, e *Entry) Grant {
-	limit := a.limits(e.Tenant)
+func (a *Allocator) renewEntry(now time.Time, leaseholder *leaseholderRecord, entry *Entry) Grant {
+	limit := a.limits(entry.Tenant)
 	if limit.Rate <= 0 {
-		return Grant{Granted: e.Need}
+		return Grant{Granted: entry.Need}
 	}
-	t := a.accountOf(now, e.Tenant, limit)
-	l := a.reclaim(now, h, t, e)
-	l.expiresAt = now.Add(a.policy.Lease + HeadProofLifetime)
-	t.demand += e.Demand - l.demand
-	l.demand = e.Demand
-	given := a.resize(now, t, l, a.target(t, l, limit), limit)
-	t.tokens += max(0, e.Returned)
-	granted := min(e.Need, int(t.tokens))
-	t.tokens -= float64(granted)
-	return Grant{Lease: given, Granted: granted, RetryAfter: a.retryAfter(now, t, limit, e.Need-granted)}
+	account := a.accountOf(now, entry.Tenant, limit)
+	lease := a.reclaim(now, leaseholder, account, entry)
+	lease.expiresAt = now.Add(a.policy.Lease + HeadProofLifetime)
+	account.demand += entry.Demand - lease.demand
+	lease.demand = entry.Demand
+	given := a.resize(now, account, lease, a.target(account, lease, limit), limit)
+	account.tokens += max(0, entry.Returned)
+	granted := min(entry.Need, int(account.tokens))
+	account.tokens -= float64(granted)
+	return Grant{Lease: given, Granted: granted, RetryAfter: a.retryAfter(now, account, limit, entry.Need-granted)}
 }
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -136,9 +136,9 @@
 		}
 		t.fill(now)
 		t.updateDemand(now)
-		e := Entry{Tenant: tenant, Held: t.lease, Demand: t.demand, Need: need, Returned: t.surplus}
+		entry := Entry{Tenant: tenant, Held: t.lease, Demand: t.demand, Need: need, Returned: t.surplus}
 		t.surplus = 0 // also if the message is lost
-		entries = append(entries, e)
+		entries = append(entries, entry)
 	}
 	return entries
 }
@@ -159,20 +159,20 @@
 // was granted.
 func (b *leasedBuckets) apply(now, askedAt time.Time, entries []Entry, grants []Grant) map[string]int {
 	granted := make(map[string]int)
-	for i, e := range entries {
-		t := b.byTenant[e.Tenant]
+	for i, entry := range entries {
+		t := b.byTenant[entry.Tenant]
 		if t == nil {
 			continue
 		}
-		g := grants[i]
+		grant := grants[i]
 		t.fill(now)
 		t.expiresAt = askedAt.Add(b.policy.Lease)
-		t.lease = g.Lease
+		t.lease = grant.Lease
 		t.fill(now)
-		granted[e.Tenant] = g.Granted
-		if g.Granted < e.Need {
-			t.exhaustedUntil = now.Add(min(g.RetryAfter, maxExhaustedTime))
-			t.nextGrantAt = now.Add(g.RetryAfter)
+		granted[entry.Tenant] = grant.Granted
+		if grant.Granted < entry.Need {
+			t.exhaustedUntil = now.Add(min(grant.RetryAfter, maxExhaustedTime))
+			t.nextGrantAt = now.Add(grant.RetryAfter)
 		}
 	}
 	return granted
--- a/internal/quota/codec.go
+++ b/internal/quota/codec.go
@@ -11,14 +11,14 @@
 	"nickelline/internal/quota/quotawire"
 )
 
-func encodeRenewal(r *Renewal) ([]byte, error) {
+func encodeRenewal(renewal *Renewal) ([]byte, error) {
 	data, err := capnpcodec.Marshal(0, quotawire.NewRootRequest, func(root quotawire.Request) error {
-		root.SetLife(r.Life)
-		root.SetSequence(r.Sequence)
-		root.SetEpoch(r.Epoch)
-		root.SetComplete(r.Complete)
-		root.SetLeaving(r.Leaving)
-		return encodeEntries(root, r.Entries)
+		root.SetLife(renewal.Life)
+		root.SetSequence(renewal.Sequence)
+		root.SetEpoch(renewal.Epoch)
+		root.SetComplete(renewal.Complete)
+		root.SetLeaving(renewal.Leaving)
+		return encodeEntries(root, renewal.Entries)
 	})
 	return data, merry.Prepend(err, "encode quota renewal")
 }
@@ -29,15 +29,15 @@
 		return err
 	}
 	for i := range entries {
-		e, entry := &entries[i], list.At(i)
-		if err := entry.SetTenant(e.Tenant); err != nil {
+		entry, encoded := &entries[i], list.At(i)
+		if err := encoded.SetTenant(entry.Tenant); err != nil {
 			return err
 		}
-		entry.SetRate(e.Held.Rate)
-		entry.SetDepth(e.Held.Depth)
-		entry.SetDemand(e.Demand)
-		entry.SetNeed(uint32(e.Need))
-		entry.SetReturned(e.Returned)
+		encoded.SetRate(entry.Held.Rate)
+		encoded.SetDepth(entry.Held.Depth)
+		encoded.SetDemand(entry.Demand)
+		encoded.SetNeed(uint32(entry.Need))
+		encoded.SetReturned(entry.Returned)
 	}
 	return nil
 }
@@ -87,17 +87,17 @@
 	return entries, nil
 }
 
-func encodeAnswer(a *answer) ([]byte, error) {
+func encodeAnswer(answer *renewalAnswer) ([]byte, error) {
 	data, err := capnpcodec.Marshal(0, quotawire.NewRootAnswer, func(root quotawire.Answer) error {
-		root.SetMoved(a.moved)
-		root.SetEpoch(a.epoch)
-		root.SetUnheard(a.mustReclaim)
-		if a.allocator.IsValid() {
-			if err := root.SetAllocator(addressBytes(a.allocator)); err != nil {
+		root.SetMoved(answer.moved)
+		root.SetEpoch(answer.epoch)
+		root.SetUnheard(answer.mustReclaim)
+		if answer.allocator.IsValid() {
+			if err := root.SetAllocator(addressBytes(answer.allocator)); err != nil {
 				return err
 			}
 		}
-		return encodeGrants(root, a.grants)
+		return encodeGrants(root, answer.grants)
 	})
 	return data, merry.Prepend(err, "encode quota answer")
 }
@@ -107,17 +107,17 @@
 	if err != nil {
 		return err
 	}
-	for i, g := range grants {
+	for i, grant := range grants {
 		entry := list.At(i)
-		entry.SetRate(g.Lease.Rate)
-		entry.SetDepth(g.Lease.Depth)
-		entry.SetGranted(uint32(g.Granted))
-		entry.SetRetryMs(uint32(g.RetryAfter.Milliseconds()))
+		entry.SetRate(grant.Lease.Rate)
+		entry.SetDepth(grant.Lease.Depth)
+		entry.SetGranted(uint32(grant.Granted))
+		entry.SetRetryMs(uint32(grant.RetryAfter.Milliseconds()))
 	}
 	return nil
 }
 
-func decodeAnswer(data []byte) (*answer, error) {
+func decodeAnswer(data []byte) (*renewalAnswer, error) {
 	root, err := capnpcodec.Unmarshal(data, quotawire.ReadRootAnswer)
 	if err != nil {
 		return nil, merry.Prepend(err, "decode quota answer")
@@ -130,7 +130,7 @@
 	if err != nil {
 		return nil, merry.Prepend(err, "decode quota answer")
 	}
-	return &answer{
+	return &renewalAnswer{
 		moved:       root.Moved(),
 		allocator:   addressOf(address),
 		epoch:       root.Epoch(),
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -32,7 +32,7 @@
 }
 
 func TestGoldenAnswer(t *testing.T) {
-	want := &answer{
+	want := &renewalAnswer{
 		moved:       true,
 		allocator:   netip.MustParseAddrPort("10.20.30.40:5060"),
 		epoch:       13,
@@ -46,8 +46,8 @@
 }
 
 func TestGoldenAnswerFlags(t *testing.T) {
-	golden.RoundTrip(t, "answer_moved.hex", &answer{moved: true, grants: []Grant{}}, encodeAnswer, decodeAnswer)
-	golden.RoundTrip(t, "answer_unheard.hex", &answer{mustReclaim: true, grants: []Grant{}}, encodeAnswer, decodeAnswer)
+	golden.RoundTrip(t, "answer_moved.hex", &renewalAnswer{moved: true, grants: []Grant{}}, encodeAnswer, decodeAnswer)
+	golden.RoundTrip(t, "answer_unheard.hex", &renewalAnswer{mustReclaim: true, grants: []Grant{}}, encodeAnswer, decodeAnswer)
 }
 
 func TestGoldenAnnouncement(t *testing.T) {
--- a/internal/quota/leaseholders.go
+++ b/internal/quota/leaseholders.go
@@ -6,6 +6,35 @@
 	"time"
 )
 
+// Leaseholder identifies a proxy: one process at an address.
+type Leaseholder struct {
+	Address netip.AddrPort
+	Life    uint64
+}
+
+// leaseholderRecord is what the allocator keeps of a proxy.
+type leaseholderRecord struct {
+	life       uint64
+	former     []uint64                // processes that have ended
+	sequence   uint64                  // of the last renewal
+	leases     map[string]*leaseRecord // by tenant
+	registered bool                    // it may be granted something
+	reclaimed  bool                    // the allocator knows all of its leases
+	left       bool                    // it has given up its leases and is about to exit
+	renewedAt  time.Time
+}
+
+func newLeaseholderRecord(life uint64, now time.Time) *leaseholderRecord {
+	return &leaseholderRecord{life: life, leases: make(map[string]*leaseRecord), renewedAt: now}
+}
+
+// leaseRecord is the share of one tenant that a leaseholder may have, as far as the allocator knows.
+type leaseRecord struct {
+	outstanding Share // upper bound of what the leaseholder uses
+	demand      float64
+	expiresAt   time.Time
+}
+
 // RegistrationStatus says whether the allocator may grant something to a process.
 type RegistrationStatus uint8
 
@@ -20,13 +49,13 @@
 
 // StatusOf returns the registration status of a process.
 func (a *Allocator) StatusOf(from Leaseholder) RegistrationStatus {
-	h := a.leaseholders[from.Address]
+	leaseholder := a.leaseholders[from.Address]
 	switch {
-	case h == nil:
+	case leaseholder == nil:
 		return Unregistered
-	case slices.Contains(h.former, from.Life):
+	case slices.Contains(leaseholder.former, from.Life):
 		return Former
-	case h.registered && h.life == from.Life:
+	case leaseholder.registered && leaseholder.life == from.Life:
 		return Registered
 	}
 	return Unregistered
@@ -35,38 +64,41 @@
 // SetRegistered records the content of the registry after a change that this allocator has made. A process that is new
 // in it has no leases yet; the former process at its address has ended, and its leases with it.
 func (a *Allocator) SetRegistered(now time.Time, members []Leaseholder) {
-	for _, h := range a.leaseholders {
-		h.registered = false
+	for _, leaseholder := range a.leaseholders {
+		leaseholder.registered = false
 	}
 	for _, m := range members {
-		h := a.leaseholders[m.Address]
-		if h == nil {
-			h = newLeaseholder(m.Life, now)
-			h.reclaimed = true
-			a.leaseholders[m.Address] = h
+		leaseholder := a.leaseholders[m.Address]
+		if leaseholder == nil {
+			leaseholder = newLeaseholderRecord(m.Life, now)
+			leaseholder.reclaimed = true
+			a.leaseholders[m.Address] = leaseholder
 		}
-		if h.life != m.Life {
-			a.replaceProcess(now, h, m.Life)
+		if leaseholder.life != m.Life {
+			a.replaceProcess(now, leaseholder, m.Life)
 		}
-		h.registered = true
+		leaseholder.registered = true
 	}
 }
 
 // replaceProcess records that another process runs at the address of a leaseholder.
-func (a *Allocator) replaceProcess(now time.Time, h *leaseholder, life uint64) {
-	a.endLeases(now, h)
-	h.former = append(h.former, h.life)
-	h.former = h.former[max(0, len(h.former)-formerLives):]
-	h.life, h.sequence, h.renewedAt, h.left = life, 0, now, false
-	a.markReclaimed(now, h)
+func (a *Allocator) replaceProcess(now time.Time, leaseholder *leaseholderRecord, life uint64) {
+	a.endLeases(now, leaseholder)
+	leaseholder.former = append(leaseholder.former, leaseholder.life)
+	leaseholder.former = leaseholder.former[max(0, len(leaseholder.former)-formerLives):]
+	leaseholder.life = life
+	leaseholder.sequence = 0
+	leaseholder.renewedAt = now
+	leaseholder.left = false
+	a.markReclaimed(now, leaseholder)
 }
 
 // markReclaimed records that the allocator knows all leases of a leaseholder.
-func (a *Allocator) markReclaimed(now time.Time, h *leaseholder) {
-	if h.reclaimed {
+func (a *Allocator) markReclaimed(now time.Time, leaseholder *leaseholderRecord) {
+	if leaseholder.reclaimed {
 		return
 	}
-	h.reclaimed = true
+	leaseholder.reclaimed = true
 	a.unreclaimed--
 	a.endGraceIfReclaimed(now)
 }
@@ -80,8 +112,8 @@
 
 // HasReclaimed reports whether the allocator knows all leases of a process.
 func (a *Allocator) HasReclaimed(from Leaseholder) bool {
-	h := a.leaseholders[from.Address]
-	return h != nil && h.life == from.Life && h.reclaimed
+	leaseholder := a.leaseholders[from.Address]
+	return leaseholder != nil && leaseholder.life == from.Life && leaseholder.reclaimed
 }
 
 // Unreclaimed returns the addresses of the leaseholders that have still to reclaim their leases, none after the grace
@@ -91,8 +123,8 @@
 		return nil
 	}
 	var addresses []netip.AddrPort
-	for address, h := range a.leaseholders {
-		if !h.reclaimed {
+	for address, leaseholder := range a.leaseholders {
+		if !leaseholder.reclaimed {
 			addresses = append(addresses, address)
 		}
 	}
@@ -100,10 +132,10 @@
 }
 
 // endByLeaving ends the leases of a process that is about to exit, so that the next allocator need not wait for it.
-func (a *Allocator) endByLeaving(now time.Time, h *leaseholder) {
-	a.endLeases(now, h)
-	a.markReclaimed(now, h)
-	h.left = true
+func (a *Allocator) endByLeaving(now time.Time, leaseholder *leaseholderRecord) {
+	a.endLeases(now, leaseholder)
+	a.markReclaimed(now, leaseholder)
+	leaseholder.left = true
 	a.removable = true
 }
 
@@ -111,14 +143,14 @@
 // each process that is registered. It may if it has no leases and has left, is down since its leases expired, or has
 // not renewed for long. A running process stays registered for longer than its leases last, since it would have to be
 // registered again before it is granted anything.
-func (a *Allocator) isRemovable(now time.Time, address netip.AddrPort, h *leaseholder) bool {
-	if !h.registered || len(h.leases) > 0 {
+func (a *Allocator) isRemovable(now time.Time, address netip.AddrPort, leaseholder *leaseholderRecord) bool {
+	if !leaseholder.registered || len(leaseholder.leases) > 0 {
 		return false
 	}
-	sinceRenewal := now.Sub(h.renewedAt)
+	sinceRenewal := now.Sub(leaseholder.renewedAt)
 	down := sinceRenewal > a.policy.Lease+HeadProofLifetime && a.isDown != nil && a.isDown(address)
 	unresponsive := sinceRenewal > unresponsiveLeases*a.policy.Lease
-	return h.left || a.graceEnded(now) && (down || unresponsive)
+	return leaseholder.left || a.graceEnded(now) && (down || unresponsive)
 }
 
 // HasRemovable reports whether there may be leaseholders that TakeRemovable returns.
@@ -129,44 +161,15 @@
 func (a *Allocator) TakeRemovable(now time.Time) []Leaseholder {
 	a.removable = false
 	var removable []Leaseholder
-	for address, h := range a.leaseholders {
-		if a.isRemovable(now, address, h) {
-			h.registered = false
-			removable = append(removable, Leaseholder{Address: address, Life: h.life})
+	for address, leaseholder := range a.leaseholders {
+		if a.isRemovable(now, address, leaseholder) {
+			leaseholder.registered = false
+			removable = append(removable, Leaseholder{Address: address, Life: leaseholder.life})
 		}
 	}
 	return removable
 }
 
-// Leaseholder identifies a proxy: one process at an address.
-type Leaseholder struct {
-	Address netip.AddrPort
-	Life    uint64
-}
-
-// leaseholder is what the allocator keeps of a proxy.
-type leaseholder struct {
-	life       uint64
-	former     []uint64          // processes that have ended
-	sequence   uint64            // of the last renewal
-	leases     map[string]*lease // by tenant
-	registered bool              // it may be granted something
-	reclaimed  bool              // the allocator knows all of its leases
-	left       bool              // it has given up its leases and is about to exit
-	renewedAt  time.Time
-}
-
-// lease is the share of one tenant that a leaseholder may have, as far as the allocator knows.
-type lease struct {
-	outstanding Share // upper bound of what the leaseholder uses
-	demand      float64
-	expiresAt   time.Time
-}
-
-func newLeaseholder(life uint64, now time.Time) *leaseholder {
-	return &leaseholder{life: life, leases: make(map[string]*lease), renewedAt: now}
-}
-
 // graceEnded reports whether all outstanding leases are known.
 func (a *Allocator) graceEnded(now time.Time) bool { return !now.Before(a.graceEndsAt) }
 
@@ -177,22 +180,22 @@
 	}
 	a.sweepAt = now.Add(sweepInterval)
 	a.removable = false
-	for address, h := range a.leaseholders {
-		for tenant, l := range h.leases {
-			if !now.Before(l.expiresAt) {
-				a.endLease(now, h, tenant, l)
+	for address, leaseholder := range a.leaseholders {
+		for tenant, lease := range leaseholder.leases {
+			if !now.Before(lease.expiresAt) {
+				a.endLease(now, leaseholder, tenant, lease)
 			}
 		}
-		if len(h.leases) == 0 && !h.registered {
+		if len(leaseholder.leases) == 0 && !leaseholder.registered {
 			delete(a.leaseholders, address)
 		}
-		a.removable = a.removable || a.isRemovable(now, address, h)
+		a.removable = a.removable || a.isRemovable(now, address, leaseholder)
 	}
 }
 
 // endLeases ends all leases of a leaseholder.
-func (a *Allocator) endLeases(now time.Time, h *leaseholder) {
-	for tenant, l := range h.leases {
-		a.endLease(now, h, tenant, l)
+func (a *Allocator) endLeases(now time.Time, leaseholder *leaseholderRecord) {
+	for tenant, lease := range leaseholder.leases {
+		a.endLease(now, leaseholder, tenant, lease)
 	}
 }
--- a/internal/quota/leaseholders_test.go
+++ b/internal/quota/leaseholders_test.go
@@ -26,9 +26,9 @@
 
 func TestAllocatorWithoutLeaseholdersGrantsAtOnce(t *testing.T) {
 	a := NewAllocator(rulePolicy, oneLimit(testLimit), nil, testStart)
-	g := mustRenew(t, a, after(0), testLeaseholder, 1, Entry{Tenant: "t", Demand: 100})[0]
-	if g.Lease.Rate < 40 {
-		t.Errorf("grant without other leases: got %+v, want a rate of 40 at least", g)
+	grant := mustRenew(t, a, after(0), testLeaseholder, 1, Entry{Tenant: "t", Demand: 100})[0]
+	if grant.Lease.Rate < 40 {
+		t.Errorf("grant without other leases: got %+v, want a rate of 40 at least", grant)
 	}
 }
 
@@ -39,17 +39,17 @@
 	if addresses := a.Unreclaimed(after(time.Millisecond)); !slices.Equal(addresses, []netip.AddrPort{otherLeaseholder.Address}) {
 		t.Errorf("Unreclaimed: got %v, want only %v", addresses, otherLeaseholder.Address)
 	}
-	if g := mustRenew(t, a, after(2*time.Millisecond), testLeaseholder, 2, held)[0]; g.Lease.Rate > 20 {
-		t.Errorf("grant in the grace period: got %+v, want a rate of 20 at most", g)
+	if grant := mustRenew(t, a, after(2*time.Millisecond), testLeaseholder, 2, held)[0]; grant.Lease.Rate > 20 {
+		t.Errorf("grant in the grace period: got %+v, want a rate of 20 at most", grant)
 	}
 	mustRenew(t, a, after(3*time.Millisecond), otherLeaseholder, 1, held) // perhaps not all of its leases
-	if g := mustRenew(t, a, after(4*time.Millisecond), testLeaseholder, 3, held)[0]; g.Lease.Rate > 20 {
-		t.Errorf("grant in the grace period: got %+v, want a rate of 20 at most", g)
+	if grant := mustRenew(t, a, after(4*time.Millisecond), testLeaseholder, 3, held)[0]; grant.Lease.Rate > 20 {
+		t.Errorf("grant in the grace period: got %+v, want a rate of 20 at most", grant)
 	}
 	reclaimAll(t, a, after(5*time.Millisecond), otherLeaseholder, 2, held)
-	g := mustRenew(t, a, after(6*time.Millisecond), testLeaseholder, 4, held)[0]
-	if g.Lease.Rate <= 20 || g.Lease.Rate > 30 {
-		t.Errorf("grant after the grace period: got %+v, want a rate over 20 and up to 30", g)
+	grant := mustRenew(t, a, after(6*time.Millisecond), testLeaseholder, 4, held)[0]
+	if grant.Lease.Rate <= 20 || grant.Lease.Rate > 30 {
+		t.Errorf("grant after the grace period: got %+v, want a rate over 20 and up to 30", grant)
 	}
 	if addresses := a.Unreclaimed(after(6 * time.Millisecond)); len(addresses) != 0 {
 		t.Errorf("Unreclaimed after the grace period: got %v, want none", addresses)
@@ -63,8 +63,8 @@
 		t.Error("restarted process: got registered or reclaimed, want neither")
 	}
 	register(a, after(0), restarted)
-	if g := mustRenew(t, a, after(0), restarted, 1, Entry{Tenant: "t", Demand: 100})[0]; g.Lease.Rate < 40 {
-		t.Errorf("grant after the restart: got %+v, want a rate of 40 at least", g)
+	if grant := mustRenew(t, a, after(0), restarted, 1, Entry{Tenant: "t", Demand: 100})[0]; grant.Lease.Rate < 40 {
+		t.Errorf("grant after the restart: got %+v, want a rate of 40 at least", grant)
 	}
 	if a.StatusOf(testLeaseholder) != Former {
 		t.Error("status of the former process: want Former")
--- a/internal/quota/leave_test.go
+++ b/internal/quota/leave_test.go
@@ -25,8 +25,8 @@
 	if removable := a.TakeRemovable(now); !slices.Equal(removable, []Leaseholder{testLeaseholder}) {
 		t.Errorf("TakeRemovable: got %v, want only %v", removable, testLeaseholder)
 	}
-	if g := mustRenew(t, a, now, otherLeaseholder, 1, Entry{Tenant: "t", Demand: 100})[0]; g.Lease.Rate < 40 {
-		t.Errorf("grant after the other leaseholder left: got %+v, want a rate of 40 at least", g)
+	if grant := mustRenew(t, a, now, otherLeaseholder, 1, Entry{Tenant: "t", Demand: 100})[0]; grant.Lease.Rate < 40 {
+		t.Errorf("grant after the other leaseholder left: got %+v, want a rate of 40 at least", grant)
 	}
 }
 
@@ -37,8 +37,8 @@
 		t.Fatal(err)
 	}
 	register(a, after(0), otherLeaseholder)
-	if g := mustRenew(t, a, after(0), otherLeaseholder, 1, Entry{Tenant: "t", Demand: 100})[0]; g.Lease.Rate < 40 {
-		t.Errorf("grant after the only leaseholder left: got %+v, want a rate of 40 at least", g)
+	if grant := mustRenew(t, a, after(0), otherLeaseholder, 1, Entry{Tenant: "t", Demand: 100})[0]; grant.Lease.Rate < 40 {
+		t.Errorf("grant after the only leaseholder left: got %+v, want a rate of 40 at least", grant)
 	}
 }
 
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -142,8 +142,8 @@
 	l.buckets.endLeases()
 	l.mutex.Unlock()
 	for range leaveAttempts {
-		a, err := l.call(ctx, renewalRound{complete: true, leaving: true})
-		if err == nil && !a.moved {
+		answer, err := l.call(ctx, renewalRound{complete: true, leaving: true})
+		if err == nil && !answer.moved {
 			return
 		}
 	}
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -43,31 +43,31 @@
 	return r.current
 }
 
-func (r *fakeRegistry) Change(_ context.Context, c RegistryChange) (RegistryState, error) {
+func (r *fakeRegistry) Change(_ context.Context, change RegistryChange) (RegistryState, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.fault != nil {
 		return RegistryState{}, r.fault
 	}
-	if c.Epoch < r.epoch || c.ExpectedRevision != r.current.Revision {
+	if change.Epoch < r.epoch || change.ExpectedRevision != r.current.Revision {
 		return RegistryState{}, fault.New(fault.VersionConflict, "revision %d", r.current.Revision)
 	}
-	r.epoch = c.Epoch
+	r.epoch = change.Epoch
 	r.current.Revision++
-	r.current.Leaseholders = changedMembers(r.current.Leaseholders, c)
+	r.current.Leaseholders = changedMembers(r.current.Leaseholders, change)
 	return r.current, nil
 }
 
 // changedMembers applies a change to the leaseholders of a registry.
-func changedMembers(members []Leaseholder, c RegistryChange) []Leaseholder {
+func changedMembers(members []Leaseholder, change RegistryChange) []Leaseholder {
 	var changed []Leaseholder
 	for _, m := range members {
-		replaced := slices.ContainsFunc(c.Add, func(added Leaseholder) bool { return added.Address == m.Address })
-		if !replaced && !slices.Contains(c.Remove, m) {
+		replaced := slices.ContainsFunc(change.Add, func(added Leaseholder) bool { return added.Address == m.Address })
+		if !replaced && !slices.Contains(change.Remove, m) {
 			changed = append(changed, m)
 		}
 	}
-	return append(changed, c.Add...)
+	return append(changed, change.Add...)
 }
 
 func startTransport(t *testing.T) *peer.Transport {
@@ -319,14 +319,14 @@
 func TestAnswersOfFormerAllocatorsAreRejected(t *testing.T) {
 	l := NewLimiter(rulePolicy, nil, nil, zap.NewNop())
 	old, next := proxyAddress, otherLeaseholder.Address
-	if err := l.checkAnswer(old, &answer{epoch: 3}, 0); err != nil {
+	if err := l.checkAnswer(old, &renewalAnswer{epoch: 3}, 0); err != nil {
 		t.Fatal(err)
 	}
 	l.followAllocator(next, 4)
-	if err := l.checkAnswer(old, &answer{epoch: 3}, 0); fault.KindOf(err) != fault.NotReady {
+	if err := l.checkAnswer(old, &renewalAnswer{epoch: 3}, 0); fault.KindOf(err) != fault.NotReady {
 		t.Errorf("answer of a former allocator: got error %v, want fault.NotReady", err)
 	}
-	if err := l.checkAnswer(old, &answer{moved: true}, 0); err != nil || l.allocator != next {
+	if err := l.checkAnswer(old, &renewalAnswer{moved: true}, 0); err != nil || l.allocator != next {
 		t.Errorf("allocator after a late answer: got %v, error %v", l.allocator, err)
 	}
 	l.followAllocator(old, 3)
--- a/internal/quota/message.go
+++ b/internal/quota/message.go
@@ -47,8 +47,8 @@
 	RetryAfter time.Duration
 }
 
-// answer is the response of a control node to a Renewal: grants, or the address of the allocator.
-type answer struct {
+// renewalAnswer is the response of a control node to a Renewal: grants, or the address of the allocator.
+type renewalAnswer struct {
 	grants      []Grant
 	moved       bool           // this node is not the allocator and grants nothing
 	allocator   netip.AddrPort // with moved: the allocator as far as known
--- a/internal/quota/policy.go
+++ b/internal/quota/policy.go
@@ -52,3 +52,13 @@
 
 // Share is the share of a limit that a lease grants: requests a second, and the depth of the token bucket in requests.
 type Share struct{ Rate, Depth float64 }
+
+// minShare returns the smaller rate and the smaller depth.
+func minShare(a, b Share) Share {
+	return Share{Rate: min(a.Rate, b.Rate), Depth: min(a.Depth, b.Depth)}
+}
+
+// maxShare returns the larger rate and the larger depth.
+func maxShare(a, b Share) Share {
+	return Share{Rate: max(a.Rate, b.Rate), Depth: max(a.Depth, b.Depth)}
+}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -31,9 +31,9 @@
 // register adds a process to those that an allocator knows to be registered.
 func register(a *Allocator, now time.Time, added Leaseholder) {
 	members := []Leaseholder{added}
-	for address, h := range a.leaseholders {
-		if h.registered && address != added.Address {
-			members = append(members, Leaseholder{Address: address, Life: h.life})
+	for address, leaseholder := range a.leaseholders {
+		if leaseholder.registered && address != added.Address {
+			members = append(members, Leaseholder{Address: address, Life: leaseholder.life})
 		}
 	}
 	a.SetRegistered(now, members)
@@ -66,39 +66,39 @@
 	h := Leaseholder{proxyAddress, 1}
 	a := NewAllocator(rulePolicy, oneLimit(Limit{Rate: 50, Burst: 50}), []Leaseholder{h, otherLeaseholder}, testStart)
 	held := Share{Rate: 20, Depth: 5}
-	g := mustRenew(t, a, after(0), h, 1, Entry{Tenant: "t", Held: held, Demand: 40, Need: 3})[0]
-	if g.Granted != 0 || g.Lease.Rate > held.Rate || g.Lease.Depth > held.Depth || g.RetryAfter == 0 {
-		t.Errorf("grant in the grace period: got %+v, want no more than %+v", g, held)
+	grant := mustRenew(t, a, after(0), h, 1, Entry{Tenant: "t", Held: held, Demand: 40, Need: 3})[0]
+	if grant.Granted != 0 || grant.Lease.Rate > held.Rate || grant.Lease.Depth > held.Depth || grant.RetryAfter == 0 {
+		t.Errorf("grant in the grace period: got %+v, want no more than %+v", grant, held)
 	}
-	g = mustRenew(t, a, a.graceEndsAt.Add(time.Second), h, 2, Entry{Tenant: "t", Held: g.Lease, Demand: 40, Need: 3})[0]
-	if g.Granted != 3 || g.Lease.Rate <= 20 {
-		t.Errorf("grant after the grace period: got %+v, want 3 granted and a rate over 20", g)
+	grant = mustRenew(t, a, a.graceEndsAt.Add(time.Second), h, 2, Entry{Tenant: "t", Held: grant.Lease, Demand: 40, Need: 3})[0]
+	if grant.Granted != 3 || grant.Lease.Rate <= 20 {
+		t.Errorf("grant after the grace period: got %+v, want 3 granted and a rate over 20", grant)
 	}
 }
 
 func TestReductionStaysOutstandingUntilConfirmed(t *testing.T) {
 	a, now := allocatorAfterGrace(Limit{Rate: 50, Burst: 50})
 	first, second := Leaseholder{proxyAddress, 1}, Leaseholder{netip.MustParseAddrPort("10.2.0.7:7661"), 2}
-	g := mustRenew(t, a, now, first, 1, Entry{Tenant: "t", Demand: 100})[0]
-	held := g.Lease
+	grant := mustRenew(t, a, now, first, 1, Entry{Tenant: "t", Demand: 100})[0]
+	held := grant.Lease
 	if held.Rate < 40 {
 		t.Fatalf("lease of the only proxy: got %+v, want a rate of 40 at least", held)
 	}
-	g = mustRenew(t, a, now, second, 1, Entry{Tenant: "t", Demand: 100})[0]
-	if held.Rate+g.Lease.Rate > 50 {
-		t.Errorf("rates of both leases: got %v and %v, want 50 at most together", held.Rate, g.Lease.Rate)
+	grant = mustRenew(t, a, now, second, 1, Entry{Tenant: "t", Demand: 100})[0]
+	if held.Rate+grant.Lease.Rate > 50 {
+		t.Errorf("rates of both leases: got %v and %v, want 50 at most together", held.Rate, grant.Lease.Rate)
 	}
 	lower := mustRenew(t, a, now, first, 2, Entry{Tenant: "t", Held: held, Demand: 100})[0].Lease
 	if lower.Rate >= held.Rate {
 		t.Fatalf("reduced rate: got %v, want less than %v", lower.Rate, held.Rate)
 	}
-	g = mustRenew(t, a, now, second, 2, Entry{Tenant: "t", Held: g.Lease, Demand: 100})[0]
-	if held.Rate+g.Lease.Rate > 50 {
-		t.Errorf("rates of both leases before the confirmation: got %v and %v, want 50 at most together", held.Rate, g.Lease.Rate)
+	grant = mustRenew(t, a, now, second, 2, Entry{Tenant: "t", Held: grant.Lease, Demand: 100})[0]
+	if held.Rate+grant.Lease.Rate > 50 {
+		t.Errorf("rates of both leases before the confirmation: got %v and %v, want 50 at most together", held.Rate, grant.Lease.Rate)
 	}
 	mustRenew(t, a, now, first, 3, Entry{Tenant: "t", Held: lower, Demand: 100})
-	grown := mustRenew(t, a, now, second, 3, Entry{Tenant: "t", Held: g.Lease, Demand: 100})[0].Lease
-	if grown.Rate <= g.Lease.Rate || lower.Rate+grown.Rate > 50 {
+	grown := mustRenew(t, a, now, second, 3, Entry{Tenant: "t", Held: grant.Lease, Demand: 100})[0].Lease
+	if grown.Rate <= grant.Lease.Rate || lower.Rate+grown.Rate > 50 {
 		t.Errorf("rates of both leases after the confirmation: got %v and %v, want growth to 50 at most together", lower.Rate, grown.Rate)
 	}
 }
@@ -108,23 +108,23 @@
 	mustRenew(t, a, now, Leaseholder{proxyAddress, 1}, 1, Entry{Tenant: "t", Demand: 100})
 	other := Leaseholder{netip.MustParseAddrPort("10.2.0.7:7661"), 2}
 	late := now.Add(rulePolicy.Lease + HeadProofLifetime/2) // a successor may have extended it meanwhile
-	g := mustRenew(t, a, late, other, 1, Entry{Tenant: "t", Demand: 100})[0]
-	if g.Lease.Rate > 10 {
-		t.Errorf("grant while the other lease may be in force: got %+v, want a rate of 10 at most", g)
+	grant := mustRenew(t, a, late, other, 1, Entry{Tenant: "t", Demand: 100})[0]
+	if grant.Lease.Rate > 10 {
+		t.Errorf("grant while the other lease may be in force: got %+v, want a rate of 10 at most", grant)
 	}
 	late = now.Add(rulePolicy.Lease + HeadProofLifetime + time.Millisecond)
-	g = mustRenew(t, a, late, other, 2, Entry{Tenant: "t", Held: g.Lease, Demand: 100})[0]
-	if g.Lease.Rate < 40 {
-		t.Errorf("grant after the other lease expired: got %+v, want a rate of 40 at least", g)
+	grant = mustRenew(t, a, late, other, 2, Entry{Tenant: "t", Held: grant.Lease, Demand: 100})[0]
+	if grant.Lease.Rate < 40 {
+		t.Errorf("grant after the other lease expired: got %+v, want a rate of 40 at least", grant)
 	}
 }
 
 func TestRestartEndsTheFormerLeases(t *testing.T) {
 	a, now := allocatorAfterGrace(Limit{Rate: 50, Burst: 50})
 	mustRenew(t, a, now, Leaseholder{proxyAddress, 1}, 7, Entry{Tenant: "t", Demand: 100})
-	g := mustRenew(t, a, now, Leaseholder{proxyAddress, 2}, 1, Entry{Tenant: "t", Demand: 100})[0]
-	if g.Lease.Rate < 40 {
-		t.Errorf("grant of a restarted proxy: got %+v, want a rate of 40 at least", g)
+	grant := mustRenew(t, a, now, Leaseholder{proxyAddress, 2}, 1, Entry{Tenant: "t", Demand: 100})[0]
+	if grant.Lease.Rate < 40 {
+		t.Errorf("grant of a restarted proxy: got %+v, want a rate of 40 at least", grant)
 	}
 	_, err := a.Renew(now, Leaseholder{proxyAddress, 1}, &Renewal{Life: 1, Sequence: 8})
 	if fault.KindOf(err) != fault.Conflict {
@@ -146,9 +146,9 @@
 
 func TestUnlimitedTenantGetsAll(t *testing.T) {
 	a, now := allocatorAfterGrace(Limit{})
-	g := mustRenew(t, a, now, Leaseholder{proxyAddress, 1}, 1, Entry{Tenant: "t", Need: 9})[0]
-	if g.Granted != 9 {
-		t.Errorf("grant without a limit: got %+v, want 9 granted", g)
+	grant := mustRenew(t, a, now, Leaseholder{proxyAddress, 1}, 1, Entry{Tenant: "t", Need: 9})[0]
+	if grant.Granted != 9 {
+		t.Errorf("grant without a limit: got %+v, want 9 granted", grant)
 	}
 }
 
@@ -208,31 +208,31 @@
 }
 
 func TestCodec(t *testing.T) {
-	r := &Renewal{Life: 1 << 63, Sequence: 7, Epoch: 1 << 62, Complete: true, Entries: []Entry{
+	renewal := &Renewal{Life: 1 << 63, Sequence: 7, Epoch: 1 << 62, Complete: true, Entries: []Entry{
 		{Tenant: "a", Held: Share{Rate: 1.5, Depth: 2.5}, Demand: 3.5, Need: 4, Returned: 0.5},
 		{Tenant: "b"},
 	}}
-	data, err := encodeRenewal(r)
+	data, err := encodeRenewal(renewal)
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, err := decodeRenewal(data)
-	if err != nil || fmt.Sprint(got) != fmt.Sprint(r) {
-		t.Errorf("decoded renewal: got %v, want %v (error %v)", got, r, err)
+	if err != nil || fmt.Sprint(got) != fmt.Sprint(renewal) {
+		t.Errorf("decoded renewal: got %v, want %v (error %v)", got, renewal, err)
 	}
-	a := &answer{
+	answer := &renewalAnswer{
 		grants:      []Grant{{Lease: Share{Rate: 1, Depth: 2}, Granted: 3, RetryAfter: 40 * time.Millisecond}},
 		moved:       true,
 		allocator:   proxyAddress,
 		epoch:       5,
 		mustReclaim: true,
 	}
-	if data, err = encodeAnswer(a); err != nil {
+	if data, err = encodeAnswer(answer); err != nil {
 		t.Fatal(err)
 	}
 	gotAnswer, err := decodeAnswer(data)
-	if err != nil || fmt.Sprint(gotAnswer) != fmt.Sprint(a) {
-		t.Errorf("decoded answer: got %v, want %v (error %v)", gotAnswer, a, err)
+	if err != nil || fmt.Sprint(gotAnswer) != fmt.Sprint(answer) {
+		t.Errorf("decoded answer: got %v, want %v (error %v)", gotAnswer, answer, err)
 	}
 	for cut := range data {
 		_, _ = decodeAnswer(data[:cut]) // must not panic
@@ -275,15 +275,15 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				r, err := decodeRenewal(data)
+				renewal, err := decodeRenewal(data)
 				if err != nil {
 					b.Fatal(err)
 				}
-				grants, err := a.Renew(now, Leaseholder{proxyAddress, 1}, r)
+				grants, err := a.Renew(now, Leaseholder{proxyAddress, 1}, renewal)
 				if err != nil {
 					b.Fatal(err)
 				}
-				if _, err := encodeAnswer(&answer{grants: grants}); err != nil {
+				if _, err := encodeAnswer(&renewalAnswer{grants: grants}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/quota/registry.go
+++ b/internal/quota/registry.go
@@ -14,7 +14,7 @@
 	Current() RegistryState
 	// Change commits a change and returns the registry after it. A change that fails may still be committed later, unless
 	// another one is committed before it.
-	Change(ctx context.Context, c RegistryChange) (RegistryState, error)
+	Change(ctx context.Context, change RegistryChange) (RegistryState, error)
 }
 
 // RegistryState is the content of the registry at a revision.
@@ -86,37 +86,37 @@
 
 // next returns the change to make, if any is due. The first one of an allocator is empty: it fences off former
 // allocators, and the allocator starts after it.
-func (r *registryUpdater) next() (c RegistryChange, starts, due bool) {
+func (r *registryUpdater) next() (change RegistryChange, starts, due bool) {
 	s := r.service
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.headship.Fresh() {
 		return r.stop()
 	}
-	c = RegistryChange{Epoch: s.headship.Epoch(), ExpectedRevision: r.registry.Current().Revision}
+	change = RegistryChange{Epoch: s.headship.Epoch(), ExpectedRevision: r.registry.Current().Revision}
 	allocator := s.activeAllocator()
 	if allocator == nil {
-		return c, true, true
+		return change, true, true
 	}
 	for address, life := range r.waiting {
 		if h := (Leaseholder{Address: address, Life: life}); allocator.StatusOf(h) == Unregistered {
-			c.Add = append(c.Add, h)
+			change.Add = append(change.Add, h)
 		}
 	}
 	r.waiting = nil
-	c.Remove = allocator.TakeRemovable(time.Now())
-	if len(c.Add)+len(c.Remove) == 0 {
+	change.Remove = allocator.TakeRemovable(time.Now())
+	if len(change.Add)+len(change.Remove) == 0 {
 		return r.stop()
 	}
-	return c, false, true
+	return change, false, true
 }
 
 // stop ends the run and has those that wait look again. The caller holds the mutex.
-func (r *registryUpdater) stop() (c RegistryChange, starts, due bool) {
+func (r *registryUpdater) stop() (change RegistryChange, starts, due bool) {
 	r.running = false
 	r.waiting = nil
 	r.notifyWaiting()
-	return c, false, false
+	return change, false, false
 }
 
 // notifyWaiting wakes all that wait for a change. The caller holds the mutex.
@@ -126,16 +126,16 @@
 }
 
 // finish applies the outcome of a change.
-func (r *registryUpdater) finish(c RegistryChange, starts bool, after RegistryState, err error) {
+func (r *registryUpdater) finish(change RegistryChange, starts bool, after RegistryState, err error) {
 	s := r.service
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	defer r.notifyWaiting()
 	switch {
 	case err != nil:
-		s.log.Info("change quota registry failed", zap.Uint64("epoch", c.Epoch), zap.Error(err))
+		s.log.Info("change quota registry failed", zap.Uint64("epoch", change.Epoch), zap.Error(err))
 	case starts:
-		s.startAllocator(time.Now(), c.Epoch, after.Leaseholders)
+		s.startAllocator(time.Now(), change.Epoch, after.Leaseholders)
 	case s.allocator != nil:
 		s.allocator.SetRegistered(time.Now(), after.Leaseholders)
 	}
--- a/internal/quota/renewal.go
+++ b/internal/quota/renewal.go
@@ -22,72 +22,83 @@
 
 // renew makes one call, and a second one if the allocator has moved. It reports whether it reached the allocator.
 func (l *Limiter) renew(ctx context.Context, all bool) bool {
-	r, needed := l.startRound(time.Now(), all)
+	round, needed := l.startRound(time.Now(), all)
 	if !needed {
 		return true
 	}
 	for range 2 {
 		askedAt := time.Now()
-		a, err := l.call(ctx, r)
+		answer, err := l.call(ctx, round)
 		if err != nil {
-			l.failRound(r, err)
+			l.failRound(round, err)
 			return false
 		}
-		if !a.moved {
-			l.applyAnswer(askedAt, r, a)
+		if !answer.moved {
+			l.applyAnswer(askedAt, round, answer)
 			return true
 		}
 	}
-	l.failRound(r, fault.New(fault.NotReady, "no control node is the allocator"))
+	l.failRound(round, fault.New(fault.NotReady, "no control node is the allocator"))
 	return false
 }
 
 // startRound takes over the waiting requests, and reports whether there is anything to ask for. The renewal is complete
 // if all is set, and when the allocator may not know all leases.
-func (l *Limiter) startRound(now time.Time, all bool) (r renewalRound, needed bool) {
+func (l *Limiter) startRound(now time.Time, all bool) (round renewalRound, needed bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	r.waiters = l.waiting
-	r.complete = all || l.mustReclaim
+	round.waiters = l.waiting
+	round.complete = all || l.mustReclaim
 	l.waiting = make(map[string][]*waiter)
-	needs := make(map[string]int, len(r.waiters))
-	for tenant, list := range r.waiters {
+	needs := make(map[string]int, len(round.waiters))
+	for tenant, list := range round.waiters {
 		for _, w := range list {
 			if !w.abandoned {
 				needs[tenant]++
 			}
 		}
 	}
-	r.entries = l.buckets.renewalEntries(now, needs, r.complete)
-	return r, l.mustReclaim || len(r.entries) > 0
+	round.entries = l.buckets.renewalEntries(now, needs, round.complete)
+	return round, l.mustReclaim || len(round.entries) > 0
 }
 
 // call sends a renewal to the node that is believed to be the allocator.
-func (l *Limiter) call(ctx context.Context, r renewalRound) (*answer, error) {
+func (l *Limiter) call(ctx context.Context, round renewalRound) (*renewalAnswer, error) {
 	to, epoch, err := l.destination()
 	if err != nil {
 		return nil, err
 	}
 	l.sequence++
-	renewal := &Renewal{Life: l.life, Sequence: l.sequence, Epoch: epoch, Complete: r.complete, Leaving: r.leaving, Entries: r.entries}
-	body, err := encodeRenewal(renewal)
+	body, err := encodeRenewal(&Renewal{
+		Life:     l.life,
+		Sequence: l.sequence,
+		Epoch:    epoch,
+		Complete: round.complete,
+		Leaving:  round.leaving,
+		Entries:  round.entries,
+	})
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	m, err := l.caller.Call(ctx, to, peer.Message{Kind: kindRenew, Body: body})
-	var a *answer
-	if err == nil {
-		a, err = decodeAnswer(m.Body)
-	}
+	answer, err := l.exchange(ctx, to, body)
 	if err == nil {
-		err = l.checkAnswer(to, a, len(r.entries))
+		err = l.checkAnswer(to, answer, len(round.entries))
 	}
 	if err != nil {
 		l.dropAllocator(to, err)
 	}
-	return a, err
+	return answer, err
+}
+
+// exchange sends an encoded renewal and returns the answer.
+func (l *Limiter) exchange(ctx context.Context, to netip.AddrPort, renewal []byte) (*renewalAnswer, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	message, err := l.caller.Call(ctx, to, peer.Message{Kind: kindRenew, Body: renewal})
+	if err != nil {
+		return nil, err
+	}
+	return decodeAnswer(message.Body)
 }
 
 // destination returns the allocator, or a random control node while it is unknown, and the newest known epoch.
@@ -106,22 +117,22 @@
 
 // checkAnswer checks an answer and records where the allocator is. Grants of an older epoch than the newest known are
 // rejected: the limiter has presented its leases to a newer allocator.
-func (l *Limiter) checkAnswer(from netip.AddrPort, a *answer, entries int) error {
+func (l *Limiter) checkAnswer(from netip.AddrPort, answer *renewalAnswer, entries int) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	switch {
-	case a.moved && l.allocator.IsValid() && l.allocator != from:
+	case answer.moved && l.allocator.IsValid() && l.allocator != from:
 		// A new allocator has announced itself meanwhile.
-	case a.moved && a.allocator == from:
+	case answer.moved && answer.allocator == from:
 		l.allocator = netip.AddrPort{}
-	case a.moved:
-		l.allocator = a.allocator
-	case a.epoch < l.epoch:
-		return fault.New(fault.NotReady, "allocator of epoch %d, but %d has begun", a.epoch, l.epoch)
-	case len(a.grants) != entries:
-		return fault.New(fault.Internal, "%d grants for %d entries", len(a.grants), entries)
+	case answer.moved:
+		l.allocator = answer.allocator
+	case answer.epoch < l.epoch:
+		return fault.New(fault.NotReady, "allocator of epoch %d, but %d has begun", answer.epoch, l.epoch)
+	case len(answer.grants) != entries:
+		return fault.New(fault.Internal, "%d grants for %d entries", len(answer.grants), entries)
 	default:
-		l.epoch = a.epoch
+		l.epoch = answer.epoch
 		l.allocator = from
 	}
 	return nil
@@ -143,37 +154,37 @@
 }
 
 // applyAnswer takes over the grants of an answer and resolves the requests that wait.
-func (l *Limiter) applyAnswer(askedAt time.Time, r renewalRound, a *answer) {
+func (l *Limiter) applyAnswer(askedAt time.Time, round renewalRound, answer *renewalAnswer) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := time.Now()
 	l.failedAt = time.Time{}
-	l.updateReclaim(r, a)
-	tokens := l.buckets.apply(now, askedAt, r.entries, a.grants)
-	for tenant, list := range r.waiters {
+	l.updateReclaim(round, answer)
+	tokens := l.buckets.apply(now, askedAt, round.entries, answer.grants)
+	for tenant, list := range round.waiters {
 		l.resolveWaiters(now, tenant, list, tokens[tenant], exhausted)
 	}
 }
 
 // updateReclaim records whether the allocator knows all leases, and renews again if not.
-func (l *Limiter) updateReclaim(r renewalRound, a *answer) {
-	if r.complete {
+func (l *Limiter) updateReclaim(round renewalRound, answer *renewalAnswer) {
+	if round.complete {
 		l.mustReclaim = false
 	}
-	if a.mustReclaim {
+	if answer.mustReclaim {
 		l.mustReclaim = true
 		l.wakeRun()
 	}
 }
 
 // failRound resolves the requests that wait without the allocator, which is out of reach.
-func (l *Limiter) failRound(r renewalRound, err error) {
+func (l *Limiter) failRound(round renewalRound, err error) {
 	l.log.Debug("renew quota leases failed", zap.Error(err))
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := time.Now()
 	l.failedAt = now
-	for tenant, list := range r.waiters {
+	for tenant, list := range round.waiters {
 		l.resolveWaiters(now, tenant, list, 0, unreachable)
 	}
 }
--- a/internal/quota/service.go
+++ b/internal/quota/service.go
@@ -55,27 +55,27 @@
 
 // renew handles the renewal of a proxy.
 func (s *Service) renew(ctx context.Context, from netip.AddrPort, m peer.Message) (peer.Message, error) {
-	r, err := decodeRenewal(m.Body)
+	renewal, err := decodeRenewal(m.Body)
 	if err != nil {
 		return peer.Message{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
-	a, err := s.answer(ctx, Leaseholder{Address: from, Life: r.Life}, r)
+	answer, err := s.answer(ctx, Leaseholder{Address: from, Life: renewal.Life}, renewal)
 	if err != nil {
 		return peer.Message{}, err
 	}
-	body, err := encodeAnswer(a)
+	body, err := encodeAnswer(answer)
 	return peer.Message{Kind: kindRenew, Body: body}, err
 }
 
 // answer answers a renewal. It waits for the start of the allocator and the registration of the proxy where they are
 // pending.
-func (s *Service) answer(ctx context.Context, from Leaseholder, r *Renewal) (*answer, error) {
+func (s *Service) answer(ctx context.Context, from Leaseholder, renewal *Renewal) (*renewalAnswer, error) {
 	for {
-		a, registered, err := s.tryAnswer(time.Now(), from, r)
+		answer, registered, err := s.tryAnswer(time.Now(), from, renewal)
 		if registered == nil {
-			return a, err
+			return answer, err
 		}
 		select {
 		case <-registered:
@@ -86,27 +86,27 @@
 }
 
 // tryAnswer answers a renewal, or returns a channel that is closed when it is worth trying again.
-func (s *Service) tryAnswer(now time.Time, from Leaseholder, r *Renewal) (*answer, <-chan struct{}, error) {
+func (s *Service) tryAnswer(now time.Time, from Leaseholder, renewal *Renewal) (*renewalAnswer, <-chan struct{}, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !s.headship.Fresh() || r.Epoch > s.headship.Epoch() {
+	if !s.headship.Fresh() || renewal.Epoch > s.headship.Epoch() {
 		head, _ := s.headship.Head()
-		return &answer{moved: true, allocator: head}, nil, nil
+		return &renewalAnswer{moved: true, allocator: head}, nil, nil
 	}
 	allocator := s.activeAllocator()
 	if allocator == nil {
 		return nil, s.updater.startUpdates(), nil
 	}
 	status := allocator.StatusOf(from)
-	if status == Unregistered && r.Leaving {
-		return &answer{epoch: s.epoch}, nil, nil // no allocator would wait for it
+	if status == Unregistered && renewal.Leaving {
+		return &renewalAnswer{epoch: s.epoch}, nil, nil // no allocator would wait for it
 	}
 	if status == Unregistered {
 		return nil, s.updater.register(from), nil
 	}
-	grants, err := allocator.Renew(now, from, r)
+	grants, err := allocator.Renew(now, from, renewal)
 	if allocator.HasRemovable() {
 		s.updater.startUpdates()
 	}
-	return &answer{epoch: s.epoch, mustReclaim: !allocator.HasReclaimed(from), grants: grants}, nil, err
+	return &renewalAnswer{epoch: s.epoch, mustReclaim: !allocator.HasReclaimed(from), grants: grants}, nil, err
 }
--- a/internal/quota/simulation_head_test.go
+++ b/internal/quota/simulation_head_test.go
@@ -12,12 +12,12 @@
 }
 
 // commit applies a change, and reports whether it was allowed.
-func (r *simulatedRegistry) commit(c RegistryChange) bool {
-	if c.Epoch < r.epoch || c.ExpectedRevision != r.current.Revision {
+func (r *simulatedRegistry) commit(change RegistryChange) bool {
+	if change.Epoch < r.epoch || change.ExpectedRevision != r.current.Revision {
 		return false
 	}
-	r.epoch = c.Epoch
-	r.current = RegistryState{Revision: r.current.Revision + 1, Leaseholders: changedMembers(r.current.Leaseholders, c)}
+	r.epoch = change.Epoch
+	r.current = RegistryState{Revision: r.current.Revision + 1, Leaseholders: changedMembers(r.current.Leaseholders, change)}
 	return true
 }
 
@@ -71,29 +71,29 @@
 }
 
 // receive answers a renewal, after the allocator has begun and the proxy is registered.
-func (h *simulatedHead) receive(from Leaseholder, r *Renewal, reply func(*answer)) {
+func (h *simulatedHead) receive(from Leaseholder, renewal *Renewal, reply func(*renewalAnswer)) {
 	switch {
 	case h.ended:
 		return
-	case r.Epoch > h.epoch:
-		reply(&answer{moved: true})
+	case renewal.Epoch > h.epoch:
+		reply(&renewalAnswer{moved: true})
 		return
 	case h.allocator == nil:
-		h.afterChange(func() { h.receive(from, r, reply) })
+		h.afterChange(func() { h.receive(from, renewal, reply) })
 		return
 	case h.allocator.StatusOf(from) == Unregistered:
 		h.waiting[from.Address] = from.Life
-		h.afterChange(func() { h.receive(from, r, reply) })
+		h.afterChange(func() { h.receive(from, renewal, reply) })
 		return
 	}
-	grants, err := h.allocator.Renew(h.s.now(), from, r)
+	grants, err := h.allocator.Renew(h.s.now(), from, renewal)
 	if err != nil {
 		return
 	}
 	if h.allocator.HasRemovable() {
 		h.change()
 	}
-	reply(&answer{epoch: h.epoch, mustReclaim: !h.allocator.HasReclaimed(from), grants: grants})
+	reply(&renewalAnswer{epoch: h.epoch, mustReclaim: !h.allocator.HasReclaimed(from), grants: grants})
 }
 
 func (h *simulatedHead) afterChange(run func()) {
@@ -107,16 +107,16 @@
 		return
 	}
 	begins := h.allocator == nil
-	c := RegistryChange{Epoch: h.epoch, ExpectedRevision: h.s.registry.current.Revision}
+	change := RegistryChange{Epoch: h.epoch, ExpectedRevision: h.s.registry.current.Revision}
 	if !begins {
-		c.Add, c.Remove = h.changes()
+		change.Add, change.Remove = h.changes()
 	}
-	if !begins && len(c.Add)+len(c.Remove) == 0 {
+	if !begins && len(change.Add)+len(change.Remove) == 0 {
 		return
 	}
 	h.changing = true
 	h.s.clock.After(5*h.s.trip(), func() {
-		committed := !h.cut && h.s.registry.commit(c)
+		committed := !h.cut && h.s.registry.commit(change)
 		after := h.s.registry.current
 		heard := committed && h.s.random.IntN(20) > 0
 		h.s.clock.After(2*h.s.trip(), func() { h.finish(begins, heard, after) })
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -152,8 +152,8 @@
 
 // checkLeases checks, for the tenants whose leases have just been renewed, that no more is leased than their limits allow.
 func (s *simulation) checkLeases(renewed []Entry) {
-	for _, e := range renewed {
-		t := s.tenantOf(e.Tenant)
+	for _, entry := range renewed {
+		t := s.tenantOf(entry.Tenant)
 		sum := Share{}
 		for _, p := range s.proxies {
 			b := p.buckets.byTenant[t.name]
@@ -231,13 +231,13 @@
 	p.s.calls++
 	p.sequence++
 	life, askedAt := p.life, p.s.now()
-	r := &Renewal{Life: life, Sequence: p.sequence, Epoch: p.epoch, Complete: complete, Entries: entries}
+	renewal := &Renewal{Life: life, Sequence: p.sequence, Epoch: p.epoch, Complete: complete, Entries: entries}
 	answered := false
-	finish := func(a *answer) {
+	finish := func(answer *renewalAnswer) {
 		p.whileRunning(life, func() {
 			if !answered {
 				answered = true
-				p.answer(askedAt, needs, r, a)
+				p.answer(askedAt, needs, renewal, answer)
 			}
 		})
 	}
@@ -247,9 +247,9 @@
 	}
 	head := p.reachedHead()
 	p.s.clock.After(p.s.trip(), func() {
-		head.receive(Leaseholder{Address: p.address, Life: life}, r, func(a *answer) {
+		head.receive(Leaseholder{Address: p.address, Life: life}, renewal, func(answer *renewalAnswer) {
 			if !p.partitioned && !(p.s.lossy && p.s.random.IntN(200) == 0) {
-				p.s.clock.After(p.s.trip(), func() { finish(a) })
+				p.s.clock.After(p.s.trip(), func() { finish(answer) })
 			}
 		})
 	})
@@ -291,19 +291,19 @@
 }
 
 // acceptable tells whether an answer comes from the newest allocator that the proxy has heard of.
-func (p *simulatedProxy) acceptable(a *answer) bool {
-	return a != nil && !a.moved && a.epoch >= p.epoch
+func (p *simulatedProxy) acceptable(answer *renewalAnswer) bool {
+	return answer != nil && !answer.moved && answer.epoch >= p.epoch
 }
 
 // answer applies an answer, or notes the lack of one.
-func (p *simulatedProxy) answer(askedAt time.Time, needs map[string]int, r *Renewal, a *answer) {
+func (p *simulatedProxy) answer(askedAt time.Time, needs map[string]int, renewal *Renewal, answer *renewalAnswer) {
 	granted := map[string]int{}
 	pause := callPause
-	if p.acceptable(a) {
-		p.epoch = a.epoch
+	if p.acceptable(answer) {
+		p.epoch = answer.epoch
 		p.failedAt = time.Time{}
-		p.mustReclaim = a.mustReclaim || p.mustReclaim && !r.Complete
-		granted = p.buckets.apply(p.s.now(), askedAt, r.Entries, a.grants)
+		p.mustReclaim = answer.mustReclaim || p.mustReclaim && !renewal.Complete
+		granted = p.buckets.apply(p.s.now(), askedAt, renewal.Entries, answer.grants)
 	} else {
 		p.failedAt = p.s.now()
 		pause = failurePause
@@ -322,7 +322,7 @@
 			p.s.admit(t)
 		}
 	}
-	p.s.checkLeases(r.Entries)
+	p.s.checkLeases(renewal.Entries)
 	life := p.life
 	p.s.clock.After(pause, func() {
 		p.whileRunning(life, func() {
--- a/internal/quota/size_bench_test.go
+++ b/internal/quota/size_bench_test.go
@@ -30,7 +30,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				reply, err := encodeAnswer(&answer{grants: grants})
+				reply, err := encodeAnswer(&renewalAnswer{grants: grants})
 				if err != nil {
 					b.Fatal(err)
 				}
