--- a/internal/chain/second_loss_test.go
+++ b/internal/chain/second_loss_test.go
@@ -73,10 +73,10 @@
 	set := func(cut bool) {
 		for _, other := range s.sites {
 			if direction != 2 {
-				s.network.Cut(target.address, other.address, cut)
+				s.network.Partition(target.address, other.address, cut)
 			}
 			if direction != 1 {
-				s.network.Cut(other.address, target.address, cut)
+				s.network.Partition(other.address, target.address, cut)
 			}
 		}
 	}
--- a/internal/chain/simulation_test.go
+++ b/internal/chain/simulation_test.go
@@ -389,12 +389,12 @@
 		}
 		s.note("cut %d and %d, direction %d", site.index, other.index, direction)
 		if direction != 1 {
-			s.network.Cut(site.address, other.address, true)
-			s.after(duration, func() { s.network.Cut(site.address, other.address, false) })
+			s.network.Partition(site.address, other.address, true)
+			s.after(duration, func() { s.network.Partition(site.address, other.address, false) })
 		}
 		if direction != 0 {
-			s.network.Cut(other.address, site.address, true)
-			s.after(duration, func() { s.network.Cut(other.address, site.address, false) })
+			s.network.Partition(other.address, site.address, true)
+			s.after(duration, func() { s.network.Partition(other.address, site.address, false) })
 		}
 	}
 }
--- a/internal/chain/simulation_views_test.go
+++ b/internal/chain/simulation_views_test.go
@@ -103,7 +103,7 @@
 	if wrong && !s.simulation.healed {
 		return false
 	}
-	cut := network.IsCut(s.address, other.address) || network.IsCut(other.address, s.address)
+	cut := network.IsPartitioned(s.address, other.address) || network.IsPartitioned(other.address, s.address)
 	if network.Up(other.address) && !network.Frozen(other.address) && !cut {
 		delete(s.silent, other.address)
 		return true
--- a/internal/discovery/poller_test.go
+++ b/internal/discovery/poller_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestOtherNodesStayUnderTheRate lets many nodes live without any news from control nodes.
+// TestOtherNodesStayUnderTheRate runs many nodes without any proof from control nodes.
 func TestOtherNodesStayUnderTheRate(t *testing.T) {
 	const nodes, pages, span = 95, 2, 60 * time.Second
 	start := time.Now()
@@ -113,7 +113,7 @@
 	last := time.Duration(0)
 	for range 3 {
 		s.pollStarted(now)
-		s.pollFinished(now, 0, errors.New("silence"))
+		s.pollFinished(now, 0, errors.New("timeout"))
 		wait := s.pollWait(now, role)
 		if wait <= last {
 			t.Errorf("wait after another failure: got %v, want more than %v", wait, last)
@@ -126,7 +126,7 @@
 	}
 }
 
-// fakeDistribution keeps what it is told, with the times of proofs.
+// fakeDistribution keeps what is published, with the times of proofs.
 type fakeDistribution struct {
 	sequence uint64
 	data     []byte
@@ -161,7 +161,7 @@
 
 func (f sourceFunc) Read(context.Context, bool, func([]Backend)) (Listing, error) { return f() }
 
-// pagedSource tells its pages before it ends.
+// pagedSource reports its pages one by one.
 type pagedSource struct {
 	pages [][]Backend
 	err   error
@@ -234,7 +234,7 @@
 
 func TestFailedPollChangesNothing(t *testing.T) {
 	d := &fakeDistribution{}
-	r := newTestPoller(d, sourceFunc(func() (Listing, error) { return Listing{}, errors.New("silence") }))
+	r := newTestPoller(d, sourceFunc(func() (Listing, error) { return Listing{}, errors.New("timeout") }))
 	r.poll(t.Context(), true)
 	if d.changes != 0 || !d.proof.IsZero() {
 		t.Error("failed poll: got a change or a proof, want neither")
@@ -252,10 +252,10 @@
 	}
 }
 
-// A backend that a page shows draining is published at once, and stays so whether the reading ends well or not. New and
-// lacking backends wait for the end.
+// A backend that a page shows draining is published at once, and stays so whether the poll succeeds or not. New and
+// missing backends wait for the end.
 func TestDrainingIsPublishedBeforeThePollEnds(t *testing.T) {
-	for _, failure := range []error{nil, errors.New("silence")} {
+	for _, failure := range []error{nil, errors.New("timeout")} {
 		backends := manyBackends(12)
 		for i := range backends {
 			backends[i].Draining = false
@@ -299,7 +299,7 @@
 	}
 }
 
-// The period follows the platform's rate where the listing is long, and ranks go on reading one after the other.
+// The period follows the platform's rate where the listing is long, and ranks still poll one after the other.
 func TestPeriodFollowsTheRate(t *testing.T) {
 	const pages = 74
 	now := time.Now()
--- a/internal/discovery/simulation_test.go
+++ b/internal/discovery/simulation_test.go
@@ -18,7 +18,7 @@
 	zone           int
 	schedule       *schedule
 	version        int          // of the listing
-	knownChanges   map[int]bool // changes of the listing, also those that a page told of before the reading ended
+	knownChanges   map[int]bool // changes of the listing, also those of a page before the end of the poll
 	asOf           time.Duration
 	frozen         bool
 	partitioned    bool // from all nodes, not from the platform
@@ -147,7 +147,7 @@
 	})
 }
 
-// handlePage has a node learn of the changes that a page shows, and spread them, as Reader.publishDraining does.
+// handlePage has a node learn the changes that a page shows, and spread them, as Poller.publishDraining does.
 func (s *simulation) handlePage(n *simulatedNode, page int) {
 	for change := page; change <= s.platformVersion; change += s.site.pages { // a page shows every so manieth
 		if change > n.version && s.learnChange(n, change) {
@@ -156,7 +156,7 @@
 	}
 }
 
-// learnChange notes when a node knows of a change, and tells whether it did not before.
+// learnChange notes when a node knows of a change, and reports whether that is new.
 func (s *simulation) learnChange(n *simulatedNode, change int) bool {
 	if change == 0 || n.knownChanges[change] || n.frozen {
 		return false
@@ -190,7 +190,7 @@
 	return true
 }
 
-// pull has a node exchange with the control nodes in their order, as Reader.ask does.
+// pull has a node exchange with the control nodes in their order, as Poller.pull does.
 func (s *simulation) pull(n *simulatedNode) {
 	s.pulls++
 	n.schedule.pullStarted(s.now())
@@ -213,7 +213,7 @@
 	})
 }
 
-// learnVersion gives a node a version and its proof. A new version goes on as a rumour.
+// learnVersion gives a node a version and its proof. A new version is gossiped on.
 func (s *simulation) learnVersion(n *simulatedNode, version int, asOf time.Duration) {
 	if n.frozen || version < n.version {
 		return
@@ -236,8 +236,8 @@
 	s.sendToSome(from, func(to *simulatedNode) { s.learnVersion(to, version, asOf) })
 }
 
-// sendToSome has a node tell a few others something.
-func (s *simulation) sendToSome(from *simulatedNode, hear func(to *simulatedNode)) {
+// sendToSome has a node send a few others something.
+func (s *simulation) sendToSome(from *simulatedNode, receive func(to *simulatedNode)) {
 	if from.partitioned {
 		return
 	}
@@ -245,13 +245,13 @@
 		to := s.nodes[s.random.IntN(s.site.nodes)]
 		s.clock.After(time.Duration(2+s.random.IntN(20))*time.Millisecond, func() {
 			if !to.partitioned {
-				hear(to)
+				receive(to)
 			}
 		})
 	}
 }
 
-// exchange lets a node hear of a partner's version and proof, each heartbeat.
+// exchange exchanges versions and proofs with a partner, each heartbeat.
 func (s *simulation) exchange(n *simulatedNode) {
 	s.clock.After(testHeartbeat, func() { s.exchange(n) })
 	partner := s.nodes[s.random.IntN(s.site.nodes)]
@@ -269,7 +269,7 @@
 		}
 	}
 	s.learnVersion(n, partner.version, partner.asOf)
-	if n.version > partner.version { // which the partner fetches; of a held one it is not told the proof
+	if n.version > partner.version { // which the partner fetches; the exchange has no proof of a known one
 		s.learnVersion(partner, n.version, n.asOf)
 	}
 }
@@ -289,8 +289,8 @@
 	t.Run("large", func(t *testing.T) { testSimulatedPolls(t, largeSite) })
 }
 
-// TestSimulatedPollsAtTargetSize: where one reader takes nearly all of the platform's rate, a drain is known within a cycle of calls
-// in calm and beside a node that is cut off, and after the reader is lost the list goes on once another one is the first.
+// TestSimulatedPollsAtTargetSize: where the primary takes nearly all of the platform's rate, a drain is known within a cycle of calls
+// in calm and beside a partitioned node, and after the primary has failed the list goes on once another one is the first.
 func TestSimulatedPollsAtTargetSize(t *testing.T) {
 	// In the first seconds readers still get in each other's way.
 	const started, lost, noticed, end = 10 * time.Second, 15 * time.Second, 17 * time.Second, 45 * time.Second
@@ -298,14 +298,14 @@
 	// about the drain time-out of the site. No larger listing could be read in time at this rate.
 	cycle := fraction(time.Second, float64(targetSite.pages)/(steadyRateFraction*testRate)) + 2*testHeartbeat
 	for name, c := range map[string]struct {
-		trouble func(*simulation)
-		worst   time.Duration
+		fault func(*simulation)
+		worst time.Duration
 	}{
 		"calm": {func(*simulation) {}, cycle},
-		"node cut off": {func(s *simulation) {
+		"node partitioned": {func(s *simulation) {
 			s.clock.At(lost, func() { s.nodes[17].partitioned = true })
 		}, cycle},
-		"reader frozen": {func(s *simulation) {
+		"primary frozen": {func(s *simulation) {
 			s.clock.At(lost, func() { s.nodes[0].frozen = true })
 			s.clock.At(noticed, func() {
 				for _, n := range s.nodes[:s.site.controls] {
@@ -319,7 +319,7 @@
 			for seed := range uint64(10) {
 				s := newSimulation(seed, targetSite)
 				s.scheduleDrains(started, end-2*targetSite.drain)
-				c.trouble(s)
+				c.fault(s)
 				s.clock.RunUntil(end)
 				for i, n := range s.nodes {
 					if !n.frozen && !n.partitioned && len(n.knownChanges) != s.platformVersion {
@@ -340,22 +340,22 @@
 	}
 }
 
-// TestOnlyThePrimaryPollsWithoutFaults: where nobody fails, the others learn from the reader and leave the platform alone.
+// TestOnlyThePrimaryPollsWithoutFaults: where nobody fails, the others learn from the primary and leave the platform alone.
 func TestOnlyThePrimaryPollsWithoutFaults(t *testing.T) {
-	const begin, end = 5 * time.Second, 65 * time.Second // without the start, when the nodes have not met yet
+	const begin, end = 5 * time.Second, 65 * time.Second // without the start, when the nodes have not joined yet
 	for name, site := range map[string]simulatedSite{"small": smallSite, "large": largeSite} {
-		site.pages = 1 // so that calls are readings
+		site.pages = 1 // so that calls are polls
 		for seed := range uint64(5) {
 			s := newSimulation(seed, site)
 			s.scheduleDrains(firstDrain, end)
 			s.clock.RunUntil(begin)
 			before, asked := s.calls, s.pulls
 			s.clock.RunUntil(end)
-			readings := float64(s.calls - before)
+			polls := float64(s.calls - before)
 			own := float64(end-begin) / float64(s.nodes[0].schedule.period())
-			t.Logf("%s, seed %d: %v readings, %v of them the reader's, %d questions", name, seed, readings, own, s.pulls-asked)
-			if readings > 1.1*own {
-				t.Errorf("%s, seed %d: got %v polls, the primary makes %v", name, seed, readings, own)
+			t.Logf("%s, seed %d: %v polls, the primary makes %v, %d pulls", name, seed, polls, own, s.pulls-asked)
+			if polls > 1.1*own {
+				t.Errorf("%s, seed %d: got %v polls, the primary makes %v", name, seed, polls, own)
 			}
 		}
 	}
@@ -389,18 +389,18 @@
 }
 
 func testSimulatedPolls(t *testing.T, site simulatedSite) {
-	for name, trouble := range map[string]func(*simulation){
+	for name, fault := range map[string]func(*simulation){
 		"calm": func(*simulation) {},
-		"reader frozen": func(s *simulation) {
+		"primary frozen": func(s *simulation) {
 			s.clock.At(10*time.Second, func() { s.nodes[0].frozen = true })
 		},
 		"two control nodes frozen": func(s *simulation) {
 			s.clock.At(10*time.Second, func() { s.nodes[0].frozen, s.nodes[1].frozen = true, true })
 		},
-		"node cut off": func(s *simulation) {
+		"node partitioned": func(s *simulation) {
 			s.clock.At(10*time.Second, func() { s.nodes[7].partitioned = true })
 		},
-		"control nodes cut off": func(s *simulation) {
+		"control nodes partitioned": func(s *simulation) {
 			s.clock.At(10*time.Second, func() {
 				for _, n := range s.nodes[:site.controls] {
 					n.partitioned = true
@@ -414,7 +414,7 @@
 			for seed := range uint64(10) {
 				s := newSimulation(seed, site)
 				s.scheduleDrains(firstDrain, end-site.drain)
-				trouble(s)
+				fault(s)
 				s.clock.RunUntil(end)
 				for _, n := range s.nodes {
 					if !n.frozen && n.version != s.platformVersion {
--- a/internal/discovery/size_bench_test.go
+++ b/internal/discovery/size_bench_test.go
@@ -7,7 +7,7 @@
 	"nickelline/internal/measure"
 )
 
-// BenchmarkListSize tells what a list takes as a message and in memory, for each backend.
+// BenchmarkListSize reports what a list takes as a message and in memory, for each backend.
 func BenchmarkListSize(b *testing.B) {
 	for _, n := range []int{100, 1000, 3700} {
 		data, err := Encode(NewList(manyBackends(n)))
--- a/internal/load/candidates_test.go
+++ b/internal/load/candidates_test.go
@@ -19,9 +19,9 @@
 func TestCandidatesOfAZone(t *testing.T) {
 	leaving := memberAt(4, "control", "a")
 	leaving.Leaving = true
-	gone := memberAt(5, "control", "a")
-	gone.State = member.Dead
-	table := member.NewTable(memberAt(1, "proxy", "a"), memberAt(2, "proxy", "b"), memberAt(3, "control", "a"), leaving, gone,
+	dead := memberAt(5, "control", "a")
+	dead.State = member.Dead
+	table := member.NewTable(memberAt(1, "proxy", "a"), memberAt(2, "proxy", "b"), memberAt(3, "control", "a"), leaving, dead,
 		memberAt(6, "proxy", "a"), memberAt(7, "proxy", "a"))
 	c := &candidates{members: func() *member.Table { return table }, preferred: "control"}
 	if got := fmt.Sprint(c.inZone("a")); got != "[10.0.0.3:7660 10.0.0.1:7660 10.0.0.6:7660]" {
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -240,8 +240,8 @@
 	defer cancel()
 	_, err := a.Call(ctx, b.Address(), Message{Kind: testKind})
 	wantKind(t, err, fault.Unclear)
-	if told := <-remaining; told > 200*time.Millisecond {
-		t.Errorf("deadline of the handler: got %v", told)
+	if left := <-remaining; left > 200*time.Millisecond {
+		t.Errorf("time of the handler: got %v, want 200 ms at most", left)
 	}
 	_, err = a.Call(ctx, b.Address(), Message{Kind: testKind})
 	wantKind(t, err, fault.NotReady)
--- a/internal/peer/unreliable_test.go
+++ b/internal/peer/unreliable_test.go
@@ -15,8 +15,8 @@
 	"nickelline/internal/fault"
 )
 
-// unreliablePeer answers calls in every wrong way that a peer which is slow, cut off, killed or restarted may: late, twice, in
-// another order, to calls that were given up, cut in the middle, or not at all. It notes what it was sent.
+// unreliablePeer answers calls in every wrong way that a peer which is slow, partitioned, killed or restarted may: late, twice, in
+// another order, to abandoned calls, truncated, or not at all. It records what it received.
 type unreliablePeer struct {
 	t        *testing.T
 	listener *net.TCPListener
@@ -89,11 +89,11 @@
 	p.received[binary.LittleEndian.Uint64(f.body)]++
 }
 
-// react answers some of the requests that are owed an answer, and gives the rest, nil once the connection is at its end.
+// react answers some of the requests that are owed an answer, and returns the rest, nil once the connection is at its end.
 func (p *unreliablePeer) react(socket *net.TCPConn, owed []*frame) []*frame {
 	last := owed[len(owed)-1]
 	switch p.draw(10) {
-	case 0: // silence, for now
+	case 0: // no response for now
 		return owed
 	case 1: // all that is owed, the newest first
 		for i := len(owed) - 1; i >= 0; i-- {
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -98,13 +98,13 @@
 	t.Helper()
 	for range 1000 {
 		s.mutex.Lock()
-		begun := s.activeAllocator() != nil
+		active := s.activeAllocator() != nil
 		var changed <-chan struct{}
-		if !begun {
+		if !active {
 			changed = s.updater.startUpdates()
 		}
 		s.mutex.Unlock()
-		if begun {
+		if active {
 			return
 		}
 		<-changed
@@ -306,9 +306,9 @@
 	deadline := time.Now().Add(10 * time.Second)
 	for time.Now().Before(deadline) {
 		l.mutex.Lock()
-		heard := !l.mustReclaim && l.allocator == allocator
+		reclaimed := !l.mustReclaim && l.allocator == allocator
 		l.mutex.Unlock()
-		if heard {
+		if reclaimed {
 			return
 		}
 		runtime.Gosched()
--- a/internal/quota/scenarios_test.go
+++ b/internal/quota/scenarios_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// eightTenants gives a few large and some small tenants, which use a part of their rates.
+// eightTenants returns a few large and some small tenants, which use a part of their rates.
 func eightTenants(use float64) []*simulatedTenant {
 	var tenants []*simulatedTenant
 	for i, rate := range []float64{120, 80, 50, 30, 20, 15, 10, 8} {
@@ -133,7 +133,7 @@
 	}
 }
 
-// TestSimulatedDeposedHeads keeps the rule's window while heads that are cut off from the other control nodes, but not
+// TestSimulatedDeposedHeads keeps the rule's window while heads that are partitioned from the other control nodes, but not
 // from proxies, still think themselves heads, and proxies restart, freeze and wake meanwhile.
 func TestSimulatedDeposedHeads(t *testing.T) {
 	for seed := range uint64(10) {
--- a/internal/quota/simulation_head_test.go
+++ b/internal/quota/simulation_head_test.go
@@ -23,14 +23,14 @@
 
 // simulatedHead is a control node that takes itself for the head of the chain.
 type simulatedHead struct {
-	s         *simulation
-	epoch     uint64
-	allocator *Allocator
-	ended     bool
-	cut       bool // off from the other control nodes
-	changing  bool
-	waiting   map[netip.AddrPort]uint64
-	later     []func() // renewals that wait for a change
+	s           *simulation
+	epoch       uint64
+	allocator   *Allocator
+	stopped     bool
+	partitioned bool // from the other control nodes
+	changing    bool
+	waiting     map[netip.AddrPort]uint64
+	deferred    []func() // renewals that wait for a change
 }
 
 // startHead starts a view with a new head.
@@ -44,7 +44,7 @@
 // endHeads lets all heads end that are older than one, or all.
 func (s *simulation) endHeads(newest *simulatedHead) {
 	for len(s.heads) > 0 && s.heads[0] != newest {
-		s.heads[0].ended = true
+		s.heads[0].stopped = true
 		s.heads = s.heads[1:]
 	}
 }
@@ -56,7 +56,7 @@
 	}
 	s.clock.At(at+gap, func() {
 		for _, h := range s.heads {
-			h.cut = true
+			h.partitioned = true
 		}
 		s.epoch++
 		newest := s.startHead(s.epoch)
@@ -70,10 +70,10 @@
 	s.clock.At(at+down, func() { s.startHead(s.epoch) })
 }
 
-// receive answers a renewal, after the allocator has begun and the proxy is registered.
+// receive answers a renewal, after the allocator has started and the proxy is registered.
 func (h *simulatedHead) receive(from Leaseholder, renewal *Renewal, reply func(*renewalAnswer)) {
 	switch {
-	case h.ended:
+	case h.stopped:
 		return
 	case renewal.Epoch > h.epoch:
 		reply(&renewalAnswer{moved: true})
@@ -97,37 +97,37 @@
 }
 
 func (h *simulatedHead) afterChange(run func()) {
-	h.later = append(h.later, run)
+	h.deferred = append(h.deferred, run)
 	h.change()
 }
 
 // change makes the next change of the register. Some are committed without the head hearing of it.
 func (h *simulatedHead) change() {
-	if h.changing || h.ended {
+	if h.changing || h.stopped {
 		return
 	}
-	begins := h.allocator == nil
+	starts := h.allocator == nil
 	change := RegistryChange{Epoch: h.epoch, ExpectedRevision: h.s.registry.current.Revision}
-	if !begins {
+	if !starts {
 		change.Add, change.Remove = h.changes()
 	}
-	if !begins && len(change.Add)+len(change.Remove) == 0 {
+	if !starts && len(change.Add)+len(change.Remove) == 0 {
 		return
 	}
 	h.changing = true
 	h.s.clock.After(5*h.s.trip(), func() {
-		committed := !h.cut && h.s.registry.commit(change)
+		committed := !h.partitioned && h.s.registry.commit(change)
 		after := h.s.registry.current
-		heard := committed && h.s.random.IntN(20) > 0
-		h.s.clock.After(2*h.s.trip(), func() { h.finish(begins, heard, after) })
+		confirmed := committed && h.s.random.IntN(20) > 0
+		h.s.clock.After(2*h.s.trip(), func() { h.finish(starts, confirmed, after) })
 	})
 }
 
-// changes gives the lives to add and to remove.
+// changes returns the processes to add and to remove.
 func (h *simulatedHead) changes() (added, removed []Leaseholder) {
 	for address, life := range h.waiting {
-		if holder := (Leaseholder{Address: address, Life: life}); h.allocator.StatusOf(holder) == Unregistered {
-			added = append(added, holder)
+		if leaseholder := (Leaseholder{Address: address, Life: life}); h.allocator.StatusOf(leaseholder) == Unregistered {
+			added = append(added, leaseholder)
 		}
 	}
 	clear(h.waiting)
@@ -135,21 +135,21 @@
 }
 
 // finish takes over the register after a change, or tries again.
-func (h *simulatedHead) finish(begins, done bool, after RegistryState) {
+func (h *simulatedHead) finish(starts, done bool, after RegistryState) {
 	h.changing = false
 	switch {
-	case h.ended:
+	case h.stopped:
 		return
 	case !done:
 		h.s.clock.After(changePause, h.retry)
 		return
-	case begins:
+	case starts:
 		h.allocator = NewAllocator(h.s.policy, h.s.limitOf, after.Leaseholders, h.s.now())
 		h.announce()
 	default:
 		h.allocator.SetRegistered(h.s.now(), after.Leaseholders)
 	}
-	h.runLater()
+	h.runDeferred()
 }
 
 // retry goes on after a change that failed.
@@ -158,21 +158,21 @@
 		h.change()
 		return
 	}
-	h.runLater()
+	h.runDeferred()
 }
 
-func (h *simulatedHead) runLater() {
-	later := h.later
-	h.later = nil
+func (h *simulatedHead) runDeferred() {
+	later := h.deferred
+	h.deferred = nil
 	for _, run := range later {
 		run()
 	}
 }
 
-// announce tells proxies of a new allocator until they have presented their leases.
+// announce notifies proxies of a new allocator until they have reclaimed their leases.
 func (h *simulatedHead) announce() {
 	addresses := h.allocator.Unreclaimed(h.s.now())
-	if h.ended || len(addresses) == 0 {
+	if h.stopped || len(addresses) == 0 {
 		return
 	}
 	for _, p := range h.s.proxies {
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -10,7 +10,7 @@
 )
 
 // A simulation of proxies and allocators: requests arrive in clumps at random proxies, messages take time, allocators
-// change, proxies freeze, restart, are cut off and go. After each admitted request the rule's window is checked.
+// change, proxies freeze, restart, are partitioned and stop. After each admitted request the rule's window is checked.
 
 type simulatedTenant struct {
 	name     string
@@ -255,7 +255,7 @@
 	})
 }
 
-// reach tells which heads a proxy can call while there are several.
+// reach says which heads a proxy can call while there are several.
 type reach uint8
 
 const (
@@ -290,7 +290,7 @@
 	})
 }
 
-// acceptable tells whether an answer comes from the newest allocator that the proxy has heard of.
+// acceptable reports whether an answer comes from the newest allocator that the proxy knows.
 func (p *simulatedProxy) acceptable(answer *renewalAnswer) bool {
 	return answer != nil && !answer.moved && answer.epoch >= p.epoch
 }
@@ -356,7 +356,7 @@
 	})
 }
 
-// counts gives the numbers of requests that were sent and refused.
+// counts returns the numbers of requests that were sent and refused.
 func (s *simulation) counts() (sent, refused int) {
 	for _, t := range s.tenants {
 		sent += t.sent
--- a/internal/quota/size_bench_test.go
+++ b/internal/quota/size_bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkRenewalSize tells how large the messages of a renewal are, for each tenant that the proxy has requests of.
+// BenchmarkRenewalSize reports how large the messages of a renewal are, for each tenant that the proxy has requests of.
 func BenchmarkRenewalSize(b *testing.B) {
 	for _, tenants := range []int{8, 100, 940} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
--- a/internal/simnet/disk.go
+++ b/internal/simnet/disk.go
@@ -39,7 +39,7 @@
 	operations int
 }
 
-// NewDisk makes an empty disk. The same random source gives the same disk.
+// NewDisk returns an empty disk. The same random source gives the same disk.
 func NewDisk(random *rand.Rand) *Disk {
 	disk := &Disk{random: random}
 	disk.clear()
@@ -54,7 +54,7 @@
 	d.failingSyncs = 0
 }
 
-// Mount gives the disk's file system to a process that starts. Processes that had it before have ended.
+// Mount returns the disk's file system for a process that starts. Processes that had it before have ended.
 func (d *Disk) Mount() segment.FileSystem {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -110,7 +110,7 @@
 	d.failingSyncs = count
 }
 
-// StallSyncs makes syncs wait until the function that it gives is called.
+// StallSyncs makes syncs wait until the returned function is called.
 func (d *Disk) StallSyncs() (resume func()) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -124,14 +124,14 @@
 	})
 }
 
-// Used gives the number of bytes of all files.
+// Used returns the number of bytes of all files.
 func (d *Disk) Used() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.used()
 }
 
-// Operations gives the number of writes, syncs and changes of names so far.
+// Operations returns the number of writes, syncs and changes of names so far.
 func (d *Disk) Operations() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/simnet/disk_test.go
+++ b/internal/simnet/disk_test.go
@@ -180,9 +180,9 @@
 	_, err = file.Write([]byte("a"))
 	mustSucceed(t, err)
 	if err := file.Sync(); !errors.Is(err, ErrPowerLost) {
-		t.Fatalf("the third operation gives %v", err)
+		t.Fatalf("third operation: got error %v", err)
 	}
 	if _, err := fileSystem.List("."); !errors.Is(err, ErrPowerLost) {
-		t.Fatalf("a later operation gives %v", err)
+		t.Fatalf("later operation: got error %v", err)
 	}
 }
--- a/internal/simnet/inode.go
+++ b/internal/simnet/inode.go
@@ -12,7 +12,7 @@
 	synced []byte
 	// changes were made since the file was synced.
 	changes []change
-	// named tells that a name for it has been found while power is lost.
+	// named is set when a name for it has been found while power is lost.
 	named bool
 }
 
@@ -40,7 +40,7 @@
 	n.changes = nil
 }
 
-// copyIfNamed gives the inode at the first call and a copy of it later, as the names that last after a loss of power do
+// copyIfNamed returns the inode at the first call and a copy of it later, as the names that last after a loss of power do
 // not share a file.
 func (n *inode) copyIfNamed() *inode {
 	if !n.named {
@@ -100,7 +100,7 @@
 	return overwritten(data, c.offset, c.data)
 }
 
-// tornRange gives the part of a torn write that is present: mostly its beginning.
+// tornRange returns the part of a torn write that is present: mostly its beginning.
 func tornRange(random *rand.Rand, length int) (first, last int) {
 	last = random.IntN(length + 1)
 	if random.IntN(4) == 0 {
--- a/internal/simnet/mount.go
+++ b/internal/simnet/mount.go
@@ -214,7 +214,7 @@
 	}
 }
 
-// room gives how many of the bytes fit on the disk.
+// room returns how many of the bytes fit on the disk.
 func (d *Disk) room(bytes int) int {
 	if d.capacity == 0 {
 		return bytes
--- a/internal/simnet/network.go
+++ b/internal/simnet/network.go
@@ -22,10 +22,10 @@
 	Random     *rand.Rand
 	Conditions Conditions
 
-	clock     Clock
-	processes map[netip.AddrPort]*process
-	cuts      map[link]bool
-	latest    map[link]time.Duration
+	clock      Clock
+	processes  map[netip.AddrPort]*process
+	partitions map[link]bool
+	latest     map[link]time.Duration
 }
 
 // link is a pair of addresses in one direction.
@@ -44,7 +44,7 @@
 		Conditions: conditions,
 		clock:      Clock{now: time.Second},
 		processes:  make(map[netip.AddrPort]*process),
-		cuts:       make(map[link]bool),
+		partitions: make(map[link]bool),
 		latest:     make(map[link]time.Duration),
 	}
 }
@@ -83,24 +83,24 @@
 	}
 }
 
-// Cut sets whether messages from one address to another are lost.
-func (n *Network) Cut(from, to netip.AddrPort, cut bool) {
-	if cut {
-		n.cuts[link{from, to}] = true
+// Partition sets whether all messages from one address to another are lost.
+func (n *Network) Partition(from, to netip.AddrPort, partitioned bool) {
+	if partitioned {
+		n.partitions[link{from, to}] = true
 		return
 	}
-	delete(n.cuts, link{from, to})
+	delete(n.partitions, link{from, to})
 }
 
-// IsCut reports whether messages from one address to another are lost by a cut.
-func (n *Network) IsCut(from, to netip.AddrPort) bool { return n.cuts[link{from, to}] }
+// IsPartitioned reports whether all messages from one address to another are lost.
+func (n *Network) IsPartitioned(from, to netip.AddrPort) bool { return n.partitions[link{from, to}] }
 
-// Heal ends all cuts.
-func (n *Network) Heal() { clear(n.cuts) }
+// Heal ends all partitions.
+func (n *Network) Heal() { clear(n.partitions) }
 
 // Send delivers a message to the process at an address, or loses it.
 func (n *Network) Send(from, to netip.AddrPort, deliver func()) {
-	if n.cuts[link{from, to}] || n.Random.Float64() < n.Conditions.Loss {
+	if n.partitions[link{from, to}] || n.Random.Float64() < n.Conditions.Loss {
 		return
 	}
 	l := link{from, to}
--- a/internal/simnet/network_test.go
+++ b/internal/simnet/network_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-func TestCutIsOfOneDirection(t *testing.T) {
+func TestPartitionIsOfOneDirection(t *testing.T) {
 	n := testNetwork()
-	n.Cut(first, second, true)
+	n.Partition(first, second, true)
 	var there, back bool
 	n.Send(first, second, func() { there = true })
 	n.Send(second, first, func() { back = true })
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestStopLosesWhatIsOnItsWay(t *testing.T) {
+func TestStopDropsMessagesInTransit(t *testing.T) {
 	n := testNetwork()
 	var got bool
 	n.Send(first, second, func() { got = true })
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestFrozenProcessDoesItLater(t *testing.T) {
+func TestFrozenProcessHandlesMessagesAfterThaw(t *testing.T) {
 	n := testNetwork()
 	var at time.Duration
 	n.Freeze(second)
