--- a/cmd/nickelline/main.go
+++ b/cmd/nickelline/main.go
@@ -34,13 +34,23 @@
 	return s
 }
 
-func main() {
-	caught := catchSignals()
-	var line commandLine
-	parsed := kong.Parse(&line,
+// newParser returns the parser of the command line.
+func newParser(line *commandLine, options ...kong.Option) (*kong.Kong, error) {
+	return kong.New(line, append([]kong.Option{
 		kong.Name("nickelline"),
 		kong.Description("A serving tier for HTTP with a batch interface."),
 		kong.UsageOnError(),
-	)
-	parsed.FatalIfErrorf(parsed.Run(caught))
+	}, options...)...)
+}
+
+func main() {
+	caught := catchSignals()
+	var line commandLine
+	parser, err := newParser(&line)
+	if err != nil {
+		panic(err) // the definition of the command line is wrong, which its tests show
+	}
+	parsed, err := parser.Parse(os.Args[1:])
+	parser.FatalIfErrorf(err)
+	parser.FatalIfErrorf(parsed.Run(caught))
 }
--- a/cmd/nickelline/metrics.go
+++ b/cmd/nickelline/metrics.go
@@ -11,6 +11,7 @@
 	"nickelline/internal/admission"
 	"nickelline/internal/metrics"
 	"nickelline/internal/nodestate"
+	"nickelline/internal/peer"
 	"nickelline/internal/proxy"
 	"nickelline/internal/quota"
 	"nickelline/internal/store"
@@ -32,7 +33,7 @@
 		n.log.Error("metrics", zap.Error(err))
 		return
 	}
-	server.Add(n.writeFigures)
+	server.Add(n.writeNode)
 	for _, source := range sources {
 		server.Add(source)
 	}
@@ -43,14 +44,17 @@
 	}()
 }
 
-// writeFigures writes what all roles have in common.
-func (n *node) writeFigures(w *metrics.Writer) {
-	table := n.members.Table()
-	w.Gauge("nickelline_members_alive", float64(len(table.Alive())))
-	for _, sent := range n.transport.SentByPackage() {
-		name := metrics.Label{Name: "package", Value: sent.Package}
-		w.Counter("nickelline_sent_bytes_total", sent.SameZone, name, metrics.Label{Name: "to", Value: "zone"})
-		w.Counter("nickelline_sent_bytes_total", sent.OtherZones, name, metrics.Label{Name: "to", Value: "other zones"})
+// writeNode writes the figures that the processes of all roles have.
+func (n *node) writeNode(w *metrics.Writer) {
+	w.Gauge("nickelline_members_alive", float64(len(n.members.Table().Alive())))
+	writeTraffic(w, n.transport.SentByPackage())
+}
+
+func writeTraffic(w *metrics.Writer, sent []peer.PackageTraffic) {
+	for _, s := range sent {
+		name := metrics.Label{Name: "package", Value: s.Package}
+		w.Counter("nickelline_sent_bytes_total", s.SameZone, name, metrics.Label{Name: "to", Value: "zone"})
+		w.Counter("nickelline_sent_bytes_total", s.OtherZones, name, metrics.Label{Name: "to", Value: "other zones"})
 	}
 }
 
@@ -112,35 +116,42 @@
 	w.Counter(name+"_count", total, labels...)
 }
 
-// proxyFigures writes the figures of a proxy and of its quota leases.
+// proxyFigures returns the source of the figures of a proxy and of its quota leases.
 func proxyFigures(p *proxy.Proxy, limiter *quota.Limiter) metrics.Source {
 	return func(w *metrics.Writer) {
-		stats := p.Stats()
-		w.Counter("nickelline_answers_passed_total", stats.Passed)
-		for _, kind := range slices.Sorted(maps.Keys(stats.Faults)) {
-			w.Counter("nickelline_answers_own_total", stats.Faults[kind], metrics.Label{Name: "kind", Value: kind.String()})
-		}
-		w.Counter("nickelline_sends_total", stats.Attempts)
-		w.Counter("nickelline_retries_total", stats.Retries)
-		leases := limiter.Stats(time.Now())
-		w.Gauge("nickelline_quota_leases", float64(leases.Leases))
-		w.Gauge("nickelline_quota_leased_per_second", leases.Rate)
-		w.Gauge("nickelline_quota_waiting", float64(leases.Waiting))
+		writeRequests(w, p.Stats())
+		writeLeases(w, limiter.Stats(time.Now()))
+	}
+}
+
+func writeRequests(w *metrics.Writer, stats proxy.Stats) {
+	w.Counter("nickelline_answers_passed_total", stats.Passed)
+	for _, kind := range slices.Sorted(maps.Keys(stats.Faults)) {
+		w.Counter("nickelline_answers_own_total", stats.Faults[kind], metrics.Label{Name: "kind", Value: kind.String()})
 	}
+	w.Counter("nickelline_sends_total", stats.Attempts)
+	w.Counter("nickelline_retries_total", stats.Retries)
 }
 
-// storeFigures writes the figures of the batch items that a store runs.
+func writeLeases(w *metrics.Writer, leases quota.Stats) {
+	w.Gauge("nickelline_quota_leases", float64(leases.Leases))
+	w.Gauge("nickelline_quota_leased_per_second", leases.Rate)
+	w.Gauge("nickelline_quota_waiting", float64(leases.Waiting))
+}
+
+// storeFigures returns the source of the figures of the batch items that a store runs.
 func storeFigures(role *store.Service) metrics.Source {
-	return func(w *metrics.Writer) {
-		stats := role.Stats()
-		w.Gauge("nickelline_partitions", float64(stats.Partitions))
-		w.Gauge("nickelline_partitions_headed", float64(stats.Heads))
-		for _, route := range slices.Sorted(maps.Keys(stats.Routes)) {
-			items, label := stats.Routes[route], metrics.Label{Name: "route", Value: route}
-			w.Gauge("nickelline_batch_items_waiting", float64(items.Waiting), label)
-			w.Gauge("nickelline_batch_items_late", float64(items.Late), label)
-			w.Gauge("nickelline_batch_items_running", float64(items.Running), label)
-		}
+	return func(w *metrics.Writer) { writeItems(w, role.Stats()) }
+}
+
+func writeItems(w *metrics.Writer, stats store.Stats) {
+	w.Gauge("nickelline_partitions", float64(stats.Partitions))
+	w.Gauge("nickelline_partitions_headed", float64(stats.Heads))
+	for _, route := range slices.Sorted(maps.Keys(stats.Routes)) {
+		items, label := stats.Routes[route], metrics.Label{Name: "route", Value: route}
+		w.Gauge("nickelline_batch_items_waiting", float64(items.Waiting), label)
+		w.Gauge("nickelline_batch_items_late", float64(items.Late), label)
+		w.Gauge("nickelline_batch_items_running", float64(items.Running), label)
 	}
 }
 
