--- /dev/null
+++ b/internal/batch/command_encoding.go
@@ -0,0 +1,105 @@
+package batch
+
+import (
+	"nickelline/internal/batch/batchwire"
+	"nickelline/internal/batch/deflated"
+	"nickelline/internal/capnpcodec"
+)
+
+// compressFrom is the size from which on it is worth the time to compress a job.
+const compressFrom = 4 << 10
+
+// EncodeCommand writes a command as a Cap'n Proto message, in a block that is compressed where it holds bodies: items of a job
+// share much. Contents of results come compressed.
+func EncodeCommand(c *Command) ([]byte, error) {
+	encoded, err := capnpcodec.Marshal(commandSize(c), batchwire.NewRootCommand, func(root batchwire.Command) error {
+		root.SetClockSource(c.Clock.Source)
+		root.SetClockElapsed(int64(c.Clock.Elapsed))
+		return encodeChange(root, c)
+	})
+	if err != nil {
+		return nil, err
+	}
+	if c.Take != nil && len(encoded) >= compressFrom {
+		return deflated.Compress(encoded), nil
+	}
+	return deflated.Wrap(encoded), nil
+}
+
+func encodeChange(root batchwire.Command, c *Command) error {
+	switch {
+	case c.Take != nil:
+		return encodeTake(root, c.Take)
+	case c.End != nil:
+		key, err := root.NewEnd()
+		if err != nil {
+			return err
+		}
+		return EncodeKey(key, *c.End)
+	case c.Append != nil:
+		return encodeResults(root, c.Append)
+	case c.Drop != nil:
+		return encodeDrop(root, c.Drop)
+	}
+	root.SetTick()
+	return nil
+}
+
+func encodeTake(root batchwire.Command, t *Take) error {
+	take, err := root.NewTake()
+	if err != nil {
+		return err
+	}
+	take.SetMaxQueuedTokens(t.MaxQueuedTokens)
+	job, err := take.NewJob()
+	if err != nil {
+		return err
+	}
+	return EncodeJob(job, &t.Job)
+}
+
+func encodeResults(root batchwire.Command, results []Result) error {
+	list, err := root.NewAppend(int32(len(results)))
+	if err != nil {
+		return err
+	}
+	for i := range results {
+		if err := encodeResult(list.At(i), &results[i]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func encodeResult(result batchwire.Result, r *Result) error {
+	key, err := result.NewKey()
+	if err != nil {
+		return err
+	}
+	if err := EncodeKey(key, r.Key); err != nil {
+		return err
+	}
+	result.SetIndex(r.Index)
+	result.SetState(batchwire.State(r.State))
+	result.SetFrom(r.From)
+	result.SetEvents(r.Events)
+	if r.LastEvent != "" {
+		if err := result.SetLastEvent(r.LastEvent); err != nil {
+			return err
+		}
+	}
+	return result.SetContent(r.Content)
+}
+
+func encodeDrop(root batchwire.Command, keys []Key) error {
+	list, err := root.NewDrop(int32(len(keys)))
+	if err != nil {
+		return err
+	}
+	for i, key := range keys {
+		if err := EncodeKey(list.At(i), key); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/batch/job_codec.go
@@ -0,0 +1,161 @@
+package batch
+
+import (
+	"nickelline/internal/batch/batchwire"
+	"nickelline/internal/capnpcodec"
+)
+
+// EncodeJob writes a job into a message.
+func EncodeJob(job batchwire.Job, j *Job) error {
+	key, err := job.NewKey()
+	if err != nil {
+		return err
+	}
+	if err := EncodeKey(key, j.Key); err != nil {
+		return err
+	}
+	if err := job.SetRoute(j.Route); err != nil {
+		return err
+	}
+	if err := job.SetHost(j.Host); err != nil {
+		return err
+	}
+	items, err := job.NewItems(int32(len(j.Items)))
+	if err != nil {
+		return err
+	}
+	for i := range j.Items {
+		if err := encodeItem(items.At(i), &j.Items[i]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// EncodeKey writes a key into a message.
+func EncodeKey(key batchwire.Key, k Key) error {
+	if err := key.SetTenant(k.Tenant); err != nil {
+		return err
+	}
+	return key.SetIdentifier(k.Identifier)
+}
+
+func encodeItem(item batchwire.Item, i *Item) error {
+	item.SetTokens(i.Tokens)
+	if err := item.SetIdentifier(i.Identifier); err != nil {
+		return err
+	}
+	if err := item.SetPath(i.Path); err != nil {
+		return err
+	}
+	if err := item.SetBody(i.Body); err != nil {
+		return err
+	}
+	headers, err := item.NewHeaders(int32(len(i.Headers)))
+	if err != nil {
+		return err
+	}
+	for n, header := range i.Headers {
+		if err := headers.At(n).SetName(header.Name); err != nil {
+			return err
+		}
+		if err := headers.At(n).SetValue(header.Value); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// DecodeJob reads a job from a message. Bodies are parts of the message.
+func DecodeJob(job batchwire.Job) (Job, error) {
+	var j Job
+	key, err := job.Key()
+	if err != nil {
+		return j, err
+	}
+	if j.Key, err = DecodeKey(key); err != nil {
+		return j, err
+	}
+	if j.Route, err = job.Route(); err != nil {
+		return j, err
+	}
+	if j.Host, err = job.Host(); err != nil {
+		return j, err
+	}
+	items, err := job.Items()
+	if err != nil {
+		return j, err
+	}
+	if err := capnpcodec.CheckLength(items); err != nil {
+		return j, err
+	}
+	j.Items = make([]Item, items.Len())
+	names := interned{}
+	for i := range j.Items {
+		if err := decodeItem(items.At(i), &j.Items[i], names); err != nil {
+			return j, err
+		}
+	}
+	return j, nil
+}
+
+// DecodeKey reads a key from a message.
+func DecodeKey(key batchwire.Key) (k Key, err error) {
+	if k.Tenant, err = key.Tenant(); err != nil {
+		return k, err
+	}
+	k.Identifier, err = key.Identifier()
+	return k, err
+}
+
+// interned keeps one copy of strings that many items of a job share, such as the names of headers.
+type interned map[string]string
+
+func (n interned) keep(text []byte) string {
+	if kept, ok := n[string(text)]; ok {
+		return kept
+	}
+	kept := string(text)
+	n[kept] = kept
+	return kept
+}
+
+func decodeItem(item batchwire.Item, i *Item, names interned) (err error) {
+	i.Tokens = item.Tokens()
+	if i.Identifier, err = item.Identifier(); err != nil {
+		return err
+	}
+	if i.Path, err = item.Path(); err != nil {
+		return err
+	}
+	if i.Body, err = item.Body(); err != nil {
+		return err
+	}
+	headers, err := item.Headers()
+	if err != nil {
+		return err
+	}
+	if err := capnpcodec.CheckLength(headers); err != nil {
+		return err
+	}
+	if headers.Len() == 0 {
+		return nil
+	}
+	i.Headers = make([]Header, headers.Len())
+	for n := range i.Headers {
+		if err := decodeHeader(headers.At(n), &i.Headers[n], names); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func decodeHeader(header batchwire.Header, h *Header, names interned) error {
+	name, err := header.NameBytes()
+	if err != nil {
+		return err
+	}
+	h.Name = names.keep(name)
+	h.Value, err = header.Value()
+	return err
+}
--- /dev/null
+++ b/internal/batch/snapshot_decoding.go
@@ -0,0 +1,151 @@
+package batch
+
+import (
+	"time"
+
+	"nickelline/internal/batch/batchwire"
+	"nickelline/internal/capnpcodec"
+	"nickelline/internal/fault"
+)
+
+func decodeCheckpoints(state batchwire.ItemState) (checkpoints, error) {
+	pieces, err := state.Pieces()
+	if err != nil || pieces.Len() == 0 {
+		return nil, err
+	}
+	if err := capnpcodec.CheckLength(pieces); err != nil {
+		return nil, err
+	}
+	c := make(checkpoints, pieces.Len())
+	for i := range c {
+		if err := decodeCheckpoint(pieces.At(i), &c[i]); err != nil {
+			return nil, err
+		}
+	}
+	return c, nil
+}
+
+func decodeCheckpoint(piece batchwire.Piece, c *checkpoint) (err error) {
+	c.events = piece.Events()
+	if c.lastEvent, err = piece.LastEvent(); err != nil {
+		return err
+	}
+	content, err := piece.Content()
+	c.content = copied(content)
+	return err
+}
+
+func (m *Machine) decodeHeader(frame []byte) (jobs uint32, err error) {
+	root, err := capnpcodec.Unmarshal(frame, batchwire.ReadRootSnapshotHeader)
+	if err != nil {
+		return 0, err
+	}
+	m.clock.last = Reading{Source: root.ClockSource(), Elapsed: time.Duration(root.ClockElapsed())}
+	m.clock.now = time.Duration(root.ClockNow())
+	m.ordinal = root.NextOrdinal()
+	return root.Jobs(), nil
+}
+
+func (m *Machine) restoreJob(frame []byte) error {
+	root, err := capnpcodec.Unmarshal(frame, batchwire.ReadRootJobState)
+	if err != nil {
+		return err
+	}
+	restored, err := decodeJobState(root)
+	if err != nil {
+		return err
+	}
+	m.jobs[restored.key] = restored
+	if restored.ended {
+		return nil
+	}
+	for i := range restored.items {
+		if restored.items[i].state == Waiting {
+			m.charge(restored.account(), restored.items[i].Tokens)
+		}
+	}
+	return nil
+}
+
+func decodeJobState(root batchwire.JobState) (*job, error) {
+	j := &job{
+		ordinal: root.Ordinal(),
+		born:    time.Duration(root.Born()),
+		taken:   root.Taken(),
+		ended:   root.Ended(),
+	}
+	key, err := root.Key()
+	if err != nil {
+		return nil, err
+	}
+	if j.key, err = DecodeKey(key); err != nil {
+		return nil, err
+	}
+	if j.route, err = root.Route(); err != nil {
+		return nil, err
+	}
+	if j.host, err = root.Host(); err != nil {
+		return nil, err
+	}
+	if err := decodeItemStates(root, j); err != nil {
+		return nil, err
+	}
+	return j, decodePositions(root, j)
+}
+
+func decodeItemStates(root batchwire.JobState, j *job) error {
+	states, err := root.Items()
+	if err != nil {
+		return err
+	}
+	if err := capnpcodec.CheckLength(states); err != nil {
+		return err
+	}
+	j.items = make([]item, states.Len())
+	names := interned{}
+	for i := range j.items {
+		if err := decodeItemState(states.At(i), &j.items[i], names); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func decodeItemState(state batchwire.ItemState, i *item, names interned) error {
+	i.state = State(state.State())
+	content, err := state.Content()
+	if err != nil {
+		return err
+	}
+	i.content = copied(content)
+	if i.checkpoints, err = decodeCheckpoints(state); err != nil {
+		return err
+	}
+	encoded, err := state.Item()
+	if err != nil {
+		return err
+	}
+	if err := decodeItem(encoded, &i.Item, names); err != nil {
+		return err
+	}
+	i.Body = copied(i.Body)
+	return nil
+}
+
+// copied keeps bytes beyond the message that holds them.
+func copied(part []byte) []byte { return append([]byte(nil), part...) }
+
+func decodePositions(root batchwire.JobState, j *job) error {
+	positions, err := root.Positions()
+	if err != nil {
+		return err
+	}
+	j.positions = make([]uint32, positions.Len())
+	for i := range j.positions {
+		j.positions[i] = positions.At(i)
+		if int(j.positions[i]) >= len(j.items) {
+			return fault.New(fault.Internal, "snapshot of batch jobs names item %d of %d", j.positions[i], len(j.items))
+		}
+	}
+	return nil
+}
