--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -70,23 +70,23 @@
 	LastEvent string
 }
 
-// Reading is what a steady clock shows: the time since its source began. Readings of different sources are not compared.
-type Reading struct {
+// ClockReading is what a steady clock shows: the time since its source began. Readings of different sources are not compared.
+type ClockReading struct {
 	Source  uint64
 	Elapsed time.Duration
 }
 
 // Command is a change of the state. Exactly one of its pointers and lists is set, or none: that only moves the clock.
 type Command struct {
-	Clock  Reading
-	Take   *Take
+	Clock  ClockReading
+	Submit *Submit
 	Append []Result
 	End    *Key
 	Drop   []Key
 }
 
-// Take is the command to take a job.
-type Take struct {
+// Submit is the command to take a job.
+type Submit struct {
 	Job Job
 	// MaxQueuedTokens is what the tenant may have waiting on the route, this job included. 0 sets no limit.
 	MaxQueuedTokens int64
@@ -102,7 +102,7 @@
 }
 
 // Offer is the offer of the job that is to be taken.
-func (t *Take) Offer() Offer {
+func (t *Submit) Offer() Offer {
 	return Offer{Key: t.Job.Key, Route: t.Job.Route, Tokens: t.Job.Tokens(), MaxQueuedTokens: t.MaxQueuedTokens}
 }
 
@@ -121,8 +121,8 @@
 
 // Observer is told what a command changed, while it is applied.
 type Observer interface {
-	// Taken is told that a job's items wait.
-	Taken(key Key)
+	// Submitted is told that a job's items wait.
+	Submitted(key Key)
 	// Listed is told that results were added to a job.
 	Listed(key Key)
 	// Ended is told that a job was ended: none of its items may run.
--- a/internal/batch/batchcall/codec.go
+++ b/internal/batch/batchcall/codec.go
@@ -281,7 +281,7 @@
 	if err := capnpcodec.CheckLength(results); err != nil {
 		return nil, err
 	}
-	p := &batch.Page{Total: int(page.Total()), Next: int(page.Next()), Results: make([]batch.Listed, results.Len())}
+	p := &batch.Page{Total: int(page.Total()), Next: int(page.Next()), Results: make([]batch.ListedResult, results.Len())}
 	for i := range p.Results {
 		result := results.At(i)
 		p.Results[i].State = batch.State(result.State())
--- a/internal/batch/batchcall/codec_test.go
+++ b/internal/batch/batchcall/codec_test.go
@@ -61,7 +61,7 @@
 		{},
 		{Redirect: &Redirect{Epoch: 7}},
 		{Redirect: &Redirect{Epoch: 7, Head: netip.MustParseAddrPort("10.1.0.7:7662")}},
-		{Page: &batch.Page{Total: 4, Next: 2, Results: []batch.Listed{{Identifier: "e5", State: batch.Completed, Content: []byte("a\nb")}}}},
+		{Page: &batch.Page{Total: 4, Next: 2, Results: []batch.ListedResult{{Identifier: "e5", State: batch.Completed, Content: []byte("a\nb")}}}},
 		{Body: []byte{1, 2, 3}},
 	} {
 		message, err := reply.Encode(KindResults)
--- a/internal/batch/batchcall/golden_test.go
+++ b/internal/batch/batchcall/golden_test.go
@@ -91,7 +91,7 @@
 		{name: "redirect to an IPv6 address", file: "reply-redirect-ipv6.hex", want: Reply{
 			Redirect: &Redirect{Epoch: 0x1112131415161718, Head: netip.MustParseAddrPort("[2001:db8::7]:7662")},
 		}},
-		{name: "page", file: "reply-page.hex", want: Reply{Page: &batch.Page{Total: 0x21222324, Next: 0x31323334, Results: []batch.Listed{
+		{name: "page", file: "reply-page.hex", want: Reply{Page: &batch.Page{Total: 0x21222324, Next: 0x31323334, Results: []batch.ListedResult{
 			{Identifier: "completed", State: batch.Completed, Content: []byte("result")},
 			{Identifier: "abandoned", State: batch.Abandoned},
 		}}}},
--- a/internal/batch/bench_test.go
+++ b/internal/batch/bench_test.go
@@ -61,7 +61,7 @@
 func BenchmarkTake(b *testing.B) {
 	for _, items := range []int{60, 200} {
 		b.Run(fmt.Sprint(items), func(b *testing.B) {
-			command := &Command{Take: &Take{Job: benchmarkJob(testKey(1), items)}}
+			command := &Command{Submit: &Submit{Job: benchmarkJob(testKey(1), items)}}
 			size := 0
 			b.ReportAllocs()
 			for b.Loop() {
@@ -82,7 +82,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		m := New(nil)
-		m.Execute(&Command{Take: &Take{Job: job}})
+		m.Execute(&Command{Submit: &Submit{Job: job}})
 		data := encoded(b, results)
 		size = len(data)
 		m.Apply(2, data)
@@ -95,7 +95,7 @@
 	m := New(nil)
 	for i := range jobs {
 		job := benchmarkJob(testKey(i), items)
-		m.Execute(&Command{Take: &Take{Job: job}})
+		m.Execute(&Command{Submit: &Submit{Job: job}})
 		m.Execute(&Command{Append: benchmarkResults(job.Key, items/2)})
 	}
 	size := 0
--- a/internal/batch/clock.go
+++ b/internal/batch/clock.go
@@ -6,12 +6,12 @@
 // head measured are left out, so it never runs ahead of real time, and the age of a job by it is a lower bound.
 type clock struct {
 	now  time.Duration
-	last Reading
+	last ClockReading
 }
 
 // advance moves the clock to a head's reading. A reading that is older than the last one changes nothing; the first one of a
 // new source only sets the mark to count from.
-func (c *clock) advance(r Reading) {
+func (c *clock) advance(r ClockReading) {
 	c.now = c.at(r)
 	if r.Source != c.last.Source || r.Elapsed > c.last.Elapsed {
 		c.last = r
@@ -19,7 +19,7 @@
 }
 
 // at is what the clock would show at a reading.
-func (c *clock) at(r Reading) time.Duration {
+func (c *clock) at(r ClockReading) time.Duration {
 	if r.Source != c.last.Source || r.Elapsed <= c.last.Elapsed {
 		return c.now
 	}
--- a/internal/batch/command_decoding.go
+++ b/internal/batch/command_decoding.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Command{Clock: Reading{Source: root.ClockSource(), Elapsed: time.Duration(root.ClockElapsed())}}
+	c := &Command{Clock: ClockReading{Source: root.ClockSource(), Elapsed: time.Duration(root.ClockElapsed())}}
 	return c, decodeChange(root, c)
 }
 
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	c.Take = &Take{Job: job, MaxQueuedTokens: take.MaxQueuedTokens()}
+	c.Submit = &Submit{Job: job, MaxQueuedTokens: take.MaxQueuedTokens()}
 	return nil
 }
 
--- a/internal/batch/command_encoding.go
+++ b/internal/batch/command_encoding.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.Take != nil && len(encoded) >= compressFrom {
+	if c.Submit != nil && len(encoded) >= compressFrom {
 		return deflated.Compress(encoded), nil
 	}
 	return deflated.Wrap(encoded), nil
@@ -28,8 +28,8 @@
 
 func encodeChange(root batchwire.Command, c *Command) error {
 	switch {
-	case c.Take != nil:
-		return encodeTake(root, c.Take)
+	case c.Submit != nil:
+		return encodeTake(root, c.Submit)
 	case c.End != nil:
 		key, err := root.NewEnd()
 		if err != nil {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-func encodeTake(root batchwire.Command, t *Take) error {
+func encodeTake(root batchwire.Command, t *Submit) error {
 	take, err := root.NewTake()
 	if err != nil {
 		return err
--- a/internal/batch/golden_test.go
+++ b/internal/batch/golden_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestCommandFormat(t *testing.T) {
-	clock := Reading{Source: 0x1112131415161718, Elapsed: 0x2122232425262728}
+	clock := ClockReading{Source: 0x1112131415161718, Elapsed: 0x2122232425262728}
 	ended := goldenKey(7)
 	tests := []struct {
 		name string
@@ -34,7 +34,7 @@
 		want Command
 	}{
 		{name: "tick", file: "command-tick.hex", want: Command{Clock: clock}},
-		{name: "take", file: "command-take.hex", want: Command{Clock: clock, Take: &Take{
+		{name: "take", file: "command-take.hex", want: Command{Clock: clock, Submit: &Submit{
 			Job:             Job{Key: goldenKey(1), Route: "route", Host: "host.example", Items: []Item{goldenItem(1), goldenItem(2)}},
 			MaxQueuedTokens: 0x3132333435363738,
 		}}},
@@ -80,7 +80,7 @@
 // goldenMachine returns a state with a running job, an ended one, and one that was ended before it was taken.
 func goldenMachine() *Machine {
 	m := New(nil)
-	m.clock = clock{now: 0x1112131415161718, last: Reading{Source: 0x2122232425262728, Elapsed: 0x3132333435363738}}
+	m.clock = clock{now: 0x1112131415161718, last: ClockReading{Source: 0x2122232425262728, Elapsed: 0x3132333435363738}}
 	m.ordinal = 0x4142434445464748
 	running := &job{
 		key: goldenKey(1), route: "route 1", host: "host-1.example", ordinal: 0x5152535455565758, born: 0x6162636465666768, taken: true,
--- a/internal/batch/history_test.go
+++ b/internal/batch/history_test.go
@@ -19,7 +19,7 @@
 	replicas []*replica
 	told     map[Key]*told
 	now      time.Duration // real time
-	head     Reading       // the present head's clock; its source began at headStart
+	head     ClockReading  // the present head's clock; its source began at headStart
 	start    time.Duration
 }
 
@@ -35,7 +35,7 @@
 	taken  bool
 	ended  bool
 	born   time.Duration
-	listed []Listed
+	listed []ListedResult
 }
 
 const (
@@ -59,8 +59,8 @@
 	h.start = h.now
 }
 
-func (h *history) reading() Reading {
-	return Reading{Source: h.head.Source, Elapsed: h.now - h.start}
+func (h *history) reading() ClockReading {
+	return ClockReading{Source: h.head.Source, Elapsed: h.now - h.start}
 }
 
 // commit appends a command; replicas apply it when they come to it.
@@ -138,7 +138,7 @@
 func (h *history) take(key Key) {
 	job := testJob(key, 1+h.random.IntN(6))
 	before := h.replicas[0].machine.QueuedTokens(key.Tenant, testRoute)
-	outcome := h.commit(&Command{Take: &Take{Job: job, MaxQueuedTokens: historyQuota}})
+	outcome := h.commit(&Command{Submit: &Submit{Job: job, MaxQueuedTokens: historyQuota}})
 	known := h.told[key]
 	switch {
 	case known != nil && outcome != Done:
@@ -171,7 +171,7 @@
 
 // runItem continues the text of a waiting item behind its checkpoints, or anew, by some events. The command may be repeated.
 func (h *history) runItem(key Key) {
-	open, ok := h.replicas[0].machine.OpenJob(key)
+	open, ok := h.replicas[0].machine.PendingJob(key)
 	if !ok {
 		return
 	}
@@ -199,9 +199,9 @@
 }
 
 // checkText looks at what an item's run has left.
-func (h *history) checkText(key Key, item OpenItem, result Result) {
+func (h *history) checkText(key Key, item PendingItem, result Result) {
 	if result.State == Waiting {
-		now, _ := h.replicas[0].machine.OpenJob(key)
+		now, _ := h.replicas[0].machine.PendingJob(key)
 		for _, one := range now.Items {
 			if one.Index == item.Index && (one.Events != result.Events || one.LastEvent != result.LastEvent) {
 				h.t.Fatalf("%v: item %d continues behind event %q (%d), want %d", key, item.Index, one.LastEvent, one.Events, result.Events)
@@ -241,7 +241,7 @@
 	known.listed = page.Results
 }
 
-func (h *history) compare(key Key, before, after []Listed) {
+func (h *history) compare(key Key, before, after []ListedResult) {
 	if len(after) < len(before) {
 		h.t.Fatalf("%v: %d results, had %d", key, len(after), len(before))
 	}
@@ -269,7 +269,7 @@
 
 func (h *history) drop() {
 	const kept = 60 * time.Second
-	keys := h.replicas[0].machine.Overdue(h.reading(), kept)
+	keys := h.replicas[0].machine.Expired(h.reading(), kept)
 	for _, key := range keys {
 		if age := h.now - h.told[key].born; age < kept {
 			h.t.Fatalf("%v: overdue at %v", key, age)
@@ -283,7 +283,7 @@
 func (h *history) check() {
 	for _, tenant := range []string{"tenant-0", "tenant-1"} {
 		var sum int64
-		for _, open := range h.replicas[0].machine.OpenJobs() {
+		for _, open := range h.replicas[0].machine.PendingJobs() {
 			for _, item := range open.Items {
 				if open.Key.Tenant == tenant {
 					sum += item.Tokens
--- a/internal/batch/machine.go
+++ b/internal/batch/machine.go
@@ -42,10 +42,10 @@
 
 type noObserver struct{}
 
-func (noObserver) Taken(Key)  {}
-func (noObserver) Listed(Key) {}
-func (noObserver) Ended(Key)  {}
-func (noObserver) Restored()  {}
+func (noObserver) Submitted(Key) {}
+func (noObserver) Listed(Key)    {}
+func (noObserver) Ended(Key)     {}
+func (noObserver) Restored()     {}
 
 // New makes an empty partition. The observer may be nil.
 func New(observer Observer) *Machine {
@@ -68,8 +68,8 @@
 func (m *Machine) Execute(command *Command) Outcome {
 	m.clock.advance(command.Clock)
 	switch {
-	case command.Take != nil:
-		return m.take(command.Take)
+	case command.Submit != nil:
+		return m.take(command.Submit)
 	case command.End != nil:
 		m.end(*command.End)
 	case command.Append != nil:
@@ -80,7 +80,7 @@
 	return Done
 }
 
-func (m *Machine) take(t *Take) Outcome {
+func (m *Machine) take(t *Submit) Outcome {
 	known := m.jobs[t.Job.Key]
 	switch {
 	case known != nil && known.taken:
@@ -95,7 +95,7 @@
 	taken := m.add(t.Job.Key)
 	taken.fill(&t.Job)
 	m.charge(taken.account(), t.Job.Tokens())
-	m.observer.Taken(t.Job.Key)
+	m.observer.Submitted(t.Job.Key)
 	return Done
 }
 
--- a/internal/batch/machine_test.go
+++ b/internal/batch/machine_test.go
@@ -40,10 +40,10 @@
 
 func take(t testing.TB, m *Machine, job Job, most int64) Outcome {
 	t.Helper()
-	return apply(t, m, &Command{Take: &Take{Job: job, MaxQueuedTokens: most}})
+	return apply(t, m, &Command{Submit: &Submit{Job: job, MaxQueuedTokens: most}})
 }
 
-func offer(job Job, most int64) Offer { return (&Take{Job: job, MaxQueuedTokens: most}).Offer() }
+func offer(job Job, most int64) Offer { return (&Submit{Job: job, MaxQueuedTokens: most}).Offer() }
 
 func completed(key Key, index uint32, content string) Result {
 	return Result{Key: key, Index: index, State: Completed, Content: deflated.Compress([]byte(content))}
@@ -176,7 +176,7 @@
 	if !ok || page.Total != 3 || len(page.Results) != 1 || !page.Closed {
 		t.Errorf("page %+v, %v", page, ok)
 	}
-	if _, ok := m.OpenJob(key); ok {
+	if _, ok := m.PendingJob(key); ok {
 		t.Error("an ended job is open")
 	}
 }
@@ -189,7 +189,7 @@
 		t.Error("a job that was only ended has results")
 	}
 	take(t, m, testJob(key, 3), 1)
-	if _, ok := m.OpenJob(key); ok {
+	if _, ok := m.PendingJob(key); ok {
 		t.Error("the job runs")
 	}
 	if page, ok := m.Results(key, 0, 1); !ok || page.Total != 3 {
@@ -202,20 +202,20 @@
 
 func TestAgeIsALowerBound(t *testing.T) {
 	m := New(nil)
-	reading := func(source uint64, seconds int) Reading {
-		return Reading{Source: source, Elapsed: time.Duration(seconds) * time.Second}
+	reading := func(source uint64, seconds int) ClockReading {
+		return ClockReading{Source: source, Elapsed: time.Duration(seconds) * time.Second}
 	}
 	job := testJob(testKey(1), 1)
-	apply(t, m, &Command{Clock: reading(1, 100), Take: &Take{Job: job}})
+	apply(t, m, &Command{Clock: reading(1, 100), Submit: &Submit{Job: job}})
 	apply(t, m, &Command{Clock: reading(1, 104)})
 	apply(t, m, &Command{Clock: reading(1, 102)}) // overtaken by the one before
 	apply(t, m, &Command{Clock: reading(2, 50)})  // a new head: what passed in between is not known
 	apply(t, m, &Command{Clock: reading(2, 53)})
-	open, _ := m.OpenJob(job.Key)
-	if age := m.Now(reading(2, 54)) - open.Born; age != 8*time.Second {
+	open, _ := m.PendingJob(job.Key)
+	if age := m.Now(reading(2, 54)) - open.SubmittedAt; age != 8*time.Second {
 		t.Errorf("age %v, want 8s", age)
 	}
-	if age := m.Now(reading(3, 500)) - open.Born; age != 7*time.Second {
+	if age := m.Now(reading(3, 500)) - open.SubmittedAt; age != 7*time.Second {
 		t.Errorf("age for a reading of a new source %v, want 7s", age)
 	}
 }
@@ -226,8 +226,8 @@
 	take(t, m, testJob(first, 1), 0)
 	take(t, m, testJob(second, 1), 0)
 	apply(t, m, &Command{End: &second})
-	late := Reading{Elapsed: time.Minute}
-	if overdue := m.Overdue(late, time.Minute); len(overdue) != 1 || overdue[0] != second {
+	late := ClockReading{Elapsed: time.Minute}
+	if overdue := m.Expired(late, time.Minute); len(overdue) != 1 || overdue[0] != second {
 		t.Errorf("overdue %v", overdue)
 	}
 	apply(t, m, &Command{Drop: []Key{first, second}})
@@ -264,9 +264,9 @@
 	return Result{Key: key, From: from, Events: events, LastEvent: fmt.Sprint(events), Content: deflated.Compress([]byte(content))}
 }
 
-func openItem(t *testing.T, m *Machine, key Key) OpenItem {
+func openItem(t *testing.T, m *Machine, key Key) PendingItem {
 	t.Helper()
-	open, ok := m.OpenJob(key)
+	open, ok := m.PendingJob(key)
 	if !ok || len(open.Items) != 1 {
 		t.Fatalf("%d items wait", len(open.Items))
 	}
--- a/internal/batch/read.go
+++ b/internal/batch/read.go
@@ -7,8 +7,8 @@
 	"nickelline/internal/batch/deflated"
 )
 
-// Listed is a result as it is shown to clients.
-type Listed struct {
+// ListedResult is a result as it is shown to clients.
+type ListedResult struct {
 	Identifier string
 	State      State
 	Content    []byte // a block of package deflated
@@ -17,7 +17,7 @@
 // Page is a run of a job's results.
 type Page struct {
 	Total   int // items of the job
-	Results []Listed
+	Results []ListedResult
 	Next    int  // position after the last of Results
 	Closed  bool // no further result will be listed
 }
@@ -37,7 +37,7 @@
 		if bytes > maxBytes && len(page.Results) > 0 {
 			break
 		}
-		page.Results = append(page.Results, Listed{Identifier: listed.Identifier, State: listed.state, Content: listed.content})
+		page.Results = append(page.Results, ListedResult{Identifier: listed.Identifier, State: listed.state, Content: listed.content})
 		page.Next = position + 1
 	}
 	return page, true
@@ -63,17 +63,17 @@
 	return m.jobs[o.Key] != nil || !m.exceeds(o)
 }
 
-// Open is a job that has items to run.
-type Open struct {
-	Key   Key
-	Route string
-	Host  string
-	Born  time.Duration // by the partition's clock, see Now
-	Items []OpenItem
+// PendingJob is a job that has items to run.
+type PendingJob struct {
+	Key         Key
+	Route       string
+	Host        string
+	SubmittedAt time.Duration // by the partition's clock, see Now
+	Items       []PendingItem
 }
 
-// OpenItem is an item that waits, and its index in its job. Its body must not be changed.
-type OpenItem struct {
+// PendingItem is an item that waits, and its index in its job. Its body must not be changed.
+type PendingItem struct {
 	Index uint32
 	Item
 	// Events is how many events of the text the checkpoints hold, and LastEvent the id of the last one.
@@ -81,19 +81,19 @@
 	LastEvent string
 }
 
-// OpenJob lists what is left to run of a job. It is false if there is nothing.
-func (m *Machine) OpenJob(key Key) (Open, bool) {
+// PendingJob lists what is left to run of a job. It is false if there is nothing.
+func (m *Machine) PendingJob(key Key) (PendingJob, bool) {
 	found := m.jobs[key]
 	if found == nil || !found.taken || found.closed() {
-		return Open{}, false
+		return PendingJob{}, false
 	}
-	open := Open{Key: found.key, Route: found.route, Host: found.host, Born: found.born}
+	open := PendingJob{Key: found.key, Route: found.route, Host: found.host, SubmittedAt: found.born}
 	for i := range found.items {
 		waiting := &found.items[i]
 		if waiting.state != Waiting {
 			continue
 		}
-		open.Items = append(open.Items, OpenItem{
+		open.Items = append(open.Items, PendingItem{
 			Index:     uint32(i),
 			Item:      waiting.Item,
 			Events:    waiting.checkpoints.events(),
@@ -103,11 +103,11 @@
 	return open, true
 }
 
-// OpenJobs lists the jobs that have items to run, in the order in which they were taken.
-func (m *Machine) OpenJobs() []Open {
-	var open []Open
+// PendingJobs lists the jobs that have items to run, in the order in which they were taken.
+func (m *Machine) PendingJobs() []PendingJob {
+	var open []PendingJob
 	for _, ordered := range m.ordered() {
-		if job, ok := m.OpenJob(ordered.key); ok {
+		if job, ok := m.PendingJob(ordered.key); ok {
 			open = append(open, job)
 		}
 	}
@@ -126,10 +126,10 @@
 
 // Now is what the partition's clock shows at a reading of the head: what passed between two of its values is at most what
 // really passed.
-func (m *Machine) Now(r Reading) time.Duration { return m.clock.at(r) }
+func (m *Machine) Now(r ClockReading) time.Duration { return m.clock.at(r) }
 
-// Overdue lists the closed jobs that are as old as a bound, by the partition's clock at a reading.
-func (m *Machine) Overdue(r Reading, bound time.Duration) []Key {
+// Expired lists the closed jobs that are as old as a bound, by the partition's clock at a reading.
+func (m *Machine) Expired(r ClockReading, bound time.Duration) []Key {
 	var keys []Key
 	now := m.clock.at(r)
 	for _, candidate := range m.ordered() {
--- a/internal/batch/size.go
+++ b/internal/batch/size.go
@@ -33,12 +33,14 @@
 }
 
 // ListedSize is the most that a result takes in an answer.
-func ListedSize(l *Listed) int { return structBytes + textSize(l.Identifier) + dataSize(l.Content) }
+func ListedSize(l *ListedResult) int {
+	return structBytes + textSize(l.Identifier) + dataSize(l.Content)
+}
 
 func commandSize(c *Command) int {
 	size := messageBytes + pointerBytes
-	if c.Take != nil {
-		size += structBytes + JobSize(&c.Take.Job)
+	if c.Submit != nil {
+		size += structBytes + JobSize(&c.Submit.Job)
 	}
 	if c.End != nil {
 		size += KeySize(*c.End)
--- a/internal/batch/size_test.go
+++ b/internal/batch/size_test.go
@@ -48,7 +48,7 @@
 		}
 		return c
 	}
-	return &Command{Take: &Take{Job: randomJob(random), MaxQueuedTokens: random.Int64()}}
+	return &Command{Submit: &Submit{Job: randomJob(random), MaxQueuedTokens: random.Int64()}}
 }
 
 // TestSizesHoldAnyMessage encodes commands of all shapes: a bound that is too small is an error.
@@ -65,8 +65,8 @@
 		if err != nil || !reflect.DeepEqual(decoded, command) {
 			t.Fatalf("%v: decoded differs from %+v", err, command)
 		}
-		if command.Take != nil {
-			command.Take.MaxQueuedTokens = 0
+		if command.Submit != nil {
+			command.Submit.MaxQueuedTokens = 0
 		}
 		m.Execute(command)
 	}
--- a/internal/batch/snapshot_decoding.go
+++ b/internal/batch/snapshot_decoding.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return 0, err
 	}
-	m.clock.last = Reading{Source: root.ClockSource(), Elapsed: time.Duration(root.ClockElapsed())}
+	m.clock.last = ClockReading{Source: root.ClockSource(), Elapsed: time.Duration(root.ClockElapsed())}
 	m.clock.now = time.Duration(root.ClockNow())
 	m.ordinal = root.NextOrdinal()
 	return root.Jobs(), nil
--- a/internal/batchapi/client.go
+++ b/internal/batchapi/client.go
@@ -80,7 +80,7 @@
 
 // offer asks the head of a tenant's partition whether it would take a job. Any error promises that nothing was taken.
 func (c *Client) checkOffer(ctx context.Context, tenant string, submission *batchcall.SubmitRequest) error {
-	take := batch.Take{Job: submission.Job, MaxQueuedTokens: submission.MaxQueuedTokens}
+	take := batch.Submit{Job: submission.Job, MaxQueuedTokens: submission.MaxQueuedTokens}
 	request := &batchcall.OfferRequest{Offer: take.Offer()}
 	ctx, cancel := context.WithTimeout(ctx, offerPatience)
 	defer cancel()
--- a/internal/batchapi/client_test.go
+++ b/internal/batchapi/client_test.go
@@ -233,7 +233,7 @@
 func page(results ...string) answer {
 	p := &batch.Page{Total: 9, Next: len(results)}
 	for _, result := range results {
-		p.Results = append(p.Results, batch.Listed{Identifier: result, State: batch.Completed, Content: deflated.Wrap([]byte("text"))})
+		p.Results = append(p.Results, batch.ListedResult{Identifier: result, State: batch.Completed, Content: deflated.Wrap([]byte("text"))})
 	}
 	return answer{reply: &batchcall.Reply{Page: p}}
 }
--- a/internal/proxy/batch_test.go
+++ b/internal/proxy/batch_test.go
@@ -25,7 +25,7 @@
 
 func (f *fakeBatch) Results(_ context.Context, tenant, job string, startAfter int, wait time.Duration) (batch.Page, error) {
 	f.call = fmt.Sprintf("results %s %s %d %v", tenant, job, startAfter, wait)
-	return batch.Page{Total: 40, Next: 14, Results: []batch.Listed{
+	return batch.Page{Total: 40, Next: 14, Results: []batch.ListedResult{
 		{Identifier: "e5", State: batch.Completed, Content: []byte("a\n<b>")}, {Identifier: "e6", State: batch.Abandoned},
 	}}, f.fail
 }
--- a/internal/store/admission_request.go
+++ b/internal/store/admission_request.go
@@ -32,7 +32,7 @@
 const headerPromptPrefix = "Nickelline-Prompt-Prefix"
 
 // sharedPrefix returns the ids of the segments of an item's prompt that other items may share.
-func sharedPrefix(item *batch.OpenItem) []string {
+func sharedPrefix(item *batch.PendingItem) []string {
 	for _, header := range item.Headers {
 		if strings.EqualFold(header.Name, headerPromptPrefix) {
 			return sharedSegments(header.Value)
--- a/internal/store/checkpoint_test.go
+++ b/internal/store/checkpoint_test.go
@@ -14,7 +14,7 @@
 // keptEvents is how many events of the text of a job's first item the checkpoints hold.
 func (f *fixture) keptEvents(key batch.Key) (events uint32) {
 	f.partition.state.read(func(m *batch.Machine) {
-		if open, ok := m.OpenJob(key); ok {
+		if open, ok := m.PendingJob(key); ok {
 			events = open.Items[0].Events
 		}
 	})
--- a/internal/store/clock.go
+++ b/internal/store/clock.go
@@ -19,6 +19,6 @@
 }
 
 // reading returns what the clock shows at a time.
-func (c *headClock) reading(now time.Time) batch.Reading {
-	return batch.Reading{Source: c.source, Elapsed: now.Sub(c.start)}
+func (c *headClock) reading(now time.Time) batch.ClockReading {
+	return batch.ClockReading{Source: c.source, Elapsed: now.Sub(c.start)}
 }
--- a/internal/store/fixture_test.go
+++ b/internal/store/fixture_test.go
@@ -330,14 +330,14 @@
 // submit has a job committed.
 func (f *fixture) submit(job batch.Job) {
 	f.t.Helper()
-	outcome, err := f.partition.propose(context.Background(), &batch.Command{Take: &batch.Take{Job: job}})
+	outcome, err := f.partition.propose(context.Background(), &batch.Command{Submit: &batch.Submit{Job: job}})
 	if err != nil || outcome != batch.Done {
 		f.t.Fatal(outcome, err)
 	}
 }
 
 // results waits until a number of results are listed.
-func (f *fixture) results(key batch.Key, count int) []batch.Listed {
+func (f *fixture) results(key batch.Key, count int) []batch.ListedResult {
 	f.t.Helper()
 	deadline := time.Now().Add(patience)
 	for from := 0; ; {
@@ -359,7 +359,7 @@
 	}
 }
 
-func (f *fixture) expanded(results []batch.Listed) []batch.Listed {
+func (f *fixture) expanded(results []batch.ListedResult) []batch.ListedResult {
 	f.t.Helper()
 	for i := range results {
 		content, err := deflated.Expand(results[i].Content)
--- a/internal/store/partition_test.go
+++ b/internal/store/partition_test.go
@@ -47,7 +47,7 @@
 func TestOfferIsAnsweredBehindAProofAndTakesNothing(t *testing.T) {
 	p, replica := newTestPartition()
 	job := testJob(testKey(1), 3, 1)
-	take := &batch.Take{Job: job, MaxQueuedTokens: 30}
+	take := &batch.Submit{Job: job, MaxQueuedTokens: 30}
 	request := &batchcall.OfferRequest{Offer: take.Offer()}
 	if reply, err := p.offer(context.Background(), request); err != nil || reply.Redirect != nil {
 		t.Error(reply, err)
--- a/internal/store/retry_queue_test.go
+++ b/internal/store/retry_queue_test.go
@@ -74,7 +74,7 @@
 	for i := range urgentJob.Items {
 		urgentJob.Items[i].Tokens = 100_000 // presses by the tokens that its tenant has waiting
 	}
-	take := &batch.Command{Take: &batch.Take{Job: urgentJob}}
+	take := &batch.Command{Submit: &batch.Submit{Job: urgentJob}}
 	if outcome, err := urgent.propose(context.Background(), take); outcome != batch.Done || err != nil {
 		t.Fatal(outcome, err)
 	}
--- a/internal/store/runner_jobs.go
+++ b/internal/store/runner_jobs.go
@@ -62,13 +62,13 @@
 	return r.schedule.Len() > known
 }
 
-func (r *runner) openJobs() (open []batch.Open) {
-	r.partition.state.read(func(m *batch.Machine) { open = m.OpenJobs() })
+func (r *runner) openJobs() (open []batch.PendingJob) {
+	r.partition.state.read(func(m *batch.Machine) { open = m.PendingJobs() })
 	return open
 }
 
-func (r *runner) openJob(key batch.Key) (open batch.Open, ok bool) {
-	r.partition.state.read(func(m *batch.Machine) { open, ok = m.OpenJob(key) })
+func (r *runner) openJob(key batch.Key) (open batch.PendingJob, ok bool) {
+	r.partition.state.read(func(m *batch.Machine) { open, ok = m.PendingJob(key) })
 	return open, ok
 }
 
--- a/internal/store/scheduler/item.go
+++ b/internal/store/scheduler/item.go
@@ -11,7 +11,7 @@
 // fields below Open; otherwise they are guarded like the schedule.
 type Item struct {
 	Job  *Job
-	Open batch.OpenItem
+	Open batch.PendingItem
 	Text itemtext.Text
 	// AvoidBackend is the id of the backend of the last attempt, if that failed.
 	AvoidBackend string
@@ -25,14 +25,14 @@
 
 // Job is a job that has items which have not ended.
 type Job struct {
-	Open    batch.Open
+	Open    batch.PendingJob
 	Urgency Urgency
 
 	waiting   []*Item // in the order in which they are to run
 	remaining int     // items that have not ended: waiting, delayed or running
 }
 
-func newJob(open batch.Open) *Job {
+func newJob(open batch.PendingJob) *Job {
 	j := &Job{Open: open, remaining: len(open.Items)}
 	for _, item := range open.Items {
 		j.waiting = append(j.waiting, &Item{
--- a/internal/store/scheduler/queue_test.go
+++ b/internal/store/scheduler/queue_test.go
@@ -10,10 +10,10 @@
 
 // newTestJob returns a job of a tenant, on a route of the same name, whose items are called TENANT JOB.INDEX without the space.
 func newTestJob(tenant string, job, items int) *Job {
-	open := batch.Open{Key: batch.Key{Tenant: tenant, Identifier: fmt.Sprint(job)}, Route: tenant}
+	open := batch.PendingJob{Key: batch.Key{Tenant: tenant, Identifier: fmt.Sprint(job)}, Route: tenant}
 	for i := range items {
 		item := batch.Item{Identifier: fmt.Sprintf("%s%d.%d", tenant, job, i)}
-		open.Items = append(open.Items, batch.OpenItem{Index: uint32(i), Item: item})
+		open.Items = append(open.Items, batch.PendingItem{Index: uint32(i), Item: item})
 	}
 	return newJob(open)
 }
--- a/internal/store/scheduler/schedule.go
+++ b/internal/store/scheduler/schedule.go
@@ -24,7 +24,7 @@
 }
 
 // Add adds a job behind the others of its tenant. A job that is already there is not changed.
-func (s *Schedule) Add(open batch.Open) {
+func (s *Schedule) Add(open batch.PendingJob) {
 	if s.jobs[open.Key] != nil {
 		return
 	}
--- a/internal/store/service_test.go
+++ b/internal/store/service_test.go
@@ -178,11 +178,11 @@
 }
 
 // results reads until all results of a job are there.
-func (c *cluster) results(job batch.Job) []batch.Listed {
+func (c *cluster) results(job batch.Job) []batch.ListedResult {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	var all []batch.Listed
+	var all []batch.ListedResult
 	for len(all) < len(job.Items) {
 		page, err := c.client.Results(ctx, job.Key.Tenant, job.Key.Identifier, len(all), time.Second)
 		if ctx.Err() != nil {
@@ -197,7 +197,7 @@
 	return all
 }
 
-func (c *cluster) check(results []batch.Listed, events int) {
+func (c *cluster) check(results []batch.ListedResult, events int) {
 	c.t.Helper()
 	for _, result := range results {
 		if result.State != batch.Completed || string(result.Content) != wantText(result.Identifier, events) {
--- a/internal/store/state.go
+++ b/internal/store/state.go
@@ -43,10 +43,10 @@
 // changeCollector is the machine's observer: it collects changes while the machine is locked.
 type changeCollector state
 
-func (c *changeCollector) Taken(key batch.Key)  { c.changes.added = append(c.changes.added, key) }
-func (c *changeCollector) Listed(key batch.Key) { c.changes.listed = append(c.changes.listed, key) }
-func (c *changeCollector) Ended(key batch.Key)  { c.changes.ended = append(c.changes.ended, key) }
-func (c *changeCollector) Restored()            { c.changes.restored = true }
+func (c *changeCollector) Submitted(key batch.Key) { c.changes.added = append(c.changes.added, key) }
+func (c *changeCollector) Listed(key batch.Key)    { c.changes.listed = append(c.changes.listed, key) }
+func (c *changeCollector) Ended(key batch.Key)     { c.changes.ended = append(c.changes.ended, key) }
+func (c *changeCollector) Restored()               { c.changes.restored = true }
 
 // Apply implements chain.Machine.
 func (s *state) Apply(sequence uint64, command []byte) []byte {
--- a/internal/store/stored_data_test.go
+++ b/internal/store/stored_data_test.go
@@ -63,7 +63,7 @@
 var storedJobs = []batch.Key{waitingJob, runningJob, endedJob, completeJob, endedBeforeJob, laterJob, droppedJob, appendedJob}
 
 // storedJob makes a job whose items differ in each field.
-func storedJob(key batch.Key, items int) *batch.Take {
+func storedJob(key batch.Key, items int) *batch.Submit {
 	job := batch.Job{Key: key, Route: "route of " + key.Identifier, Host: strings.ReplaceAll(key.Identifier, " ", "-") + ".example"}
 	for i := range items {
 		job.Items = append(job.Items, batch.Item{
@@ -77,7 +77,7 @@
 			Tokens: int64(10 * (i + 1)),
 		})
 	}
-	return &batch.Take{Job: job, MaxQueuedTokens: 5000}
+	return &batch.Submit{Job: job, MaxQueuedTokens: 5000}
 }
 
 func storedText(text string) []byte { return deflated.Compress([]byte(text)) }
@@ -100,11 +100,11 @@
 // ones.
 func storedCommands() (before []batch.Command, saving batch.Command, after []batch.Command) {
 	before = []batch.Command{
-		{Take: storedJob(waitingJob, 2)},
-		{Take: storedJob(runningJob, 25)}, // large enough to be stored compressed
-		{Take: storedJob(endedJob, 3)},
-		{Take: storedJob(completeJob, 2)},
-		{Take: storedJob(droppedJob, 1)},
+		{Submit: storedJob(waitingJob, 2)},
+		{Submit: storedJob(runningJob, 25)}, // large enough to be stored compressed
+		{Submit: storedJob(endedJob, 3)},
+		{Submit: storedJob(completeJob, 2)},
+		{Submit: storedJob(droppedJob, 1)},
 		{End: &endedBeforeJob},
 		{Append: []batch.Result{
 			checkpointOf(runningJob, 3, 0, 2, "event two", "first "),
@@ -123,10 +123,10 @@
 	}
 	saving = batch.Command{Drop: []batch.Key{droppedJob}}
 	after = []batch.Command{
-		{Take: storedJob(laterJob, 2)},
+		{Submit: storedJob(laterJob, 2)},
 		{Append: []batch.Result{checkpointOf(runningJob, 7, 4, 6, "event six", "after the snapshot ")}},
 		{Append: []batch.Result{checkpointOf(laterJob, 0, 0, 1, "event one", "begun ")}},
-		{Take: storedJob(endedBeforeJob, 1)},
+		{Submit: storedJob(endedBeforeJob, 1)},
 	}
 	return before, saving, after
 }
@@ -140,7 +140,7 @@
 	tick := func(commands []batch.Command) {
 		for i := range commands {
 			clock += storedClockStep
-			commands[i].Clock = batch.Reading{Source: storedSource, Elapsed: clock}
+			commands[i].Clock = batch.ClockReading{Source: storedSource, Elapsed: clock}
 		}
 	}
 	snapshotted := []batch.Command{saving}
@@ -292,7 +292,7 @@
 func (s *storedStore) checkClock() {
 	s.t.Helper()
 	s.partition.state.read(func(m *batch.Machine) {
-		if got := m.Now(batch.Reading{}); got < storedClock || got > storedClock+time.Minute {
+		if got := m.Now(batch.ClockReading{}); got < storedClock || got > storedClock+time.Minute {
 			s.t.Errorf("clock: got %v, want %v or a little more", got, storedClock)
 		}
 	})
@@ -312,7 +312,7 @@
 		for _, key := range storedJobs {
 			s.describeJob(&text, m, key)
 		}
-		for _, open := range m.OpenJobs() {
+		for _, open := range m.PendingJobs() {
 			fmt.Fprintf(&text, "open %s\n", open.Key.Identifier)
 		}
 	})
@@ -330,11 +330,11 @@
 		}
 		fmt.Fprintf(text, "  result at %d: %s, state %d, %q\n", position, result.Identifier, result.State, content)
 	}
-	open, ok := m.OpenJob(key)
+	open, ok := m.PendingJob(key)
 	if !ok {
 		return
 	}
-	fmt.Fprintf(text, "  open: route %q, host %q, born %s, queued tokens %d\n", open.Route, open.Host, describeBorn(open.Born),
+	fmt.Fprintf(text, "  open: route %q, host %q, born %s, queued tokens %d\n", open.Route, open.Host, describeBorn(open.SubmittedAt),
 		m.QueuedTokens(key.Tenant, open.Route))
 	for _, item := range open.Items {
 		fmt.Fprintf(text, "  item %d: %s %s %q %q tokens %d, %d events up to %q\n", item.Index, item.Identifier, item.Path,
@@ -388,8 +388,8 @@
 		completedItem(waitingJob, 1, 0, "run by this version"),
 	}})
 	s.propose(&batch.Command{Append: []batch.Result{completedItem(laterJob, 0, 3, "and ended")}})
-	s.propose(&batch.Command{Take: storedJob(appendedJob, 2)})
-	s.propose(&batch.Command{Take: storedJob(waitingJob, 9)}) // taken before: changes nothing
+	s.propose(&batch.Command{Submit: storedJob(appendedJob, 2)})
+	s.propose(&batch.Command{Submit: storedJob(waitingJob, 9)}) // taken before: changes nothing
 	s.propose(&batch.Command{End: &waitingJob})
 	s.propose(&batch.Command{Drop: []batch.Key{completeJob}})
 	golden.Text(t, "stored/store-appended.txt", s.describe())
--- a/internal/store/upkeep.go
+++ b/internal/store/upkeep.go
@@ -63,7 +63,7 @@
 		if route == nil {
 			continue
 		}
-		age := clock - j.Open.Born
+		age := clock - j.Open.SubmittedAt
 		j.Urgency = r.urgencyOf(route, j, age)
 		if route.Retention > 0 && age >= route.Retention+retentionMargin {
 			r.abandonWaiting(ctx, j)
@@ -108,7 +108,7 @@
 	r.cleaned = now
 	reading := r.partition.clock.reading(now)
 	var overdue []batch.Key
-	r.partition.state.read(func(m *batch.Machine) { overdue = m.Overdue(reading, r.config.statusInterval) })
+	r.partition.state.read(func(m *batch.Machine) { overdue = m.Expired(reading, r.config.statusInterval) })
 	if len(overdue) == 0 {
 		return
 	}
--- a/internal/store/writes.go
+++ b/internal/store/writes.go
@@ -16,7 +16,7 @@
 	if redirect := p.redirect(); redirect != nil {
 		return &batchcall.Reply{Redirect: redirect}, nil
 	}
-	take := &batch.Take{Job: r.Job, MaxQueuedTokens: r.MaxQueuedTokens}
+	take := &batch.Submit{Job: r.Job, MaxQueuedTokens: r.MaxQueuedTokens}
 	if !p.confirmation.isYoungerThan(p.readConfirmationAge) || p.fits(take.Offer()) {
 		return p.commitJob(ctx, take)
 	}
@@ -24,8 +24,8 @@
 }
 
 // commitJob has a job committed.
-func (p *partition) commitJob(ctx context.Context, take *batch.Take) (*batchcall.Reply, error) {
-	outcome, err := p.propose(ctx, &batch.Command{Take: take})
+func (p *partition) commitJob(ctx context.Context, take *batch.Submit) (*batchcall.Reply, error) {
+	outcome, err := p.propose(ctx, &batch.Command{Submit: take})
 	switch {
 	case err != nil:
 		return nil, submitError(err)
