--- a/cmd/nickelline/node.go
+++ b/cmd/nickelline/node.go
@@ -55,7 +55,7 @@
 		Address:      address,
 		ControlPlane: p.settings.Listen.ControlPlane,
 		Replica:      replica,
-		Life:         rand.Uint64(),
+		Generation:   rand.Uint64(),
 	}
 	n := &node{process: p, transport: transport}
 	transport.SetSameZone(n.isNear)
--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -14,7 +14,7 @@
 	for i := 1; i < size; i++ {
 		record := c.self.member
 		record.Address = simulatedAddress(i)
-		record.Life = uint64(i)
+		record.Generation = uint64(i)
 		c.add(0, &record)
 	}
 	return c
@@ -32,7 +32,7 @@
 				now += probePeriod
 				c.advance(now)
 				if current := c.probing.current; current != nil {
-					ack := message{messageType: ackMessage, sequence: current.sequence, life: current.life, digest: c.digest}
+					ack := message{messageType: ackMessage, sequence: current.sequence, generation: current.generation, digest: c.digest}
 					c.receive(now, current.target, recode(b, &ack))
 				}
 				ping := message{messageType: pingMessage, sequence: 1, digest: c.digest}
--- a/internal/member/codec.go
+++ b/internal/member/codec.go
@@ -51,7 +51,7 @@
 	case ackMessage:
 		root.SetAck()
 		root.Ack().SetSequence(m.sequence)
-		root.Ack().SetLife(m.life)
+		root.Ack().SetLife(m.generation)
 	case indirectPingMessage:
 		root.SetIndirectPing()
 		root.IndirectPing().SetSequence(m.sequence)
@@ -87,7 +87,7 @@
 	r.SetAddress(packAddress(m.Address))
 	r.SetControlPlane(packAddress(m.ControlPlane))
 	r.SetReplica(m.Replica)
-	r.SetLife(m.Life)
+	r.SetLife(m.Generation)
 	r.SetIncarnation(m.Incarnation)
 	r.SetState(memberwire.State(m.State))
 	r.SetLeaving(m.Leaving)
@@ -111,7 +111,7 @@
 	for i, c := range claims {
 		item := list.At(i)
 		item.SetAddress(packAddress(c.address))
-		item.SetLife(c.life)
+		item.SetLife(c.generation)
 		item.SetIncarnation(c.incarnation)
 		item.SetState(memberwire.State(c.state))
 	}
@@ -131,7 +131,7 @@
 	case memberwire.Datagram_Which_ack:
 		m.messageType = ackMessage
 		m.sequence = root.Ack().Sequence()
-		m.life = root.Ack().Life()
+		m.generation = root.Ack().Life()
 	case memberwire.Datagram_Which_indirectPing:
 		m.messageType = indirectPingMessage
 		m.sequence = root.IndirectPing().Sequence()
@@ -171,7 +171,7 @@
 		Address:      unpackAddress(r.Address()),
 		ControlPlane: unpackAddress(r.ControlPlane()),
 		Replica:      r.Replica(),
-		Life:         r.Life(),
+		Generation:   r.Life(),
 		Incarnation:  r.Incarnation(),
 		State:        State(r.State()),
 		Leaving:      r.Leaving(),
@@ -205,7 +205,7 @@
 		item := list.At(i)
 		claims[i] = claim{
 			address:     unpackAddress(item.Address()),
-			life:        item.Life(),
+			generation:  item.Life(),
 			incarnation: item.Incarnation(),
 			state:       State(item.State()),
 		}
--- a/internal/member/codec_test.go
+++ b/internal/member/codec_test.go
@@ -15,7 +15,7 @@
 		Address:      netip.MustParseAddrPort("10.1.2.3:7660"),
 		ControlPlane: netip.MustParseAddrPort("10.1.2.3:8407"),
 		Replica:      1 << 63,
-		Life:         2,
+		Generation:   2,
 		Incarnation:  3,
 		State:        Suspect,
 		Leaving:      true,
@@ -27,7 +27,7 @@
 	other := Member{Address: netip.MustParseAddrPort("255.255.255.255:65535")}
 	for _, want := range []message{
 		{messageType: pingMessage, sequence: 7, running: 5, digest: 1 << 60},
-		{messageType: ackMessage, sequence: 7, life: 9, records: []Member{sample, other}},
+		{messageType: ackMessage, sequence: 7, generation: 9, records: []Member{sample, other}},
 		{messageType: indirectPingMessage, sequence: 7, target: sample.Address, claims: []claim{sample.claim(), other.claim()}},
 		{messageType: rumourMessage, records: []Member{other}, claims: []claim{sample.claim()}},
 	} {
--- a/internal/member/core.go
+++ b/internal/member/core.go
@@ -169,10 +169,10 @@
 // updateSelf changes the own record.
 func (c *core) updateSelf(now time.Duration, change func(*Member)) {
 	c.alter(now, c.self, func(self *Member) {
-		address, life := self.Address, self.Life
+		address, generation := self.Address, self.Generation
 		change(self)
 		self.Address = address
-		self.Life = life
+		self.Generation = generation
 	})
 	c.announceSelf(now, c.self.member.Incarnation+1)
 	c.advance(now)
@@ -280,7 +280,7 @@
 
 func (c *core) setState(now time.Duration, e *entry, change claim) {
 	c.alter(now, e, func(m *Member) {
-		m.Life = change.life
+		m.Generation = change.generation
 		m.Incarnation = change.incarnation
 		m.State = change.state
 	})
@@ -291,7 +291,7 @@
 	before, ran := digestOf(&e.member), e.member.Running()
 	suspected := e.member
 	change(&e.member)
-	if suspected.State == Suspect && e.member.State == Alive && suspected.Life == e.member.Life {
+	if suspected.State == Suspect && e.member.State == Alive && suspected.Generation == e.member.Generation {
 		e.slowUntil = now + slowSpan
 	}
 	after, runs := digestOf(&e.member), e.member.Running()
--- a/internal/member/core_test.go
+++ b/internal/member/core_test.go
@@ -160,11 +160,11 @@
 				s.crash(address)
 				s.run(s.now+time.Duration(s.random.Int64N(int64(4*time.Second))), nil)
 				s.start(address, incarnation)
-				life := s.nodes[address].core.self.member.Life
+				generation := s.nodes[address].core.self.member.Generation
 				superseded := func() bool {
 					for _, other := range s.order {
 						e := s.nodes[other].core.members[address]
-						if e == nil || e.member.Life != life || !e.member.Running() {
+						if e == nil || e.member.Generation != generation || !e.member.Running() {
 							return false
 						}
 					}
@@ -285,12 +285,12 @@
 
 func TestClaimOrder(t *testing.T) {
 	claims := []claim{
-		{incarnation: 1, life: 1, state: Alive},
-		{incarnation: 1, life: 1, state: Suspect},
-		{incarnation: 1, life: 1, state: Dead},
-		{incarnation: 1, life: 1, state: Left},
-		{incarnation: 1, life: 2, state: Alive},
-		{incarnation: 2, life: 1, state: Alive},
+		{incarnation: 1, generation: 1, state: Alive},
+		{incarnation: 1, generation: 1, state: Suspect},
+		{incarnation: 1, generation: 1, state: Dead},
+		{incarnation: 1, generation: 1, state: Left},
+		{incarnation: 1, generation: 2, state: Alive},
+		{incarnation: 2, generation: 1, state: Alive},
 	}
 	for i, a := range claims {
 		for j, b := range claims {
--- a/internal/member/golden_test.go
+++ b/internal/member/golden_test.go
@@ -19,7 +19,7 @@
 			Address:      netip.MustParseAddrPort("10.1.2.3:7660"),
 			ControlPlane: netip.MustParseAddrPort("10.4.5.6:8407"),
 			Replica:      0x8000000000000007,
-			Life:         0x1112131415161718,
+			Generation:   0x1112131415161718,
 			Incarnation:  0x2122232425262728,
 			State:        Suspect,
 			Leaving:      true,
@@ -30,12 +30,12 @@
 			Zone:        "zone-b",
 			Region:      "region-south",
 			Address:     netip.MustParseAddrPort("255.254.253.252:65535"),
-			Life:        3,
+			Generation:  3,
 			Incarnation: 4,
 			State:       Alive,
 		},
-		{Address: netip.MustParseAddrPort("10.1.2.5:1"), Life: 5, Incarnation: 6, State: Dead},
-		{Address: netip.MustParseAddrPort("10.1.2.6:2"), Life: 7, Incarnation: 8, State: Left},
+		{Address: netip.MustParseAddrPort("10.1.2.5:1"), Generation: 5, Incarnation: 6, State: Dead},
+		{Address: netip.MustParseAddrPort("10.1.2.6:2"), Generation: 7, Incarnation: 8, State: Left},
 	}
 }
 
@@ -60,7 +60,7 @@
 		"ack.hex": {
 			messageType: ackMessage,
 			sequence:    0x3132333435363738,
-			life:        0x6162636465666768,
+			generation:  0x6162636465666768,
 			running:     0x41424344,
 			digest:      0x5152535455565758,
 			records:     goldenMembers(),
--- a/internal/member/meet.go
+++ b/internal/member/meet.go
@@ -251,9 +251,9 @@
 	}
 	theirs, ours := record.claim(), known.member.claim()
 	switch {
-	case theirs.state == Dead && known.member.Running() && theirs.life == ours.life:
+	case theirs.state == Dead && known.member.Running() && theirs.generation == ours.generation:
 		c.dispute(now, known, theirs)
-	case record.Running() && ours.state == Dead && theirs.life == ours.life && theirs.incarnation == ours.incarnation:
+	case record.Running() && ours.state == Dead && theirs.generation == ours.generation && theirs.incarnation == ours.incarnation:
 		c.believe(now, known)
 	case theirs.supersedes(ours):
 		c.set(now, known, record)
@@ -312,7 +312,7 @@
 func digestOf(m *Member) uint64 {
 	var data [digestBytes]byte
 	binary.LittleEndian.PutUint64(data[:], packAddress(m.Address))
-	binary.LittleEndian.PutUint64(data[8:], m.Life)
+	binary.LittleEndian.PutUint64(data[8:], m.Generation)
 	binary.LittleEndian.PutUint64(data[16:], m.Incarnation)
 	hash := uint64(fnvOffset)
 	for _, b := range data {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -48,9 +48,11 @@
 	ControlPlane netip.AddrPort
 	// Replica is its identity on disk, 0 if it has none.
 	Replica uint64
-	// Life is a random number of the process, so that a restarted one is told apart.
-	Life uint64
-	// Incarnation orders what is told of the member. Only the member itself raises it.
+	// Generation is the number of the process start, as in Cassandra's gossip: a random number that the process draws when it
+	// starts, and that tells it from others at its address.
+	Generation uint64
+	// Incarnation is SWIM's: it orders the updates about a member. Only the member itself raises it, to refute a suspicion
+	// or to announce a change of its record.
 	Incarnation uint64
 	State       State
 	// Leaving is set by a member that still serves but is to end soon.
@@ -61,13 +63,13 @@
 func (m *Member) Running() bool { return m.State == Alive || m.State == Suspect }
 
 func (m *Member) claim() claim {
-	return claim{address: m.Address, life: m.Life, incarnation: m.Incarnation, state: m.State}
+	return claim{address: m.Address, generation: m.Generation, incarnation: m.Incarnation, state: m.State}
 }
 
 // claim says in which state a member is, as of one of its incarnations.
 type claim struct {
 	address     netip.AddrPort
-	life        uint64
+	generation  uint64
 	incarnation uint64
 	state       State
 }
@@ -78,8 +80,8 @@
 	if c.incarnation != other.incarnation {
 		return c.incarnation > other.incarnation
 	}
-	if c.life != other.life {
-		return c.life > other.life
+	if c.generation != other.generation {
+		return c.generation > other.generation
 	}
 	return c.state > other.state
 }
--- a/internal/member/message.go
+++ b/internal/member/message.go
@@ -17,7 +17,7 @@
 type message struct {
 	messageType messageType
 	sequence    uint64
-	life        uint64         // ack: of the process that was probed
+	generation  uint64         // ack: of the process that was probed
 	target      netip.AddrPort // indirect ping
 	running     uint32         // members that the sender holds to be alive, itself included
 	digest      uint64         // stands for those members
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -32,7 +32,7 @@
 // probe is the one that is under way.
 type probe struct {
 	target       netip.AddrPort
-	life         uint64
+	generation   uint64
 	sequence     uint64
 	indirectTime time.Duration // when others are asked; never once they are
 	deadline     time.Duration
@@ -76,7 +76,9 @@
 	return false
 }
 
-func (p *probe) answeredBy(m *message) bool { return p.sequence == m.sequence && p.life == m.life }
+func (p *probe) answeredBy(m *message) bool {
+	return p.sequence == m.sequence && p.generation == m.generation
+}
 
 // insert puts a new member at a random place of the round, so that it is not left unprobed for the rest of it.
 func (p *prober) insert(random *rand.Rand, address netip.AddrPort) {
@@ -117,7 +119,7 @@
 	}
 	current := &probe{
 		target:       target.member.Address,
-		life:         target.member.Life,
+		generation:   target.member.Generation,
 		sequence:     c.probing.nextSequence(),
 		indirectTime: now + c.probing.stretch(directTimeout),
 		deadline:     now + c.probing.stretch(probeTimeout),
@@ -163,7 +165,7 @@
 // probeFailed begins to suspect a member, and tells it so that it can refute.
 func (c *core) probeFailed(now time.Duration, failed *probe) {
 	target := c.members[failed.target]
-	if target == nil || target.member.State != Alive || target.member.Life != failed.life {
+	if target == nil || target.member.State != Alive || target.member.Generation != failed.generation {
 		return
 	}
 	c.suspect(now, target)
@@ -203,7 +205,7 @@
 }
 
 func (c *core) receivePing(from netip.AddrPort, m *message) {
-	c.send(from, message{messageType: ackMessage, sequence: m.sequence, life: c.self.member.Life})
+	c.send(from, message{messageType: ackMessage, sequence: m.sequence, generation: c.self.member.Generation})
 }
 
 func (c *core) receiveIndirectPing(now time.Duration, from netip.AddrPort, m *message) {
@@ -220,23 +222,23 @@
 
 func (c *core) receiveAck(from netip.AddrPort, m *message) {
 	if c.probing.noteAck(m) {
-		c.clearSuspicion(c.probing.current.target, m.life)
+		c.clearSuspicion(c.probing.current.target, m.generation)
 		c.probing.current = nil
 	}
-	c.clearSuspicion(from, m.life)
+	c.clearSuspicion(from, m.generation)
 	for i, r := range c.probing.relays {
 		if r.sequence == m.sequence {
 			c.probing.relays = slices.Delete(c.probing.relays, i, i+1)
-			c.send(r.asker, message{messageType: ackMessage, sequence: r.askSequence, life: m.life})
+			c.send(r.asker, message{messageType: ackMessage, sequence: r.askSequence, generation: m.generation})
 			return
 		}
 	}
 }
 
 // clearSuspicion ends the suspicion here of a member that was heard. Others wait for its own refutation.
-func (c *core) clearSuspicion(from netip.AddrPort, life uint64) {
+func (c *core) clearSuspicion(from netip.AddrPort, generation uint64) {
 	e := c.members[from]
-	if e == nil || e.member.State != Suspect || e.member.Life != life {
+	if e == nil || e.member.State != Suspect || e.member.Generation != generation {
 		return
 	}
 	e.member.State = Alive
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -43,17 +43,17 @@
 }
 
 // New makes the service of the process that self describes, and sets its handlers on the transport, which must not be
-// started yet. The life and the first incarnation are set here if they are 0.
+// started yet. The generation and the first incarnation are chosen here if they are 0.
 func New(self Member, seeds []netip.AddrPort, t *peer.Transport, log *zap.Logger) *Service {
 	self.State = Alive
-	if self.Life == 0 {
-		self.Life = rand.Uint64() | 1
+	if self.Generation == 0 {
+		self.Generation = rand.Uint64() | 1
 	}
 	if self.Incarnation == 0 {
 		// Most often above that of the earlier process at the address. If it is not, the process is told and raises it.
 		self.Incarnation = uint64(time.Now().UnixMilli())
 	}
-	random := rand.New(rand.NewPCG(self.Life, rand.Uint64()))
+	random := rand.New(rand.NewPCG(self.Generation, rand.Uint64()))
 	s := &Service{
 		transport: t,
 		log:       log,
@@ -93,7 +93,7 @@
 	s.subscribers = append(s.subscribers, f)
 }
 
-// UpdateSelf changes the record of this process and tells the others. Address and life stay as they are.
+// UpdateSelf changes the record of this process and tells the others. Address and generation stay as they are.
 func (s *Service) UpdateSelf(change func(*Member)) {
 	s.do(func(now time.Duration) { s.core.updateSelf(now, change) })
 }
--- a/internal/member/service_test.go
+++ b/internal/member/service_test.go
@@ -104,7 +104,7 @@
 	startProcess(t, address, seeds)
 	first.wait(t, "restart known", func(table *Table) bool {
 		m, _ := table.Get(address)
-		return m.Running() && m.Life != before.Life
+		return m.Running() && m.Generation != before.Generation
 	})
 }
 
--- a/internal/member/simulation_test.go
+++ b/internal/member/simulation_test.go
@@ -89,7 +89,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7660)
 }
 
-// start starts a process, with a new life.
+// start starts a process, with a new generation.
 func (s *simulation) start(address netip.AddrPort, incarnation uint64) {
 	self := Member{
 		Name:        fmt.Sprintf("frontend-some-long-name-%v", address.Addr()),
@@ -97,7 +97,7 @@
 		Zone:        "zone-with-a-long-name",
 		Region:      "region-with-a-long-name",
 		Address:     address,
-		Life:        s.random.Uint64(),
+		Generation:  s.random.Uint64(),
 		Incarnation: incarnation,
 	}
 	n := &simulatedNode{core: newCore(self, s.seeds, rand.New(rand.NewPCG(s.random.Uint64(), 1)), s.now)}
@@ -183,7 +183,7 @@
 
 func (s *simulation) countFalseDeaths(t *Table) {
 	for _, m := range t.All() {
-		if m.State == Dead && s.isUp(m.Address) && m.Life == s.nodes[m.Address].core.self.member.Life {
+		if m.State == Dead && s.isUp(m.Address) && m.Generation == s.nodes[m.Address].core.self.member.Generation {
 			s.falseDeaths++
 		}
 	}
--- a/internal/member/size_bench_test.go
+++ b/internal/member/size_bench_test.go
@@ -21,7 +21,7 @@
 				periods++
 				c.advance(now)
 				if current := c.probing.current; current != nil {
-					ack := message{messageType: ackMessage, sequence: current.sequence, life: current.life, digest: c.digest}
+					ack := message{messageType: ackMessage, sequence: current.sequence, generation: current.generation, digest: c.digest}
 					c.receive(now, current.target, &ack)
 				}
 				c.receive(now, simulatedAddress(1), &message{messageType: pingMessage, sequence: 1, digest: c.digest})
--- a/internal/tools/hollow/fleet.go
+++ b/internal/tools/hollow/fleet.go
@@ -95,12 +95,12 @@
 		role = gossip.ControlRole
 	}
 	self := member.Member{
-		Name:    fmt.Sprintf("hollow-%d", number),
-		Role:    role,
-		Zone:    fmt.Sprintf("zone-%d", number%f.options.Zones),
-		Region:  "local",
-		Address: transport.Address(),
-		Life:    rand.Uint64(),
+		Name:       fmt.Sprintf("hollow-%d", number),
+		Role:       role,
+		Zone:       fmt.Sprintf("zone-%d", number%f.options.Zones),
+		Region:     "local",
+		Address:    transport.Address(),
+		Generation: rand.Uint64(),
 	}
 	h := &hollow{transport: transport}
 	h.members = member.New(self, []netip.AddrPort{address(0), address(1), address(2)}, transport, log)
