--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// newBenchmarkCore gives a member that knows size-1 others.
-func newBenchmarkCore(size int) *core {
+// newBenchmarkMembership returns the state machine of a member that knows size-1 others.
+func newBenchmarkMembership(size int) *membership {
 	s := newSimulation(nil, 1, 1)
 	s.start(s.order[0], 1)
-	c := s.nodes[s.order[0]].core
+	m := s.nodes[s.order[0]].membership
 	for i := 1; i < size; i++ {
-		record := c.self.member
+		record := m.self.member
 		record.Address = simulatedAddress(i)
 		record.Generation = uint64(i)
-		c.add(0, &record)
+		m.add(0, &record)
 	}
-	return c
+	return m
 }
 
 // BenchmarkProbeRound measures one period of a member: a probe and its ack, and a probe by another member, with their
@@ -25,19 +25,19 @@
 func BenchmarkProbeRound(b *testing.B) {
 	for _, size := range []int{100, 400, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			c := newBenchmarkCore(size)
+			m := newBenchmarkMembership(size)
 			now := time.Duration(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				now += probePeriod
-				c.advance(now)
-				if current := c.probing.current; current != nil {
-					ack := message{messageType: ackMessage, sequence: current.sequence, generation: current.generation, digest: c.digest}
-					c.receive(now, current.target, recode(b, &ack))
+				m.Advance(now)
+				if current := m.prober.current; current != nil {
+					ack := message{messageType: ackMessage, sequence: current.sequence, generation: current.generation, digest: m.digest}
+					m.receive(now, current.target, recode(b, &ack))
 				}
-				ping := message{messageType: pingMessage, sequence: 1, digest: c.digest}
-				c.receive(now, simulatedAddress(1), recode(b, &ping))
-				for _, d := range c.take().datagrams {
+				ping := message{messageType: pingMessage, sequence: 1, digest: m.digest}
+				m.receive(now, simulatedAddress(1), recode(b, &ping))
+				for _, d := range m.Take(true).datagrams {
 					recode(b, &d.message)
 				}
 			}
@@ -61,10 +61,10 @@
 func BenchmarkTable(b *testing.B) {
 	for _, size := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			c := newBenchmarkCore(size)
+			m := newBenchmarkMembership(size)
 			b.ReportAllocs()
 			for b.Loop() {
-				c.table()
+				m.table()
 			}
 		})
 	}
--- a/internal/member/codec.go
+++ b/internal/member/codec.go
@@ -64,8 +64,8 @@
 			return err
 		}
 	}
-	if len(m.claims) > 0 {
-		return encodeClaims(root.NewClaims, m.claims)
+	if len(m.assertions) > 0 {
+		return encodeAssertions(root.NewClaims, m.assertions)
 	}
 	return nil
 }
@@ -103,17 +103,17 @@
 	return r.SetRegion(m.Region)
 }
 
-func encodeClaims(newList func(int32) (memberwire.Claim_List, error), claims []claim) error {
-	list, err := newList(int32(len(claims)))
+func encodeAssertions(newList func(int32) (memberwire.Claim_List, error), assertions []assertion) error {
+	list, err := newList(int32(len(assertions)))
 	if err != nil {
 		return err
 	}
-	for i, c := range claims {
+	for i, asserted := range assertions {
 		item := list.At(i)
-		item.SetAddress(packAddress(c.address))
-		item.SetLife(c.generation)
-		item.SetIncarnation(c.incarnation)
-		item.SetState(memberwire.State(c.state))
+		item.SetAddress(packAddress(asserted.address))
+		item.SetLife(asserted.generation)
+		item.SetIncarnation(asserted.incarnation)
+		item.SetState(memberwire.State(asserted.state))
 	}
 	return nil
 }
@@ -144,7 +144,7 @@
 	if m.records, err = decodeRecords(root.Records()); err != nil {
 		return message{}, err
 	}
-	m.claims, err = decodeClaims(root.Claims())
+	m.assertions, err = decodeAssertions(root.Claims())
 	return m, err
 }
 
@@ -176,7 +176,7 @@
 		State:        State(r.State()),
 		Leaving:      r.Leaving(),
 	}
-	if err := checkClaim(m.claim()); err != nil {
+	if err := checkAssertion(m.assertion()); err != nil {
 		return Member{}, err
 	}
 	var err error
@@ -193,35 +193,35 @@
 	return m, err
 }
 
-func decodeClaims(list memberwire.Claim_List, err error) ([]claim, error) {
+func decodeAssertions(list memberwire.Claim_List, err error) ([]assertion, error) {
 	if err != nil || list.Len() == 0 {
 		return nil, err
 	}
 	if err := capnpcodec.CheckLength(list); err != nil {
 		return nil, err
 	}
-	claims := make([]claim, list.Len())
-	for i := range claims {
+	assertions := make([]assertion, list.Len())
+	for i := range assertions {
 		item := list.At(i)
-		claims[i] = claim{
+		assertions[i] = assertion{
 			address:     unpackAddress(item.Address()),
 			generation:  item.Life(),
 			incarnation: item.Incarnation(),
 			state:       State(item.State()),
 		}
-		if err := checkClaim(claims[i]); err != nil {
+		if err := checkAssertion(assertions[i]); err != nil {
 			return nil, err
 		}
 	}
-	return claims, nil
+	return assertions, nil
 }
 
-func checkClaim(c claim) error {
-	if !c.address.IsValid() {
+func checkAssertion(asserted assertion) error {
+	if !asserted.address.IsValid() {
 		return merry.New("member without an address")
 	}
-	if c.state > Left {
-		return merry.Errorf("member in unknown state %d", c.state)
+	if asserted.state > Left {
+		return merry.Errorf("member in unknown state %d", asserted.state)
 	}
 	return nil
 }
--- a/internal/member/codec_test.go
+++ b/internal/member/codec_test.go
@@ -28,8 +28,8 @@
 	for _, want := range []message{
 		{messageType: pingMessage, sequence: 7, running: 5, digest: 1 << 60},
 		{messageType: ackMessage, sequence: 7, generation: 9, records: []Member{sample, other}},
-		{messageType: indirectPingMessage, sequence: 7, target: sample.Address, claims: []claim{sample.claim(), other.claim()}},
-		{messageType: rumourMessage, records: []Member{other}, claims: []claim{sample.claim()}},
+		{messageType: indirectPingMessage, sequence: 7, target: sample.Address, assertions: []assertion{sample.assertion(), other.assertion()}},
+		{messageType: rumourMessage, records: []Member{other}, assertions: []assertion{sample.assertion()}},
 	} {
 		data, err := want.encode()
 		if err != nil {
@@ -65,8 +65,8 @@
 	}
 }
 
-func TestBadMessagesAreRefused(t *testing.T) {
-	withoutAddress := message{messageType: rumourMessage, claims: []claim{{state: Dead}}}
+func TestInvalidMessagesAreRejected(t *testing.T) {
+	withoutAddress := message{messageType: rumourMessage, assertions: []assertion{{state: Dead}}}
 	unknownState := message{messageType: rumourMessage, records: []Member{{Address: sampleMember().Address, State: Left + 1}}}
 	for _, m := range []message{withoutAddress, unknownState} {
 		data, err := m.encode()
@@ -74,12 +74,12 @@
 			t.Fatal(err)
 		}
 		if _, err := decodeMessage(data); err == nil {
-			t.Errorf("%+v was taken", m)
+			t.Errorf("decode %+v: got no error, want one", m)
 		}
 	}
 	for _, data := range [][]byte{nil, {1, 2, 3}, make([]byte, 8), make([]byte, 16)} {
-		if m, err := decodeMessage(data); err == nil && len(m.records)+len(m.claims) > 0 {
-			t.Errorf("%v was read as %+v", data, m)
+		if m, err := decodeMessage(data); err == nil && len(m.records)+len(m.assertions) > 0 {
+			t.Errorf("decode %v: got %+v, want an error or no updates", data, m)
 		}
 	}
 }
--- a/internal/member/fuzz_test.go
+++ b/internal/member/fuzz_test.go
@@ -8,7 +8,7 @@
 	sample := sampleMember()
 	for _, m := range []message{
 		{messageType: pingMessage, sequence: 7, records: []Member{sample}},
-		{messageType: indirectPingMessage, target: sample.Address, claims: []claim{sample.claim()}},
+		{messageType: indirectPingMessage, target: sample.Address, assertions: []assertion{sample.assertion()}},
 	} {
 		data, err := m.encode()
 		if err != nil {
@@ -22,13 +22,13 @@
 			return
 		}
 		for _, record := range m.records {
-			if checkClaim(record.claim()) != nil {
+			if checkAssertion(record.assertion()) != nil {
 				t.Errorf("record %+v", record)
 			}
 		}
-		for _, c := range m.claims {
-			if checkClaim(c) != nil {
-				t.Errorf("claim %+v", c)
+		for _, c := range m.assertions {
+			if checkAssertion(c) != nil {
+				t.Errorf("assertion %+v", c)
 			}
 		}
 	})
--- a/internal/member/golden_test.go
+++ b/internal/member/golden_test.go
@@ -39,12 +39,12 @@
 	}
 }
 
-func goldenClaims() []claim {
-	var claims []claim
+func goldenAssertions() []assertion {
+	var assertions []assertion
 	for _, m := range goldenMembers() {
-		claims = append(claims, m.claim())
+		assertions = append(assertions, m.assertion())
 	}
-	return claims
+	return assertions
 }
 
 func TestGoldenDatagrams(t *testing.T) {
@@ -55,7 +55,7 @@
 			running:     0x41424344,
 			digest:      0x5152535455565758,
 			records:     goldenMembers(),
-			claims:      goldenClaims(),
+			assertions:  goldenAssertions(),
 		},
 		"ack.hex": {
 			messageType: ackMessage,
@@ -64,7 +64,7 @@
 			running:     0x41424344,
 			digest:      0x5152535455565758,
 			records:     goldenMembers(),
-			claims:      goldenClaims(),
+			assertions:  goldenAssertions(),
 		},
 		"indirect_ping.hex": {
 			messageType: indirectPingMessage,
@@ -73,14 +73,14 @@
 			running:     0x41424344,
 			digest:      0x5152535455565758,
 			records:     goldenMembers(),
-			claims:      goldenClaims(),
+			assertions:  goldenAssertions(),
 		},
 		"rumour.hex": {
 			messageType: rumourMessage,
 			running:     0x41424344,
 			digest:      0x5152535455565758,
 			records:     goldenMembers(),
-			claims:      goldenClaims(),
+			assertions:  goldenAssertions(),
 		},
 		"bare_ping.hex": {messageType: pingMessage, sequence: 9},
 	} {
--- a/internal/member/leave.go
+++ b/internal/member/leave.go
@@ -5,67 +5,77 @@
 	"time"
 )
 
-// Bounds of a planned leave.
 const (
-	leaveTargets = 8 // members that are told
-	leaveAcks    = 2 // members that have to confirm
-	leaveRetry   = 100 * time.Millisecond
-	leaveTries   = 5
+	// leaveTargets is the number of members that a planned leave is announced to.
+	leaveTargets = 8
+	// leaveAcks is the number of acks after which enough members know of it.
+	leaveAcks = 2
+	// leaveRetry is the time from one announcement to the next, of leaveTries at most.
+	leaveRetry = 100 * time.Millisecond
+	leaveTries = 5
 )
 
 // leaver announces the planned end of this process.
 type leaver struct {
-	begun     bool
-	sequence  uint64
-	remaining int // acks
-	tries     int
-	deadline  time.Duration
+	begun         bool
+	sequence      uint64
+	remainingAcks int
+	triesLeft     int
+	deadline      time.Duration
 }
 
 // leave announces the end of this process. From here on it takes no part in the protocol.
-func (c *core) leave(now time.Duration) {
-	if c.leaving.begun {
+func (m *membership) leave(now time.Duration) {
+	if m.leaver.begun {
 		return
 	}
-	c.self.member.Incarnation++
-	c.self.member.State = Left
-	c.output.publish = true
-	c.leaving = leaver{
-		begun:     true,
-		sequence:  c.probing.nextSequence(),
-		remaining: min(leaveAcks, c.running-1),
-		tries:     leaveTries,
+	m.self.member.Incarnation++
+	m.self.member.State = Left
+	m.output.publish = true
+	m.leaver = leaver{
+		begun:         true,
+		sequence:      m.prober.nextSequence(),
+		remainingAcks: min(leaveAcks, m.running-1),
+		triesLeft:     leaveTries,
 	}
-	c.announceLeave(now)
+	m.announceLeave(now)
 }
 
-func (c *core) announceLeave(now time.Duration) {
-	if c.leaving.remaining <= 0 || c.leaving.tries == 0 {
-		c.leaving.deadline = never
-		c.output.left = true
+func (m *membership) announceLeave(now time.Duration) {
+	if m.leaver.remainingAcks <= 0 || m.leaver.triesLeft == 0 {
+		m.completeLeave()
 		return
 	}
-	c.leaving.tries--
-	c.leaving.deadline = now + leaveRetry
-	for _, target := range c.pick(leaveTargets, netip.AddrPort{}) {
-		m := message{messageType: pingMessage, sequence: c.leaving.sequence, claims: []claim{c.self.member.claim()}}
-		c.output.datagrams = append(c.output.datagrams, datagram{to: target, message: m})
+	m.leaver.triesLeft--
+	m.leaver.deadline = now + leaveRetry
+	announcement := message{
+		messageType: pingMessage,
+		sequence:    m.leaver.sequence,
+		assertions:  []assertion{m.self.member.assertion()},
 	}
+	for _, target := range m.pick(leaveTargets, netip.AddrPort{}) {
+		m.output.datagrams = append(m.output.datagrams, datagram{to: target, message: announcement})
+	}
+}
+
+func (m *membership) completeLeave() {
+	m.leaver.deadline = never
+	m.output.left = true
 }
 
-func (c *core) advanceLeaving(now time.Duration) {
-	if now >= c.leaving.deadline {
-		c.announceLeave(now)
+func (m *membership) advanceLeaving(now time.Duration) {
+	if now >= m.leaver.deadline {
+		m.announceLeave(now)
 	}
 }
 
-func (c *core) receiveLeaving(m *message) {
-	if m.messageType != ackMessage || m.sequence != c.leaving.sequence || c.leaving.remaining <= 0 {
+// receiveLeaveAck counts the acks of the announcement and ignores every other message.
+func (m *membership) receiveLeaveAck(received *message) {
+	if received.messageType != ackMessage || received.sequence != m.leaver.sequence || m.leaver.remainingAcks <= 0 {
 		return
 	}
-	c.leaving.remaining--
-	if c.leaving.remaining == 0 {
-		c.leaving.deadline = never
-		c.output.left = true
+	m.leaver.remainingAcks--
+	if m.leaver.remainingAcks == 0 {
+		m.completeLeave()
 	}
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,10 +1,3 @@
-// Package member keeps the list of the processes of the system with SWIM: each process probes one other at a time, asks
-// others to probe for it when no answer comes, suspects who stays silent, and spreads suspicions, refutations and new
-// members in datagrams. Whole lists are exchanged on joining, after a pause of the own process, after a cut between
-// members has healed, and now and then.
-//
-// The protocol is the state machine core, which takes events and readings of a steady clock and returns what is to be
-// sent. Service drives it over package peer.
 package member
 
 import (
@@ -12,19 +5,22 @@
 	"net/netip"
 )
 
-// State is what a member is held to be.
+// State is the state that a member is held to be in.
 type State uint8
 
 // States, in the order in which they supersede each other within one incarnation.
 const (
+	// Alive is a member that answers.
 	Alive State = iota
-	// Suspect did not answer and has not refuted that yet. It still counts as alive.
+	// Suspect is a member that did not answer a probe and has not refuted the suspicion yet. It still counts as running.
 	Suspect
+	// Dead is a member that has not refuted a suspicion in time.
 	Dead
-	// Left has announced its end.
+	// Left is a member that has announced its end.
 	Left
 )
 
+// String returns the name of the state.
 func (s State) String() string {
 	switch s {
 	case Alive:
@@ -39,7 +35,7 @@
 	return "unknown"
 }
 
-// Member is one process.
+// Member is the record of one process.
 type Member struct {
 	Name, Role, Zone, Region string
 	// Address is where it listens for other processes.
@@ -59,31 +55,31 @@
 	Leaving bool
 }
 
-// Running tells whether the member counts as alive.
+// Running reports whether the member counts as running: it is alive or suspect.
 func (m *Member) Running() bool { return m.State == Alive || m.State == Suspect }
 
-func (m *Member) claim() claim {
-	return claim{address: m.Address, generation: m.Generation, incarnation: m.Incarnation, state: m.State}
+func (m *Member) assertion() assertion {
+	return assertion{address: m.Address, generation: m.Generation, incarnation: m.Incarnation, state: m.State}
 }
 
-// claim says in which state a member is, as of one of its incarnations.
-type claim struct {
+// assertion is the state that a member is said to have, as of one of its generations and incarnations.
+type assertion struct {
 	address     netip.AddrPort
 	generation  uint64
 	incarnation uint64
 	state       State
 }
 
-// supersedes tells whether c is newer than other, which is about the same address. The order among processes of one
+// supersedes reports whether a is newer than other, which is about the same address. The order among processes of one
 // address and incarnation is arbitrary: the one that runs raises its incarnation above all others.
-func (c claim) supersedes(other claim) bool {
-	if c.incarnation != other.incarnation {
-		return c.incarnation > other.incarnation
+func (a assertion) supersedes(other assertion) bool {
+	if a.incarnation != other.incarnation {
+		return a.incarnation > other.incarnation
 	}
-	if c.generation != other.generation {
-		return c.generation > other.generation
+	if a.generation != other.generation {
+		return a.generation > other.generation
 	}
-	return c.state > other.state
+	return a.state > other.state
 }
 
 func compareAddress(a, b netip.AddrPort) int {
--- a/internal/member/membership_test.go
+++ b/internal/member/membership_test.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// histories is the number of seeds for each size.
-var histories = map[int]uint64{16: 8, 100: 3}
+// seedsBySize is the number of simulated histories for each number of members.
+var seedsBySize = map[int]uint64{16: 8, 100: 3}
 
-// forEach runs a test with several seeds and sizes.
-func forEach(t *testing.T, test func(t *testing.T, seed uint64, size int)) {
-	for size, count := range histories {
+// forEachHistory runs a test with several seeds and numbers of members.
+func forEachHistory(t *testing.T, test func(t *testing.T, seed uint64, size int)) {
+	t.Helper()
+	for size, count := range seedsBySize {
 		for seed := range count {
 			t.Run(fmt.Sprintf("%d members, seed %d", size, seed), func(t *testing.T) {
 				t.Parallel()
@@ -23,8 +24,8 @@
 	}
 }
 
-func TestStartInAnyOrder(t *testing.T) {
-	forEach(t, func(t *testing.T, seed uint64, size int) {
+func TestMembersStartInAnyOrder(t *testing.T) {
+	forEachHistory(t, func(t *testing.T, seed uint64, size int) {
 		s := newSimulation(t, seed, size)
 		s.loss = 0.01
 		s.run(startSpread, nil)
@@ -32,17 +33,17 @@
 	})
 }
 
-func TestNoFalseDeathsInCalm(t *testing.T) {
-	forEach(t, func(t *testing.T, seed uint64, size int) {
+func TestNoFalseDeathsAtRest(t *testing.T) {
+	forEachHistory(t, func(t *testing.T, seed uint64, size int) {
 		s := newSimulation(t, seed, size)
 		s.loss = 0.01
 		s.run(time.Minute, nil)
 		if s.falseDeaths > 0 || !s.complete() {
-			t.Errorf("%d false deaths, complete %t", s.falseDeaths, s.complete())
+			t.Errorf("got %d false deaths and complete %t, want 0 and true", s.falseDeaths, s.complete())
 		}
 		perSecond := float64(s.datagrams) / s.now.Seconds() / float64(size)
 		if perSecond > 20 {
-			t.Errorf("%.1f datagrams a second from each member", perSecond)
+			t.Errorf("datagrams a second from each member: got %.1f, want at most 20", perSecond)
 		}
 	})
 }
@@ -71,14 +72,14 @@
 			mean := sum / time.Duration(c.crashes)
 			t.Log("mean time until all know", mean)
 			if mean > c.mean {
-				t.Errorf("mean %v, want %v", mean, c.mean)
+				t.Errorf("mean time until all know: got %v, want at most %v", mean, c.mean)
 			}
 		})
 	}
 }
 
 func TestFrozenMemberReturns(t *testing.T) {
-	forEach(t, func(t *testing.T, seed uint64, size int) {
+	forEachHistory(t, func(t *testing.T, seed uint64, size int) {
 		s := started(t, seed, size)
 		address := s.order[s.random.IntN(size)]
 		s.freeze(address)
@@ -89,13 +90,13 @@
 		t.Log(s.runUntil("return", 2*time.Second, s.complete))
 		s.run(s.now+5*time.Second, nil)
 		if !s.complete() {
-			t.Error("members are lost again")
+			t.Error("complete after the return: got false, want true")
 		}
 	})
 }
 
 func TestShortFreezeIsRefuted(t *testing.T) {
-	forEach(t, func(t *testing.T, seed uint64, size int) {
+	forEachHistory(t, func(t *testing.T, seed uint64, size int) {
 		s := started(t, seed, size)
 		for range 10 {
 			address := s.order[s.random.IntN(size)]
@@ -105,13 +106,13 @@
 			s.run(s.now+3*time.Second, nil)
 		}
 		if s.falseDeaths > 0 || !s.complete() {
-			t.Errorf("%d false deaths, complete %t", s.falseDeaths, s.complete())
+			t.Errorf("got %d false deaths and complete %t, want 0 and true", s.falseDeaths, s.complete())
 		}
 	})
 }
 
-func TestSlowMembersLive(t *testing.T) {
-	forEach(t, func(t *testing.T, seed uint64, size int) {
+func TestSlowMembersStayAlive(t *testing.T) {
+	forEachHistory(t, func(t *testing.T, seed uint64, size int) {
 		s := started(t, seed, size)
 		s.loss = 0.01
 		s.slow = make(map[netip.AddrPort]time.Duration)
@@ -120,15 +121,15 @@
 		}
 		s.run(s.now+time.Minute, nil)
 		if s.falseDeaths > 0 {
-			t.Errorf("%d false deaths", s.falseDeaths)
+			t.Errorf("false deaths: got %d, want 0", s.falseDeaths)
 		}
 	})
 }
 
-func TestCutHeals(t *testing.T) {
+func TestPartitionHeals(t *testing.T) {
 	for _, duration := range []time.Duration{2 * time.Second, 30 * time.Second, 3 * time.Minute} {
 		t.Run(duration.String(), func(t *testing.T) {
-			forEach(t, func(t *testing.T, seed uint64, size int) {
+			forEachHistory(t, func(t *testing.T, seed uint64, size int) {
 				s := started(t, seed, size)
 				s.loss = 0.01
 				small := map[netip.AddrPort]bool{}
@@ -139,12 +140,12 @@
 				s.run(s.now+duration, nil)
 				s.connected = nil
 				took := s.runUntil("all know all", 8*time.Second, s.complete)
-				t.Logf("%d of %d cut off, found again after %v", len(small), size, took)
+				t.Logf("%d of %d members partitioned, rejoined after %v", len(small), size, took)
 				s.run(s.now+5*time.Second, nil)
 				s.falseDeaths = 0
 				s.run(s.now+20*time.Second, nil)
 				if s.falseDeaths > 0 || !s.complete() {
-					t.Errorf("%d false deaths after the cut, complete %t", s.falseDeaths, s.complete())
+					t.Errorf("after the partition: got %d false deaths and complete %t, want 0 and true", s.falseDeaths, s.complete())
 				}
 			})
 		})
@@ -154,16 +155,16 @@
 func TestRestartSupersedesTheEarlierProcess(t *testing.T) {
 	for name, incarnation := range map[string]uint64{"clock ahead": 1 << 40, "clock stepped back": 0} {
 		t.Run(name, func(t *testing.T) {
-			forEach(t, func(t *testing.T, seed uint64, size int) {
+			forEachHistory(t, func(t *testing.T, seed uint64, size int) {
 				s := started(t, seed, size)
 				address := s.order[s.random.IntN(size)]
 				s.crash(address)
 				s.run(s.now+time.Duration(s.random.Int64N(int64(4*time.Second))), nil)
 				s.start(address, incarnation)
-				generation := s.nodes[address].core.self.member.Generation
+				generation := s.nodes[address].membership.self.member.Generation
 				superseded := func() bool {
 					for _, other := range s.order {
-						e := s.nodes[other].core.members[address]
+						e := s.nodes[other].membership.members[address]
 						if e == nil || e.member.Generation != generation || !e.member.Running() {
 							return false
 						}
@@ -173,7 +174,7 @@
 				s.runUntil("new process known", 3*time.Second, superseded)
 				s.run(s.now+5*time.Second, nil)
 				if !superseded() {
-					t.Error("the earlier process came back")
+					t.Error("earlier process: got it in a list again, want it superseded")
 				}
 			})
 		})
@@ -181,28 +182,28 @@
 }
 
 func TestLeave(t *testing.T) {
-	forEach(t, func(t *testing.T, seed uint64, size int) {
+	forEachHistory(t, func(t *testing.T, seed uint64, size int) {
 		s := started(t, seed, size)
 		s.loss = 0.01
 		address := s.order[s.random.IntN(size)]
 		node := s.nodes[address]
 		confirmed := false
-		s.deliver(node, func(n *simulatedNode) { n.core.leave(s.now) })
+		s.deliver(node, func(n *simulatedNode) { n.membership.leave(s.now) })
 		s.runUntil("confirmed", time.Second, func() bool {
-			confirmed = confirmed || node.core.leaving.remaining == 0
+			confirmed = confirmed || node.membership.leaver.remainingAcks == 0
 			return confirmed
 		})
 		s.crash(address)
 		s.runUntil("left", time.Second, func() bool { return s.known(address, Left) })
 		s.run(s.now+10*time.Second, nil)
 		if !s.known(address, Left) {
-			t.Error("the state changed after the leave")
+			t.Errorf("state after the leave: got another one at some member, want %v at all", Left)
 		}
 	})
 }
 
 func TestAllRestart(t *testing.T) {
-	forEach(t, func(t *testing.T, seed uint64, size int) {
+	forEachHistory(t, func(t *testing.T, seed uint64, size int) {
 		s := started(t, seed, size)
 		for _, address := range s.order {
 			s.crash(address)
@@ -217,7 +218,7 @@
 }
 
 func TestJoinWhileSeedsAreDown(t *testing.T) {
-	forEach(t, func(t *testing.T, seed uint64, size int) {
+	forEachHistory(t, func(t *testing.T, seed uint64, size int) {
 		s := started(t, seed, size)
 		s.crash(s.seeds[0])
 		s.crash(s.seeds[1])
@@ -230,61 +231,61 @@
 	})
 }
 
-func TestOneWayCut(t *testing.T) {
+func TestPartitionOfTwoMembersIsBridgedByOthers(t *testing.T) {
 	s := started(t, 1, 16)
 	first, second := s.order[4], s.order[5]
 	s.falseDeaths = 0
 	s.connected = func(a, b netip.AddrPort) bool { return !(a == first && b == second) && !(a == second && b == first) }
 	s.run(s.now+time.Minute, nil)
 	if s.falseDeaths > 0 {
-		t.Errorf("%d false deaths though others reach both", s.falseDeaths)
+		t.Errorf("false deaths though others reach both: got %d, want 0", s.falseDeaths)
 	}
 }
 
-func TestUpdateOfTheOwnRecord(t *testing.T) {
+func TestUpdateSelfReachesAll(t *testing.T) {
 	s := started(t, 1, 16)
 	address := s.order[7]
 	s.deliver(s.nodes[address], func(n *simulatedNode) {
-		n.core.updateSelf(s.now, func(m *Member) { m.Leaving = true })
+		n.membership.updateSelf(s.now, func(m *Member) { m.Leaving = true })
 	})
 	s.runUntil("update known", time.Second, func() bool {
 		return !slices.ContainsFunc(s.order, func(other netip.AddrPort) bool {
-			return !s.nodes[other].core.members[address].member.Leaving
+			return !s.nodes[other].membership.members[address].member.Leaving
 		})
 	})
 }
 
-func TestDeadAreForgotten(t *testing.T) {
+func TestDeadMembersAreForgotten(t *testing.T) {
 	s := started(t, 1, 16)
 	address := s.order[9]
 	s.crash(address)
 	s.run(s.now+forgetAfter+time.Minute, nil)
 	for _, other := range s.order {
-		if other != address && s.nodes[other].core.members[address] != nil {
-			t.Errorf("%v still knows %v", other, address)
+		if other != address && s.nodes[other].membership.members[address] != nil {
+			t.Errorf("member %v: got an entry of %v, want none", other, address)
 		}
 	}
 }
 
-func TestTablesAreNeverOlder(t *testing.T) {
+func TestTableHoldsAllMembers(t *testing.T) {
 	s := newSimulation(t, 1, 16)
 	s.run(20*time.Second, nil)
 	for _, address := range s.order {
 		n := s.nodes[address]
 		if got := len(n.table.Alive()); got != 16 {
-			t.Errorf("table of %v has %d members", address, got)
+			t.Errorf("members alive in the table of %v: got %d, want 16", address, got)
 		}
 		if m, found := n.table.Get(address); !found || m.Address != address {
-			t.Errorf("table of %v lacks it", address)
+			t.Errorf("table of %v: got no record of itself, want one", address)
 		}
 		if got := len(n.table.ByRole("proxy")); got != 16 {
-			t.Errorf("%d members of the role", got)
+			t.Errorf("members of the role in the table of %v: got %d, want 16", address, got)
 		}
 	}
 }
 
-func TestClaimOrder(t *testing.T) {
-	claims := []claim{
+func TestAssertionOrder(t *testing.T) {
+	assertions := []assertion{
 		{incarnation: 1, generation: 1, state: Alive},
 		{incarnation: 1, generation: 1, state: Suspect},
 		{incarnation: 1, generation: 1, state: Dead},
@@ -292,10 +293,10 @@
 		{incarnation: 1, generation: 2, state: Alive},
 		{incarnation: 2, generation: 1, state: Alive},
 	}
-	for i, a := range claims {
-		for j, b := range claims {
-			if a.supersedes(b) != (i > j) {
-				t.Errorf("%+v supersedes %+v: %t", a, b, a.supersedes(b))
+	for i, a := range assertions {
+		for j, b := range assertions {
+			if got, want := a.supersedes(b), i > j; got != want {
+				t.Errorf("%+v supersedes %+v: got %t, want %t", a, b, got, want)
 			}
 		}
 	}
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -4,12 +4,12 @@
 	"context"
 	"math/rand/v2"
 	"net/netip"
-	"sync"
 	"sync/atomic"
 	"time"
 
 	"go.uber.org/zap"
 
+	"nickelline/internal/driver"
 	"nickelline/internal/fault"
 	"nickelline/internal/peer"
 )
@@ -20,29 +20,21 @@
 	exchangeKind
 )
 
+// exchangeTimeout is how long the answer to an exchange request may take.
 const exchangeTimeout = 2 * time.Second
 
-// Service keeps the table of members of this process up to date.
+// Service keeps the table of members of this process up to date. Its methods may be called by any goroutine.
 type Service struct {
-	transport *peer.Transport
-	log       *zap.Logger
-	start     time.Time
-	current   atomic.Pointer[Table]
-	left      chan struct{}
-
-	mutex   sync.Mutex // of the fields below
-	core    *core
-	timer   *time.Timer
-	ctx     context.Context
-	stopped bool
-
-	publishing  sync.Mutex // of the fields below
-	subscribers []func(*Table)
-	telling     bool // the subscribers are being told
-	stale       bool // of a table that is not the newest
+	transport  *peer.Transport
+	log        *zap.Logger
+	membership *membership // used within calls of the driver only
+	driver     *driver.Driver[output]
+	current    atomic.Pointer[Table]
+	left       chan struct{}
+	publisher  publisher
 }
 
-// New makes the service of the process that self describes, and sets its handlers on the transport, which must not be
+// New returns the service of the process that self describes, and sets its handlers on the transport, which must not be
 // started yet. The generation and the first incarnation are chosen here if they are 0.
 func New(self Member, seeds []netip.AddrPort, t *peer.Transport, log *zap.Logger) *Service {
 	self.State = Alive
@@ -50,124 +42,79 @@
 		self.Generation = rand.Uint64() | 1
 	}
 	if self.Incarnation == 0 {
-		// Most often above that of the earlier process at the address. If it is not, the process is told and raises it.
+		// Most often above that of the earlier process at the address. If it is not, this process learns of that and raises it.
 		self.Incarnation = uint64(time.Now().UnixMilli())
 	}
 	random := rand.New(rand.NewPCG(self.Generation, rand.Uint64()))
 	s := &Service{
-		transport: t,
-		log:       log,
-		start:     time.Now(),
-		left:      make(chan struct{}),
-		core:      newCore(self, seeds, random, 0),
+		transport:  t,
+		log:        log,
+		membership: newMembership(self, seeds, random, 0),
+		left:       make(chan struct{}),
 	}
-	s.current.Store(s.core.table())
+	s.driver = driver.New(s.membership, s.perform)
+	s.current.Store(s.membership.table())
 	t.HandleDatagram(datagramKind, s.receive)
 	t.Handle(exchangeKind, s.answerExchange)
 	return s
 }
 
-// Start begins to take part, until ctx ends.
-func (s *Service) Start(ctx context.Context) {
-	s.mutex.Lock()
-	s.ctx = ctx
-	s.timer = time.AfterFunc(0, s.tick)
-	s.mutex.Unlock()
-	context.AfterFunc(ctx, s.stop)
-}
+// Start begins to take part, until ctx ends. Before it nothing is sent. It must be called once.
+func (s *Service) Start(ctx context.Context) { s.driver.Start(ctx) }
 
-func (s *Service) stop() {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.stopped = true
-	s.timer.Stop()
-}
-
-// Table gives the members as they are known now.
+// Table returns the members as they are known now.
 func (s *Service) Table() *Table { return s.current.Load() }
 
 // OnChange adds a function that is called with each new table, one at a time. It must not block, and may use the service.
-func (s *Service) OnChange(f func(*Table)) {
-	s.publishing.Lock()
-	defer s.publishing.Unlock()
-	s.subscribers = append(s.subscribers, f)
-}
+func (s *Service) OnChange(f func(*Table)) { s.publisher.subscribe(f) }
 
-// UpdateSelf changes the record of this process and tells the others. Address and generation stay as they are.
+// UpdateSelf changes the record of this process and broadcasts it. Address and generation stay as they are.
 func (s *Service) UpdateSelf(change func(*Member)) {
-	s.do(func(now time.Duration) { s.core.updateSelf(now, change) })
+	s.driver.Do(func(now time.Duration) { s.membership.updateSelf(now, change) })
 }
 
-// Leave tells the others that this process ends, and returns when some have confirmed or ctx ends. It is called while the
-// context of Start goes on.
+// Leave announces to other members that this process ends, and returns when some have confirmed, the tries are used up, or
+// ctx ends. It must be called while the context of Start goes on.
 func (s *Service) Leave(ctx context.Context) {
-	s.do(func(now time.Duration) { s.core.leave(now) })
+	s.driver.Do(func(now time.Duration) { s.membership.leave(now) })
 	select {
 	case <-s.left:
 	case <-ctx.Done():
 	}
 }
 
-// do hands an event to the state machine and carries out what it returns. Before Start nothing is sent.
-func (s *Service) do(event func(now time.Duration)) {
-	s.mutex.Lock()
-	if s.stopped {
-		s.mutex.Unlock()
-		return
-	}
-	now := time.Since(s.start)
-	event(now)
-	if s.timer == nil {
-		s.mutex.Unlock()
-		return
-	}
-	out := s.core.take()
-	request := exchangeRequest{}
-	if out.exchange.IsValid() {
-		request = s.core.exchangeRequest()
-	}
-	s.schedule(now)
-	s.mutex.Unlock()
-	s.carryOut(out, request)
-}
-
-func (s *Service) schedule(now time.Duration) {
-	if due := s.core.next(); due != never {
-		s.timer.Reset(max(due-now, 0))
-	}
-}
-
-func (s *Service) carryOut(out output, request exchangeRequest) {
+// perform carries out what the state machine wants done.
+func (s *Service) perform(ctx context.Context, _ time.Duration, out output) {
 	for i := range out.datagrams {
-		body, err := out.datagrams[i].message.encode()
-		if err != nil {
-			s.log.Error("datagram", zap.Error(err))
-			continue
-		}
-		s.transport.Datagram(out.datagrams[i].to, peer.Message{Kind: datagramKind, Body: body})
+		s.send(&out.datagrams[i])
 	}
-	if out.exchange.IsValid() {
-		go s.exchange(out.exchange, request)
+	if out.exchange != nil {
+		go s.exchange(ctx, *out.exchange)
 	}
 	if out.publish {
-		s.publish()
+		s.publisher.publish(s.publishTable)
 	}
 	if out.left {
 		close(s.left)
 	}
 }
 
-func (s *Service) tick() {
-	s.do(func(now time.Duration) { s.core.advance(now) })
+func (s *Service) send(d *datagram) {
+	body, err := d.message.encode()
+	if err != nil {
+		s.log.Error("encode membership datagram failed", zap.Stringer("to", d.to), zap.Error(err))
+		return
+	}
+	s.transport.Datagram(d.to, peer.Message{Kind: datagramKind, Body: body})
 }
 
 func (s *Service) receive(from netip.AddrPort, m peer.Message) {
-	decoded, err := decodeMessage(m.Body)
+	received, err := decodeMessage(m.Body)
 	if err != nil {
-		s.log.Warn("bad datagram", zap.Stringer("from", from), zap.Error(err))
+		s.log.Warn("decode membership datagram failed", zap.Stringer("from", from), zap.Error(err))
 		return
 	}
-	s.do(func(now time.Duration) { s.core.receive(now, from, &decoded) })
+	s.driver.Do(func(now time.Duration) { s.membership.receive(now, from, &received) })
 }
 
 func (s *Service) answerExchange(_ context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
@@ -175,75 +122,50 @@
 	if err != nil {
 		return peer.Message{}, fault.Wrap(fault.BadRequest, err)
 	}
-	var answer *exchangeAnswer
-	s.do(func(now time.Duration) {
-		list := s.core.answerExchange(now, &request)
-		answer = &list
-	})
-	if answer == nil {
+	var answer exchangeAnswer
+	handled := s.driver.Do(func(now time.Duration) { answer = s.membership.answerExchange(now, &request) })
+	if !handled {
 		return peer.Message{}, fault.New(fault.NotReady, "%v has stopped", s.transport.Address())
 	}
 	body, err := answer.encode()
 	return peer.Message{Kind: exchangeKind, Body: body}, err
 }
 
-// exchange asks a member for its list.
-func (s *Service) exchange(partner netip.AddrPort, request exchangeRequest) {
-	answer, err := s.callExchange(partner, request)
+// exchange requests the list of a member and hands the outcome to the state machine.
+func (s *Service) exchange(ctx context.Context, call exchangeCall) {
+	answer, err := s.callExchange(ctx, call)
 	if err != nil {
-		s.log.Debug("no exchange", zap.Stringer("with", partner), zap.Error(err))
-		s.do(func(now time.Duration) { s.core.exchangeFailed(now) })
+		s.log.Debug("exchange of members failed", zap.Stringer("partner", call.to), zap.Error(err))
+		s.driver.Do(func(now time.Duration) { s.membership.exchangeFailed(now) })
 		return
 	}
-	s.do(func(now time.Duration) { s.core.exchanged(now, &answer) })
+	s.driver.Do(func(now time.Duration) { s.membership.exchanged(now, &answer) })
 }
 
-func (s *Service) callExchange(partner netip.AddrPort, request exchangeRequest) (exchangeAnswer, error) {
-	body, err := request.encode()
+func (s *Service) callExchange(ctx context.Context, call exchangeCall) (exchangeAnswer, error) {
+	body, err := call.request.encode()
 	if err != nil {
 		return exchangeAnswer{}, err
 	}
-	ctx, cancel := context.WithTimeout(s.ctx, exchangeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	answer, err := s.transport.Call(ctx, partner, peer.Message{Kind: exchangeKind, Body: body})
+	answer, err := s.transport.Call(ctx, call.to, peer.Message{Kind: exchangeKind, Body: body})
 	if err != nil {
 		return exchangeAnswer{}, err
 	}
 	return decodeExchangeAnswer(answer.Body)
 }
 
-// publish makes the table anew and tells the subscribers, unless another goroutine or a subscriber further up does so: it
-// goes on until the newest is told.
-func (s *Service) publish() {
-	s.publishing.Lock()
-	defer s.publishing.Unlock()
-	s.stale = true
-	if s.telling {
-		return
-	}
-	s.telling = true
-	for s.stale {
-		s.stale = false
-		subscribers := s.subscribers
-		s.publishing.Unlock()
-		s.tell(subscribers)
-		s.publishing.Lock()
-	}
-	s.telling = false
-}
-
-func (s *Service) tell(subscribers []func(*Table)) {
-	s.mutex.Lock()
-	table := s.core.table()
-	s.mutex.Unlock()
+// publishTable makes the table anew and returns it, after the connections to members that have ended are closed.
+func (s *Service) publishTable() *Table {
+	var table *Table
+	s.driver.Inspect(func(time.Duration) { table = s.membership.table() })
 	previous := s.current.Swap(table)
 	s.disconnectEnded(previous, table)
-	for _, subscriber := range subscribers {
-		subscriber(table)
-	}
+	return table
 }
 
-// disconnectEnded closes the connections to processes that have died since the previous table.
+// disconnectEnded closes the connections to processes that have died or left since the previous table.
 func (s *Service) disconnectEnded(previous, current *Table) {
 	for _, m := range current.All() {
 		if m.Running() {
@@ -251,7 +173,7 @@
 		}
 		before, known := previous.Get(m.Address)
 		if known && before.Running() {
-			s.log.Debug("member ended", zap.String("name", m.Name), zap.Stringer("address", m.Address), zap.Stringer("state", m.State))
+			s.log.Debug("disconnect ended member", zap.String("name", m.Name), zap.Stringer("address", m.Address), zap.Stringer("state", m.State))
 			s.transport.Disconnect(m.Address)
 		}
 	}
--- a/internal/member/service_test.go
+++ b/internal/member/service_test.go
@@ -51,7 +51,7 @@
 	p.transport.Close()
 }
 
-// wait waits for a table that fits.
+// wait waits for a table that fits, and fails the test if none comes in time.
 func (p *testProcess) wait(t *testing.T, what string, fits func(*Table) bool) {
 	t.Helper()
 	timeout := time.After(serviceTimeout)
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestServicesMeetOverTheNetwork(t *testing.T) {
+func TestServicesJoinOverTheNetwork(t *testing.T) {
 	const count = 5
 	first := startProcess(t, netip.MustParseAddrPort("127.0.0.1:0"), nil)
 	seeds := []netip.AddrPort{first.transport.Address()}
--- a/internal/member/simulation_test.go
+++ b/internal/member/simulation_test.go
@@ -25,7 +25,7 @@
 	maxLatency time.Duration
 	// slow nodes take up to so long until they act on an event.
 	slow map[netip.AddrPort]time.Duration
-	// connected tells whether there is a path; nil: always.
+	// connected reports whether there is a path; nil: always.
 	connected func(a, b netip.AddrPort) bool
 
 	datagrams   int
@@ -33,12 +33,12 @@
 }
 
 type simulatedNode struct {
-	core    *core
-	down    bool
-	frozen  bool
-	backlog []func(*simulatedNode)
-	timer   time.Duration
-	table   *Table
+	membership *membership
+	down       bool
+	frozen     bool
+	backlog    []func(*simulatedNode)
+	timer      time.Duration
+	table      *Table
 }
 
 type event struct {
@@ -100,9 +100,9 @@
 		Generation:  s.random.Uint64(),
 		Incarnation: incarnation,
 	}
-	n := &simulatedNode{core: newCore(self, s.seeds, rand.New(rand.NewPCG(s.random.Uint64(), 1)), s.now)}
+	n := &simulatedNode{membership: newMembership(self, s.seeds, rand.New(rand.NewPCG(s.random.Uint64(), 1)), s.now)}
 	s.nodes[address] = n
-	s.deliver(n, func(n *simulatedNode) { n.core.advance(s.now) })
+	s.deliver(n, func(n *simulatedNode) { n.membership.Advance(s.now) })
 }
 
 func (s *simulation) crash(address netip.AddrPort) { s.nodes[address].down = true }
@@ -117,7 +117,7 @@
 	for _, e := range backlog {
 		s.deliver(n, e)
 	}
-	s.deliver(n, func(n *simulatedNode) { n.core.advance(s.now) })
+	s.deliver(n, func(n *simulatedNode) { n.membership.Advance(s.now) })
 }
 
 func (s *simulation) at(at time.Duration, run func()) {
@@ -141,7 +141,7 @@
 	return s.connected == nil || s.connected(a, b)
 }
 
-// deliver hands an event to a node and carries out what it returns.
+// deliver hands an event to a node and performs its output.
 func (s *simulation) deliver(n *simulatedNode, e func(*simulatedNode)) {
 	if n.down {
 		return
@@ -151,31 +151,31 @@
 		return
 	}
 	e(n)
-	out := n.core.take()
+	out := n.membership.Take(true)
 	for _, d := range out.datagrams {
 		s.send(n, d)
 	}
-	if out.exchange.IsValid() {
-		s.exchange(n, out.exchange, n.core.exchangeRequest())
+	if out.exchange != nil {
+		s.exchange(n, *out.exchange)
 	}
 	if out.publish {
-		n.table = n.core.table()
+		n.table = n.membership.table()
 		s.countFalseDeaths(n.table)
 	}
 	s.schedule(n)
 }
 
 func (s *simulation) schedule(n *simulatedNode) {
-	due := max(n.core.next(), s.now)
+	due := max(n.membership.Next(), s.now)
 	if due == never || n.timer == due {
 		return
 	}
 	n.timer = due
-	s.at(due+s.slowness(n.core.self.member.Address), func() {
+	s.at(due+s.slowness(n.membership.self.member.Address), func() {
 		if n.timer == due {
 			s.deliver(n, func(n *simulatedNode) {
 				n.timer = 0
-				n.core.advance(s.now)
+				n.membership.Advance(s.now)
 			})
 		}
 	})
@@ -183,7 +183,7 @@
 
 func (s *simulation) countFalseDeaths(t *Table) {
 	for _, m := range t.All() {
-		if m.State == Dead && s.isUp(m.Address) && m.Generation == s.nodes[m.Address].core.self.member.Generation {
+		if m.State == Dead && s.isUp(m.Address) && m.Generation == s.nodes[m.Address].membership.self.member.Generation {
 			s.falseDeaths++
 		}
 	}
@@ -200,13 +200,13 @@
 	if s.datagrams%checkedShare == 0 {
 		s.checkSize(&d.message)
 	}
-	origin := from.core.self.member.Address
+	origin := from.membership.self.member.Address
 	if s.random.Float64() < s.loss || !s.path(origin, d.to) {
 		return
 	}
 	s.at(s.now+s.latency()+s.slowness(d.to), func() {
 		if to := s.nodes[d.to]; to != nil {
-			s.deliver(to, func(to *simulatedNode) { to.core.receive(s.now, origin, &d.message) })
+			s.deliver(to, func(to *simulatedNode) { to.membership.receive(s.now, origin, &d.message) })
 		}
 	})
 }
@@ -218,37 +218,37 @@
 		s.t.Fatal(err)
 	}
 	if len(data) > 1400-frameBytes {
-		s.t.Errorf("datagram of %d bytes with %d records and %d claims", len(data), len(m.records), len(m.claims))
+		s.t.Errorf("datagram of %d bytes with %d records and %d assertions", len(data), len(m.records), len(m.assertions))
 	}
 }
 
-func (s *simulation) exchange(n *simulatedNode, partner netip.AddrPort, request exchangeRequest) {
-	own := n.core.self.member.Address
+func (s *simulation) exchange(n *simulatedNode, call exchangeCall) {
+	own := n.membership.self.member.Address
 	fail := func() {
 		s.at(s.now+callTimeout, func() {
-			s.deliver(n, func(n *simulatedNode) { n.core.exchangeFailed(s.now) })
+			s.deliver(n, func(n *simulatedNode) { n.membership.exchangeFailed(s.now) })
 		})
 	}
 	s.at(s.now+s.latency(), func() {
-		to := s.nodes[partner]
-		if to == nil || to.down || to.frozen || !s.path(own, partner) {
+		to := s.nodes[call.to]
+		if to == nil || to.down || to.frozen || !s.path(own, call.to) {
 			fail()
 			return
 		}
 		s.deliver(to, func(to *simulatedNode) {
-			answer := to.core.answerExchange(s.now, &request)
+			answer := to.membership.answerExchange(s.now, &call.request)
 			s.at(s.now+s.latency(), func() {
-				if !s.path(own, partner) {
+				if !s.path(own, call.to) {
 					fail()
 					return
 				}
-				s.deliver(n, func(n *simulatedNode) { n.core.exchanged(s.now, &answer) })
+				s.deliver(n, func(n *simulatedNode) { n.membership.exchanged(s.now, &answer) })
 			})
 		})
 	})
 }
 
-// run goes on until the time is reached or done tells so, which is asked in steps.
+// run handles events until the time is reached or done, which is called in steps, reports true.
 func (s *simulation) run(until time.Duration, done func() bool) {
 	const step = 10 * time.Millisecond
 	asked := s.now
@@ -266,7 +266,7 @@
 	s.now = until
 }
 
-// runUntil fails the test if done is not reached within the time, and tells how long it took.
+// runUntil fails the test if done does not report true within the time. It returns how long it took.
 func (s *simulation) runUntil(what string, within time.Duration, done func() bool) time.Duration {
 	s.t.Helper()
 	start := s.now
@@ -277,7 +277,7 @@
 	return s.now - start
 }
 
-// complete tells whether all that are up hold just those to be alive.
+// complete reports whether all that are up hold just those to be alive.
 func (s *simulation) complete() bool {
 	var up []*simulatedNode
 	for _, address := range s.order {
@@ -286,13 +286,13 @@
 		}
 	}
 	for _, n := range up {
-		if n.core.running != len(up) {
+		if n.membership.running != len(up) {
 			return false
 		}
 	}
 	for _, n := range up {
 		for _, other := range s.order {
-			if n.core.isRunning(other) != s.isUp(other) {
+			if n.membership.isRunning(other) != s.isUp(other) {
 				return false
 			}
 		}
@@ -300,14 +300,14 @@
 	return true
 }
 
-// differences tells what keeps complete from being true.
+// differences describes what keeps complete from being true.
 func (s *simulation) differences() string {
 	const shown = 5
 	text := ""
 	count := 0
 	for _, address := range s.order {
 		for _, other := range s.order {
-			if !s.isUp(address) || s.nodes[address].core.isRunning(other) == s.isUp(other) {
+			if !s.isUp(address) || s.nodes[address].membership.isRunning(other) == s.isUp(other) {
 				continue
 			}
 			count++
@@ -315,23 +315,23 @@
 				continue
 			}
 			held := "nothing"
-			if e := s.nodes[address].core.members[other]; e != nil {
+			if e := s.nodes[address].membership.members[other]; e != nil {
 				held = fmt.Sprintf("%v of incarnation %d", e.member.State, e.member.Incarnation)
 			}
-			own := s.nodes[other].core.self.member.Incarnation
+			own := s.nodes[other].membership.self.member.Incarnation
 			text += fmt.Sprintf("\n%v knows of %v %s, its own is %d", address, other, held, own)
 		}
 	}
 	return fmt.Sprintf("%d differences%s", count, text)
 }
 
-// known tells whether all that are up hold the member to be in the state.
+// known reports whether all that are up hold the member to be in the state.
 func (s *simulation) known(address netip.AddrPort, state State) bool {
 	for _, other := range s.order {
 		if other == address || !s.isUp(other) {
 			continue
 		}
-		e := s.nodes[other].core.members[address]
+		e := s.nodes[other].membership.members[address]
 		if e == nil || e.member.State != state {
 			return false
 		}
@@ -339,7 +339,7 @@
 	return true
 }
 
-// started gives a simulation in which all know each other.
+// started returns a simulation in which all know each other.
 func started(t testing.TB, seed uint64, size int) *simulation {
 	t.Helper()
 	s := newSimulation(t, seed, size)
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -13,14 +13,14 @@
 	byRole map[string][]Member
 }
 
-// NewTable makes a table of members, for example for a test.
+// NewTable returns a table of members, for example for a test.
 func NewTable(members ...Member) *Table {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b Member) int { return compareAddress(a.Address, b.Address) })
 	return newTable(sorted)
 }
 
-// newTable takes over members, which are sorted by address.
+// newTable returns a table that owns members, which are sorted by address.
 func newTable(members []Member) *Table {
 	running := 0
 	runningByRole := make(map[string]int)
@@ -48,16 +48,16 @@
 	return t
 }
 
-// All gives the members in all states. Those that were dead for long are forgotten.
+// All returns the members in all states. Those that died or left long ago are not among them.
 func (t *Table) All() []Member { return t.all }
 
-// Alive gives the members that are alive or suspect.
+// Alive returns the members that are alive or suspect.
 func (t *Table) Alive() []Member { return t.alive }
 
-// ByRole gives those of Alive that have the role.
+// ByRole returns those of Alive that have the role.
 func (t *Table) ByRole(role string) []Member { return t.byRole[role] }
 
-// Get finds a member in any state by its address.
+// Get returns the member with an address, in any state, and whether there is one.
 func (t *Table) Get(address netip.AddrPort) (Member, bool) {
 	i, found := slices.BinarySearchFunc(t.all, address, func(m Member, a netip.AddrPort) int {
 		return compareAddress(m.Address, a)
@@ -68,7 +68,7 @@
 	return t.all[i], true
 }
 
-// InZone tells whether the member with an address is known, in any state, and in a zone.
+// InZone reports whether the member with an address is known, in any state, and in a zone.
 func (t *Table) InZone(address netip.AddrPort, zone string) bool {
 	m, known := t.Get(address)
 	return known && m.Zone == zone
