--- a/internal/gossip/announce.go
+++ b/internal/gossip/announce.go
@@ -3,57 +3,80 @@
 import (
 	"net/netip"
 	"slices"
+	"time"
 
 	"nickelline/internal/member"
 )
 
-// Numbers of members of the own zone to which a new version is announced.
 const (
+	// announceDelay is the time before a new version is announced, so that a proof that comes with it is there.
+	announceDelay = 5 * time.Millisecond
+
+	// controlFanout and fanout are the numbers of members of the own zone that a control process and any other announce a
+	// new version to.
 	controlFanout = 16
 	fanout        = 4
 )
 
-// announce tells a few members of the new versions. A control process tells more, and where a version was published
-// the other zones are told too.
-func (c *core) announce() {
-	c.announceAt = never
-	var all, published []summary
-	for i := range c.announcing {
-		if !c.announcing[i].due {
+// announcer holds the topics with a new version that is not announced yet.
+type announcer struct {
+	due     time.Duration
+	pending [topics]pendingAnnouncement
+}
+
+type pendingAnnouncement struct {
+	due           bool
+	publishedHere bool // the version is of this process
+}
+
+// add has the version of a topic announced soon.
+func (a *announcer) add(now time.Duration, topic Topic, publishedHere bool) {
+	a.pending[topic] = pendingAnnouncement{due: true, publishedHere: publishedHere}
+	a.due = min(a.due, now+announceDelay)
+}
+
+// announce announces the new versions to a few members of the own zone, and those that were published here to the other
+// zones as well.
+func (d *disseminator) announce() {
+	d.announcer.due = never
+	var all, publishedHere []summary
+	for i := range d.announcer.pending {
+		pending := &d.announcer.pending[i]
+		if !pending.due {
 			continue
 		}
-		s := summary{topic: Topic(i), version: c.holdings[i].value.Version, age: UnknownAge}
+		s := summary{topic: Topic(i), version: d.entries[i].value.Version, age: UnknownAge}
 		all = append(all, s)
-		if c.announcing[i].published {
-			published = append(published, s)
+		if pending.publishedHere {
+			publishedHere = append(publishedHere, s)
 		}
-		c.announcing[i] = announcing{}
+		*pending = pendingAnnouncement{}
 	}
 	if len(all) > 0 {
-		c.output.announcements = append(c.output.announcements, announcement{to: c.nearTargets(), summaries: all})
+		d.output.announcements = append(d.output.announcements, announcement{to: d.ownZoneTargets(), summaries: all})
 	}
-	if len(published) > 0 {
-		c.output.announcements = append(c.output.announcements, announcement{to: c.farTargets(), summaries: published})
+	if len(publishedHere) > 0 {
+		d.output.announcements = append(d.output.announcements, announcement{to: d.otherZoneTargets(), summaries: publishedHere})
 	}
 }
 
-func (c *core) nearTargets() []netip.AddrPort {
+func (d *disseminator) ownZoneTargets() []netip.AddrPort {
 	count := fanout
-	if c.self.Role == ControlRole {
+	if d.self.Role == ControlRole {
 		count = controlFanout
 	}
-	return c.pick(c.members().Alive(), count, c.inOwnZone)
+	return d.pick(d.members().Alive(), count, d.inOwnZone)
 }
 
-// farTargets gives one member of each other zone, a control process where there is one.
-func (c *core) farTargets() []netip.AddrPort {
-	table := c.members()
+// otherZoneTargets returns one member of each other zone, a control process where there is one.
+func (d *disseminator) otherZoneTargets() []netip.AddrPort {
+	table := d.members()
 	var targets []netip.AddrPort
-	for _, zone := range c.otherZones() {
+	for _, zone := range d.otherZones() {
 		inZone := func(m *member.Member) bool { return m.Zone == zone }
-		target, found := c.pickOne(table.ByRole(ControlRole), inZone)
+		target, found := d.pickOne(table.ByRole(ControlRole), inZone)
 		if !found {
-			target, found = c.pickOne(table.Alive(), inZone)
+			target, found = d.pickOne(table.Alive(), inZone)
 		}
 		if found {
 			targets = append(targets, target)
@@ -62,12 +85,12 @@
 	return targets
 }
 
-func (c *core) otherZones() []string {
+func (d *disseminator) otherZones() []string {
 	var zones []string
-	alive := c.members().Alive()
+	alive := d.members().Alive()
 	for i := range alive {
 		zone := alive[i].Zone
-		if zone != c.self.Zone && !slices.Contains(zones, zone) {
+		if zone != d.self.Zone && !slices.Contains(zones, zone) {
 			zones = append(zones, zone)
 		}
 	}
--- a/internal/gossip/bench_test.go
+++ b/internal/gossip/bench_test.go
@@ -13,7 +13,7 @@
 		s.publish(s.nodes[0], topic, 1, 1000)
 	}
 	s.run(10*time.Second, nil)
-	asker, partner := s.nodes[50].core, s.nodes[0].core
+	requester, partner := s.nodes[50].disseminator, s.nodes[0].disseminator
 	p := &packer{}
 	now := s.now
 	b.ReportAllocs()
@@ -22,9 +22,9 @@
 		for topic := range topics {
 			partner.certify(topic, Version{Sequence: 1}, now)
 		}
-		asker.asker.underWay = false
-		asker.advance(now)
-		call := asker.take().digest
+		requester.antiEntropy.underWay = false
+		requester.Advance(now)
+		call := requester.Take(true).digest
 		request, err := encodeDigestRequest(call.summaries)
 		if err != nil {
 			b.Fatal(err)
@@ -33,7 +33,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		answer := partner.answerDigest(now, asker.self.Address, theirs)
+		answer := partner.answerDigest(now, requester.self.Address, theirs)
 		encoded, err := answer.encode(p)
 		if err != nil {
 			b.Fatal(err)
@@ -42,7 +42,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		partner.take()
-		asker.digestAnswered(now, now, call.to, &decoded)
+		partner.Take(true)
+		requester.digestAnswered(now, now, call.to, &decoded)
 	}
 }
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -10,6 +10,7 @@
 	"nickelline/internal/gossip/gossipwire"
 )
 
+// unknownMicros encodes UnknownAge.
 const unknownMicros = math.MaxUint64
 
 // encodeAge rounds up: an age may only grow on its way.
--- a/internal/gossip/delivery.go
+++ b/internal/gossip/delivery.go
@@ -3,7 +3,7 @@
 import "sync"
 
 // delivery calls the subscribers, one at a time and never with an older version after a newer one. A subscriber may use
-// the service: what that brings is delivered after it has returned.
+// the service: what that brings is delivered after it has returned. Its zero value is ready to be used.
 type delivery struct {
 	mutex      sync.Mutex
 	delivering bool
@@ -17,9 +17,9 @@
 }
 
 type subscription struct {
-	call func(Value)
-	told bool
-	last Version
+	call     func(Value)
+	notified bool
+	last     Version // of which it was notified
 }
 
 func (d *delivery) subscribe(topic Topic, call func(Value)) {
@@ -29,7 +29,8 @@
 	t.subscribers = append(t.subscribers, subscription{call: call})
 }
 
-// deliver notes a version and tells it to the subscribers, unless that is under way already further up.
+// deliver notes a version and calls the subscribers with it, unless another goroutine or a subscriber further up the stack
+// does so already: that one goes on until all are notified.
 func (d *delivery) deliver(v Value) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -50,14 +51,15 @@
 	d.delivering = false
 }
 
-// next finds a subscriber that has not been told of the newest version, and marks it as told.
+// next returns a subscriber that was not notified of the newest version, with that version, and marks it as notified. The
+// function is nil if there is none.
 func (d *delivery) next() (func(Value), Value) {
 	for i := range d.topics {
 		t := &d.topics[i]
 		for j := range t.subscribers {
 			s := &t.subscribers[j]
-			if t.known && (!s.told || t.newest.Version.newerThan(s.last)) {
-				s.told = true
+			if t.known && (!s.notified || t.newest.Version.newerThan(s.last)) {
+				s.notified = true
 				s.last = t.newest.Version
 				return s.call, t.newest
 			}
--- a/internal/gossip/core_test.go
+++ b/internal/gossip/disseminator_test.go
@@ -7,10 +7,12 @@
 	"time"
 )
 
-const histories = 10
+// seeds is the number of simulated histories of each test.
+const seeds = 10
 
 func forEachSeed(t *testing.T, test func(t *testing.T, seed uint64)) {
-	for seed := range uint64(histories) {
+	t.Helper()
+	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			test(t, seed)
@@ -18,7 +20,7 @@
 	}
 }
 
-func TestVersionReachesAll(t *testing.T) {
+func TestVersionReachesAllMembers(t *testing.T) {
 	const size = 100
 	for _, bytes := range []int{100, 2 * maxDigestBytes} {
 		t.Run(fmt.Sprint(bytes, " bytes"), func(t *testing.T) {
@@ -29,12 +31,12 @@
 				start := s.now
 				s.publish(s.nodes[int(seed)%size], Backends, 1, bytes)
 				s.run(start+300*time.Millisecond, nil)
-				if reached := s.holders(Backends, 1); reached < size*3/4 {
-					t.Errorf("%d of %d nodes after 300 ms", reached, size)
+				if reached := s.replicas(Backends, 1); reached < size*3/4 {
+					t.Errorf("nodes with the version after 300 ms: got %d, want at least %d", reached, size*3/4)
 				}
-				s.run(start+2*testHeartbeat, func() bool { return s.holders(Backends, 1) == size })
-				if reached := s.holders(Backends, 1); reached < size {
-					t.Errorf("%d of %d nodes after two heartbeats", reached, size)
+				s.run(start+2*testHeartbeat, func() bool { return s.replicas(Backends, 1) == size })
+				if reached := s.replicas(Backends, 1); reached < size {
+					t.Errorf("nodes with the version after two heartbeats: got %d, want %d", reached, size)
 				}
 				t.Logf("all after %v, %d datagrams, %d fetches", s.now-start, s.datagrams, s.fetches)
 			})
@@ -42,7 +44,7 @@
 	}
 }
 
-func TestAllHoldTheNewestInTheEnd(t *testing.T) {
+func TestAllMembersConvergeOnTheNewestVersion(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		s := newSimulation(t, seed, 60)
 		s.loss = 0.3
@@ -55,16 +57,17 @@
 			s.at(delay, func() { s.publish(publisher, Placement, sequence, s.random.IntN(2*maxDigestBytes)) })
 		}
 		s.run(30*time.Second, nil)
-		if reached := s.holders(Placement, versions); reached != len(s.nodes) {
-			t.Errorf("%d of %d nodes hold the newest version", reached, len(s.nodes))
+		if reached := s.replicas(Placement, versions); reached != len(s.nodes) {
+			t.Errorf("nodes with the newest version: got %d, want %d", reached, len(s.nodes))
 		}
 	})
 }
 
-// truth is the newest committed version at each time.
-type truth struct{ commits []time.Duration }
+// commitHistory is the ground truth: the time at which each version was committed, sequence 1 first.
+type commitHistory struct{ commits []time.Duration }
 
-func (r *truth) newestAt(at time.Duration) uint64 {
+// newestAt returns the sequence of the newest version at a time, 0 before the first.
+func (r *commitHistory) newestAt(at time.Duration) uint64 {
 	count, _ := slices.BinarySearch(r.commits, at+1)
 	return uint64(count)
 }
@@ -77,8 +80,8 @@
 
 // chain simulates commits, and barriers of the control processes that prove which version is the newest. A new version is
 // certified with the time of the last barrier: it is as current as the version before it was proven to be.
-func (s *simulation) chain(until time.Duration, commitPeriod, barrierPeriod, barrierDelay time.Duration) *truth {
-	r := &truth{}
+func (s *simulation) chain(until time.Duration, commitPeriod, barrierPeriod, barrierDelay time.Duration) *commitHistory {
+	r := &commitHistory{}
 	barriers := make(map[*simulatedNode]barrier)
 	vary := func(period time.Duration) time.Duration {
 		return period/2 + time.Duration(s.random.Int64N(int64(period)))
@@ -92,9 +95,9 @@
 					version := Version{Sequence: sequence}
 					last, proven := barriers[n]
 					s.deliver(n, func() {
-						n.core.publish(s.now, Value{Topic: Configuration, Version: version}, nil)
+						n.disseminator.publish(s.now, Value{Topic: Configuration, Version: version}, nil)
 						if proven && last.sequence <= sequence {
-							n.core.certify(Configuration, version, last.asOf)
+							n.disseminator.certify(Configuration, version, last.asOf)
 						}
 					})
 				})
@@ -111,7 +114,7 @@
 						if asOf > barriers[n].asOf {
 							barriers[n] = barrier{asOf: asOf, sequence: sequence}
 						}
-						n.core.certify(Configuration, Version{Sequence: sequence}, asOf)
+						n.disseminator.certify(Configuration, Version{Sequence: sequence}, asOf)
 					})
 				})
 			})
@@ -120,7 +123,7 @@
 	return r
 }
 
-func TestProofsAreNeverYoungerThanTrue(t *testing.T) {
+func TestProofsAreNeverHeldToBeTooYoung(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		s := newSimulation(t, seed, 40)
 		s.loss = 0.1
@@ -130,14 +133,14 @@
 		r := s.chain(end, 700*time.Millisecond, 600*time.Millisecond, 900*time.Millisecond)
 		checks := 0
 		s.check = func(n *simulatedNode) {
-			h := &n.core.holdings[Configuration]
-			age := h.age(s.now)
+			e := &n.disseminator.entries[Configuration]
+			age := e.age(s.now)
 			if age == UnknownAge {
 				return
 			}
 			checks++
-			if newest := r.newestAt(s.now - age); h.value.Version.Sequence < newest {
-				t.Errorf("%s holds %d with a proof of age %v, when %d was the newest", n.self.Name, h.value.Version.Sequence, age, newest)
+			if newest := r.newestAt(s.now - age); e.value.Version.Sequence < newest {
+				t.Errorf("%s has version %d with a proof of age %v, when %d was the newest", n.self.Name, e.value.Version.Sequence, age, newest)
 			}
 		}
 		for range 20 {
@@ -148,12 +151,12 @@
 		}
 		s.run(end, nil)
 		if checks < 1000 {
-			t.Errorf("only %d proofs were checked", checks)
+			t.Errorf("checked proofs: got %d, want at least 1000", checks)
 		}
 	})
 }
 
-func TestProofsStayYoungInCalm(t *testing.T) {
+func TestProofsStayYoungAtRest(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		s := newSimulation(t, seed, 100)
 		s.loss = 0.01
@@ -162,17 +165,17 @@
 		oldest := time.Duration(0)
 		s.check = func(n *simulatedNode) {
 			if s.now > 12*time.Second {
-				oldest = max(oldest, n.core.holdings[Configuration].age(s.now))
+				oldest = max(oldest, n.disseminator.entries[Configuration].age(s.now))
 			}
 		}
 		s.run(end, nil)
 		if limit := 3 * testHeartbeat; oldest > limit {
-			t.Errorf("a proof was %v old, want at most %v", oldest, limit)
+			t.Errorf("age of the oldest proof: got %v, want at most %v", oldest, limit)
 		}
 		perHeartbeat := float64(s.digests) / float64(len(s.nodes)) / (s.now.Seconds() / testHeartbeat.Seconds())
 		t.Logf("oldest proof %v, %.2f digests a heartbeat", oldest, perHeartbeat)
 		if perHeartbeat > 1.5 {
-			t.Errorf("%.2f digests a heartbeat", perHeartbeat)
+			t.Errorf("digests a heartbeat: got %.2f, want at most 1.5", perHeartbeat)
 		}
 	})
 }
@@ -188,14 +191,14 @@
 		frozen := s.now
 		s.run(s.now+pause, nil)
 		s.check = func(checked *simulatedNode) {
-			if age := n.core.holdings[Configuration].age(s.now); checked == n && age < pause {
+			if age := n.disseminator.entries[Configuration].age(s.now); checked == n && age < pause {
 				t.Errorf("the proof is %v old after a pause of %v", age, s.now-frozen)
 			}
 		}
 		s.wake(n)
 		s.check = nil
 		s.run(s.now+testHeartbeat, nil)
-		if age := n.core.holdings[Configuration].age(s.now); age > 2*testHeartbeat {
+		if age := n.disseminator.entries[Configuration].age(s.now); age > 2*testHeartbeat {
 			t.Errorf("the proof is %v old after the wake", age)
 		}
 	})
@@ -213,10 +216,10 @@
 		const detection = 2 * time.Second
 		s.at(s.now+detection, s.updateTable)
 		oldest := time.Duration(0)
-		s.check = func(n *simulatedNode) { oldest = max(oldest, n.core.holdings[Configuration].age(s.now)) }
+		s.check = func(n *simulatedNode) { oldest = max(oldest, n.disseminator.entries[Configuration].age(s.now)) }
 		s.run(end, nil)
 		if limit := 4 * testHeartbeat; oldest > limit {
-			t.Errorf("a proof was %v old, want at most %v", oldest, limit)
+			t.Errorf("age of the oldest proof: got %v, want at most %v", oldest, limit)
 		}
 		t.Log("oldest proof ", oldest)
 	})
@@ -224,74 +227,74 @@
 
 func TestProofIsForOneVersion(t *testing.T) {
 	const now = time.Minute
-	var h holding
+	var e entry
 	version := func(sequence uint64) Version { return Version{Sequence: sequence} }
 	value := func(sequence uint64) Value { return Value{Version: version(sequence)} }
 
-	h.certify(version(1), 10*time.Second)
-	if h.age(now) != UnknownAge {
-		t.Error("a proof without a value")
+	e.certify(version(1), 10*time.Second)
+	if e.age(now) != UnknownAge {
+		t.Errorf("age without a value: got %v, want none", e.age(now))
 	}
-	h.take(value(1), nil)
-	if age := h.age(now); age != 50*time.Second {
-		t.Errorf("age %v of a proof that came before its value", age)
+	e.store(value(1), nil)
+	if age := e.age(now); age != 50*time.Second {
+		t.Errorf("age of a proof that came before its value: got %v, want 50s", age)
 	}
-	h.certify(version(1), 5*time.Second)
-	if age := h.age(now); age != 50*time.Second {
-		t.Errorf("age %v after an older proof", age)
+	e.certify(version(1), 5*time.Second)
+	if age := e.age(now); age != 50*time.Second {
+		t.Errorf("age after an older proof: got %v, want 50s", age)
 	}
-	h.certify(version(2), 20*time.Second)
-	if age := h.age(now); age != 50*time.Second {
-		t.Errorf("age %v after the proof for a newer version", age)
+	e.certify(version(2), 20*time.Second)
+	if age := e.age(now); age != 50*time.Second {
+		t.Errorf("age after the proof for a newer version: got %v, want 50s", age)
 	}
-	if h.take(value(1), nil) || !h.take(value(3), nil) {
-		t.Error("versions were not taken in order")
+	if e.store(value(1), nil) || !e.store(value(3), nil) {
+		t.Error("store: got an older version stored or a newer one refused, want the newer one only")
 	}
-	if h.age(now) != UnknownAge {
-		t.Error("the proof for another version was kept")
+	if e.age(now) != UnknownAge {
+		t.Errorf("age after the proof for another version: got %v, want none", e.age(now))
 	}
-	h.certify(version(2), now)
-	if h.age(now) != UnknownAge {
-		t.Error("a proof for an older version counts")
+	e.certify(version(2), now)
+	if e.age(now) != UnknownAge {
+		t.Errorf("age after a proof for an older version: got %v, want none", e.age(now))
 	}
 }
 
 // After a start of the whole system a control process may know the list of backends before the control state is back.
-func TestAskerGoesOnUntilAConfigurationIsHeld(t *testing.T) {
+func TestExchangesAreRetriedUntilThereIsAConfiguration(t *testing.T) {
 	const now = time.Minute
 	s := newSimulation(t, 1, 20)
-	c := s.nodes[len(s.nodes)-1].core
-	c.accept(now, Value{Topic: Backends, Version: Version{Sequence: 1}}, nil, false)
-	c.asker.answered(now, c)
-	if !c.asker.failing || c.asker.due() > now+askRetry {
-		t.Errorf("without a configuration the next exchange is %v away", c.asker.due()-now)
+	c := s.nodes[len(s.nodes)-1].disseminator
+	c.store(now, Value{Topic: Backends, Version: Version{Sequence: 1}}, nil, false)
+	c.exchangeEnded(now)
+	if !c.antiEntropy.failing || c.antiEntropy.due() > now+exchangeRetry {
+		t.Errorf("time to the next exchange without a configuration: got %v, want a retry", c.antiEntropy.due()-now)
 	}
-	c.accept(now, Value{Topic: Configuration, Version: Version{Sequence: 1}}, nil, false)
+	c.store(now, Value{Topic: Configuration, Version: Version{Sequence: 1}}, nil, false)
 	c.certify(Configuration, Version{Sequence: 1}, now)
-	c.asker.answered(now, c)
-	if c.asker.failing || c.asker.due() <= now+askRetry {
-		t.Errorf("with a proven configuration the next exchange is only %v away", c.asker.due()-now)
+	c.exchangeEnded(now)
+	if c.antiEntropy.failing || c.antiEntropy.due() <= now+exchangeRetry {
+		t.Errorf("time to the next exchange with a proven configuration: got %v, want a heartbeat", c.antiEntropy.due()-now)
 	}
 }
 
-func TestFetchGoesOnWithAnotherHolder(t *testing.T) {
+func TestFailedFetchIsRetriedWithTheAlternative(t *testing.T) {
 	s := newSimulation(t, 1, 20)
 	first, second, third := s.nodes[0].self.Address, s.nodes[4].self.Address, s.nodes[8]
 	announced := []summary{{topic: Backends, version: Version{Sequence: 5}, age: UnknownAge}}
-	c := third.core
-	c.announced(0, first, announced)
-	c.announced(0, second, announced)
-	out := c.take()
+	c := third.disseminator
+	c.receiveAnnouncement(0, first, announced)
+	c.receiveAnnouncement(0, second, announced)
+	out := c.Take(true)
 	if len(out.fetches) != 1 || out.fetches[0].to != first {
-		t.Fatalf("fetches %+v", out.fetches)
+		t.Fatalf("fetches: got %+v, want one from %v", out.fetches, first)
 	}
 	c.fetchFailed(time.Second, Backends)
-	out = c.take()
+	out = c.Take(true)
 	if len(out.fetches) != 1 || out.fetches[0].to != second {
-		t.Fatalf("fetches %+v after a failure", out.fetches)
+		t.Fatalf("fetches after a failure: got %+v, want one from %v", out.fetches, second)
 	}
 	c.fetched(time.Second, 0, &fetchAnswer{update: update{value: Value{Topic: Backends, Version: Version{Sequence: 5}}}, age: UnknownAge})
-	if due := c.holdings[Backends].due(); due != never {
-		t.Errorf("another fetch at %v", due)
+	if due := c.entries[Backends].fetchDue(); due != never {
+		t.Errorf("time of the next fetch: got %v, want none", due)
 	}
 }
--- a/internal/gossip/history_test.go
+++ b/internal/gossip/history_test.go
@@ -12,32 +12,32 @@
 	return Value{Topic: Configuration, Version: sequence(number), Data: versionData(number, 20_000)}
 }
 
-// holdingOf gives a holding that took some versions, each with the step from the one before it.
-func holdingOf(t *testing.T, versions ...uint64) *holding {
+// entryOf returns an entry that has stored some versions, each with the step from the one before it.
+func entryOf(t *testing.T, versions ...uint64) *entry {
 	t.Helper()
-	h := &holding{}
+	e := &entry{}
 	for _, number := range versions {
 		v := versionValue(number)
 		var steps []step
-		if h.held {
-			if steps = differences(h.value, v); len(steps) == 0 {
-				t.Fatalf("no difference from %v to %v", h.value.Version, v.Version)
+		if e.present {
+			if steps = differences(e.value, v); len(steps) == 0 {
+				t.Fatalf("no difference from %v to %v", e.value.Version, v.Version)
 			}
 		}
-		if !h.take(v, steps) {
-			t.Fatalf("version %d was not taken", number)
+		if !e.store(v, steps) {
+			t.Fatalf("store version %d: got false, want true", number)
 		}
 	}
-	return h
+	return e
 }
 
 // Who holds any of the last versions gets differences, which lead to the newest; others get the whole value.
-func TestDifferencesLeadToTheNewest(t *testing.T) {
-	from := holdingOf(t, 1, 2, 5, 6, 7)
+func TestDifferencesLeadToTheNewestVersion(t *testing.T) {
+	from := entryOf(t, 1, 2, 5, 6, 7)
 	for _, base := range []uint64{1, 2, 5, 6} {
-		to := holdingOf(t, base)
+		to := entryOf(t, base)
 		version := sequence(base)
-		u := from.updateFor(&version)
+		u := from.updateFrom(&version)
 		if len(u.steps) == 0 || u.bytes() > len(from.value.Data)/10 {
 			t.Errorf("from %d: %d steps, %d bytes", base, len(u.steps), u.bytes())
 		}
@@ -45,69 +45,69 @@
 		if !readable || value.Version != sequence(7) || !bytes.Equal(value.Data, from.value.Data) {
 			t.Fatalf("from %d: %v, readable: %v", base, value.Version, readable)
 		}
-		if !to.take(value, steps) || len(to.history.steps) != len(steps) {
+		if !to.store(value, steps) || len(to.history.steps) != len(steps) {
 			t.Errorf("from %d: %d steps are kept of %d", base, len(to.history.steps), len(steps))
 		}
 	}
 	for _, base := range []uint64{3, 4, 8} {
 		version := sequence(base)
-		if u := from.updateFor(&version); len(u.steps) > 0 || !bytes.Equal(u.value.Data, from.value.Data) {
-			t.Errorf("from %d, which was never held: %d steps", base, len(u.steps))
+		if u := from.updateFrom(&version); len(u.steps) > 0 || !bytes.Equal(u.value.Data, from.value.Data) {
+			t.Errorf("from %d, which was never present: got %d steps, want none", base, len(u.steps))
 		}
 	}
-	if u := from.updateFor(nil); len(u.steps) > 0 {
+	if u := from.updateFrom(nil); len(u.steps) > 0 {
 		t.Error("steps for who holds nothing")
 	}
 }
 
 // A member may have got further than it was when it asked: the steps behind it are passed over.
-func TestReadBeginsAtTheHeldVersion(t *testing.T) {
-	from := holdingOf(t, 1, 2, 3, 4)
+func TestReadBeginsAtThePresentVersion(t *testing.T) {
+	from := entryOf(t, 1, 2, 3, 4)
 	base := sequence(1)
-	u := from.updateFor(&base)
-	if value, steps, readable := holdingOf(t, 3).read(&u); !readable || value.Version != sequence(4) || len(steps) != 1 {
+	u := from.updateFrom(&base)
+	if value, steps, readable := entryOf(t, 3).read(&u); !readable || value.Version != sequence(4) || len(steps) != 1 {
 		t.Errorf("%v by %d steps, readable: %v", value.Version, len(steps), readable)
 	}
 }
 
-// Steps that do not fit what is held bring no value: they begin elsewhere, have a gap, end elsewhere or are damaged.
-func TestStepsThatDoNotFit(t *testing.T) {
-	from := holdingOf(t, 1, 2, 3, 4)
+// Steps that do not fit what is present bring no value: they begin elsewhere, have a gap, end elsewhere or are damaged.
+func TestStepsThatDoNotFitAreNotRead(t *testing.T) {
+	from := entryOf(t, 1, 2, 3, 4)
 	base := sequence(1)
-	good := from.updateFor(&base)
+	good := from.updateFrom(&base)
 	cases := map[string]struct {
-		held   *holding
-		change func(u *update)
+		present *entry
+		change  func(u *update)
 	}{
-		"nothing is held":         {&holding{}, func(*update) {}},
-		"another version is held": {holdingOf(t, 5), func(*update) {}},
-		"a gap":                   {holdingOf(t, 1), func(u *update) { u.steps = append(u.steps[:1:1], u.steps[2:]...) }},
-		"another end":             {holdingOf(t, 1), func(u *update) { u.steps = u.steps[:2] }},
-		"damage":                  {holdingOf(t, 1), func(u *update) { u.steps = []step{{base, sequence(4), []byte("damage")}} }},
-		"no differences":          {holdingOf(t, 1), func(u *update) { u.steps = []step{{base, sequence(4), nil}} }},
+		"nothing is present":         {&entry{}, func(*update) {}},
+		"another version is present": {entryOf(t, 5), func(*update) {}},
+		"a gap":                      {entryOf(t, 1), func(u *update) { u.steps = append(u.steps[:1:1], u.steps[2:]...) }},
+		"another end":                {entryOf(t, 1), func(u *update) { u.steps = u.steps[:2] }},
+		"damage":                     {entryOf(t, 1), func(u *update) { u.steps = []step{{base, sequence(4), []byte("damage")}} }},
+		"no differences":             {entryOf(t, 1), func(u *update) { u.steps = []step{{base, sequence(4), nil}} }},
 	}
 	for name, c := range cases {
 		u := good
 		c.change(&u)
-		if value, _, readable := c.held.read(&u); readable {
+		if value, _, readable := c.present.read(&u); readable {
 			t.Errorf("%s: version %v is read", name, value.Version)
 		}
 	}
 }
 
-// A version that comes whole is where the history begins anew: nothing leads to it from what was held before.
+// A version that comes whole is where the history begins anew: nothing leads to it from what was present before.
 func TestHistoryBeginsAnew(t *testing.T) {
-	h := holdingOf(t, 1, 2)
-	h.take(versionValue(3), nil)
+	e := entryOf(t, 1, 2)
+	e.store(versionValue(3), nil)
 	for _, number := range []uint64{1, 2} {
 		base := sequence(number)
-		if u := h.updateFor(&base); len(u.steps) > 0 {
+		if u := e.updateFrom(&base); len(u.steps) > 0 {
 			t.Errorf("%d steps from %d", len(u.steps), number)
 		}
 	}
-	h.take(versionValue(5), []step{{from: sequence(4), to: sequence(5), difference: []byte("of another")}})
-	if len(h.history.steps) > 0 {
-		t.Error("a step from a version that was not held is kept")
+	e.store(versionValue(5), []step{{from: sequence(4), to: sequence(5), difference: []byte("of another")}})
+	if len(e.history.steps) > 0 {
+		t.Error("step from a version that was not present: got it kept, want none")
 	}
 }
 
@@ -127,24 +127,24 @@
 	}
 }
 
-// Where differences do not lead to the wanted version, the whole value is fetched from the same member, at once.
-func TestWholeValueAfterDifferencesThatDoNotHelp(t *testing.T) {
+// Where differences do not lead to the pending version, the whole value is fetched from the same member, at once.
+func TestWholeValueIsFetchedAfterUselessDifferences(t *testing.T) {
 	s := newSimulation(t, 1, 20)
-	holder, c := s.nodes[0].self.Address, s.nodes[8].core
-	c.accept(0, versionValue(1), nil, false)
-	c.announced(0, holder, []summary{{topic: Configuration, version: sequence(2), age: UnknownAge}})
-	fetches := c.take().fetches
+	source, c := s.nodes[0].self.Address, s.nodes[8].disseminator
+	c.store(0, versionValue(1), nil, false)
+	c.receiveAnnouncement(0, source, []summary{{topic: Configuration, version: sequence(2), age: UnknownAge}})
+	fetches := c.Take(true).fetches
 	if len(fetches) != 1 || fetches[0].request.base == nil || *fetches[0].request.base != sequence(1) {
 		t.Fatalf("fetches %+v", fetches)
 	}
 	damaged := update{value: Value{Topic: Configuration, Version: sequence(2)}, steps: []step{{sequence(1), sequence(2), []byte("damage")}}}
 	c.fetched(time.Second, 0, &fetchAnswer{update: damaged, age: UnknownAge})
-	fetches = c.take().fetches
-	if len(fetches) != 1 || fetches[0].to != holder || fetches[0].request.base != nil {
+	fetches = c.Take(true).fetches
+	if len(fetches) != 1 || fetches[0].to != source || fetches[0].request.base != nil {
 		t.Fatalf("fetches %+v after damaged differences", fetches)
 	}
 	c.fetched(time.Second, 0, &fetchAnswer{update: update{value: versionValue(2)}, age: UnknownAge})
-	if got := c.holdings[Configuration].value; got.Version != sequence(2) || len(c.take().fetches) > 0 {
+	if got := c.entries[Configuration].value; got.Version != sequence(2) || len(c.Take(true).fetches) > 0 {
 		t.Errorf("holds %v", got.Version)
 	}
 }
@@ -161,7 +161,7 @@
 			}
 			s.publish(s.nodes[int(seed)%size], Configuration, number+1, bytes)
 			s.run(s.now+3*testHeartbeat, nil)
-			if reached := s.holders(Configuration, number+1); reached != size {
+			if reached := s.replicas(Configuration, number+1); reached != size {
 				t.Fatalf("version %d at %d of %d", number+1, reached, size)
 			}
 		}
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// summary is what a member holds of one topic.
+// summary is the version that a member has of one topic.
 type summary struct {
 	topic   Topic
 	version Version
@@ -13,39 +13,39 @@
 	age time.Duration
 }
 
-// digestAnswer is what the partner of an exchange holds, with updates of what the asker lacks if they are not long.
+// digestAnswer is the digest of the partner of an exchange, with updates of what the requester lacks if they are not long.
 type digestAnswer struct {
 	summaries []summary
 	updates   []update
 }
 
-// fetchAnswer is the update that was asked for, with the age of its proof.
+// fetchAnswer is the update that was requested, with the age of its proof.
 type fetchAnswer struct {
 	update update
 	age    time.Duration
 }
 
-// announcement is a datagram that tells members of new versions.
+// announcement is a datagram that announces new versions to members.
 type announcement struct {
 	to        []netip.AddrPort
 	summaries []summary
 }
 
-// digestCall asks a partner for its digest.
+// digestCall requests the digest of a partner, and carries the own one.
 type digestCall struct {
 	to        netip.AddrPort
 	summaries []summary
 }
 
-// fetchCall asks a member for a value.
+// fetchCall requests a value from a member.
 type fetchCall struct {
 	to      netip.AddrPort
 	request fetchRequest
 }
 
-// fetchRequest names the value that is asked for.
+// fetchRequest names the value that is requested.
 type fetchRequest struct {
 	topic Topic
-	// base is the version that the asker holds, nil if it wants the whole value.
+	// base is the version that the requester has, nil if it needs the whole value.
 	base *Version
 }
--- a/internal/gossip/packer.go
+++ b/internal/gossip/packer.go
@@ -6,7 +6,7 @@
 	"nickelline/internal/delta"
 )
 
-// packer compresses whole values, each version once for all members that ask for it. Its zero value is ready to be used.
+// packer compresses whole values, each version once for all members that request it. Its zero value is ready to be used.
 type packer struct {
 	mutex  sync.Mutex
 	packed [topics]packedValue
@@ -17,19 +17,20 @@
 	frame   []byte
 }
 
+// pack returns the compressed value. It keeps that of the newest version of each topic.
 func (p *packer) pack(v Value) ([]byte, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	kept := &p.packed[v.Topic]
-	if kept.frame != nil && kept.version == v.Version {
-		return kept.frame, nil
+	cached := &p.packed[v.Topic]
+	if cached.frame != nil && cached.version == v.Version {
+		return cached.frame, nil
 	}
 	frame, err := delta.Pack(v.Data)
 	if err != nil {
 		return nil, err
 	}
-	if kept.frame == nil || v.Version.newerThan(kept.version) {
-		*kept = packedValue{version: v.Version, frame: frame}
+	if cached.frame == nil || v.Version.newerThan(cached.version) {
+		*cached = packedValue{version: v.Version, frame: frame}
 	}
 	return frame, nil
 }
--- a/internal/gossip/service.go
+++ b/internal/gossip/service.go
@@ -4,11 +4,11 @@
 	"context"
 	"math/rand/v2"
 	"net/netip"
-	"sync"
 	"time"
 
 	"go.uber.org/zap"
 
+	"nickelline/internal/driver"
 	"nickelline/internal/fault"
 	"nickelline/internal/member"
 	"nickelline/internal/peer"
@@ -22,154 +22,110 @@
 )
 
 const (
-	shortestDigestTimeout = 500 * time.Millisecond
-	longestDigestTimeout  = time.Second
-	fetchTimeout          = 5 * time.Second
+	// digestTimeoutMinimum and digestTimeoutMaximum bound how long the answer to a digest may take, a heartbeat otherwise.
+	digestTimeoutMinimum = 500 * time.Millisecond
+	digestTimeoutMaximum = time.Second
+	// fetchTimeout is how long a fetch may take.
+	fetchTimeout = 5 * time.Second
 )
 
-// Service spreads and receives values in this process.
+// Service spreads and receives values in this process. Its methods may be called by any goroutine.
 type Service struct {
 	transport     *peer.Transport
 	log           *zap.Logger
-	start         time.Time
 	digestTimeout time.Duration
-
-	mutex   sync.Mutex // of the fields below
-	core    *core
-	timer   *time.Timer
-	ctx     context.Context
-	stopped bool
-
-	delivery delivery
-	packer   packer
+	disseminator  *disseminator // used within calls of the driver only
+	driver        *driver.Driver[output]
+	delivery      delivery
+	packer        packer
 }
 
-// New makes the service of the process that self describes, and sets its handlers on the transport, which must not be
-// started yet.
+// New returns the service of the process that self describes, and sets its handlers on the transport, which must not be
+// started yet. The heartbeat is the time between exchanges of digests: a shorter one keeps proofs younger, and costs more
+// messages.
 func New(self member.Member, members func() *member.Table, t *peer.Transport, heartbeat time.Duration, log *zap.Logger) *Service {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	s := &Service{
 		transport:     t,
 		log:           log,
-		start:         time.Now(),
-		digestTimeout: min(max(heartbeat, shortestDigestTimeout), longestDigestTimeout),
-		core:          newCore(self, members, heartbeat, random, 0),
+		digestTimeout: min(max(heartbeat, digestTimeoutMinimum), digestTimeoutMaximum),
+		disseminator:  newDisseminator(self, members, heartbeat, random, 0),
 	}
+	s.driver = driver.New(s.disseminator, s.perform)
 	t.HandleDatagram(announcementKind, s.receiveAnnouncement)
 	t.Handle(digestKind, s.answerDigest)
 	t.Handle(fetchKind, s.answerFetch)
 	return s
 }
 
-// Start begins to exchange with other members, until ctx ends.
-func (s *Service) Start(ctx context.Context) {
-	s.mutex.Lock()
-	s.ctx = ctx
-	s.timer = time.AfterFunc(0, s.tick)
-	s.mutex.Unlock()
-	context.AfterFunc(ctx, s.stop)
-}
-
-func (s *Service) stop() {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.stopped = true
-	s.timer.Stop()
-}
+// Start begins to exchange with other members, until ctx ends. Before it nothing is sent. It must be called once.
+func (s *Service) Start(ctx context.Context) { s.driver.Start(ctx) }
 
-// Publish announces a version that this process has made or learned of otherwise. One that is not newer than what is held
+// Publish announces a version that this process has made or learned of otherwise. One that is not newer than the present one
 // is ignored.
 func (s *Service) Publish(v Value) {
 	if checkTopic(v.Topic) != nil {
 		return
 	}
 	var steps []step
-	if held, found := s.Current(v.Topic); found && v.Version.newerThan(held.Version) {
-		steps = differences(held, v)
+	if current, found := s.Current(v.Topic); found && v.Version.newerThan(current.Version) {
+		steps = differences(current, v)
 	}
-	s.do(func(now time.Duration) { s.core.publish(now, v, steps) })
+	s.driver.Do(func(now time.Duration) { s.disseminator.publish(now, v, steps) })
 }
 
-// Current gives the newest version that this process holds.
+// Current returns the newest version that this process has, and whether it has any.
 func (s *Service) Current(topic Topic) (Value, bool) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	h := &s.core.holdings[topic]
-	return h.value, h.held
+	var value Value
+	var present bool
+	s.driver.Inspect(func(time.Duration) {
+		e := &s.disseminator.entries[topic]
+		value, present = e.value, e.present
+	})
+	return value, present
 }
 
-// Subscribe has a function called with each version that is newer than those before, the held one included if there is
+// Subscribe has a function called with each version that is newer than those before, the present one included if there is
 // one. Versions may be passed over when newer ones have come. Calls come one at a time.
 func (s *Service) Subscribe(topic Topic, subscriber func(Value)) {
 	s.delivery.subscribe(topic, subscriber)
-	if held, found := s.Current(topic); found {
-		s.delivery.deliver(held)
+	if current, found := s.Current(topic); found {
+		s.delivery.deliver(current)
 	}
 }
 
-// Certify says that at asOf, a time by the steady clock, no version of the topic was newer.
+// Certify says that at asOf, a time by the monotonic clock, no version of the topic was newer.
 func (s *Service) Certify(topic Topic, version Version, asOf time.Time) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.core.certify(topic, version, asOf.Sub(s.start))
+	s.driver.Inspect(func(time.Duration) { s.disseminator.certify(topic, version, s.driver.Reading(asOf)) })
 }
 
-// ProofAge tells how long ago the held version was certainly the newest, UnknownAge if there is no proof for it.
+// ProofAge returns how long ago the present version was certainly the newest, UnknownAge if there is no proof for it.
 func (s *Service) ProofAge(topic Topic) time.Duration {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.core.holdings[topic].age(time.Since(s.start))
+	age := UnknownAge
+	s.driver.Inspect(func(now time.Duration) { age = s.disseminator.entries[topic].age(now) })
+	return age
 }
 
-// do hands an event to the state machine and carries out what it returns. Before Start nothing is sent.
-func (s *Service) do(event func(now time.Duration)) {
-	s.mutex.Lock()
-	if s.stopped {
-		s.mutex.Unlock()
-		return
-	}
-	now := time.Since(s.start)
-	event(now)
-	values := s.core.output.values
-	s.core.output.values = nil
-	out := output{}
-	if s.timer != nil {
-		out = s.core.take()
-		s.schedule(now)
-	}
-	s.mutex.Unlock()
-	for _, v := range values {
+// perform carries out what the state machine wants done.
+func (s *Service) perform(ctx context.Context, now time.Duration, out output) {
+	for _, v := range out.values {
 		s.delivery.deliver(v)
 	}
-	s.carryOut(now, out)
-}
-
-func (s *Service) schedule(now time.Duration) {
-	if due := s.core.next(); due != never {
-		s.timer.Reset(max(due-now, 0))
-	}
-}
-
-func (s *Service) carryOut(now time.Duration, out output) {
 	for _, a := range out.announcements {
 		s.announce(a)
 	}
 	if out.digest != nil {
-		go s.askDigest(now, *out.digest)
+		go s.exchangeDigest(ctx, now, *out.digest)
 	}
-	for _, f := range out.fetches {
-		go s.fetch(now, f)
+	for _, call := range out.fetches {
+		go s.fetch(ctx, now, call)
 	}
 }
 
-func (s *Service) tick() {
-	s.do(func(now time.Duration) { s.core.advance(now) })
-}
-
 func (s *Service) announce(a announcement) {
 	body, err := encodeAnnouncement(a.summaries)
 	if err != nil {
-		s.log.Error("announcement", zap.Error(err))
+		s.log.Error("encode announcement failed", zap.Error(err))
 		return
 	}
 	for _, to := range a.to {
@@ -180,36 +136,38 @@
 func (s *Service) receiveAnnouncement(from netip.AddrPort, m peer.Message) {
 	summaries, err := decodeAnnouncement(m.Body)
 	if err != nil {
-		s.log.Warn("bad announcement", zap.Stringer("from", from), zap.Error(err))
+		s.log.Warn("decode announcement failed", zap.Stringer("from", from), zap.Error(err))
 		return
 	}
-	s.do(func(now time.Duration) { s.core.announced(now, from, summaries) })
+	s.driver.Do(func(now time.Duration) { s.disseminator.receiveAnnouncement(now, from, summaries) })
 }
 
-// askDigest exchanges digests with a member. The proofs of the answer are counted from asked.
-func (s *Service) askDigest(asked time.Duration, call digestCall) {
-	answer, err := s.callDigest(s.ctx, call)
+// exchangeDigest exchanges digests with a member, and hands the outcome to the state machine. Ages of the answer's proofs are
+// counted from sentAt.
+func (s *Service) exchangeDigest(ctx context.Context, sentAt time.Duration, call digestCall) {
+	answer, err := s.callDigest(ctx, call)
 	if err != nil {
-		s.log.Debug("no digest", zap.Stringer("from", call.to), zap.Error(err))
-		s.do(func(now time.Duration) { s.core.digestFailed(now) })
+		s.log.Debug("exchange of digests failed", zap.Stringer("partner", call.to), zap.Error(err))
+		s.driver.Do(func(now time.Duration) { s.disseminator.digestFailed(now) })
 		return
 	}
-	s.do(func(now time.Duration) { s.core.digestAnswered(now, asked, call.to, &answer) })
+	s.driver.Do(func(now time.Duration) { s.disseminator.digestAnswered(now, sentAt, call.to, &answer) })
 }
 
-// Exchange exchanges digests with a member now, besides the exchange of each heartbeat.
+// Exchange exchanges digests with a member now, besides the exchange of each heartbeat. It returns when what the member
+// answered is stored, or the error of the call.
 func (s *Service) Exchange(ctx context.Context, with netip.AddrPort) error {
-	var asked time.Duration
+	var sentAt time.Duration
 	call := digestCall{to: with}
-	s.do(func(now time.Duration) {
-		asked = now
-		call.summaries = s.core.summaries(now)
+	s.driver.Do(func(now time.Duration) {
+		sentAt = now
+		call.summaries = s.disseminator.summaries(now)
 	})
 	answer, err := s.callDigest(ctx, call)
 	if err != nil {
 		return err
 	}
-	s.do(func(now time.Duration) { s.core.exchanged(now, asked, with, &answer) })
+	s.driver.Do(func(now time.Duration) { s.disseminator.extraDigestAnswered(now, sentAt, with, &answer) })
 	return nil
 }
 
@@ -233,37 +191,42 @@
 		return peer.Message{}, fault.Wrap(fault.BadRequest, err)
 	}
 	var answer digestAnswer
-	s.do(func(now time.Duration) { answer = s.core.answerDigest(now, from, theirs) })
+	s.driver.Do(func(now time.Duration) { answer = s.disseminator.answerDigest(now, from, theirs) })
 	body, err := answer.encode(&s.packer)
 	return peer.Message{Kind: digestKind, Body: body}, err
 }
 
-// fetch asks a member for a value.
-func (s *Service) fetch(asked time.Duration, call fetchCall) {
-	answer, err := s.callFetch(call)
-	if told, want := answer.update.value.Topic, call.request.topic; err == nil && told != want {
-		err = fault.New(fault.Internal, "topic %d instead of %d", told, want)
-	}
+// fetch requests a value from a member, and hands the outcome to the state machine. The age of the answer's proof is counted
+// from requestedAt.
+func (s *Service) fetch(ctx context.Context, requestedAt time.Duration, call fetchCall) {
+	answer, err := s.callFetch(ctx, call)
 	if err != nil {
-		s.log.Debug("value not fetched", zap.Stringer("from", call.to), zap.Error(err))
-		s.do(func(now time.Duration) { s.core.fetchFailed(now, call.request.topic) })
+		s.log.Debug("fetch of value failed", zap.Stringer("from", call.to), zap.Uint8("topic", uint8(call.request.topic)), zap.Error(err))
+		s.driver.Do(func(now time.Duration) { s.disseminator.fetchFailed(now, call.request.topic) })
 		return
 	}
-	s.do(func(now time.Duration) { s.core.fetched(now, asked, &answer) })
+	s.driver.Do(func(now time.Duration) { s.disseminator.fetched(now, requestedAt, &answer) })
 }
 
-func (s *Service) callFetch(call fetchCall) (fetchAnswer, error) {
+func (s *Service) callFetch(ctx context.Context, call fetchCall) (fetchAnswer, error) {
 	body, err := encodeFetchRequest(call.request)
 	if err != nil {
 		return fetchAnswer{}, err
 	}
-	ctx, cancel := context.WithTimeout(s.ctx, fetchTimeout)
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	answer, err := s.transport.Call(ctx, call.to, peer.Message{Kind: fetchKind, Body: body})
+	message, err := s.transport.Call(ctx, call.to, peer.Message{Kind: fetchKind, Body: body})
 	if err != nil {
 		return fetchAnswer{}, err
 	}
-	return decodeFetchAnswer(answer.Body)
+	answer, err := decodeFetchAnswer(message.Body)
+	if err != nil {
+		return fetchAnswer{}, err
+	}
+	if got, want := answer.update.value.Topic, call.request.topic; got != want {
+		return fetchAnswer{}, fault.New(fault.Internal, "topic %d instead of %d", got, want)
+	}
+	return answer, nil
 }
 
 func (s *Service) answerFetch(_ context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
@@ -271,10 +234,10 @@
 	if err != nil {
 		return peer.Message{}, fault.Wrap(fault.BadRequest, err)
 	}
-	s.mutex.Lock()
-	answer, held := s.core.fetchValue(time.Since(s.start), request)
-	s.mutex.Unlock()
-	if !held {
+	var answer fetchAnswer
+	var present bool
+	s.driver.Inspect(func(now time.Duration) { answer, present = s.disseminator.answerFetch(now, request) })
+	if !present {
 		return peer.Message{}, fault.New(fault.NotFound, "no value of topic %d", request.topic)
 	}
 	body, err := answer.encode(&s.packer)
--- a/internal/gossip/service_test.go
+++ b/internal/gossip/service_test.go
@@ -110,7 +110,7 @@
 		if age := s.ProofAge(Configuration); age < since {
 			t.Errorf("proof of age %v, made %v ago", age, since)
 		}
-		if _, held := s.Current(Backends); held {
+		if _, present := s.Current(Backends); present {
 			t.Error("a value that was never published")
 		}
 		if age := s.ProofAge(Backends); age != UnknownAge {
@@ -120,7 +120,7 @@
 	late := 0
 	services[0].Subscribe(Configuration, func(Value) { late++ })
 	if late != 1 {
-		t.Errorf("a late subscriber was told %d times", late)
+		t.Errorf("calls of a late subscriber: got %d, want 1", late)
 	}
 	services[0].Publish(Value{Topic: Configuration, Version: Version{Sequence: 2}})
 	if current, _ := services[0].Current(Configuration); current.Version != value.Version || late != 1 {
@@ -136,16 +136,16 @@
 	t.Cleanup(transport.Close)
 	self := member.Member{Address: transport.Address()}
 	s := New(self, func() *member.Table { return member.NewTable(self) }, transport, time.Second, zap.NewNop())
-	var told []uint64
+	var calls []uint64
 	s.Subscribe(Backends, func(v Value) {
-		told = append(told, v.Version.Sequence)
+		calls = append(calls, v.Version.Sequence)
 		if v.Version.Sequence < 3 {
 			s.Publish(Value{Topic: Backends, Version: Version{Sequence: v.Version.Sequence + 1}})
 		}
 	})
 	s.Publish(Value{Topic: Backends, Version: Version{Sequence: 1}})
-	if want := []uint64{1, 2, 3}; !reflect.DeepEqual(told, want) {
-		t.Errorf("told %v, want %v", told, want)
+	if want := []uint64{1, 2, 3}; !reflect.DeepEqual(calls, want) {
+		t.Errorf("calls of the subscriber: got %v, want %v", calls, want)
 	}
 }
 
--- a/internal/gossip/simulation_test.go
+++ b/internal/gossip/simulation_test.go
@@ -45,13 +45,13 @@
 }
 
 type simulatedNode struct {
-	self    member.Member
-	core    *core
-	down    bool
-	frozen  bool
-	backlog []func()
-	timer   time.Duration
-	values  [topics]Version // the newest that subscribers were told
+	self         member.Member
+	disseminator *disseminator
+	down         bool
+	frozen       bool
+	backlog      []func()
+	timer        time.Duration
+	values       [topics]Version // the newest that subscribers were called with
 }
 
 type event struct {
@@ -100,12 +100,12 @@
 	for i := range members {
 		random := rand.New(rand.NewPCG(seed, uint64(i)))
 		n := &simulatedNode{self: members[i]}
-		n.core = newCore(n.self, func() *member.Table { return s.table }, testHeartbeat, random, 0)
+		n.disseminator = newDisseminator(n.self, func() *member.Table { return s.table }, testHeartbeat, random, 0)
 		s.nodes = append(s.nodes, n)
 		s.byAddr[n.self.Address] = n
 	}
 	for _, n := range s.nodes {
-		s.deliver(n, func() { n.core.advance(s.now) })
+		s.deliver(n, func() { n.disseminator.Advance(s.now) })
 	}
 	return s
 }
@@ -132,7 +132,7 @@
 	return time.Millisecond + time.Duration(s.random.Int64N(int64(s.maxLatency)))
 }
 
-// deliver hands an event to a node and carries out what it returns.
+// deliver hands an event to a node and performs its output.
 func (s *simulation) deliver(n *simulatedNode, e func()) {
 	if n.down {
 		return
@@ -142,14 +142,14 @@
 		return
 	}
 	e()
-	out := n.core.take()
+	out := n.disseminator.Take(true)
 	for _, v := range out.values {
 		if !v.Version.newerThan(n.values[v.Topic]) {
-			s.t.Errorf("%s was told of %v after %v", n.self.Name, v.Version, n.values[v.Topic])
+			s.t.Errorf("%s: subscribers called with %v after %v", n.self.Name, v.Version, n.values[v.Topic])
 		}
 		n.values[v.Topic] = v.Version
 		if data, known := s.published[v.Topic][v.Version]; known && !bytes.Equal(data, v.Data) {
-			s.t.Errorf("%s was told of other data of %v", n.self.Name, v.Version)
+			s.t.Errorf("%s: subscribers called with other data of %v", n.self.Name, v.Version)
 		}
 	}
 	for _, a := range out.announcements {
@@ -168,7 +168,7 @@
 }
 
 func (s *simulation) schedule(n *simulatedNode) {
-	due := max(n.core.next(), s.now)
+	due := max(n.disseminator.Next(), s.now)
 	if due == never || n.timer == due {
 		return
 	}
@@ -179,7 +179,7 @@
 		}
 		s.deliver(n, func() {
 			n.timer = 0
-			n.core.advance(s.now)
+			n.disseminator.Advance(s.now)
 		})
 	})
 }
@@ -192,7 +192,7 @@
 		}
 		to := s.byAddr[address]
 		s.at(s.now+s.latency(), func() {
-			s.deliver(to, func() { to.core.announced(s.now, n.self.Address, a.summaries) })
+			s.deliver(to, func() { to.disseminator.receiveAnnouncement(s.now, n.self.Address, a.summaries) })
 		})
 	}
 }
@@ -223,30 +223,30 @@
 	s.digests++
 	asked := s.now
 	serve := func(to *simulatedNode) func() {
-		answer := to.core.answerDigest(s.now, n.self.Address, d.summaries)
+		answer := to.disseminator.answerDigest(s.now, n.self.Address, d.summaries)
 		for i := range answer.updates {
 			s.sent += answer.updates[i].bytes()
 		}
-		return func() { n.core.digestAnswered(s.now, asked, d.to, &answer) }
+		return func() { n.disseminator.digestAnswered(s.now, asked, d.to, &answer) }
 	}
-	s.call(n, d.to, digestTimeout, serve, func() { n.core.digestFailed(s.now) })
+	s.call(n, d.to, digestTimeout, serve, func() { n.disseminator.digestFailed(s.now) })
 }
 
 func (s *simulation) fetch(n *simulatedNode, f fetchCall) {
 	s.fetches++
 	asked := s.now
 	serve := func(to *simulatedNode) func() {
-		answer, held := to.core.fetchValue(s.now, f.request)
+		answer, present := to.disseminator.answerFetch(s.now, f.request)
 		s.sent += answer.update.bytes()
 		return func() {
-			if !held {
-				n.core.fetchFailed(s.now, f.request.topic)
+			if !present {
+				n.disseminator.fetchFailed(s.now, f.request.topic)
 				return
 			}
-			n.core.fetched(s.now, asked, &answer)
+			n.disseminator.fetched(s.now, asked, &answer)
 		}
 	}
-	s.call(n, f.to, fetchTimeout, serve, func() { n.core.fetchFailed(s.now, f.request.topic) })
+	s.call(n, f.to, fetchTimeout, serve, func() { n.disseminator.fetchFailed(s.now, f.request.topic) })
 }
 
 func (s *simulation) freeze(n *simulatedNode) { n.frozen = true }
@@ -258,7 +258,7 @@
 	for _, e := range backlog {
 		s.deliver(n, e)
 	}
-	s.deliver(n, func() { n.core.advance(s.now) })
+	s.deliver(n, func() { n.disseminator.Advance(s.now) })
 }
 
 func (s *simulation) run(until time.Duration, done func() bool) {
@@ -282,10 +282,10 @@
 	s.published[topic][v.Version] = v.Data
 	s.deliver(n, func() {
 		var steps []step
-		if h := &n.core.holdings[topic]; h.held {
-			steps = differences(h.value, v)
+		if e := &n.disseminator.entries[topic]; e.present {
+			steps = differences(e.value, v)
 		}
-		n.core.publish(s.now, v, steps)
+		n.disseminator.publish(s.now, v, steps)
 	})
 }
 
@@ -303,12 +303,12 @@
 	return data[:size]
 }
 
-// holders counts the nodes that are up and hold the version.
-func (s *simulation) holders(topic Topic, sequence uint64) int {
+// replicas counts the nodes that are up and have the version.
+func (s *simulation) replicas(topic Topic, sequence uint64) int {
 	count := 0
 	for _, n := range s.nodes {
-		h := &n.core.holdings[topic]
-		if !n.down && !n.frozen && h.held && h.value.Version.Sequence == sequence {
+		e := &n.disseminator.entries[topic]
+		if !n.down && !n.frozen && e.present && e.value.Version.Sequence == sequence {
 			count++
 		}
 	}
