--- a/internal/gossip/service_test.go
+++ b/internal/gossip/service_test.go
@@ -17,6 +17,34 @@
 	"nickelline/internal/peer"
 )
 
+// listen returns a transport that is not started yet, and closes it after the test.
+func listen(t *testing.T) *peer.Transport {
+	t.Helper()
+	transport, err := peer.Listen(netip.MustParseAddrPort("127.0.0.1:0"), zap.NewNop())
+	if err != nil {
+		t.Fatalf("listen: %v", err)
+	}
+	t.Cleanup(transport.Close)
+	return transport
+}
+
+// expectProofOnlyOfConfiguration fails the test if a service has a proof of the configuration that counts as younger than
+// began, or a list of backends.
+func expectProofOnlyOfConfiguration(t *testing.T, s *Service, began time.Time) {
+	t.Helper()
+	// The clock is read before: the proof cannot be younger than the time since it was made.
+	since := time.Since(began)
+	if age := s.ProofAge(Configuration); age < since {
+		t.Errorf("age of the proof: got %v, want at least %v", age, since)
+	}
+	if _, present := s.Current(Backends); present {
+		t.Error("value that was never published: got one, want none")
+	}
+	if age := s.ProofAge(Backends); age != UnknownAge {
+		t.Errorf("age of the proof of nothing: got %v, want none", age)
+	}
+}
+
 // TestExchangeBringsAProof: a proof made after the exchange of a heartbeat is had by asking for it.
 func TestExchangeBringsAProof(t *testing.T) {
 	const longHeartbeat = time.Hour // no exchange of its own but those at the start
@@ -27,11 +55,7 @@
 	var services []*Service
 	var members []member.Member
 	for range 2 {
-		transport, err := peer.Listen(netip.MustParseAddrPort("127.0.0.1:0"), zap.NewNop())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(transport.Close)
+		transport := listen(t)
 		self := member.Member{Role: ControlRole, Address: transport.Address()}
 		s := New(self, table.Load, transport, longHeartbeat, zap.NewNop())
 		transport.Start()
@@ -64,11 +88,7 @@
 	var members []member.Member
 	var transports []*peer.Transport
 	for i := range count {
-		transport, err := peer.Listen(netip.MustParseAddrPort("127.0.0.1:0"), zap.NewNop())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(transport.Close)
+		transport := listen(t)
 		role := "proxy"
 		if i == 0 {
 			role = ControlRole
@@ -105,17 +125,7 @@
 		}
 	}
 	for _, s := range services {
-		// The clock is read before: the proof cannot be younger than the time since it was made.
-		since := time.Since(began)
-		if age := s.ProofAge(Configuration); age < since {
-			t.Errorf("proof of age %v, made %v ago", age, since)
-		}
-		if _, present := s.Current(Backends); present {
-			t.Error("a value that was never published")
-		}
-		if age := s.ProofAge(Backends); age != UnknownAge {
-			t.Errorf("proof of age %v for nothing", age)
-		}
+		expectProofOnlyOfConfiguration(t, s, began)
 	}
 	late := 0
 	services[0].Subscribe(Configuration, func(Value) { late++ })
@@ -129,11 +139,7 @@
 }
 
 func TestSubscriberMayUseTheService(t *testing.T) {
-	transport, err := peer.Listen(netip.MustParseAddrPort("127.0.0.1:0"), zap.NewNop())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(transport.Close)
+	transport := listen(t)
 	self := member.Member{Address: transport.Address()}
 	s := New(self, func() *member.Table { return member.NewTable(self) }, transport, time.Second, zap.NewNop())
 	var calls []uint64
