--- a/internal/member/doc.go
+++ b/internal/member/doc.go
@@ -27,7 +27,7 @@
 //
 //	member.go       a member: identity, state, order of assertions
 //	table.go        the published list
-//	message.go      the messages; codec.go encodes them
+//	message.go      the messages; codec.go and record_codec.go encode them
 //	membership.go   the state machine: its events and what falls due
 //	update.go       how records and assertions change the list
 //	probe.go        failure detector: direct and indirect probes
