--- a/internal/member/membership_test.go
+++ b/internal/member/membership_test.go
@@ -41,7 +41,7 @@
 		if s.falseDeaths > 0 || !s.complete() {
 			t.Errorf("got %d false deaths and complete %t, want 0 and true", s.falseDeaths, s.complete())
 		}
-		perSecond := float64(s.datagrams) / s.now.Seconds() / float64(size)
+		perSecond := float64(s.datagrams) / s.clock.Now().Seconds() / float64(size)
 		if perSecond > 20 {
 			t.Errorf("datagrams a second from each member: got %.1f, want at most 20", perSecond)
 		}
@@ -66,7 +66,7 @@
 				address := s.order[s.random.IntN(len(s.order))]
 				s.crash(address)
 				sum += s.runUntil("detection", 5*time.Second, func() bool { return s.known(address, Dead) })
-				s.start(address, uint64(s.now))
+				s.start(address, uint64(s.clock.Now()))
 				s.runUntil("return", 5*time.Second, s.complete)
 			}
 			mean := sum / time.Duration(c.crashes)
@@ -84,11 +84,11 @@
 		address := s.order[s.random.IntN(size)]
 		s.freeze(address)
 		s.runUntil("detection", 6*time.Second, func() bool { return s.known(address, Dead) })
-		s.run(s.now+10*time.Second, nil)
+		s.run(s.clock.Now()+10*time.Second, nil)
 		s.falseDeaths = 0
-		s.wake(address)
+		s.thaw(address)
 		t.Log(s.runUntil("return", 2*time.Second, s.complete))
-		s.run(s.now+5*time.Second, nil)
+		s.run(s.clock.Now()+5*time.Second, nil)
 		if !s.complete() {
 			t.Error("complete after the return: got false, want true")
 		}
@@ -101,9 +101,9 @@
 		for range 10 {
 			address := s.order[s.random.IntN(size)]
 			s.freeze(address)
-			s.run(s.now+450*time.Millisecond, nil)
-			s.wake(address)
-			s.run(s.now+3*time.Second, nil)
+			s.run(s.clock.Now()+450*time.Millisecond, nil)
+			s.thaw(address)
+			s.run(s.clock.Now()+3*time.Second, nil)
 		}
 		if s.falseDeaths > 0 || !s.complete() {
 			t.Errorf("got %d false deaths and complete %t, want 0 and true", s.falseDeaths, s.complete())
@@ -119,7 +119,7 @@
 		for _, i := range s.random.Perm(size)[:size/4] {
 			s.slow[s.order[i]] = 300 * time.Millisecond
 		}
-		s.run(s.now+time.Minute, nil)
+		s.run(s.clock.Now()+time.Minute, nil)
 		if s.falseDeaths > 0 {
 			t.Errorf("false deaths: got %d, want 0", s.falseDeaths)
 		}
@@ -137,13 +137,13 @@
 					small[s.order[i]] = true
 				}
 				s.connected = func(a, b netip.AddrPort) bool { return small[a] == small[b] }
-				s.run(s.now+duration, nil)
+				s.run(s.clock.Now()+duration, nil)
 				s.connected = nil
 				took := s.runUntil("all know all", 8*time.Second, s.complete)
 				t.Logf("%d of %d members partitioned, rejoined after %v", len(small), size, took)
-				s.run(s.now+5*time.Second, nil)
+				s.run(s.clock.Now()+5*time.Second, nil)
 				s.falseDeaths = 0
-				s.run(s.now+20*time.Second, nil)
+				s.run(s.clock.Now()+20*time.Second, nil)
 				if s.falseDeaths > 0 || !s.complete() {
 					t.Errorf("after the partition: got %d false deaths and complete %t, want 0 and true", s.falseDeaths, s.complete())
 				}
@@ -159,7 +159,7 @@
 				s := started(t, seed, size)
 				address := s.order[s.random.IntN(size)]
 				s.crash(address)
-				s.run(s.now+time.Duration(s.random.Int64N(int64(4*time.Second))), nil)
+				s.run(s.clock.Now()+time.Duration(s.random.Int64N(int64(4*time.Second))), nil)
 				s.start(address, incarnation)
 				generation := s.nodes[address].membership.self.member.Generation
 				superseded := func() bool {
@@ -172,7 +172,7 @@
 					return s.complete()
 				}
 				s.runUntil("new process known", 3*time.Second, superseded)
-				s.run(s.now+5*time.Second, nil)
+				s.run(s.clock.Now()+5*time.Second, nil)
 				if !superseded() {
 					t.Error("earlier process: got it in a list again, want it superseded")
 				}
@@ -188,14 +188,14 @@
 		address := s.order[s.random.IntN(size)]
 		node := s.nodes[address]
 		confirmed := false
-		s.deliver(node, func(n *simulatedNode) { n.membership.leave(s.now) })
+		s.deliver(node, func(n *simulatedNode) { n.membership.leave(s.clock.Now()) })
 		s.runUntil("confirmed", time.Second, func() bool {
 			confirmed = confirmed || node.membership.leaver.remainingAcks == 0
 			return confirmed
 		})
 		s.crash(address)
 		s.runUntil("left", time.Second, func() bool { return s.known(address, Left) })
-		s.run(s.now+10*time.Second, nil)
+		s.run(s.clock.Now()+10*time.Second, nil)
 		if !s.known(address, Left) {
 			t.Errorf("state after the leave: got another one at some member, want %v at all", Left)
 		}
@@ -208,11 +208,11 @@
 		for _, address := range s.order {
 			s.crash(address)
 		}
-		s.run(s.now+time.Second, nil)
+		s.run(s.clock.Now()+time.Second, nil)
 		for _, address := range s.order {
-			s.at(s.now+time.Duration(s.random.Int64N(int64(time.Second))), func() { s.start(address, 1) })
+			s.clock.At(s.clock.Now()+time.Duration(s.random.Int64N(int64(time.Second))), func() { s.start(address, 1) })
 		}
-		s.run(s.now+time.Second, nil)
+		s.run(s.clock.Now()+time.Second, nil)
 		s.runUntil("all know all", 3*time.Second, s.complete)
 	})
 }
@@ -222,10 +222,10 @@
 		s := started(t, seed, size)
 		s.crash(s.seeds[0])
 		s.crash(s.seeds[1])
-		s.run(s.now+20*time.Second, nil)
+		s.run(s.clock.Now()+20*time.Second, nil)
 		joiner := s.order[size-1]
 		s.crash(joiner)
-		s.run(s.now+20*time.Second, nil)
+		s.run(s.clock.Now()+20*time.Second, nil)
 		s.start(joiner, 1)
 		t.Log(s.runUntil("joined", 2*time.Second, s.complete))
 	})
@@ -236,7 +236,7 @@
 	first, second := s.order[4], s.order[5]
 	s.falseDeaths = 0
 	s.connected = func(a, b netip.AddrPort) bool { return !(a == first && b == second) && !(a == second && b == first) }
-	s.run(s.now+time.Minute, nil)
+	s.run(s.clock.Now()+time.Minute, nil)
 	if s.falseDeaths > 0 {
 		t.Errorf("false deaths though others reach both: got %d, want 0", s.falseDeaths)
 	}
@@ -246,7 +246,7 @@
 	s := started(t, 1, 16)
 	address := s.order[7]
 	s.deliver(s.nodes[address], func(n *simulatedNode) {
-		n.membership.updateSelf(s.now, func(m *Member) { m.Leaving = true })
+		n.membership.updateSelf(s.clock.Now(), func(m *Member) { m.Leaving = true })
 	})
 	s.runUntil("update known", time.Second, func() bool {
 		return !slices.ContainsFunc(s.order, func(other netip.AddrPort) bool {
@@ -259,7 +259,7 @@
 	s := started(t, 1, 16)
 	address := s.order[9]
 	s.crash(address)
-	s.run(s.now+forgetAfter+time.Minute, nil)
+	s.run(s.clock.Now()+forgetAfter+time.Minute, nil)
 	for _, other := range s.order {
 		if other != address && s.nodes[other].membership.members[address] != nil {
 			t.Errorf("member %v: got an entry of %v, want none", other, address)
--- a/internal/member/simulation_test.go
+++ b/internal/member/simulation_test.go
@@ -1,21 +1,20 @@
 package member
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
 	"testing"
 	"time"
+
+	"nickelline/internal/simnet"
 )
 
 // simulation runs state machines over a simulated network in simulated time.
 type simulation struct {
 	t      testing.TB
 	random *rand.Rand
-	now    time.Duration
-	events eventHeap
-	serial int
+	clock  simnet.Clock
 	nodes  map[netip.AddrPort]*simulatedNode
 	order  []netip.AddrPort
 	seeds  []netip.AddrPort
@@ -34,33 +33,11 @@
 
 type simulatedNode struct {
 	membership *membership
-	down       bool
-	frozen     bool
-	backlog    []func(*simulatedNode)
+	process    simnet.Process
 	timer      time.Duration
 	table      *Table
 }
 
-type event struct {
-	at     time.Duration
-	serial int
-	run    func()
-}
-
-type eventHeap []event
-
-func (h eventHeap) Len() int { return len(h) }
-func (h eventHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].serial < h[j].serial
-}
-func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
-func (h *eventHeap) Pop() any {
-	last := (*h)[len(*h)-1]
-	*h = (*h)[:len(*h)-1]
-	return last
-}
-
 const (
 	simulatedSeeds = 3
 	startSpread    = 300 * time.Millisecond
@@ -80,7 +57,7 @@
 	}
 	s.seeds = s.order[:min(simulatedSeeds, size)]
 	for _, address := range s.order {
-		s.at(time.Duration(s.random.Int64N(int64(startSpread))), func() { s.start(address, 1) })
+		s.clock.At(time.Duration(s.random.Int64N(int64(startSpread))), func() { s.start(address, 1) })
 	}
 	return s
 }
@@ -100,29 +77,19 @@
 		Generation:  s.random.Uint64(),
 		Incarnation: incarnation,
 	}
-	n := &simulatedNode{membership: newMembership(self, s.seeds, rand.New(rand.NewPCG(s.random.Uint64(), 1)), s.now)}
+	n := &simulatedNode{membership: newMembership(self, s.seeds, rand.New(rand.NewPCG(s.random.Uint64(), 1)), s.clock.Now())}
 	s.nodes[address] = n
-	s.deliver(n, func(n *simulatedNode) { n.membership.Advance(s.now) })
+	s.deliver(n, func(n *simulatedNode) { n.membership.Advance(s.clock.Now()) })
 }
 
-func (s *simulation) crash(address netip.AddrPort) { s.nodes[address].down = true }
+func (s *simulation) crash(address netip.AddrPort) { s.nodes[address].process.Stop() }
 
-func (s *simulation) freeze(address netip.AddrPort) { s.nodes[address].frozen = true }
+func (s *simulation) freeze(address netip.AddrPort) { s.nodes[address].process.Freeze() }
 
-func (s *simulation) wake(address netip.AddrPort) {
+func (s *simulation) thaw(address netip.AddrPort) {
 	n := s.nodes[address]
-	n.frozen = false
-	backlog := n.backlog
-	n.backlog = nil
-	for _, e := range backlog {
-		s.deliver(n, e)
-	}
-	s.deliver(n, func(n *simulatedNode) { n.membership.Advance(s.now) })
-}
-
-func (s *simulation) at(at time.Duration, run func()) {
-	s.serial++
-	heap.Push(&s.events, event{at: at, serial: s.serial, run: run})
+	n.process.Thaw()
+	s.deliver(n, func(n *simulatedNode) { n.membership.Advance(s.clock.Now()) })
 }
 
 func (s *simulation) latency() time.Duration {
@@ -141,16 +108,15 @@
 	return s.connected == nil || s.connected(a, b)
 }
 
-// deliver hands an event to a node and performs its output.
-func (s *simulation) deliver(n *simulatedNode, e func(*simulatedNode)) {
-	if n.down {
-		return
-	}
-	if n.frozen {
-		n.backlog = append(n.backlog, e)
-		return
-	}
-	e(n)
+// deliver hands an event to a node and performs its output, or does so after a freeze.
+func (s *simulation) deliver(n *simulatedNode, event func(*simulatedNode)) {
+	n.process.Do(func() {
+		event(n)
+		s.perform(n)
+	})
+}
+
+func (s *simulation) perform(n *simulatedNode) {
 	out := n.membership.Take(true)
 	for _, d := range out.datagrams {
 		s.send(n, d)
@@ -166,16 +132,16 @@
 }
 
 func (s *simulation) schedule(n *simulatedNode) {
-	due := max(n.membership.Next(), s.now)
+	due := max(n.membership.Next(), s.clock.Now())
 	if due == never || n.timer == due {
 		return
 	}
 	n.timer = due
-	s.at(due+s.slowness(n.membership.self.member.Address), func() {
+	s.clock.At(due+s.slowness(n.membership.self.member.Address), func() {
 		if n.timer == due {
 			s.deliver(n, func(n *simulatedNode) {
 				n.timer = 0
-				n.membership.Advance(s.now)
+				n.membership.Advance(s.clock.Now())
 			})
 		}
 	})
@@ -191,7 +157,7 @@
 
 func (s *simulation) isUp(address netip.AddrPort) bool {
 	n := s.nodes[address]
-	return n != nil && !n.down && !n.frozen
+	return n != nil && n.process.Running()
 }
 
 func (s *simulation) send(from *simulatedNode, d datagram) {
@@ -204,9 +170,9 @@
 	if s.random.Float64() < s.loss || !s.path(origin, d.to) {
 		return
 	}
-	s.at(s.now+s.latency()+s.slowness(d.to), func() {
+	s.clock.At(s.clock.Now()+s.latency()+s.slowness(d.to), func() {
 		if to := s.nodes[d.to]; to != nil {
-			s.deliver(to, func(to *simulatedNode) { to.membership.receive(s.now, origin, &d.message) })
+			s.deliver(to, func(to *simulatedNode) { to.membership.receive(s.clock.Now(), origin, &d.message) })
 		}
 	})
 }
@@ -225,24 +191,24 @@
 func (s *simulation) exchange(n *simulatedNode, call exchangeCall) {
 	own := n.membership.self.member.Address
 	fail := func() {
-		s.at(s.now+callTimeout, func() {
-			s.deliver(n, func(n *simulatedNode) { n.membership.exchangeFailed(s.now) })
+		s.clock.At(s.clock.Now()+callTimeout, func() {
+			s.deliver(n, func(n *simulatedNode) { n.membership.exchangeFailed(s.clock.Now()) })
 		})
 	}
-	s.at(s.now+s.latency(), func() {
+	s.clock.At(s.clock.Now()+s.latency(), func() {
 		to := s.nodes[call.to]
-		if to == nil || to.down || to.frozen || !s.path(own, call.to) {
+		if !s.isUp(call.to) || !s.path(own, call.to) {
 			fail()
 			return
 		}
 		s.deliver(to, func(to *simulatedNode) {
-			answer := to.membership.answerExchange(s.now, &call.request)
-			s.at(s.now+s.latency(), func() {
+			answer := to.membership.answerExchange(s.clock.Now(), &call.request)
+			s.clock.At(s.clock.Now()+s.latency(), func() {
 				if !s.path(own, call.to) {
 					fail()
 					return
 				}
-				s.deliver(n, func(n *simulatedNode) { n.membership.exchanged(s.now, &answer) })
+				s.deliver(n, func(n *simulatedNode) { n.membership.exchanged(s.clock.Now(), &answer) })
 			})
 		})
 	})
@@ -251,30 +217,25 @@
 // run handles events until the time is reached or done, which is called in steps, reports true.
 func (s *simulation) run(until time.Duration, done func() bool) {
 	const step = 10 * time.Millisecond
-	asked := s.now
-	for len(s.events) > 0 && s.events[0].at <= until {
-		next := heap.Pop(&s.events).(event)
-		s.now = max(s.now, next.at)
-		next.run()
-		if done != nil && s.now >= asked+step {
-			asked = s.now
-			if done() {
-				return
-			}
+	called := s.clock.Now()
+	s.clock.RunUntilDone(until, func() bool {
+		if done == nil || s.clock.Now() < called+step {
+			return false
 		}
-	}
-	s.now = until
+		called = s.clock.Now()
+		return done()
+	})
 }
 
 // runUntil fails the test if done does not report true within the time. It returns how long it took.
 func (s *simulation) runUntil(what string, within time.Duration, done func() bool) time.Duration {
 	s.t.Helper()
-	start := s.now
+	start := s.clock.Now()
 	s.run(start+within, done)
 	if !done() {
 		s.t.Fatalf("%s: not within %v: %s", what, within, s.differences())
 	}
-	return s.now - start
+	return s.clock.Now() - start
 }
 
 // complete reports whether all that are up hold just those to be alive.
