--- a/internal/gossip/bench_test.go
+++ b/internal/gossip/bench_test.go
@@ -15,7 +15,7 @@
 	s.run(10*time.Second, nil)
 	requester, partner := s.nodes[50].disseminator, s.nodes[0].disseminator
 	p := &packer{}
-	now := s.now
+	now := s.clock.Now()
 	b.ReportAllocs()
 	for b.Loop() {
 		now += testHeartbeat
--- a/internal/gossip/disseminator_test.go
+++ b/internal/gossip/disseminator_test.go
@@ -28,7 +28,7 @@
 				s := newSimulation(t, seed, size)
 				s.loss = 0.01
 				s.run(5*time.Second, nil)
-				start := s.now
+				start := s.clock.Now()
 				s.publish(s.nodes[int(seed)%size], Backends, 1, bytes)
 				s.run(start+300*time.Millisecond, nil)
 				if reached := s.replicas(Backends, 1); reached < size*3/4 {
@@ -38,7 +38,7 @@
 				if reached := s.replicas(Backends, 1); reached < size {
 					t.Errorf("nodes with the version after two heartbeats: got %d, want %d", reached, size)
 				}
-				t.Logf("all after %v, %d datagrams, %d fetches", s.now-start, s.datagrams, s.fetches)
+				t.Logf("all after %v, %d datagrams, %d fetches", s.clock.Now()-start, s.datagrams, s.fetches)
 			})
 		})
 	}
@@ -54,7 +54,7 @@
 		for sequence := uint64(1); sequence <= versions; sequence++ {
 			publisher := s.nodes[s.random.IntN(len(s.nodes))]
 			delay := time.Duration(s.random.Int64N(int64(10 * time.Second)))
-			s.at(delay, func() { s.publish(publisher, Placement, sequence, s.random.IntN(2*maxDigestBytes)) })
+			s.clock.At(delay, func() { s.publish(publisher, Placement, sequence, s.random.IntN(2*maxDigestBytes)) })
 		}
 		s.run(30*time.Second, nil)
 		if reached := s.replicas(Placement, versions); reached != len(s.nodes) {
@@ -87,15 +87,15 @@
 		return period/2 + time.Duration(s.random.Int64N(int64(period)))
 	}
 	for at := vary(commitPeriod); at < until; at += vary(commitPeriod) {
-		s.at(at, func() {
-			r.commits = append(r.commits, s.now)
+		s.clock.At(at, func() {
+			r.commits = append(r.commits, s.clock.Now())
 			sequence := uint64(len(r.commits))
 			for _, n := range s.controls() {
-				s.at(s.now+s.latency(), func() {
+				s.clock.At(s.clock.Now()+s.latency(), func() {
 					version := Version{Sequence: sequence}
 					last, proven := barriers[n]
 					s.deliver(n, func() {
-						n.disseminator.publish(s.now, Value{Topic: Configuration, Version: version}, nil)
+						n.disseminator.publish(s.clock.Now(), Value{Topic: Configuration, Version: version}, nil)
 						if proven && last.sequence <= sequence {
 							n.disseminator.certify(Configuration, version, last.asOf)
 						}
@@ -106,10 +106,10 @@
 	}
 	for _, n := range s.controls() {
 		for at := vary(barrierPeriod); at < until; at += vary(barrierPeriod) {
-			s.at(at, func() {
-				asOf := s.now
+			s.clock.At(at, func() {
+				asOf := s.clock.Now()
 				sequence := r.newestAt(asOf)
-				s.at(s.now+time.Duration(s.random.Int64N(int64(barrierDelay))), func() {
+				s.clock.At(s.clock.Now()+time.Duration(s.random.Int64N(int64(barrierDelay))), func() {
 					s.deliver(n, func() {
 						if asOf > barriers[n].asOf {
 							barriers[n] = barrier{asOf: asOf, sequence: sequence}
@@ -134,20 +134,20 @@
 		checks := 0
 		s.check = func(n *simulatedNode) {
 			e := &n.disseminator.entries[Configuration]
-			age := e.age(s.now)
+			age := e.age(s.clock.Now())
 			if age == UnknownAge {
 				return
 			}
 			checks++
-			if newest := r.newestAt(s.now - age); e.value.Version.Sequence < newest {
+			if newest := r.newestAt(s.clock.Now() - age); e.value.Version.Sequence < newest {
 				t.Errorf("%s has version %d with a proof of age %v, when %d was the newest", n.self.Name, e.value.Version.Sequence, age, newest)
 			}
 		}
 		for range 20 {
 			n := s.nodes[s.random.IntN(len(s.nodes))]
 			from := time.Duration(s.random.Int64N(int64(end)))
-			s.at(from, func() { s.freeze(n) })
-			s.at(from+time.Duration(s.random.Int64N(int64(10*time.Second))), func() { s.wake(n) })
+			s.clock.At(from, func() { n.process.Freeze() })
+			s.clock.At(from+time.Duration(s.random.Int64N(int64(10*time.Second))), func() { s.thaw(n) })
 		}
 		s.run(end, nil)
 		if checks < 1000 {
@@ -164,15 +164,15 @@
 		s.chain(end, 5*time.Second, testHeartbeat/2, 20*time.Millisecond)
 		oldest := time.Duration(0)
 		s.check = func(n *simulatedNode) {
-			if s.now > 12*time.Second {
-				oldest = max(oldest, n.disseminator.entries[Configuration].age(s.now))
+			if s.clock.Now() > 12*time.Second {
+				oldest = max(oldest, n.disseminator.entries[Configuration].age(s.clock.Now()))
 			}
 		}
 		s.run(end, nil)
 		if limit := 3 * testHeartbeat; oldest > limit {
 			t.Errorf("age of the oldest proof: got %v, want at most %v", oldest, limit)
 		}
-		perHeartbeat := float64(s.digests) / float64(len(s.nodes)) / (s.now.Seconds() / testHeartbeat.Seconds())
+		perHeartbeat := float64(s.digests) / float64(len(s.nodes)) / (s.clock.Now().Seconds() / testHeartbeat.Seconds())
 		t.Logf("oldest proof %v, %.2f digests a heartbeat", oldest, perHeartbeat)
 		if perHeartbeat > 1.5 {
 			t.Errorf("digests a heartbeat: got %.2f, want at most 1.5", perHeartbeat)
@@ -187,19 +187,19 @@
 		s.chain(time.Minute, 3*time.Second, testHeartbeat/2, 20*time.Millisecond)
 		n := s.nodes[len(s.nodes)-1]
 		s.run(15*time.Second+time.Duration(s.random.Int64N(int64(testHeartbeat))), nil)
-		s.freeze(n)
-		frozen := s.now
-		s.run(s.now+pause, nil)
+		n.process.Freeze()
+		frozen := s.clock.Now()
+		s.run(s.clock.Now()+pause, nil)
 		s.check = func(checked *simulatedNode) {
-			if age := n.disseminator.entries[Configuration].age(s.now); checked == n && age < pause {
-				t.Errorf("the proof is %v old after a pause of %v", age, s.now-frozen)
+			if age := n.disseminator.entries[Configuration].age(s.clock.Now()); checked == n && age < pause {
+				t.Errorf("the proof is %v old after a pause of %v", age, s.clock.Now()-frozen)
 			}
 		}
-		s.wake(n)
+		s.thaw(n)
 		s.check = nil
-		s.run(s.now+testHeartbeat, nil)
-		if age := n.disseminator.entries[Configuration].age(s.now); age > 2*testHeartbeat {
-			t.Errorf("the proof is %v old after the wake", age)
+		s.run(s.clock.Now()+testHeartbeat, nil)
+		if age := n.disseminator.entries[Configuration].age(s.clock.Now()); age > 2*testHeartbeat {
+			t.Errorf("the proof is %v old after the thaw", age)
 		}
 	})
 }
@@ -211,12 +211,14 @@
 		s.chain(end, 5*time.Second, testHeartbeat/2, 20*time.Millisecond)
 		s.run(15*time.Second, nil)
 		for _, n := range s.controls() {
-			n.down = n.self.Zone == "zone 1"
+			if n.self.Zone == "zone 1" {
+				n.process.Stop()
+			}
 		}
 		const detection = 2 * time.Second
-		s.at(s.now+detection, s.updateTable)
+		s.clock.At(s.clock.Now()+detection, s.updateTable)
 		oldest := time.Duration(0)
-		s.check = func(n *simulatedNode) { oldest = max(oldest, n.disseminator.entries[Configuration].age(s.now)) }
+		s.check = func(n *simulatedNode) { oldest = max(oldest, n.disseminator.entries[Configuration].age(s.clock.Now())) }
 		s.run(end, nil)
 		if limit := 4 * testHeartbeat; oldest > limit {
 			t.Errorf("age of the oldest proof: got %v, want at most %v", oldest, limit)
--- a/internal/gossip/history_test.go
+++ b/internal/gossip/history_test.go
@@ -160,7 +160,7 @@
 				s.sent = 0 // the first version goes whole
 			}
 			s.publish(s.nodes[int(seed)%size], Configuration, number+1, bytes)
-			s.run(s.now+3*testHeartbeat, nil)
+			s.run(s.clock.Now()+3*testHeartbeat, nil)
 			if reached := s.replicas(Configuration, number+1); reached != size {
 				t.Fatalf("version %d at %d of %d", number+1, reached, size)
 			}
--- a/internal/gossip/simulation_test.go
+++ b/internal/gossip/simulation_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
@@ -10,6 +9,7 @@
 	"time"
 
 	"nickelline/internal/member"
+	"nickelline/internal/simnet"
 )
 
 const (
@@ -23,9 +23,7 @@
 type simulation struct {
 	t      testing.TB
 	random *rand.Rand
-	now    time.Duration
-	events eventHeap
-	serial int
+	clock  simnet.Clock
 	nodes  []*simulatedNode
 	byAddr map[netip.AddrPort]*simulatedNode
 	table  *member.Table
@@ -47,33 +45,11 @@
 type simulatedNode struct {
 	self         member.Member
 	disseminator *disseminator
-	down         bool
-	frozen       bool
-	backlog      []func()
+	process      simnet.Process
 	timer        time.Duration
 	values       [topics]Version // the newest that subscribers were called with
 }
 
-type event struct {
-	at     time.Duration
-	serial int
-	run    func()
-}
-
-type eventHeap []event
-
-func (h eventHeap) Len() int { return len(h) }
-func (h eventHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].serial < h[j].serial
-}
-func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
-func (h *eventHeap) Pop() any {
-	last := (*h)[len(*h)-1]
-	*h = (*h)[:len(*h)-1]
-	return last
-}
-
 // newSimulation makes nodes in several zones, of which the first of each zone are control processes.
 func newSimulation(t testing.TB, seed uint64, size int) *simulation {
 	s := &simulation{
@@ -105,7 +81,7 @@
 		s.byAddr[n.self.Address] = n
 	}
 	for _, n := range s.nodes {
-		s.deliver(n, func() { n.disseminator.Advance(s.now) })
+		s.deliver(n, func() { n.disseminator.Advance(s.clock.Now()) })
 	}
 	return s
 }
@@ -114,7 +90,7 @@
 func (s *simulation) updateTable() {
 	var members []member.Member
 	for _, n := range s.nodes {
-		if !n.down {
+		if !n.process.Stopped() {
 			members = append(members, n.self)
 		}
 	}
@@ -123,25 +99,19 @@
 
 func (s *simulation) controls() []*simulatedNode { return s.nodes[:simulatedZones*controlsPerZone] }
 
-func (s *simulation) at(at time.Duration, run func()) {
-	s.serial++
-	heap.Push(&s.events, event{at: at, serial: s.serial, run: run})
-}
-
 func (s *simulation) latency() time.Duration {
 	return time.Millisecond + time.Duration(s.random.Int64N(int64(s.maxLatency)))
 }
 
-// deliver hands an event to a node and performs its output.
-func (s *simulation) deliver(n *simulatedNode, e func()) {
-	if n.down {
-		return
-	}
-	if n.frozen {
-		n.backlog = append(n.backlog, e)
-		return
-	}
-	e()
+// deliver hands an event to a node and performs its output, or does so after a freeze.
+func (s *simulation) deliver(n *simulatedNode, event func()) {
+	n.process.Do(func() {
+		event()
+		s.perform(n)
+	})
+}
+
+func (s *simulation) perform(n *simulatedNode) {
 	out := n.disseminator.Take(true)
 	for _, v := range out.values {
 		if !v.Version.newerThan(n.values[v.Topic]) {
@@ -168,18 +138,18 @@
 }
 
 func (s *simulation) schedule(n *simulatedNode) {
-	due := max(n.disseminator.Next(), s.now)
+	due := max(n.disseminator.Next(), s.clock.Now())
 	if due == never || n.timer == due {
 		return
 	}
 	n.timer = due
-	s.at(due, func() {
+	s.clock.At(due, func() {
 		if n.timer != due {
 			return
 		}
 		s.deliver(n, func() {
 			n.timer = 0
-			n.disseminator.Advance(s.now)
+			n.disseminator.Advance(s.clock.Now())
 		})
 	})
 }
@@ -191,8 +161,8 @@
 			continue
 		}
 		to := s.byAddr[address]
-		s.at(s.now+s.latency(), func() {
-			s.deliver(to, func() { to.disseminator.receiveAnnouncement(s.now, n.self.Address, a.summaries) })
+		s.clock.At(s.clock.Now()+s.latency(), func() {
+			s.deliver(to, func() { to.disseminator.receiveAnnouncement(s.clock.Now(), n.self.Address, a.summaries) })
 		})
 	}
 }
@@ -207,70 +177,56 @@
 			s.deliver(n, then)
 		}
 	}
-	s.at(s.now+timeout, func() { end(failed) })
+	s.clock.At(s.clock.Now()+timeout, func() { end(failed) })
 	if s.random.Float64() < s.failing {
 		return
 	}
-	s.at(s.now+s.latency(), func() {
+	s.clock.At(s.clock.Now()+s.latency(), func() {
 		s.deliver(to, func() {
 			answered := serve(to)
-			s.at(s.now+s.latency(), func() { end(answered) })
+			s.clock.At(s.clock.Now()+s.latency(), func() { end(answered) })
 		})
 	})
 }
 
 func (s *simulation) digest(n *simulatedNode, d digestCall) {
 	s.digests++
-	asked := s.now
+	asked := s.clock.Now()
 	serve := func(to *simulatedNode) func() {
-		answer := to.disseminator.answerDigest(s.now, n.self.Address, d.summaries)
+		answer := to.disseminator.answerDigest(s.clock.Now(), n.self.Address, d.summaries)
 		for i := range answer.updates {
 			s.sent += answer.updates[i].bytes()
 		}
-		return func() { n.disseminator.digestAnswered(s.now, asked, d.to, &answer) }
+		return func() { n.disseminator.digestAnswered(s.clock.Now(), asked, d.to, &answer) }
 	}
-	s.call(n, d.to, digestTimeout, serve, func() { n.disseminator.digestFailed(s.now) })
+	s.call(n, d.to, digestTimeout, serve, func() { n.disseminator.digestFailed(s.clock.Now()) })
 }
 
 func (s *simulation) fetch(n *simulatedNode, f fetchCall) {
 	s.fetches++
-	asked := s.now
+	asked := s.clock.Now()
 	serve := func(to *simulatedNode) func() {
-		answer, present := to.disseminator.answerFetch(s.now, f.request)
+		answer, present := to.disseminator.answerFetch(s.clock.Now(), f.request)
 		s.sent += answer.update.bytes()
 		return func() {
 			if !present {
-				n.disseminator.fetchFailed(s.now, f.request.topic)
+				n.disseminator.fetchFailed(s.clock.Now(), f.request.topic)
 				return
 			}
-			n.disseminator.fetched(s.now, asked, &answer)
+			n.disseminator.fetched(s.clock.Now(), asked, &answer)
 		}
 	}
-	s.call(n, f.to, fetchTimeout, serve, func() { n.disseminator.fetchFailed(s.now, f.request.topic) })
+	s.call(n, f.to, fetchTimeout, serve, func() { n.disseminator.fetchFailed(s.clock.Now(), f.request.topic) })
 }
 
-func (s *simulation) freeze(n *simulatedNode) { n.frozen = true }
-
-func (s *simulation) wake(n *simulatedNode) {
-	n.frozen = false
-	backlog := n.backlog
-	n.backlog = nil
-	for _, e := range backlog {
-		s.deliver(n, e)
-	}
-	s.deliver(n, func() { n.disseminator.Advance(s.now) })
+func (s *simulation) thaw(n *simulatedNode) {
+	n.process.Thaw()
+	s.deliver(n, func() { n.disseminator.Advance(s.clock.Now()) })
 }
 
+// run handles events until the time is reached or done, if there is one, reports true.
 func (s *simulation) run(until time.Duration, done func() bool) {
-	for len(s.events) > 0 && s.events[0].at <= until {
-		next := heap.Pop(&s.events).(event)
-		s.now = next.at
-		next.run()
-		if done != nil && done() {
-			return
-		}
-	}
-	s.now = until
+	s.clock.RunUntilDone(until, func() bool { return done != nil && done() })
 }
 
 // publish publishes a version at a node.
@@ -285,7 +241,7 @@
 		if e := &n.disseminator.entries[topic]; e.present {
 			steps = differences(e.value, v)
 		}
-		n.disseminator.publish(s.now, v, steps)
+		n.disseminator.publish(s.clock.Now(), v, steps)
 	})
 }
 
@@ -308,7 +264,7 @@
 	count := 0
 	for _, n := range s.nodes {
 		e := &n.disseminator.entries[topic]
-		if !n.down && !n.frozen && e.present && e.value.Version.Sequence == sequence {
+		if n.process.Running() && e.present && e.value.Version.Sequence == sequence {
 			count++
 		}
 	}
