--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -15,8 +15,8 @@
 		{Name: "store-2", Replica: 0x2122232425262728},
 		{Name: "store-3", Replica: 0x3132333435363738},
 	}
-	goldenAdded   = Leaseholder{Address: netip.MustParseAddrPort("10.1.2.3:7661"), Life: 0x4142434445464748}
-	goldenRemoved = Leaseholder{Address: netip.MustParseAddrPort("10.4.5.6:7662"), Life: 0x5152535455565758}
+	goldenAdded   = Leaseholder{Address: netip.MustParseAddrPort("10.1.2.3:7661"), Generation: 0x4142434445464748}
+	goldenRemoved = Leaseholder{Address: netip.MustParseAddrPort("10.4.5.6:7662"), Generation: 0x5152535455565758}
 )
 
 func TestGoldenCommands(t *testing.T) {
--- a/internal/control/leaseholders.go
+++ b/internal/control/leaseholders.go
@@ -10,10 +10,10 @@
 	"nickelline/internal/fault"
 )
 
-// Holder is one life of a proxy, which may hold quota leases.
+// Leaseholder is a proxy process, which may hold quota leases. Generation tells it from others at its address.
 type Leaseholder struct {
-	Address netip.AddrPort
-	Life    uint64
+	Address    netip.AddrPort
+	Generation uint64
 }
 
 // Holders changes the set of proxies that may hold quota leases. The allocator of an epoch of the control chain proposes
@@ -22,9 +22,9 @@
 type ChangeLeaseholders struct {
 	Epoch            uint64
 	ExpectedRevision uint64
-	// Add holds lives that may hold leases from now on, each in place of a former life at its address.
+	// Add lists processes that may hold leases from now on, each in place of a former generation at its address.
 	Add []Leaseholder
-	// Remove holds lives that hold none any more.
+	// Remove lists processes that hold none any more.
 	Remove []Leaseholder
 }
 
--- a/internal/control/leaseholders_codec.go
+++ b/internal/control/leaseholders_codec.go
@@ -40,7 +40,7 @@
 		ip := leaseholder.Address.Addr().As4()
 		list.At(i).SetIp(binary.BigEndian.Uint32(ip[:]))
 		list.At(i).SetPort(leaseholder.Address.Port())
-		list.At(i).SetLife(leaseholder.Life)
+		list.At(i).SetLife(leaseholder.Generation)
 	}
 	return nil
 }
@@ -82,7 +82,7 @@
 		ip := [4]byte{}
 		binary.BigEndian.PutUint32(ip[:], element.Ip())
 		address := netip.AddrPortFrom(netip.AddrFrom4(ip), element.Port())
-		leaseholders = append(leaseholders, Leaseholder{Address: address, Life: element.Life()})
+		leaseholders = append(leaseholders, Leaseholder{Address: address, Generation: element.Life()})
 	}
 	return leaseholders, nil
 }
--- a/internal/control/leaseholders_test.go
+++ b/internal/control/leaseholders_test.go
@@ -8,8 +8,8 @@
 	"nickelline/internal/fault"
 )
 
-func holder(address string, life uint64) Leaseholder {
-	return Leaseholder{Address: netip.MustParseAddrPort(address), Life: life}
+func holder(address string, generation uint64) Leaseholder {
+	return Leaseholder{Address: netip.MustParseAddrPort(address), Generation: generation}
 }
 
 var (
@@ -36,12 +36,12 @@
 	wantHolders(t, m, LeaseholderSet{Epoch: 1, Revision: 2, Members: []Leaseholder{holderA, holderC}})
 }
 
-func TestNewLifeTakesThePlaceOfTheFormer(t *testing.T) {
+func TestNewGenerationReplacesTheFormer(t *testing.T) {
 	m := NewMachine()
 	expect(t, m, changeHolders(1, 0, []Leaseholder{holderA, holderB}, nil), Accepted)
-	restarted := Leaseholder{Address: holderA.Address, Life: 9}
+	restarted := Leaseholder{Address: holderA.Address, Generation: 9}
 	expect(t, m, changeHolders(1, 1, []Leaseholder{restarted}, nil), Accepted)
-	expect(t, m, changeHolders(1, 2, nil, []Leaseholder{holderA}), Accepted) // not the life that is there
+	expect(t, m, changeHolders(1, 2, nil, []Leaseholder{holderA}), Accepted) // not the generation that is there
 	wantHolders(t, m, LeaseholderSet{Epoch: 1, Revision: 3, Members: []Leaseholder{restarted, holderB}})
 }
 
--- a/internal/control/linearizability_test.go
+++ b/internal/control/linearizability_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// restart begins a new life of a node from its snapshot; it applies the entries after it again as it comes to them.
+// restart starts a node again from its snapshot; it applies the entries after it again as it comes to them.
 func (n *orderNode) restart(t *testing.T) {
 	t.Helper()
 	machine := NewMachine()
--- a/internal/control/stored_data_test.go
+++ b/internal/control/stored_data_test.go
@@ -193,7 +193,7 @@
 	}
 	fmt.Fprintf(text, "quota leaseholders of epoch %d, revision %d\n", state.Leaseholders.Epoch, state.Leaseholders.Revision)
 	for _, m := range state.Leaseholders.Members {
-		fmt.Fprintf(text, "  %s process %d\n", m.Address, m.Life)
+		fmt.Fprintf(text, "  %s process %d\n", m.Address, m.Generation)
 	}
 	fmt.Fprintf(text, "placement of version %d\n", state.PlacementVersion)
 	table, err := placement.Decode(state.Placement)
@@ -233,7 +233,7 @@
 }
 
 func storedLeaseholder(n byte) Leaseholder {
-	return Leaseholder{Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 0, n}), 7100+uint16(n)), Life: 1000 + uint64(n)}
+	return Leaseholder{Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 0, n}), 7100+uint16(n)), Generation: 1000 + uint64(n)}
 }
 
 // refusedOrder builds on a version that does not exist yet when it is proposed, so that it stays refused.
--- a/internal/peer/accept.go
+++ b/internal/peer/accept.go
@@ -30,7 +30,7 @@
 	}
 	current.mutex.Lock()
 	defer current.mutex.Unlock()
-	sameProcess := current.life == 0 || current.life == c.life
+	sameProcess := current.generation == 0 || current.generation == c.generation
 	if sameProcess && !current.accepted {
 		return nil, true
 	}
@@ -81,7 +81,7 @@
 	}
 	c := newConnection(t, hello.address)
 	c.accepted = true
-	c.life = hello.life
+	c.generation = hello.generation
 	c.socket = socket
 	c.queueReady <- struct{}{}
 	earlier, ok := t.register(c)
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -43,7 +43,7 @@
 	switch f.frameType {
 	case helloFrame:
 		root.SetHello()
-		root.Hello().SetLife(f.life)
+		root.Hello().SetLife(f.generation)
 		if err := root.Hello().SetAddress(encodeAddress(f.address)); err != nil {
 			return err
 		}
@@ -84,7 +84,7 @@
 	switch root.Which() {
 	case peerwire.Frame_Which_hello:
 		f.frameType = helloFrame
-		f.life = root.Hello().Life()
+		f.generation = root.Hello().Life()
 		return f, f.decodeHelloAddress(root)
 	case peerwire.Frame_Which_request:
 		f.frameType = requestFrame
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -35,7 +35,7 @@
 
 	mutex       sync.Mutex
 	socket      net.Conn // nil while being dialled
-	life        uint64   // of the peer, 0 until its hello
+	generation  uint64   // of the peer, 0 until its hello
 	queue       []queuedFrame
 	queuedBytes int
 	pending     map[uint64]*pendingCall // by call number
@@ -53,7 +53,7 @@
 		queueReady: make(chan struct{}, 1),
 		pending:    make(map[uint64]*pendingCall),
 	}
-	hello := &frame{frameType: helloFrame, address: t.address, life: t.life}
+	hello := &frame{frameType: helloFrame, address: t.address, generation: t.generation}
 	if data, err := hello.encode(); err == nil {
 		c.queue = append(c.queue, queuedFrame{data: data})
 	}
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -40,9 +40,9 @@
 	kind      Kind
 	body      []byte
 
-	address   netip.AddrPort // hello
-	life      uint64         // hello
-	call      uint64         // request, answer, failure
-	remaining time.Duration  // request; 0: not limited
-	errorKind fault.Kind     // failure
+	address    netip.AddrPort // hello
+	generation uint64         // hello
+	call       uint64         // request, answer, failure
+	remaining  time.Duration  // request; 0: not limited
+	errorKind  fault.Kind     // failure
 }
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -9,7 +9,7 @@
 // FuzzReadFrame checks that no bytes make the reading of a frame fail otherwise than by an error.
 func FuzzReadFrame(f *testing.F) {
 	for _, sample := range []*frame{
-		{frameType: helloFrame, address: netip.MustParseAddrPort("10.1.2.3:7660"), life: 9},
+		{frameType: helloFrame, address: netip.MustParseAddrPort("10.1.2.3:7660"), generation: 9},
 		{frameType: requestFrame, kind: 3, call: 7, body: []byte("abc")},
 		{frameType: failureFrame, call: 7, body: []byte("text")},
 	} {
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -18,7 +18,7 @@
 		name  string
 		frame *frame
 	}{
-		{"hello", &frame{frameType: helloFrame, address: netip.MustParseAddrPort("10.20.30.40:5060"), life: 0x0102030405060708}},
+		{"hello", &frame{frameType: helloFrame, address: netip.MustParseAddrPort("10.20.30.40:5060"), generation: 0x0102030405060708}},
 		{"request", &frame{frameType: requestFrame, kind: 0x301, call: 11, remaining: 12 * time.Microsecond, body: body}},
 		{"answer", &frame{frameType: answerFrame, kind: 0x302, call: 13, body: body}},
 		{"failure", &frame{frameType: failureFrame, kind: 0x303, call: 14, errorKind: fault.Conflict, body: body}},
--- a/internal/peer/listen.go
+++ b/internal/peer/listen.go
@@ -19,7 +19,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Transport{
 		address:     listener.Addr().(*net.TCPAddr).AddrPort(),
-		life:        rand.Uint64() | 1,
+		generation:  rand.Uint64() | 1,
 		log:         log,
 		listener:    listener,
 		packets:     packets,
--- a/internal/peer/receive.go
+++ b/internal/peer/receive.go
@@ -57,7 +57,7 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.life = f.life
+	c.generation = f.generation
 	return nil
 }
 
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -29,12 +29,12 @@
 
 // Transport is the endpoint of this process: it sends and receives messages. Handlers are set before Start.
 type Transport struct {
-	address  netip.AddrPort
-	life     uint64
-	log      *zap.Logger
-	listener *net.TCPListener
-	packets  *net.UDPConn
-	dialer   *net.Dialer
+	address    netip.AddrPort
+	generation uint64
+	log        *zap.Logger
+	listener   *net.TCPListener
+	packets    *net.UDPConn
+	dialer     *net.Dialer
 
 	handlers  map[Kind]Handler
 	oneWay    map[Kind]func(from netip.AddrPort, m Message)
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -312,7 +312,7 @@
 	a := listen(t)
 	a.Start()
 	address := netip.MustParseAddrPort("127.0.0.1:9")
-	earlier := &connection{transport: a, to: address, life: 1, pending: make(map[uint64]*pendingCall), queueReady: make(chan struct{}, 1)}
+	earlier := &connection{transport: a, to: address, generation: 1, pending: make(map[uint64]*pendingCall), queueReady: make(chan struct{}, 1)}
 	call := &pendingCall{sent: true, result: make(chan callResult, 1)}
 	earlier.pending[1] = call
 	a.connections[address] = earlier
@@ -322,7 +322,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = socket.Close() }()
-	hello := &frame{frameType: helloFrame, address: address, life: 2}
+	hello := &frame{frameType: helloFrame, address: address, generation: 2}
 	data, err := hello.encode()
 	if err != nil {
 		t.Fatal(err)
@@ -368,7 +368,7 @@
 
 func TestFrameRoundTrip(t *testing.T) {
 	for _, f := range []*frame{
-		{frameType: helloFrame, address: netip.MustParseAddrPort("10.1.2.3:7660"), life: 9},
+		{frameType: helloFrame, address: netip.MustParseAddrPort("10.1.2.3:7660"), generation: 9},
 		{frameType: requestFrame, kind: 3, call: 7, remaining: 1500 * time.Microsecond, body: []byte("abc")},
 		{frameType: answerFrame, kind: 3, call: 7, body: make([]byte, 100_000)},
 		{frameType: failureFrame, call: 7, errorKind: fault.Unclear, body: []byte("text")},
--- a/internal/peer/unreliable_test.go
+++ b/internal/peer/unreliable_test.go
@@ -60,10 +60,10 @@
 	return p.random.IntN(n)
 }
 
-// serve is one connection. Each has another life, as if the peer had been restarted at its address.
+// serve is one connection. Each has another generation, as if the peer had been restarted at its address.
 func (p *unreliablePeer) serve(socket *net.TCPConn) {
 	defer socket.Close()
-	if err := p.write(socket, &frame{frameType: helloFrame, address: p.address, life: uint64(1 + p.draw(1000))}); err != nil {
+	if err := p.write(socket, &frame{frameType: helloFrame, address: p.address, generation: uint64(1 + p.draw(1000))}); err != nil {
 		return
 	}
 	reader := bufio.NewReader(socket)
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -53,7 +53,7 @@
 		unreclaimed:  len(registered),
 	}
 	for _, registered := range registered {
-		leaseholder := newLeaseholderRecord(registered.Life, now)
+		leaseholder := newLeaseholderRecord(registered.Generation, now)
 		leaseholder.registered = true
 		a.leaseholders[registered.Address] = leaseholder
 	}
@@ -66,7 +66,7 @@
 func (a *Allocator) Renew(now time.Time, from Leaseholder, renewal *Renewal) ([]Grant, error) {
 	a.sweep(now)
 	if a.StatusOf(from) != Registered {
-		return nil, fault.New(fault.Conflict, "life %x of %v is not registered", from.Life, from.Address)
+		return nil, fault.New(fault.Conflict, "generation %x of %v is not registered", from.Generation, from.Address)
 	}
 	leaseholder := a.leaseholders[from.Address]
 	if renewal.Sequence <= leaseholder.sequence {
--- a/internal/quota/codec.go
+++ b/internal/quota/codec.go
@@ -13,7 +13,7 @@
 
 func encodeRenewal(renewal *Renewal) ([]byte, error) {
 	data, err := capnpcodec.Marshal(0, quotawire.NewRootRequest, func(root quotawire.Request) error {
-		root.SetLife(renewal.Life)
+		root.SetLife(renewal.Generation)
 		root.SetSequence(renewal.Sequence)
 		root.SetEpoch(renewal.Epoch)
 		root.SetComplete(renewal.Complete)
@@ -52,12 +52,12 @@
 		return nil, merry.Prepend(err, "decode quota renewal")
 	}
 	return &Renewal{
-		Life:     root.Life(),
-		Sequence: root.Sequence(),
-		Epoch:    root.Epoch(),
-		Complete: root.Complete(),
-		Leaving:  root.Leaving(),
-		Entries:  entries,
+		Generation: root.Life(),
+		Sequence:   root.Sequence(),
+		Epoch:      root.Epoch(),
+		Complete:   root.Complete(),
+		Leaving:    root.Leaving(),
+		Entries:    entries,
 	}, nil
 }
 
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -13,11 +13,11 @@
 
 func TestGoldenRenewal(t *testing.T) {
 	want := &Renewal{
-		Life:     0x0102030405060708,
-		Sequence: 11,
-		Epoch:    12,
-		Complete: true,
-		Leaving:  true,
+		Generation: 0x0102030405060708,
+		Sequence:   11,
+		Epoch:      12,
+		Complete:   true,
+		Leaving:    true,
 		Entries: []Entry{
 			{Tenant: "alpha", Held: Share{Rate: 1.5, Depth: 2.5}, Demand: 3.5, Need: 4, Returned: 5.5},
 			{Tenant: "beta", Held: Share{Rate: 6.5, Depth: 7.5}, Demand: 8.5, Need: 9, Returned: 10.5},
--- a/internal/quota/leaseholders.go
+++ b/internal/quota/leaseholders.go
@@ -8,13 +8,13 @@
 
 // Leaseholder identifies a proxy: one process at an address.
 type Leaseholder struct {
-	Address netip.AddrPort
-	Life    uint64
+	Address    netip.AddrPort
+	Generation uint64
 }
 
 // leaseholderRecord is what the allocator keeps of a proxy.
 type leaseholderRecord struct {
-	life       uint64
+	generation uint64
 	former     []uint64                // processes that have ended
 	sequence   uint64                  // of the last renewal
 	leases     map[string]*leaseRecord // by tenant
@@ -24,8 +24,8 @@
 	renewedAt  time.Time
 }
 
-func newLeaseholderRecord(life uint64, now time.Time) *leaseholderRecord {
-	return &leaseholderRecord{life: life, leases: make(map[string]*leaseRecord), renewedAt: now}
+func newLeaseholderRecord(generation uint64, now time.Time) *leaseholderRecord {
+	return &leaseholderRecord{generation: generation, leases: make(map[string]*leaseRecord), renewedAt: now}
 }
 
 // leaseRecord is the share of one tenant that a leaseholder may have, as far as the allocator knows.
@@ -53,9 +53,9 @@
 	switch {
 	case leaseholder == nil:
 		return Unregistered
-	case slices.Contains(leaseholder.former, from.Life):
+	case slices.Contains(leaseholder.former, from.Generation):
 		return Former
-	case leaseholder.registered && leaseholder.life == from.Life:
+	case leaseholder.registered && leaseholder.generation == from.Generation:
 		return Registered
 	}
 	return Unregistered
@@ -70,23 +70,23 @@
 	for _, m := range members {
 		leaseholder := a.leaseholders[m.Address]
 		if leaseholder == nil {
-			leaseholder = newLeaseholderRecord(m.Life, now)
+			leaseholder = newLeaseholderRecord(m.Generation, now)
 			leaseholder.reclaimed = true
 			a.leaseholders[m.Address] = leaseholder
 		}
-		if leaseholder.life != m.Life {
-			a.replaceProcess(now, leaseholder, m.Life)
+		if leaseholder.generation != m.Generation {
+			a.replaceProcess(now, leaseholder, m.Generation)
 		}
 		leaseholder.registered = true
 	}
 }
 
 // replaceProcess records that another process runs at the address of a leaseholder.
-func (a *Allocator) replaceProcess(now time.Time, leaseholder *leaseholderRecord, life uint64) {
+func (a *Allocator) replaceProcess(now time.Time, leaseholder *leaseholderRecord, generation uint64) {
 	a.endLeases(now, leaseholder)
-	leaseholder.former = append(leaseholder.former, leaseholder.life)
+	leaseholder.former = append(leaseholder.former, leaseholder.generation)
 	leaseholder.former = leaseholder.former[max(0, len(leaseholder.former)-formerLives):]
-	leaseholder.life = life
+	leaseholder.generation = generation
 	leaseholder.sequence = 0
 	leaseholder.renewedAt = now
 	leaseholder.left = false
@@ -113,7 +113,7 @@
 // HasReclaimed reports whether the allocator knows all leases of a process.
 func (a *Allocator) HasReclaimed(from Leaseholder) bool {
 	leaseholder := a.leaseholders[from.Address]
-	return leaseholder != nil && leaseholder.life == from.Life && leaseholder.reclaimed
+	return leaseholder != nil && leaseholder.generation == from.Generation && leaseholder.reclaimed
 }
 
 // Unreclaimed returns the addresses of the leaseholders that have still to reclaim their leases, none after the grace
@@ -164,7 +164,7 @@
 	for address, leaseholder := range a.leaseholders {
 		if a.isRemovable(now, address, leaseholder) {
 			leaseholder.registered = false
-			removable = append(removable, Leaseholder{Address: address, Life: leaseholder.life})
+			removable = append(removable, Leaseholder{Address: address, Generation: leaseholder.generation})
 		}
 	}
 	return removable
--- a/internal/quota/leaseholders_test.go
+++ b/internal/quota/leaseholders_test.go
@@ -17,7 +17,7 @@
 // reclaimAll renews with all leases of a process.
 func reclaimAll(t *testing.T, a *Allocator, now time.Time, h Leaseholder, sequence uint64, entries ...Entry) []Grant {
 	t.Helper()
-	grants, err := a.Renew(now, h, &Renewal{Life: h.Life, Sequence: sequence, Complete: true, Entries: entries})
+	grants, err := a.Renew(now, h, &Renewal{Generation: h.Generation, Sequence: sequence, Complete: true, Entries: entries})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 
 func TestUnregisteredProcessIsGrantedNothing(t *testing.T) {
 	a, now := allocatorAfterGrace(testLimit)
-	_, err := a.Renew(now, testLeaseholder, &Renewal{Life: 1, Sequence: 1, Entries: []Entry{{Tenant: "t", Need: 1}}})
+	_, err := a.Renew(now, testLeaseholder, &Renewal{Generation: 1, Sequence: 1, Entries: []Entry{{Tenant: "t", Need: 1}}})
 	if fault.KindOf(err) != fault.Conflict {
 		t.Errorf("Renew of an unregistered process: got error %v, want fault.Conflict", err)
 	}
--- a/internal/quota/leave_test.go
+++ b/internal/quota/leave_test.go
@@ -16,7 +16,7 @@
 func TestLeavingLeaseholderIsRemovedAtOnce(t *testing.T) {
 	a, now := allocatorAfterGrace(testLimit)
 	mustRenew(t, a, now, testLeaseholder, 1, Entry{Tenant: "t", Demand: 100})
-	if _, err := a.Renew(now, testLeaseholder, &Renewal{Life: 1, Sequence: 2, Complete: true, Leaving: true}); err != nil {
+	if _, err := a.Renew(now, testLeaseholder, &Renewal{Generation: 1, Sequence: 2, Complete: true, Leaving: true}); err != nil {
 		t.Fatal(err)
 	}
 	if !a.HasRemovable() {
@@ -33,7 +33,7 @@
 // A new allocator does not wait for a process that left during the grace period.
 func TestGraceDoesNotWaitForLeavingProxy(t *testing.T) {
 	a := NewAllocator(rulePolicy, oneLimit(testLimit), []Leaseholder{testLeaseholder}, testStart)
-	if _, err := a.Renew(after(0), testLeaseholder, &Renewal{Life: 1, Sequence: 1, Complete: true, Leaving: true}); err != nil {
+	if _, err := a.Renew(after(0), testLeaseholder, &Renewal{Generation: 1, Sequence: 1, Complete: true, Leaving: true}); err != nil {
 		t.Fatal(err)
 	}
 	register(a, after(0), otherLeaseholder)
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -45,8 +45,8 @@
 	mustReclaim bool   // the allocator may not know all leases
 
 	// Only the goroutine of Run uses these.
-	life     uint64
-	sequence uint64
+	generation uint64
+	sequence   uint64
 }
 
 // NewLimiter returns the limiter of a proxy. controls returns the internal addresses of the live control nodes.
@@ -55,7 +55,7 @@
 		caller:       caller,
 		controlNodes: controls,
 		log:          log,
-		life:         rand.Uint64(),
+		generation:   rand.Uint64(),
 		wake:         make(chan struct{}, 1),
 		buckets:      newLeasedBuckets(p),
 		waiting:      make(map[string][]*waiter),
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -337,16 +337,16 @@
 
 func TestLimiterTakenForAFormerProcessStartsAnew(t *testing.T) {
 	l := NewLimiter(rulePolicy, nil, nil, zap.NewNop())
-	life := l.life
+	generation := l.generation
 	l.buckets.takeOnArrival(time.Now(), "t")
 	entries := l.buckets.renewalEntries(time.Now(), nil, true)
 	l.buckets.apply(time.Now(), time.Now(), entries, []Grant{{Lease: Share{Rate: 1e9, Depth: 9}}})
 	l.dropAllocator(proxyAddress, fault.New(fault.NotReady, "out of reach"))
-	if l.life != life || l.buckets.bucket(time.Now(), "t").lease.Rate == 0 {
+	if l.generation != generation || l.buckets.bucket(time.Now(), "t").lease.Rate == 0 {
 		t.Error("failed call: got the leases ended, want them kept")
 	}
-	l.dropAllocator(proxyAddress, fault.New(fault.Conflict, "a former life"))
-	if l.life == life || l.buckets.bucket(time.Now(), "t").lease.Rate != 0 {
+	l.dropAllocator(proxyAddress, fault.New(fault.Conflict, "a former generation"))
+	if l.generation == generation || l.buckets.bucket(time.Now(), "t").lease.Rate != 0 {
 		t.Error("taken for a former process: want a new identity without leases")
 	}
 }
--- a/internal/quota/message.go
+++ b/internal/quota/message.go
@@ -27,7 +27,7 @@
 
 // Renewal is a proxy's request to the allocator.
 type Renewal struct {
-	Life, Sequence uint64
+	Generation, Sequence uint64
 	// Epoch is the newest epoch of an allocator that the proxy knows.
 	Epoch uint64
 	// Complete means that the entries name all leases of the proxy.
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -33,7 +33,7 @@
 	members := []Leaseholder{added}
 	for address, leaseholder := range a.leaseholders {
 		if leaseholder.registered && address != added.Address {
-			members = append(members, Leaseholder{Address: address, Life: leaseholder.life})
+			members = append(members, Leaseholder{Address: address, Generation: leaseholder.generation})
 		}
 	}
 	a.SetRegistered(now, members)
@@ -45,7 +45,7 @@
 	if a.StatusOf(h) == Unregistered {
 		register(a, now, h)
 	}
-	grants, err := a.Renew(now, h, &Renewal{Life: h.Life, Sequence: sequence, Entries: entries})
+	grants, err := a.Renew(now, h, &Renewal{Generation: h.Generation, Sequence: sequence, Entries: entries})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 	if grant.Lease.Rate < 40 {
 		t.Errorf("grant of a restarted proxy: got %+v, want a rate of 40 at least", grant)
 	}
-	_, err := a.Renew(now, Leaseholder{proxyAddress, 1}, &Renewal{Life: 1, Sequence: 8})
+	_, err := a.Renew(now, Leaseholder{proxyAddress, 1}, &Renewal{Generation: 1, Sequence: 8})
 	if fault.KindOf(err) != fault.Conflict {
 		t.Errorf("renewal of a former process: got error %v, want fault.Conflict", err)
 	}
@@ -137,7 +137,7 @@
 	h := Leaseholder{proxyAddress, 1}
 	mustRenew(t, a, now, h, 2, Entry{Tenant: "t", Demand: 10})
 	for _, sequence := range []uint64{1, 2} {
-		_, err := a.Renew(now, h, &Renewal{Life: 1, Sequence: sequence})
+		_, err := a.Renew(now, h, &Renewal{Generation: 1, Sequence: sequence})
 		if fault.KindOf(err) != fault.Conflict {
 			t.Errorf("sequence %d after 2: got error %v, want fault.Conflict", sequence, err)
 		}
@@ -208,7 +208,7 @@
 }
 
 func TestCodec(t *testing.T) {
-	renewal := &Renewal{Life: 1 << 63, Sequence: 7, Epoch: 1 << 62, Complete: true, Entries: []Entry{
+	renewal := &Renewal{Generation: 1 << 63, Sequence: 7, Epoch: 1 << 62, Complete: true, Entries: []Entry{
 		{Tenant: "a", Held: Share{Rate: 1.5, Depth: 2.5}, Demand: 3.5, Need: 4, Returned: 0.5},
 		{Tenant: "b"},
 	}}
@@ -271,7 +271,7 @@
 			for b.Loop() {
 				sequence++
 				now = now.Add(time.Millisecond)
-				data, err := encodeRenewal(&Renewal{Life: 1, Sequence: sequence, Entries: entries})
+				data, err := encodeRenewal(&Renewal{Generation: 1, Sequence: sequence, Entries: entries})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/quota/registry.go
+++ b/internal/quota/registry.go
@@ -53,7 +53,7 @@
 	if r.waiting == nil {
 		r.waiting = make(map[netip.AddrPort]uint64)
 	}
-	r.waiting[h.Address] = h.Life
+	r.waiting[h.Address] = h.Generation
 	return r.startUpdates()
 }
 
@@ -98,8 +98,8 @@
 	if allocator == nil {
 		return change, true, true
 	}
-	for address, life := range r.waiting {
-		if h := (Leaseholder{Address: address, Life: life}); allocator.StatusOf(h) == Unregistered {
+	for address, generation := range r.waiting {
+		if h := (Leaseholder{Address: address, Generation: generation}); allocator.StatusOf(h) == Unregistered {
 			change.Add = append(change.Add, h)
 		}
 	}
--- a/internal/quota/renewal.go
+++ b/internal/quota/renewal.go
@@ -70,12 +70,12 @@
 	}
 	l.sequence++
 	body, err := encodeRenewal(&Renewal{
-		Life:     l.life,
-		Sequence: l.sequence,
-		Epoch:    epoch,
-		Complete: round.complete,
-		Leaving:  round.leaving,
-		Entries:  round.entries,
+		Generation: l.generation,
+		Sequence:   l.sequence,
+		Epoch:      epoch,
+		Complete:   round.complete,
+		Leaving:    round.leaving,
+		Entries:    round.entries,
 	})
 	if err != nil {
 		return nil, err
@@ -147,7 +147,7 @@
 		l.allocator = netip.AddrPort{}
 	}
 	if fault.KindOf(err) == fault.Conflict {
-		l.life = rand.Uint64()
+		l.generation = rand.Uint64()
 		l.buckets.endLeases()
 		l.mustReclaim = true
 	}
--- a/internal/quota/service.go
+++ b/internal/quota/service.go
@@ -61,7 +61,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
-	answer, err := s.answer(ctx, Leaseholder{Address: from, Life: renewal.Life}, renewal)
+	answer, err := s.answer(ctx, Leaseholder{Address: from, Generation: renewal.Generation}, renewal)
 	if err != nil {
 		return peer.Message{}, err
 	}
@@ -80,7 +80,7 @@
 		select {
 		case <-registered:
 		case <-ctx.Done():
-			return nil, fault.New(fault.NotReady, "life %x of %v is not registered yet", from.Life, from.Address)
+			return nil, fault.New(fault.NotReady, "generation %x of %v is not registered yet", from.Generation, from.Address)
 		}
 	}
 }
--- a/internal/quota/simulation_head_test.go
+++ b/internal/quota/simulation_head_test.go
@@ -82,7 +82,7 @@
 		h.afterChange(func() { h.receive(from, renewal, reply) })
 		return
 	case h.allocator.StatusOf(from) == Unregistered:
-		h.waiting[from.Address] = from.Life
+		h.waiting[from.Address] = from.Generation
 		h.afterChange(func() { h.receive(from, renewal, reply) })
 		return
 	}
@@ -125,8 +125,8 @@
 
 // changes returns the processes to add and to remove.
 func (h *simulatedHead) changes() (added, removed []Leaseholder) {
-	for address, life := range h.waiting {
-		if leaseholder := (Leaseholder{Address: address, Life: life}); h.allocator.StatusOf(leaseholder) == Unregistered {
+	for address, generation := range h.waiting {
+		if leaseholder := (Leaseholder{Address: address, Generation: generation}); h.allocator.StatusOf(leaseholder) == Unregistered {
 			added = append(added, leaseholder)
 		}
 	}
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -43,7 +43,7 @@
 type simulatedProxy struct {
 	s           *simulation
 	address     netip.AddrPort
-	life        uint64
+	generation  uint64
 	sequence    uint64
 	buckets     *leasedBuckets
 	waiting     map[string]int
@@ -171,7 +171,7 @@
 }
 
 func (p *simulatedProxy) reset() {
-	p.life = p.s.random.Uint64()
+	p.generation = p.s.random.Uint64()
 	p.sequence = 0
 	p.buckets = newLeasedBuckets(p.s.policy)
 	p.waiting = map[string]int{}
@@ -183,9 +183,9 @@
 }
 
 // whileRunning runs something now, or when the proxy thaws. What a former process at its address was to do is dropped.
-func (p *simulatedProxy) whileRunning(life uint64, run func()) {
+func (p *simulatedProxy) whileRunning(generation uint64, run func()) {
 	p.process.Do(func() {
-		if life == p.life {
+		if generation == p.generation {
 			run()
 		}
 	})
@@ -197,7 +197,7 @@
 	}
 	t.sent++
 	t.ideal.arrive(p.s.now(), t.limit)
-	p.whileRunning(p.life, func() {
+	p.whileRunning(p.generation, func() {
 		switch {
 		case p.buckets.takeOnArrival(p.s.now(), t.name):
 			p.s.admit(t)
@@ -212,7 +212,7 @@
 
 func (p *simulatedProxy) periodic() {
 	p.s.clock.After(renewPeriod, p.periodic)
-	p.whileRunning(p.life, func() { p.call(true) })
+	p.whileRunning(p.generation, func() { p.call(true) })
 }
 
 // call sends a renewal to one of the heads, unless one is under way.
@@ -230,11 +230,11 @@
 	p.calling = true
 	p.s.calls++
 	p.sequence++
-	life, askedAt := p.life, p.s.now()
-	renewal := &Renewal{Life: life, Sequence: p.sequence, Epoch: p.epoch, Complete: complete, Entries: entries}
+	generation, askedAt := p.generation, p.s.now()
+	renewal := &Renewal{Generation: generation, Sequence: p.sequence, Epoch: p.epoch, Complete: complete, Entries: entries}
 	answered := false
 	finish := func(answer *renewalAnswer) {
-		p.whileRunning(life, func() {
+		p.whileRunning(generation, func() {
 			if !answered {
 				answered = true
 				p.answer(askedAt, needs, renewal, answer)
@@ -247,7 +247,7 @@
 	}
 	head := p.reachedHead()
 	p.s.clock.After(p.s.trip(), func() {
-		head.receive(Leaseholder{Address: p.address, Life: life}, renewal, func(answer *renewalAnswer) {
+		head.receive(Leaseholder{Address: p.address, Generation: generation}, renewal, func(answer *renewalAnswer) {
 			if !p.partitioned && !(p.s.lossy && p.s.random.IntN(200) == 0) {
 				p.s.clock.After(p.s.trip(), func() { finish(answer) })
 			}
@@ -281,7 +281,7 @@
 	if p.partitioned || p.reach == reachOldest || p.s.lossy && p.s.random.IntN(10) == 0 {
 		return
 	}
-	p.whileRunning(p.life, func() {
+	p.whileRunning(p.generation, func() {
 		if epoch >= p.epoch {
 			p.epoch = epoch
 			p.mustReclaim = true
@@ -323,9 +323,9 @@
 		}
 	}
 	p.s.checkLeases(renewal.Entries)
-	life := p.life
+	generation := p.generation
 	p.s.clock.After(pause, func() {
-		p.whileRunning(life, func() {
+		p.whileRunning(generation, func() {
 			p.calling = false
 			if len(p.waiting) > 0 || p.mustReclaim {
 				p.call(false)
--- a/internal/quota/size_bench_test.go
+++ b/internal/quota/size_bench_test.go
@@ -21,7 +21,7 @@
 			for b.Loop() {
 				sequence++
 				now = now.Add(time.Second)
-				renewal := &Renewal{Life: 1, Sequence: sequence, Entries: entries}
+				renewal := &Renewal{Generation: 1, Sequence: sequence, Entries: entries}
 				request, err := encodeRenewal(renewal)
 				if err != nil {
 					b.Fatal(err)
--- a/internal/simnet/disk.go
+++ b/internal/simnet/disk.go
@@ -25,8 +25,8 @@
 	// names are those that a process sees, and syncedNames those that surely last.
 	names       map[string]*inode
 	syncedNames map[string]*inode
-	// life counts the processes that used the disk: only the newest may.
-	life int
+	// generation counts the processes that used the disk: only the newest may.
+	generation int
 	// capacity is how many bytes all files together may have, 0 for any number.
 	capacity int
 	// remaining is how many operations come before power is lost, negative for any number.
@@ -58,23 +58,23 @@
 func (d *Disk) Mount() segment.FileSystem {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.life++
+	d.generation++
 	d.remaining = -1
-	return &mount{disk: d, life: d.life}
+	return &mount{disk: d, generation: d.generation}
 }
 
 // Kill ends the process. The files stay as it left them.
 func (d *Disk) Kill() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.life++
+	d.generation++
 }
 
 // LosePower ends the process and loses what was not synced, or some of it.
 func (d *Disk) LosePower() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.life++
+	d.generation++
 	d.settleNames()
 	d.settleFiles()
 }
@@ -91,7 +91,7 @@
 func (d *Disk) Wipe() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.life++
+	d.generation++
 	d.clear()
 }
 
--- a/internal/simnet/mount.go
+++ b/internal/simnet/mount.go
@@ -10,14 +10,14 @@
 
 // mount is the file system as a process sees it.
 type mount struct {
-	disk *Disk
-	life int
+	disk       *Disk
+	generation int
 }
 
 // begin takes the disk for an operation. If it succeeds the caller has to call end.
 func (m *mount) begin() error {
 	m.disk.mutex.Lock()
-	if m.life != m.disk.life {
+	if m.generation != m.disk.generation {
 		m.disk.mutex.Unlock()
 		return ErrPowerLost
 	}
@@ -35,7 +35,7 @@
 		d.remaining--
 		return true, nil
 	}
-	d.life++
+	d.generation++
 	if d.random.IntN(2) == 0 {
 		return true, ErrPowerLost
 	}
--- a/internal/simnet/network_test.go
+++ b/internal/simnet/network_test.go
@@ -61,7 +61,7 @@
 	n.Start(second)
 	run(n)
 	if got {
-		t.Fatal("a message or a timer reached a later life")
+		t.Fatal("a message or a timer reached a later generation")
 	}
 }
 
