--- a/cmd/starlingvalve/main.go
+++ b/cmd/balancer/main.go
@@ -1,4 +1,4 @@
-// Command starlingvalve is a load-balancing proxy node.
+// Command balancer is a load-balancing proxy node.
 package main
 
 import (
@@ -22,7 +22,7 @@
 
 func main() {
 	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "starlingvalve:", err)
+		fmt.Fprintln(os.Stderr, "balancer:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/starlingvalve/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -16,7 +16,7 @@
 )
 
 // The test binary is the program when this is set.
-const asProgram = "STARLINGVALVE_TEST_AS_PROGRAM"
+const asProgram = "BALANCER_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(asProgram) != "" {
--- a/cmd/simhost/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simhost hosts instances of the decision module on the simulator's
+// Command simadapter hosts instances of the decision module on the simulator's
 // wire: a batch of events a line on standard input, a reply a line on standard
 // output.
 package main
@@ -16,7 +16,7 @@
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "simhost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
