--- /dev/null
+++ b/decide/attempts.go
@@ -0,0 +1,105 @@
+package decide
+
+import "time"
+
+const (
+	// retryTokensPerArrival bounds further attempts as a part of the arrivals: the node makes no retry
+	// storm.
+	retryTokensPerArrival = 0.1
+	// maxRetryTokens is what the budget of further attempts may save up.
+	maxRetryTokens = 10.0
+	// retryAfterShare is the part of its class's latency target that a refused client is asked to wait,
+	// jittered.
+	retryAfterShare = 0.15
+)
+
+// send starts an attempt, if there is a backend and the rules allow one, and reports whether it has.
+// It is the only way to a backend.
+func (m *Module) send(r *request, b *backend, timeout time.Duration) bool {
+	if b == nil || !m.maySend(r, b) {
+		return false
+	}
+	r.attempts = append(r.attempts, attempt{backend: b, sent: m.now, mayRun: true})
+	m.tally.sent++
+	r.inFlight++
+	b.inFlight++
+	b.tokens--
+	if b.unanswered++; b.unanswered == 1 {
+		b.unansweredSince = m.now
+	}
+	m.emit(Send{ID: r.id, Backend: b.ID, Timeout: min(timeout, r.deadline-m.now)})
+	return true
+}
+
+// ended takes the end of an attempt.
+func (m *Module) ended(e AttemptEnded) {
+	r := m.requests[e.ID]
+	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
+		return
+	}
+	a := &r.attempts[e.Attempt]
+	a.ended, a.mayRun = true, e.Code != Full && e.Code != ConnectFailed && e.Code != NotSent
+	r.inFlight--
+	a.backend.inFlight--
+	m.tally.ended[e.Code]++
+	m.forget(a.backend)
+	m.recordRejection(e)
+	m.recordReport(a.backend, e.Report)
+	m.recordClassOutcome(a.backend, r, e.Code)
+	m.recordOutcome(a.backend, r, e)
+	switch {
+	case r.done && r.inFlight == 0:
+		delete(m.requests, r.id)
+	case e.Over && !r.done:
+		m.close(r)
+	case !r.done && r.inFlight == 0:
+		m.retry(r, a.mayRun)
+	}
+}
+
+// retry makes a further attempt if rules, budget and backends allow one, else answers the request.
+// costly: the ended attempt may have run, so that a further one spends a retry token.
+func (m *Module) retry(r *request, costly bool) {
+	worthless := r.class.LateValue == 0 && r.class.Target > 0 && m.now-r.arrived >= r.class.Target
+	if !worthless && (m.retryTokens >= 1 || !costly) {
+		b, mode := m.pick(m.subset, r)
+		if b == nil && !m.mayRefuse(r) {
+			b, mode = m.pick(m.listed, r) // its key may bind it to backends outside the subset
+		}
+		if (mode == Normal || r.priority) && m.send(r, b, r.deadline) {
+			if costly {
+				m.retryTokens--
+			}
+			return
+		}
+	}
+	m.answerFinally(r)
+}
+
+// answerFinally gives the final answer where no backend did: a refusal if the rules allow one. Its
+// wait brings the client back while an answer still has value, else as late as it may.
+func (m *Module) answerFinally(r *request) {
+	wait := m.jitter(time.Duration(retryAfterShare * float64(r.class.Target)))
+	wait = min(wait, m.settings.MaxRetryAfter)
+	if !m.mayRefuse(r) {
+		m.tally.failed++
+		m.emit(Fail{ID: r.id})
+	} else {
+		m.tally.refused++
+		m.emit(Refuse{ID: r.id, RetryAfter: wait})
+	}
+	m.close(r)
+}
+
+// close forgets a request once its attempts have ended; those in flight are cancelled.
+func (m *Module) close(r *request) {
+	r.done = true
+	for i := range r.attempts {
+		if m.settings.MayCancel && !r.attempts[i].ended && !r.started {
+			m.emit(CancelAttempt{ID: r.id, Attempt: i})
+		}
+	}
+	if r.inFlight == 0 {
+		delete(m.requests, r.id)
+	}
+}
--- /dev/null
+++ b/decide/list.go
@@ -0,0 +1,79 @@
+package decide
+
+import (
+	"slices"
+	"sort"
+	"time"
+)
+
+const (
+	// firstSubscribeWait is the time until the list is asked for again. It doubles with each failure.
+	firstSubscribeWait = 200 * time.Millisecond
+)
+
+// updateList takes an update of the list of backends, or the failure of a call for it.
+func (m *Module) updateList(e ListUpdate) {
+	if e.Kind == ListFailed {
+		m.subscriptionFailed()
+		return
+	}
+	if e.Kind != ListCached && m.subscribing {
+		m.subscribed, m.subscribing, m.subscribeWait = true, false, firstSubscribeWait
+	}
+	before := m.warmCapacity()
+	if e.Kind != ListChanges {
+		for _, b := range m.listed {
+			b.State = Gone
+		}
+	}
+	for _, entry := range e.Entries {
+		m.updateBackend(entry)
+	}
+	m.rebuildRing()
+	if after := m.warmCapacity(); after > 0 && before > after { // those that are left will hold the more
+		m.surge = before/after*(1+m.surge*decay(m.now-m.surgeAt, surgeTau)) - 1
+		m.surgeAt = m.now
+	}
+	m.chooseSubset()
+}
+
+// subscriptionFailed plans the next attempt to subscribe.
+func (m *Module) subscriptionFailed() {
+	m.subscribed, m.subscribing, m.subscribeAt = false, false, m.now+m.jitter(m.subscribeWait)
+	m.subscribeWait = min(2*m.subscribeWait, max(firstSubscribeWait, m.settings.MaxListAge/4))
+}
+
+// updateBackend takes an entry of the list. Nothing that was learned of an older process of a backend
+// holds for a new one.
+func (m *Module) updateBackend(entry Backend) {
+	b := m.backendOf(entry.ID)
+	if entry.State == Ready && entry.StartedAt > b.StartedAt {
+		b.suspect, b.failuresInRow, b.unanswered, b.imposedUntil = false, 0, 0, m.now
+		clear(b.faults)
+		m.startCold(b, entry.StartedAt)
+	}
+	b.Backend = entry
+}
+
+// rebuildRing puts the backends that are not gone in the order that all nodes share.
+func (m *Module) rebuildRing() {
+	m.listed = m.listed[:0]
+	for _, b := range m.backends {
+		if b.State != Gone {
+			m.listed = append(m.listed, b)
+		}
+		m.forget(b)
+	}
+	sort.Slice(m.listed, func(i, j int) bool { return m.listed[i].ringPosition < m.listed[j].ringPosition })
+	m.ready = slices.DeleteFunc(slices.Clone(m.listed), func(b *backend) bool { return b.State != Ready })
+}
+
+// renewSubscription keeps a subscription where the list must be asked for: spread at the start,
+// backing off after failures.
+func (m *Module) renewSubscription() {
+	if m.settings.ListOnRequest && !m.subscribed && m.now >= m.subscribeAt &&
+		!(m.subscribing && m.now-m.subscribeSentAt < m.settings.MaxListAge/4) {
+		m.subscribing, m.subscribeSentAt = true, m.now
+		m.emit(Subscribe{On: true})
+	}
+}
--- a/decide/peers.go
+++ b/decide/peers.go
@@ -1,93 +1,113 @@
 package decide
 
-// What nodes tell each other: a node that has just started asks some others for the sizes that hold in ordinary work. By
-// itself it could only learn them from what it meets, and in a jam it would take the jam for that.
+// A node that has just started asks some others for the sizes that hold under ordinary load. By itself it
+// could only learn them from what it meets, and in a jam it would take the jam for ordinary load.
 
 import (
 	"encoding/binary"
 	"math"
+	"strings"
 	"time"
 )
 
 const (
-	askPeers   = 3                      // others that are asked at once: some may be new themselves, or cut off
-	askTimes   = 4                      // so often, unless somebody has told
-	askPause   = 500 * time.Millisecond // s; from one time to the next, jittered: longer than a message takes
-	tellFrom   = 10 * time.Second       // s; younger knowledge is not told: it may be of a trouble, as one's own
-	longestAge = 1 << 31                // ms
-	asks       = "?1"
-	tells      = "=1"
-	tellHead   = len(tells) + 3*4 // then four bytes for each class
-	mostTold   = 1e6              // requests or seconds; no size is larger
+	// sizeRequestFanout is the number of nodes that are asked at once: some may be new themselves, or cut off.
+	sizeRequestFanout = 3
+	// maxSizeRequests is how often a node asks, unless it gets an answer.
+	maxSizeRequests = 4
+	// sizeRequestInterval is the time between two requests, jittered: longer than a message takes.
+	sizeRequestInterval = 500 * time.Millisecond
+	// minSizesAge: younger sizes are not sent, as they may be of an overload, as those of the asking node.
+	minSizesAge = 10 * time.Second
+	// maxAgeMillis bounds the age of sizes in a message, in milliseconds.
+	maxAgeMillis = 1 << 31
+	// sizesRequest is the whole message that asks for sizes; sizesAnswer begins the message that has them.
+	sizesRequest = "?1"
+	sizesAnswer  = "=1"
+	// sizeBytes is the length of the age and of each size in a message.
+	sizeBytes = 4
+	// sizesHeaderLength is the length of what comes before the sizes of the classes.
+	sizesHeaderLength = len(sizesAnswer) + 3*sizeBytes
+	// maxMessage is the length in bytes of the longest message that nodes carry.
+	maxMessage = 256
+	// maxSharedSize is more than any size can be, in requests or seconds.
+	maxSharedSize = 1e6
 )
 
-// askAround asks other nodes, chosen by chance, until one has told or enough have been asked.
-func (m *Module) askAround() {
-	if !m.set.MayMessage || m.set.Nodes < 2 || m.asked >= askTimes || m.now < m.askPeersAt {
+// requestSizes asks other nodes, chosen at random, until one has answered or enough have been asked.
+func (m *Module) requestSizes() {
+	if !m.settings.MayMessage || m.settings.Nodes < 2 || m.sizeRequests >= maxSizeRequests ||
+		m.now < m.requestSizesAt {
 		return
 	}
-	m.asked, m.askPeersAt = m.asked+1, m.now+m.jitter(askPause)
-	for range min(askPeers, m.set.Nodes-1) {
-		to := int(m.random() * float64(m.set.Nodes-1))
-		if to >= m.set.Self {
+	m.sizeRequests, m.requestSizesAt = m.sizeRequests+1, m.now+m.jitter(sizeRequestInterval)
+	for range min(sizeRequestFanout, m.settings.Nodes-1) {
+		to := int(m.random() * float64(m.settings.Nodes-1))
+		if to >= m.settings.Self {
 			to++
 		}
-		m.do(SendMessage{To: to, Data: []byte(asks)})
+		m.emit(SendMessage{To: to, Data: []byte(sizesRequest)})
 	}
 }
 
-// heard takes a message from another node. What makes no sense is passed over.
-func (m *Module) heard(e MessageReceived) {
-	switch {
-	case string(e.Data) == asks:
-		m.tell(e.From)
-	case len(e.Data) == tellHead+4*len(m.classes) && string(e.Data[:len(tells)]) == tells:
-		m.adopt(e.Data[len(tells):])
+// receive takes a message from another node. Malformed ones are dropped.
+func (m *Module) receive(e MessageReceived) {
+	if string(e.Data) == sizesRequest {
+		m.sendSizes(e.From)
+		return
+	}
+	sizes, isAnswer := strings.CutPrefix(string(e.Data), sizesAnswer)
+	if isAnswer && len(e.Data) == m.answerLength() {
+		m.adoptSizes([]byte(sizes))
 	}
 }
 
-// tell answers a node that has asked, if what this one knows is old enough to be of ordinary work.
-func (m *Module) tell(to int) {
-	age := m.now - m.knownSince
-	little := m.answers < 1/classGain && m.knownSince == m.startAt // of its own, and nothing that it was told
-	if !m.set.MayMessage || age < tellFrom || little || tellHead+4*len(m.classes) > 256 {
+// answerLength returns the length in bytes of a message with sizes.
+func (m *Module) answerLength() int { return sizesHeaderLength + sizeBytes*len(m.classes) }
+
+// sendSizes answers a node that has asked, if the sizes that this one knows are old enough to be of
+// ordinary load.
+func (m *Module) sendSizes(to int) {
+	age := m.now - m.sizesKnownSince
+	unknown := m.answers < 1/classGain && m.sizesKnownSince == m.startAt // neither learned nor received
+	if !m.settings.MayMessage || age < minSizesAge || unknown || m.answerLength() > maxMessage {
 		return
 	}
-	data := binary.LittleEndian.AppendUint32([]byte(tells), uint32(min(age.Milliseconds(), longestAge)))
-	for _, s := range m.sizes() {
-		data = binary.LittleEndian.AppendUint32(data, math.Float32bits(float32(*s)))
+	data := binary.LittleEndian.AppendUint32([]byte(sizesAnswer), uint32(min(age.Milliseconds(), maxAgeMillis)))
+	for _, size := range m.sharedSizes() {
+		data = binary.LittleEndian.AppendUint32(data, math.Float32bits(float32(*size)))
 	}
-	m.do(SendMessage{To: to, Data: data})
+	m.emit(SendMessage{To: to, Data: data})
 }
 
-// adopt takes what another node has told, if that has known it for longer than this one. Of itself a node finds a lower
-// size soon, and a higher one hardly ever.
-func (m *Module) adopt(data []byte) {
+// adoptSizes takes the sizes of another node, if that has known them for longer than this one. By itself a
+// node finds a lower size soon, and a higher one hardly ever.
+func (m *Module) adoptSizes(data []byte) {
 	age := time.Duration(binary.LittleEndian.Uint32(data)) * time.Millisecond
-	if m.asked == 0 || age <= m.now-m.knownSince {
+	if m.sizeRequests == 0 || age <= m.now-m.sizesKnownSince {
 		return
 	}
 	var sizes []float64
-	for data = data[4:]; len(data) > 0; data = data[4:] {
-		s := float64(math.Float32frombits(binary.LittleEndian.Uint32(data)))
-		if !(s >= 0 && s <= mostTold) { // not a number either
+	for data = data[sizeBytes:]; len(data) > 0; data = data[sizeBytes:] {
+		size := float64(math.Float32frombits(binary.LittleEndian.Uint32(data)))
+		if !(size >= 0 && size <= maxSharedSize) { // not a number either
 			return
 		}
-		sizes = append(sizes, s)
+		sizes = append(sizes, size)
 	}
-	m.knownSince, m.asked = m.now-age, askTimes
-	for i, into := range m.sizes() {
+	m.sizesKnownSince, m.sizeRequests = m.now-age, maxSizeRequests
+	for i, into := range m.sharedSizes() {
 		if sizes[i] > 0 {
 			*into = sizes[i]
 		}
 	}
 }
 
-// sizes are those that are told, in the order of the message.
-func (m *Module) sizes() []*float64 {
-	all := []*float64{&m.room, &m.least}
-	for _, c := range m.order[:len(m.classes)] {
-		all = append(all, &c.base)
+// sharedSizes returns the sizes that nodes send each other, in the order of the message.
+func (m *Module) sharedSizes() []*float64 {
+	all := []*float64{&m.leastSaturation, &m.leastLatency}
+	for _, c := range m.classOrder[:len(m.classes)] {
+		all = append(all, &c.uncrowdedLatency)
 	}
 	return all
 }
--- /dev/null
+++ b/decide/selection.go
@@ -0,0 +1,102 @@
+package decide
+
+import "math"
+
+const (
+	// priorityValueShare of the top value makes a priority request: classes of like value are not treated
+	// as day and night.
+	priorityValueShare = 0.5
+)
+
+// arrive takes a new request: it is sent to a backend, shed, or refused.
+func (m *Module) arrive(e RequestArrived) {
+	if m.requests[e.ID] != nil {
+		return
+	}
+	r := m.newRequest(e)
+	m.retryTokens = math.Min(maxRetryTokens, m.retryTokens+retryTokensPerArrival)
+	if m.sendTrial(r) {
+		return
+	}
+	b, mode := m.pick(m.subset, r)
+	switch {
+	case b == nil:
+		m.tally.noBackend++
+	case mode == Overloaded && m.shed(r):
+		b = nil
+		m.tally.shed++
+	}
+	if !m.send(r, b, r.deadline) {
+		m.answerFinally(r)
+	}
+}
+
+// newRequest registers a request, and counts it among the arrivals as a priority one or another.
+// Requests over the share of their tenant are of little value.
+func (m *Module) newRequest(e RequestArrived) *request {
+	c := m.classOf(e.Class)
+	r := &request{id: e.ID, class: c, arrived: m.now, deadline: m.now + e.Patience}
+	m.requests[e.ID], m.openRequests = r, append(m.openRequests, r)
+	m.smoothedArrivals = m.smoothedArrivals*decay(m.now-m.arrivedAt, arrivalTau) + 1/arrivalTau
+	m.arrivedAt = m.now
+	m.meanValue += classGain * (c.Value - m.meanValue)
+	r.priority = c.Value >= math.Min(m.meanValue, priorityValueShare*m.topValue)
+	if t := m.tenants[e.Tenant]; t != nil && !t.takeToken(m.now) {
+		r.priority = false
+	}
+	m.tally.arrived++
+	m.otherArrivals++
+	if r.priority {
+		m.priorityArrivals++
+		m.otherArrivals--
+	}
+	return r
+}
+
+// shed decides at random, by the drop probability of its kind, whether a request is dropped.
+func (m *Module) shed(r *request) bool {
+	if r.priority {
+		return m.random() < m.priorityDrop
+	}
+	return m.random() < m.otherDrop
+}
+
+// pick chooses a backend of the list for a request: of two random normal ones, or else of two
+// overloaded ones, the one with the lower expected latency. It returns nil if there is none.
+func (m *Module) pick(list []*backend, r *request) (*backend, Mode) {
+	for mode, pool := range m.candidates(list, r) {
+		if len(pool) > 0 {
+			return m.pickOfTwo(pool), Mode(mode)
+		}
+	}
+	return nil, Blocking
+}
+
+// candidates returns the backends that may have a request, normal ones first, then overloaded ones.
+// Backends that lose the class count only while no backend is trusted with it.
+func (m *Module) candidates(list []*backend, r *request) (pools [Blocking][]*backend) {
+	trusted := false
+	for _, b := range list {
+		trusted = trusted || !b.suspect && !m.avoided(b, r.class)
+	}
+	for _, b := range list {
+		if b.suspect || trusted && m.avoided(b, r.class) || !m.maySend(r, b) || m.overColdBudget(b) {
+			continue
+		}
+		if mode := m.modeOf(b); mode != Blocking {
+			pools[mode] = append(pools[mode], b)
+		}
+	}
+	return pools
+}
+
+// pickOfTwo draws two backends of a pool and returns the one with the lower expected latency.
+func (m *Module) pickOfTwo(pool []*backend) *backend {
+	first := int(m.random() * float64(len(pool)))
+	second := (first + 1 + int(m.random()*float64(len(pool)-1))) % len(pool)
+	best, other := pool[first], pool[second]
+	if (other.inFlight+1)*m.latencyOf(other) < (best.inFlight+1)*m.latencyOf(best) {
+		best = other
+	}
+	return best
+}
--- /dev/null
+++ b/decide/settings.go
@@ -0,0 +1,129 @@
+package decide
+
+import "time"
+
+// Time is a reading of the caller's monotonic clock. Its zero has no meaning.
+type Time = time.Duration
+
+// BackendID names a backend. It is opaque.
+type BackendID uint32
+
+// RequestID names one try of a client's request. It is opaque.
+type RequestID string
+
+// Effect says what a second execution of a request would do.
+type Effect int
+
+const (
+	// Unsafe requests must never run twice.
+	Unsafe Effect = iota
+	// Keyed requests carry a key by which a group of backends drops repeats.
+	Keyed
+	// Safe requests may run any number of times.
+	Safe
+)
+
+// Scope is the group of backends that share knowledge of keys.
+type Scope int
+
+const (
+	// ScopeCell is one cell of backends.
+	ScopeCell Scope = iota
+	// ScopeZone is one zone.
+	ScopeZone
+	// ScopeAll is every backend.
+	ScopeAll
+)
+
+// Class describes one kind of request.
+type Class struct {
+	Name          string
+	Value         float64       // of one request
+	Target        time.Duration // an answer within this time has full value
+	TargetStretch float64       // the target grows by this many times the request's work
+	Deadline      time.Duration // the client's total patience, over all its tries
+	LateValue     float64       // part of the value for an answer past the target
+	Effect        Effect
+	KeyScope      Scope         // for Keyed: the group that drops repeats
+	DedupWindow   time.Duration // for Keyed: how long the group remembers
+	Streamed      bool          // the answer is a stream
+}
+
+// Tenant is a customer with a guaranteed share.
+type Tenant struct {
+	Name  string
+	Quota float64 // requests each second over all nodes
+	Share float64
+}
+
+// Settings is the configuration that a node gets at its start.
+type Settings struct {
+	Nodes   int    // how many nodes decide for these backends
+	Self    int    // this node's number among them
+	Zone    string // this node's zone
+	Zones   []string
+	Kinds   []string // machine kinds
+	Classes []Class
+	Tenants []Tenant
+
+	MaxAttempts    int           // for one request
+	MayOverlap     bool          // two attempts of a request may be in flight at once
+	MayCancel      bool          // CancelAttempt is allowed
+	MayProbe       bool          // Probe is allowed
+	MayMessage     bool          // SendMessage is allowed
+	MayRetryAfter  bool          // clients follow Refuse.RetryAfter
+	MaxRetryAfter  time.Duration // the longest such wait that clients follow
+	MarksRepeats   bool          // clients mark their repeats
+	ConnectTimeout time.Duration
+	MinTick        time.Duration // events come no closer together than this
+	ListOnRequest  bool          // list changes come only after Subscribe or FetchList
+	SizeKnown      bool          // Backend.Size says something of the machine's size
+	SizeLive       bool          // Backend.Size falls as the backend fills
+	OverShareValue float64       // part of its value that a request over its tenant's share has
+	ValueByWork    bool          // value counts by unit of work, not by request
+	ReportVia      ReportVia     // where load reports come from
+	ReportFields   []string      // names of the values in them
+
+	Family         string   // the kind of service
+	Tier           int      // the tier that this node sends to, by its index in Tiers
+	Tiers          []string // names of the tiers
+	WarmKeys       bool     // a backend that met a key lately needs less work for it
+	PassesDeadline bool     // a backend's calls to the next tier carry what is left of the request's time
+	StreamsPerConn int      // attempts that one connection carries at once
+	ConnIdle       time.Duration
+	MaxOpen        int           // requests that this node can have open
+	CPUPerSecond   time.Duration // what this node may spend on decisions
+	CPUPerRequest  time.Duration // the same for a request with its outcomes; 0: no limit
+	Goal           Goal
+	Prices         Prices
+
+	AnswerSlack    time.Duration // a final answer this long past the deadline still counts
+	MaxListAge     time.Duration // without a subscription, the list is fetched at least this often
+	DrainGrace     time.Duration // sends to a draining backend must have stopped by then
+	ColdFrom       float64       // part of its capacity a backend starts with, at least
+	ColdTime       time.Duration // a started backend is warm after this time
+	OverloadFactor float64       // a cold backend falls over beyond this multiple of its capacity
+	OverloadTime   time.Duration // when that lasts so long
+}
+
+// Goal weighs the parts of the result.
+type Goal struct {
+	Whole, WorstWindow, WorstClass, WorstTenant float64
+}
+
+// Prices are points off the result, each for one unit of what it names.
+type Prices struct {
+	Connection, Handshake, CrossZone, Waste, LateFail, Probe, Message, Moves, Origin, ListLines, Fleet float64
+}
+
+// ReportVia is the way load reports reach a node.
+type ReportVia int
+
+const (
+	// ReportNone means there are none.
+	ReportNone ReportVia = iota
+	// ReportProbe means only probe results carry them.
+	ReportProbe
+	// ReportAnswers means outcomes carry them too.
+	ReportAnswers
+)
--- /dev/null
+++ b/decide/shedding.go
@@ -0,0 +1,46 @@
+package decide
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	// shedPeriod is the period of the drop probabilities: it has many arrivals, yet is far shorter than an
+	// overload.
+	shedPeriod = 500 * time.Millisecond
+	// arrivalsCarriedOver is the part of the counts of arrivals that a period hands on, since a period may
+	// see no arrival.
+	arrivalsCarriedOver = 0.9
+)
+
+// ShedSplit returns the drop probabilities of priority (q1) and other requests (q2) for an overall
+// probability q and the arrivals n1 and n2 of both. Other requests are dropped first.
+func ShedSplit(q, n1, n2 float64) (q1, q2 float64) {
+	if n2 == 0 {
+		return q, 0
+	}
+	q2 = math.Min(1, q*(n1+n2)/n2)
+	if n1 > 0 {
+		q1 = math.Max(0, (q*(n1+n2)-q2*n2)/n1)
+	}
+	return q1, q2
+}
+
+// recomputeShedding sets the drop probabilities and ends the period. Requests are shed only where no
+// backend is normal: then all other requests go first, and priority ones the more, the nearer the
+// fleet is to R.
+func (m *Module) recomputeShedding() {
+	q := 0.0
+	if n := m.priorityArrivals + m.otherArrivals; n > 0 {
+		q = (m.otherArrivals + m.priorityArrivals*m.overloadSum/m.ticks) / n
+	}
+	m.priorityDrop, m.otherDrop = ShedSplit(q, m.priorityArrivals, m.otherArrivals)
+	m.priorityArrivals *= arrivalsCarriedOver
+	m.otherArrivals *= arrivalsCarriedOver
+	m.overloadSum, m.ticks, m.periodAt = 0, 0, m.now
+	m.chooseSubset()
+	for _, b := range m.subset {
+		b.dither = m.random()
+	}
+}
--- /dev/null
+++ b/decide/trials.go
@@ -0,0 +1,47 @@
+package decide
+
+import "time"
+
+// dueTrialBackend returns a suspect, or a backend that loses the class of the request, whose trial is
+// due, for a request that may be repeated; nil if there is none.
+func (m *Module) dueTrialBackend(r *request) *backend {
+	for _, b := range m.subset {
+		if r.class.Effect == Unsafe || !m.maySend(r, b) {
+			continue
+		}
+		lost := m.avoided(b, r.class)
+		if b.suspect && !lost && m.now >= b.trialAt {
+			return b
+		}
+		if !b.suspect && lost && m.now >= b.faultOf(r.class).trialAt &&
+			m.modeOf(b) != Blocking && !m.overColdBudget(b) {
+			return b
+		}
+	}
+	return nil
+}
+
+// sendTrial sends a request to a backend whose trial is due, and reports whether it has. A trial has
+// the time of an ordinary answer and a half, or a healthy suspect would stay one, and leaves some for
+// a second attempt. Trials spend retry tokens as further attempts do: each node of many has many
+// suspects once all is slow.
+func (m *Module) sendTrial(r *request) bool {
+	b, c := m.dueTrialBackend(r), r.class
+	if b == nil || m.retryTokens < 2 {
+		return false
+	}
+	expected := time.Duration(m.meanLatency * c.relativeCost * float64(time.Second))
+	conclusive := max(m.settings.ConnectTimeout, unresponsiveFactor*expected)
+	ordinary := max(c.Target/3, expected*3/2)
+	switch {
+	case !b.suspect && m.send(r, b, c.Target/2):
+		b.faultOf(c).trialAt = m.now + m.jitter(firstTrialWait)
+	case b.suspect && m.send(r, b, min(conclusive, ordinary)):
+		b.trialWait = min(2*b.trialWait, maxTrialWait)
+		r.trial, b.trialAt = true, m.now+m.jitter(b.trialWait)
+	default:
+		return false
+	}
+	m.retryTokens--
+	return true
+}
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -32,7 +32,7 @@
 
 // backends makes requests to all backends, over the pool's connections.
 type backends struct {
-	*upstream.Pool[decide.ServerID]
+	*upstream.Pool[decide.BackendID]
 	large      atomic.Int64
 	largeLimit int64
 	log        *slog.Logger
@@ -41,7 +41,7 @@
 
 func newBackends(c *Config, limit int, log *slog.Logger) *backends {
 	count := &stats{}
-	pool := upstream.New[decide.ServerID](upstream.Options{
+	pool := upstream.New[decide.BackendID](upstream.Options{
 		Limit:       limit,
 		IdleLimit:   time.Duration(float64(c.Settings.ConnIdle) * idlePart),
 		Rest:        restLeast,
@@ -53,9 +53,9 @@
 
 // update follows the list.
 func (b *backends) update(l list) {
-	entries := make([]upstream.Entry[decide.ServerID], 0, len(l.entries))
+	entries := make([]upstream.Entry[decide.BackendID], 0, len(l.entries))
 	for _, e := range l.entries {
-		entries = append(entries, upstream.Entry[decide.ServerID]{Key: e.ID, Address: e.addr, Started: e.StartedAt, Ready: e.State == decide.Ready})
+		entries = append(entries, upstream.Entry[decide.BackendID]{Key: e.ID, Address: e.addr, Started: e.StartedAt, Ready: e.State == decide.Ready})
 	}
 	b.Update(l.full, entries)
 }
@@ -103,11 +103,11 @@
 	if err != nil {
 		switch {
 		case x.unwanted():
-			return result{code: decide.Moot, err: errUnwanted}
+			return result{code: decide.NotSent, err: errUnwanted}
 		case ctx.Err() != nil:
 			return result{code: decide.Cancelled, err: ctx.Err()}
 		case errors.Is(err, upstream.ErrTooMany): // not the backend's fault
-			return result{code: decide.Moot, err: err}
+			return result{code: decide.NotSent, err: err}
 		}
 		return result{code: decide.ConnectFailed, err: err}
 	}
@@ -117,7 +117,7 @@
 	switch {
 	case x.unwanted():
 		b.Release(c, true)
-		return result{code: decide.Moot, err: errUnwanted}
+		return result{code: decide.NotSent, err: errUnwanted}
 	case ctx.Err() != nil:
 		b.Release(c, true)
 		return result{code: decide.Cancelled, err: ctx.Err()}
@@ -126,7 +126,7 @@
 		return result{code: decide.ConnectFailed, err: upstream.ErrClosed}
 	case !x.writeBy.IsZero() && !now.Before(x.writeBy):
 		b.Release(c, true)
-		return result{code: decide.Moot, err: errors.New("the keyed window is over")}
+		return result{code: decide.NotSent, err: errors.New("the keyed window is over")}
 	case !now.Before(x.deadline):
 		b.Release(c, true)
 		return result{code: decide.ConnectFailed, err: os.ErrDeadlineExceeded}
@@ -221,7 +221,7 @@
 		return result{code: decide.Reset, err: errors.New("the answer is longer than its length")}, false
 	}
 	keep = open && more == "" && !resp.Close
-	r = result{code: decide.ServerError, report: parseReport(resp.Header.Get("X-Backend-Load")), header: resp.Header, body: body}
+	r = result{code: decide.BackendError, report: parseReport(resp.Header.Get("X-Backend-Load")), header: resp.Header, body: body}
 	switch status := resp.StatusCode; {
 	case status == http.StatusOK:
 		r.code = decide.OK
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -42,11 +42,11 @@
 }
 
 type entry struct {
-	decide.Server
+	decide.Backend
 	name, addr string
 }
 
-var states = map[string]decide.ServerState{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
+var states = map[string]decide.BackendState{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
 
 // decodeList takes a list only if all of it makes sense.
 func decodeList(raw []byte) (list, error) {
@@ -79,7 +79,7 @@
 		if _, err := netip.ParseAddrPort(s.Addr); err != nil && state != decide.Gone {
 			return list{}, fmt.Errorf("list, entry %d: %w", i, err)
 		}
-		l.entries = append(l.entries, entry{name: s.ID, addr: s.Addr, Server: decide.Server{ID: serverID(s.ID), Zone: s.Zone, Kind: s.Kind,
+		l.entries = append(l.entries, entry{name: s.ID, addr: s.Addr, Backend: decide.Backend{ID: serverID(s.ID), Zone: s.Zone, Kind: s.Kind,
 			Cell: s.Cell, State: state, Size: s.Weight, StartedAt: time.Duration(min(max(0, s.Started), latestStart)) * time.Millisecond}})
 	}
 	return l, nil
@@ -87,25 +87,25 @@
 
 // serverID makes the module's number of a name, the same at every node: the module's order of servers hangs on
 // it. Names that end in eight hex digits hold it; of others it is a hash.
-func serverID(name string) decide.ServerID {
+func serverID(name string) decide.BackendID {
 	if _, digits, ok := strings.Cut(name, "-"); ok && len(digits) == 8 {
 		if v, err := strconv.ParseUint(digits, 16, 32); err == nil {
-			return decide.ServerID(v)
+			return decide.BackendID(v)
 		}
 	}
 	h := fnv.New32a()
 	io.WriteString(h, name)
-	return decide.ServerID(h.Sum32())
+	return decide.BackendID(h.Sum32())
 }
 
 // names keeps apart backends whose names give one number: the one that is listed later gets the next free one.
 type names struct {
-	ids  map[string]decide.ServerID
-	used map[decide.ServerID]bool
+	ids  map[string]decide.BackendID
+	used map[decide.BackendID]bool
 }
 
 func newNames() *names {
-	return &names{ids: map[string]decide.ServerID{}, used: map[decide.ServerID]bool{}}
+	return &names{ids: map[string]decide.BackendID{}, used: map[decide.BackendID]bool{}}
 }
 
 // number puts the numbers that this node uses into a list. A name that is gone gives its number back.
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -80,7 +80,7 @@
 	timers    timerHeap
 	queue     []decide.Event
 	handling  bool
-	ready     map[decide.ServerID]bool
+	ready     map[decide.BackendID]bool
 	names     *names
 	version   *uint64 // of the list
 	endWatch  context.CancelFunc
@@ -92,7 +92,7 @@
 	now := time.Now()
 	return &loop{module: decide.New(c.Settings, c.Seed), settings: c.Settings, backends: b, disco: d, peers: p, log: log,
 		ctx: ctx, happened: make(chan func(), eventQueue), began: now, base: time.Duration(now.UnixNano()),
-		requests: map[decide.RequestID]*request{}, ready: map[decide.ServerID]bool{}, names: newNames()}
+		requests: map[decide.RequestID]*request{}, ready: map[decide.BackendID]bool{}, names: newNames()}
 }
 
 // now is the module's clock: it goes on evenly from the time of day at the start, so that the times at which
@@ -114,7 +114,7 @@
 	defer l.work.Wait()
 	known.full = true
 	l.follow(known, decide.ListCached)
-	if !l.settings.AskForList {
+	if !l.settings.ListOnRequest {
 		l.listen()
 	}
 	timer := time.NewTimer(0)
@@ -158,7 +158,7 @@
 	case decide.Send:
 		l.send(a)
 	case decide.Refuse:
-		l.finish(a.ID, answer{status: http.StatusServiceUnavailable, holdOff: a.HoldOff})
+		l.finish(a.ID, answer{status: http.StatusServiceUnavailable, holdOff: a.RetryAfter})
 	case decide.Fail:
 		l.finish(a.ID, answer{status: http.StatusBadGateway})
 	case decide.CancelAttempt:
@@ -168,7 +168,7 @@
 	case decide.SetTimer:
 		heap.Push(&l.timers, runningTimer{time.Now().Add(a.After), a.Token})
 	case decide.Probe:
-		l.probe(a.Server)
+		l.probe(a.Backend)
 	case decide.SendMessage:
 		l.peers.send(a.To, a.ToAll, a.Data)
 	case decide.Subscribe:
@@ -185,7 +185,7 @@
 			})
 		})
 	case decide.CloseIdle:
-		l.backends.CloseIdle(a.Server)
+		l.backends.CloseIdle(a.Backend)
 	case decide.Log:
 		l.log.Info(a.Line)
 	}
@@ -237,7 +237,7 @@
 func (l *loop) send(a decide.Send) {
 	r := l.requests[a.ID]
 	if r == nil {
-		l.handle(decide.AttemptEnded{ID: a.ID, Server: a.Server, Over: true, Code: decide.Moot})
+		l.handle(decide.AttemptEnded{ID: a.ID, Backend: a.Backend, Over: true, Code: decide.NotSent})
 		return
 	}
 	now := time.Now()
@@ -250,7 +250,7 @@
 		l.abandon(r)
 	}
 	if r.over || n >= max(1, l.settings.MaxAttempts) || !now.Before(r.deadline) {
-		l.ended(a, n, result{code: decide.Moot})
+		l.ended(a, n, result{code: decide.NotSent})
 		return
 	}
 	x := &exchange{method: r.method, url: r.url, header: r.header, body: r.body, deadline: r.deadline, client: r.client}
@@ -263,7 +263,7 @@
 			break
 		}
 	}
-	h := l.backends.Find(a.Server)
+	h := l.backends.Find(a.Backend)
 	l.work.Go(func() {
 		defer cancel()
 		res := l.backends.do(ctx, h, x)
@@ -279,7 +279,7 @@
 	}
 	t := r.attempts[n]
 	t.cancel()
-	t.neverRan = res.code == decide.Full || res.code == decide.ConnectFailed || res.code == decide.Moot
+	t.neverRan = res.code == decide.Full || res.code == decide.ConnectFailed || res.code == decide.NotSent
 	r.out--
 	l.backends.stats.outcomes[res.code].Add(1)
 	switch {
@@ -294,14 +294,14 @@
 	if res.code != decide.OK && res.code != decide.Cancelled {
 		if now := time.Now(); now.Sub(l.toldFault) >= faultEvery {
 			l.toldFault = now
-			l.log.Info("attempt", "id", clip(string(a.ID)), "server", a.Server, "code", res.code, "took", now.Sub(t.sent), "conn_uses", res.conn.Requests,
+			l.log.Info("attempt", "id", clip(string(a.ID)), "server", a.Backend, "code", res.code, "took", now.Sub(t.sent), "conn_uses", res.conn.Requests,
 				"conn_age", res.conn.Age, "conn_idle", res.conn.Idle, "err", faultOf(res.err))
 		}
 	}
 	if r.over && r.out == 0 {
 		delete(l.requests, a.ID)
 	}
-	l.handle(decide.AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Over: r.over, Elapsed: time.Since(t.sent),
+	l.handle(decide.AttemptEnded{ID: a.ID, Attempt: n, Backend: a.Backend, Over: r.over, Elapsed: time.Since(t.sent),
 		Code: res.code, Report: res.report, Opened: res.opened})
 }
 
@@ -320,7 +320,7 @@
 	l.post(func() { l.handle(decide.MessageReceived{From: from, Data: data}) })
 }
 
-func (l *loop) probe(id decide.ServerID) {
+func (l *loop) probe(id decide.BackendID) {
 	h := l.backends.Find(id)
 	path := "/stats"
 	if l.settings.ReportVia == decide.ReportNone {
@@ -330,7 +330,7 @@
 	l.work.Go(func() {
 		res := l.backends.probe(l.ctx, h, path)
 		l.post(func() {
-			l.handle(decide.ProbeEnded{Server: id, Code: res.code, Elapsed: time.Since(began), Report: res.report})
+			l.handle(decide.ProbeEnded{Backend: id, Code: res.code, Elapsed: time.Since(began), Report: res.report})
 		})
 	})
 }
@@ -424,7 +424,7 @@
 	l.unwatch()
 	l.disco.client.CloseIdleConnections()
 	l.disco = newDiscovery(to, l.log)
-	if l.settings.AskForList {
+	if l.settings.ListOnRequest {
 		l.subscribe(true)
 	} else {
 		l.listen()
@@ -463,7 +463,7 @@
 		if s.State == decide.Ready {
 			l.ready[s.ID] = true
 		}
-		e.Entries = append(e.Entries, s.Server)
+		e.Entries = append(e.Entries, s.Backend)
 	}
 	l.able.Store(len(l.ready) > 0)
 	l.handle(e)
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -20,7 +20,7 @@
 	served, refused, failed       atomic.Int64 // final answers
 	gone, overdue                 atomic.Int64 // clients that left; requests that the module left open
 	upstream.Counters                          // connections to backends
-	outcomes                      [decide.Moot + 1]atomic.Int64
+	outcomes                      [decide.NotSent + 1]atomic.Int64
 }
 
 // answered counts a final answer by its status.
@@ -38,7 +38,7 @@
 // attrs takes the counts and sets them back.
 func (s *stats) attrs() []slog.Attr {
 	take := func(name string, n *atomic.Int64) slog.Attr { return slog.Int64(name, n.Swap(0)) }
-	var ended [decide.Moot + 1]int64
+	var ended [decide.NotSent + 1]int64
 	for i := range s.outcomes {
 		ended[i] = s.outcomes[i].Swap(0)
 	}
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -44,14 +44,14 @@
 	switch a := a.(type) {
 	case decide.Send:
 		b = appendText(b, `{"assign":{"req":`, string(a.ID))
-		b = appendInt(b, `,"backend":`, int64(a.Server))
+		b = appendInt(b, `,"backend":`, int64(a.Backend))
 		if a.Timeout != 0 {
 			b = appendInt(b, `,"try_for_ns":`, int64(a.Timeout))
 		}
 	case decide.Refuse:
 		b = appendText(b, `{"deny":{"req":`, string(a.ID))
-		if a.HoldOff > 0 {
-			b = appendInt(b, `,"hold_off_ns":`, int64(a.HoldOff))
+		if a.RetryAfter > 0 {
+			b = appendInt(b, `,"hold_off_ns":`, int64(a.RetryAfter))
 		}
 	case decide.Fail:
 		b = appendText(b, `{"fail":{"req":`, string(a.ID))
@@ -62,7 +62,7 @@
 		b = appendInt(b, `{"arm":{"from_now_ns":`, int64(a.After))
 		b = appendInt(b, `,"label":`, a.Token)
 	case decide.Probe:
-		b = appendInt(b, `{"probe":{"backend":`, int64(a.Server))
+		b = appendInt(b, `{"probe":{"backend":`, int64(a.Backend))
 	case decide.SendMessage:
 		if a.ToAll {
 			b = append(b, `{"tell":{"dest":"*"`...)
@@ -76,7 +76,7 @@
 	case decide.FetchList:
 		b = append(b, `{"reload":{`...)
 	case decide.CloseIdle:
-		b = appendInt(b, `{"disconnect":{"backend":`, int64(a.Server))
+		b = appendInt(b, `{"disconnect":{"backend":`, int64(a.Backend))
 	case decide.Log:
 		b = appendText(b, `{"trace":{"message":`, a.Line)
 	}
