--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,5 @@
-// Command simadapter hosts instances of the decision module on the simulator's
-// wire: a batch of events a line on standard input, a reply a line on standard
-// output.
+// Command simadapter hosts instances of the decision module on the simulator's wire: a batch of events a line on standard
+// input, a line of actions for each on standard output.
 package main
 
 import (
@@ -14,6 +13,8 @@
 	"nickelline/internal/wire"
 )
 
+const bufferSize = 1 << 20 // bytes
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simadapter:", err)
@@ -21,53 +22,58 @@
 	}
 }
 
+// run answers each line until the input ends. Its errors name the line.
 func run(in io.Reader, out io.Writer) error {
-	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	nodes := map[int]*decide.Module{}
+	reader, writer := bufio.NewReaderSize(in, bufferSize), bufio.NewWriterSize(out, bufferSize)
+	nodes := instances{}
 	var reply []byte
 	for number := 1; ; number++ {
-		line, err := r.ReadBytes('\n')
+		line, err := reader.ReadBytes('\n')
 		if errors.Is(err, io.EOF) && len(line) == 0 {
 			return nil
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
-		replies, err := answer(nodes, line)
+		replies, err := nodes.answer(line)
 		if err != nil {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
 		reply = wire.AppendReply(reply[:0], replies)
-		if _, err := w.Write(reply); err != nil {
+		if _, err := writer.Write(reply); err != nil {
 			return err
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return err
 		}
 	}
 }
 
-func answer(nodes map[int]*decide.Module, line []byte) ([]wire.Reply, error) {
+// instances are the decision modules by the number of their node.
+type instances map[int]*decide.Module
+
+// answer feeds the events of one line to their instances and returns the actions.
+func (n instances) answer(line []byte) ([]wire.Reply, error) {
 	batch, err := wire.DecodeBatch(line)
 	if err != nil {
 		return nil, err
 	}
 	var replies []wire.Reply
-	for _, g := range batch.Groups {
-		reply := wire.Reply{Node: g.Node}
-		for i, h := range g.Events {
+	for _, group := range batch.Groups {
+		reply := wire.Reply{Node: group.Node}
+		for i, event := range group.Events {
 			switch {
-			case h.Start != nil:
-				nodes[g.Node] = decide.New(h.Start.Settings, h.Start.Seed)
-			case h.Retire:
-				delete(nodes, g.Node)
+			case event.Start != nil:
+				n[group.Node] = decide.New(event.Start.Settings, event.Start.Seed)
+			case event.Retire:
+				delete(n, group.Node)
 				reply.Actions = nil // a dead instance does nothing
 			default:
-				m := nodes[g.Node]
-				if m == nil {
-					return nil, fmt.Errorf("node %d, event %d: no up came before it", g.Node, i)
+				module := n[group.Node]
+				if module == nil {
+					return nil, fmt.Errorf("node %d, event %d: no up came before it", group.Node, i)
 				}
-				reply.Actions = append(reply.Actions, m.Handle(batch.Now, h.Event)...)
+				reply.Actions = append(reply.Actions, module.Handle(batch.Now, event.Module)...)
 			}
 		}
 		replies = append(replies, reply)
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -32,7 +32,7 @@
 	for _, group := range batch.Groups {
 		fmt.Fprintf(&text, "node %d\n", group.Node)
 		for _, event := range group.Events {
-			fmt.Fprintf(&text, "retire %v, event %s\n", event.Retire, describe(event.Event))
+			fmt.Fprintf(&text, "retire %v, event %s\n", event.Retire, describe(event.Module))
 		}
 	}
 	golden.Text(t, "batch.txt", text.String())
--- /dev/null
+++ b/internal/wire/outcomes.go
@@ -0,0 +1,132 @@
+package wire
+
+import (
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"nickelline/decide"
+)
+
+// The codes by which the wire names outcomes.
+const (
+	codeOK            = 0
+	codeCancelled     = 1
+	codeTimeout       = 4
+	codeFull          = 8
+	codeNotSent       = 9
+	codeReset         = 10
+	codeError         = 13
+	codeConnectFailed = 14
+)
+
+var outcomeCodes = map[int]decide.OutcomeCode{
+	codeOK:            decide.OK,
+	codeCancelled:     decide.Cancelled,
+	codeTimeout:       decide.TimedOut,
+	codeFull:          decide.Full,
+	codeNotSent:       decide.NotSent,
+	codeReset:         decide.Reset,
+	codeError:         decide.BackendError,
+	codeConnectFailed: decide.ConnectFailed,
+}
+
+// outcomeJSON is what the events about attempts and probes hold; each lacks some of it.
+type outcomeJSON struct {
+	Request *string                    `json:"req"`
+	Attempt *int                       `json:"leg"`
+	Backend *uint32                    `json:"backend"`
+	Over    bool                       `json:"over"`
+	Elapsed int64                      `json:"delay_seen_ns"`
+	Code    *int                       `json:"disposition"`
+	Report  map[string]json.RawMessage `json:"feedback"`
+}
+
+func decodeOutcome(raw json.RawMessage) (outcomeJSON, error) {
+	var in outcomeJSON
+	if err := json.Unmarshal(raw, &in); err != nil {
+		return in, err
+	}
+	if in.Backend == nil {
+		return in, missingFieldError("backend")
+	}
+	return in, nil
+}
+
+// checkAttempt returns an error unless the object names an attempt of a request.
+func (o *outcomeJSON) checkAttempt() error {
+	if o.Request == nil {
+		return missingFieldError("req")
+	}
+	if o.Attempt == nil {
+		return missingFieldError("leg")
+	}
+	return nil
+}
+
+func (o *outcomeJSON) outcomeCode() (decide.OutcomeCode, error) {
+	if o.Code == nil {
+		return 0, missingFieldError("disposition")
+	}
+	code, known := outcomeCodes[*o.Code]
+	if !known {
+		return 0, fmt.Errorf("unknown disposition %d", *o.Code)
+	}
+	return code, nil
+}
+
+func decodeAttemptEnd(raw json.RawMessage) (decide.Event, error) {
+	in, err := decodeOutcome(raw)
+	if err != nil {
+		return nil, err
+	}
+	if err := in.checkAttempt(); err != nil {
+		return nil, err
+	}
+	code, err := in.outcomeCode()
+	if err != nil {
+		return nil, err
+	}
+	return decide.AttemptEnded{
+		ID:      decide.RequestID(*in.Request),
+		Attempt: *in.Attempt,
+		Backend: decide.BackendID(*in.Backend),
+		Over:    in.Over,
+		Elapsed: time.Duration(in.Elapsed),
+		Code:    code,
+		Report:  decodeReport(in.Report),
+	}, nil
+}
+
+func decodeProbeResult(raw json.RawMessage) (decide.Event, error) {
+	in, err := decodeOutcome(raw)
+	if err != nil {
+		return nil, err
+	}
+	code, err := in.outcomeCode()
+	if err != nil {
+		return nil, err
+	}
+	return decide.ProbeEnded{
+		Backend: decide.BackendID(*in.Backend),
+		Code:    code,
+		Elapsed: time.Duration(in.Elapsed),
+		Report:  decodeReport(in.Report),
+	}, nil
+}
+
+func decodeStreamStart(raw json.RawMessage) (decide.Event, error) {
+	in, err := decodeOutcome(raw)
+	if err != nil {
+		return nil, err
+	}
+	if err := in.checkAttempt(); err != nil {
+		return nil, err
+	}
+	return decide.StreamStarted{
+		ID:      decide.RequestID(*in.Request),
+		Attempt: *in.Attempt,
+		Backend: decide.BackendID(*in.Backend),
+		Elapsed: time.Duration(in.Elapsed),
+	}, nil
+}
--- /dev/null
+++ b/internal/wire/report.go
@@ -0,0 +1,48 @@
+package wire
+
+import (
+	"encoding/json"
+	"strconv"
+	"time"
+
+	"nickelline/decide"
+)
+
+// decodeReport skips the keys that it does not know. It returns nil for a report with no known key.
+func decodeReport(values map[string]json.RawMessage) *decide.Report {
+	var report decide.Report
+	known := false
+	for name, raw := range values {
+		value, err := strconv.ParseFloat(string(raw), 64)
+		if err != nil {
+			continue
+		}
+		known = SetReport(&report, name, value) || known
+	}
+	if !known {
+		return nil
+	}
+	return &report
+}
+
+// SetReport sets the field of a load report that has the given name, either on the simulator's wire or in a header of a
+// real backend. It reports whether there is one.
+func SetReport(report *decide.Report, name string, value float64) bool {
+	switch name {
+	case "active", "inflight":
+		report.InFlight, report.HasInFlight = value, true
+	case "waiting", "queue":
+		report.Queue, report.HasQueue = value, true
+	case "cpu", "util":
+		report.Utilisation = value
+	case "avg_ms", "latency_ms":
+		report.ServiceTime = time.Duration(value * float64(time.Millisecond))
+	case "rps", "qps":
+		report.Rate = value
+	case "err_rps", "eps":
+		report.ErrorRate = value
+	default:
+		return false
+	}
+	return true
+}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -55,7 +55,7 @@
 		"4": decide.TimedOut, "14": decide.ConnectFailed, "10": decide.Reset, "1": decide.Cancelled, "9": decide.NotSent} {
 		h := one(t, `{"attempt_end":{"req":"q","leg":1,"backend":7,"delay_seen_ns":5,"disposition":`+code+`,
 			"feedback":{"active":7,"unheard_of":3,"waiting":2}}}`)
-		e := h.Event.(decide.AttemptEnded)
+		e := h.Module.(decide.AttemptEnded)
 		if e.Code != want || e.Attempt != 1 || e.Backend != 7 || e.Over || e.Report.InFlight != 7 || e.Report.Queue != 2 {
 			t.Errorf("code %s: %+v", code, e)
 		}
@@ -64,7 +64,7 @@
 
 func TestReportWithNoKnownFieldIsNone(t *testing.T) {
 	h := one(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
-	if e := h.Event.(decide.AttemptEnded); e.Report != nil {
+	if e := h.Module.(decide.AttemptEnded); e.Report != nil {
 		t.Errorf("%+v", e.Report)
 	}
 }
