--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -31,19 +31,19 @@
 	Limits    Limits
 	PeerListen,
 	PeersAll netip.AddrPort // invalid where nodes don't talk
-	Peers    []netip.AddrPort
-	Known    list // the backends as this node last had them
-	Settings decide.Settings
+	Peers         []netip.AddrPort
+	KnownBackends list // the backends as this node last had them
+	Settings      decide.Settings
 
-	reread func() (*Config, error)
+	readAgain func() (*Config, error)
 }
 
 // The least that a node can run with, and what it takes where it isn't told.
 const (
-	leastSockets  = 64
-	leastMemoryMB = 32
-	usualSockets  = 1024
-	usualMemoryMB = 192
+	minSockets      = 64
+	minMemoryMB     = 32
+	defaultSockets  = 1024
+	defaultMemoryMB = 192
 )
 
 // LoadConfig reads the file that GW_CONFIG names. The other GW_ variables go before what it says.
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.reread = func() (*Config, error) {
+	c.readAgain = func() (*Config, error) {
 		return readConfig(func(name string) string {
 			if name == "GW_DISCOVERY" { // it still has the address of the start: what is new is in the file
 				return ""
@@ -123,16 +123,16 @@
 	}
 	c.Seed = int64(seed)
 	if c.Limits.Sockets == 0 {
-		c.Limits.Sockets = usualSockets
+		c.Limits.Sockets = defaultSockets
 	}
 	if c.Limits.MemoryMB == 0 {
-		c.Limits.MemoryMB = usualMemoryMB
+		c.Limits.MemoryMB = defaultMemoryMB
 	}
-	if c.Limits.Sockets < leastSockets || c.Limits.MemoryMB < leastMemoryMB || c.Limits.Cores < 0 {
-		return nil, fmt.Errorf("%s: limits: want %d sockets and %d MB of memory at least, have %+v", path, leastSockets, leastMemoryMB, c.Limits)
+	if c.Limits.Sockets < minSockets || c.Limits.MemoryMB < minMemoryMB || c.Limits.Cores < 0 {
+		return nil, fmt.Errorf("%s: limits: want %d sockets and %d MB of memory at least, have %+v", path, minSockets, minMemoryMB, c.Limits)
 	}
 	if in.Known != nil && string(in.Known) != "null" { // a node that has never had a list
-		if c.Known, err = decodeList(in.Known); err != nil {
+		if c.KnownBackends, err = decodeList(in.Known); err != nil {
 			return nil, fmt.Errorf("%s: known: %w", path, err)
 		}
 	}
--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -23,7 +23,7 @@
 	addr := backend(t, answering(func(*http.Request, []byte) string {
 		return "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n"
 	}))
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	n := start(t, &Config{Settings: settings(), KnownBackends: known(addr)})
 	if resp, _ := n.ask(t, message("order", "9.5", "b")); resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("status %d", resp.StatusCode)
 	}
@@ -36,7 +36,7 @@
 	for _, pushed := range []bool{false, true} {
 		addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
 		tell, told, rest := make(chan struct{}), make(chan struct{}, 1), make(chan struct{})
-		c := &Config{Settings: settings(), Known: known(addr)}
+		c := &Config{Settings: settings(), KnownBackends: known(addr)}
 		c.Settings.ListOnRequest = !pushed
 		c.Discovery = registry(t, func(n int, _ url.Values) string {
 			switch n {
@@ -66,12 +66,12 @@
 		p.loop.post(func() { close(held); <-hold })
 		receive(t, "the loop", held)
 		silent := netip.MustParseAddrPort(backend(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
-		p.loop.post(func() { p.loop.move(silent) })
+		p.loop.post(func() { p.loop.moveDiscovery(silent) })
 		release()
-		eventually(t, "news behind the move", func() bool { return len(p.loop.happened) >= 2 })
+		eventually(t, "news behind the move", func() bool { return len(p.loop.events) >= 2 })
 		letLoop()
 		p.in(func() {})
-		if h := p.loop.backends.Find(1); h != nil {
+		if h := p.loop.transport.Find(1); h != nil {
 			t.Errorf("pushed %v: the drain is not followed", pushed)
 		}
 	}
@@ -85,7 +85,7 @@
 	calls := make(chan url.Values, 99)
 	var mu sync.Mutex
 	n := 0
-	c := &Config{Settings: settings(), Known: known(addr)}
+	c := &Config{Settings: settings(), KnownBackends: known(addr)}
 	c.Discovery = netip.MustParseAddrPort(backend(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
@@ -133,7 +133,7 @@
 	const failing = 10
 	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
 	done := make(chan struct{})
-	c := &Config{Settings: settings(), Known: known(addr)}
+	c := &Config{Settings: settings(), KnownBackends: known(addr)}
 	c.Settings.ListOnRequest, c.Settings.DrainGrace = false, 500*time.Millisecond
 	hang := make(chan struct{})
 	c.Discovery = registry(t, func(n int, _ url.Values) string {
@@ -197,14 +197,14 @@
 	} {
 		var hosts []*upstream.Backend
 		p.in(func() {
-			p.loop.news(c.news)
+			p.loop.takeList(c.news)
 			for id := range p.loop.ready {
-				hosts = append(hosts, p.loop.backends.Find(id))
+				hosts = append(hosts, p.loop.transport.Find(id))
 			}
 		})
 		var got []string
 		for _, h := range hosts {
-			r := p.loop.backends.do(t.Context(), h, get(patient))
+			r := p.loop.transport.do(t.Context(), h, get(patient))
 			got = append(got, string(r.body))
 		}
 		slices.Sort(got)
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -49,7 +49,7 @@
 		}))
 		drain := make(chan struct{})
 		letDrain := sync.OnceFunc(func() { close(drain) })
-		c := &Config{Settings: settings(), Known: list{version: 1}}
+		c := &Config{Settings: settings(), KnownBackends: list{version: 1}}
 		c.Settings.ListOnRequest = !pushed
 		c.Discovery = registry(t, func(n int, q url.Values) string {
 			switch n {
@@ -103,7 +103,7 @@
 		}
 		hang, hung := make(chan struct{}), make(chan struct{}, 9)
 		release := sync.OnceFunc(func() { close(hang) })
-		c := &Config{Settings: settings(), Known: list{version: 40}}
+		c := &Config{Settings: settings(), KnownBackends: list{version: 40}}
 		c.Settings.ListOnRequest = !pushed
 		c.Discovery = registry(t, func(_ int, q url.Values) string {
 			hung <- struct{}{}
@@ -120,7 +120,7 @@
 			return ""
 		})
 		files := make(chan error)
-		c.reread = func() (*Config, error) {
+		c.readAgain = func() (*Config, error) {
 			if err := <-files; err != nil {
 				return nil, err
 			}
@@ -182,7 +182,7 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	c := &Config{Settings: settings(), Known: known(addr), PeerListen: netip.MustParseAddrPort("127.0.0.1:0"),
+	c := &Config{Settings: settings(), KnownBackends: known(addr), PeerListen: netip.MustParseAddrPort("127.0.0.1:0"),
 		Peers: []netip.AddrPort{{}, other.LocalAddr().(*net.UDPAddr).AddrPort()}}
 	c.Settings.MayMessage = true
 	c.Discovery = registry(t, func(_ int, q url.Values) string {
@@ -193,7 +193,7 @@
 		return jsonList(1, !q.Has("since"), "ready", addr)
 	})
 	ctx, cancel := context.WithCancel(t.Context())
-	b := newBackends(c, 10, quiet)
+	b := newTransport(c, 10, quiet)
 	p, err := listenPeers(c, quiet)
 	if err != nil {
 		t.Fatal(err)
@@ -202,7 +202,7 @@
 	l := newLoop(ctx, c, b, newDiscovery(c.Discovery, quiet), p, quiet)
 	l.settings.ListOnRequest = true // the loop asks only when told
 	var running sync.WaitGroup
-	running.Go(func() { l.run(c.Known) })
+	running.Go(func() { l.run(c.KnownBackends) })
 	running.Go(func() { b.Run(ctx) })
 	running.Go(func() { p.write(ctx) })
 	heard := make(chan string, 9)
@@ -210,7 +210,7 @@
 	defer running.Wait()
 	defer cancel()
 
-	act := func(a decide.Action) { l.post(func() { l.do(a) }) }
+	act := func(a decide.Action) { l.post(func() { l.carryOut(a) }) }
 	expect := func(want string) {
 		t.Helper()
 		end := time.After(patient)
@@ -240,7 +240,7 @@
 	act(decide.Subscribe{On: false})
 	act(decide.SendMessage{To: 1, Data: []byte("one")})
 	act(decide.SendMessage{ToAll: true, Data: []byte("all")})
-	act(decide.SendMessage{To: 1, Data: make([]byte, datagramLimit+1)})
+	act(decide.SendMessage{To: 1, Data: make([]byte, maxDatagram+1)})
 	act(decide.SendMessage{To: 9})
 	act(decide.Log{Line: "line"})
 	buf := make([]byte, 999)
@@ -250,14 +250,14 @@
 			t.Errorf("datagram %q, %v; want %q", buf[:n], err, want)
 		}
 	}
-	other.WriteToUDPAddrPort(make([]byte, datagramLimit+1), ownAddr)
+	other.WriteToUDPAddrPort(make([]byte, maxDatagram+1), ownAddr)
 	other.WriteToUDPAddrPort([]byte("hi"), ownAddr)
 	if got := receive(t, "a datagram", heard); got != "1hi" {
 		t.Errorf("heard %q", got)
 	}
 	r := &request{arrived: decide.RequestArrived{ID: "q", Class: "order"}, deadline: time.Now().Add(patient), client: t.Context(), method: "POST",
 		url: &url.URL{Path: "/order", Host: "h"}, answer: make(chan answer, 1)}
-	l.post(func() { l.arrive(r) })
+	l.post(func() { l.takeRequest(r) })
 	expect("/order")
 	act(decide.CancelAttempt{ID: "q", Attempt: 0})
 	act(decide.CancelAttempt{ID: "q", Attempt: 7})
@@ -269,7 +269,7 @@
 	act(decide.Refuse{ID: "q"})
 	act(decide.Fail{ID: "nobody"})
 	fired := make(chan struct{})
-	l.post(func() { l.do(decide.SetTimer{After: time.Millisecond, Token: 9}); close(fired) })
+	l.post(func() { l.carryOut(decide.SetTimer{After: time.Millisecond, Token: 9}); close(fired) })
 	receive(t, "the timer's action", fired)
 	for empty := false; !empty; time.Sleep(time.Millisecond) {
 		done := make(chan bool)
@@ -302,7 +302,7 @@
 		})
 	}
 	c, err := load(good, map[string]string{"GW_LISTEN": "127.0.0.1:99"})
-	if err != nil || c.Listen.Port() != 99 || c.Known.version != 4 || c.Settings.Nodes != 3 || uint64(c.Seed) != 0x8c1f30d27a5be964 {
+	if err != nil || c.Listen.Port() != 99 || c.KnownBackends.version != 4 || c.Settings.Nodes != 3 || uint64(c.Seed) != 0x8c1f30d27a5be964 {
 		t.Errorf("%+v, %v", c, err)
 	}
 	for _, bad := range [][2]string{{`{"name"`, `{"nam`}, {`"n0"`, `""`}, {`"127.0.0.1:80"`, `"x"`}, {`"127.0.0.1:81"`, `""`}, {`8c1f`, `xyz`},
@@ -311,14 +311,14 @@
 			t.Errorf("%s for %s: error %v", bad[1], bad[0], err)
 		}
 	}
-	if c, err := load(strings.Replace(good, `{"version":4,"full":true,"servers":[]}`, "null", 1), nil); err != nil || len(c.Known.entries) > 0 {
+	if c, err := load(strings.Replace(good, `{"version":4,"full":true,"servers":[]}`, "null", 1), nil); err != nil || len(c.KnownBackends.entries) > 0 {
 		t.Errorf("no list known: %v", err)
 	}
 	c, err = load(good, map[string]string{"GW_DISCOVERY": "127.0.0.1:98"})
 	if err != nil || c.Discovery.Port() != 98 {
 		t.Errorf("%+v, %v", c, err)
 	}
-	if c, err = c.reread(); err != nil || c.Discovery.Port() != 81 {
+	if c, err = c.readAgain(); err != nil || c.Discovery.Port() != 81 {
 		t.Errorf("read again: %+v, %v; the file has what is new", c, err)
 	}
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil {
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -64,14 +64,14 @@
 			t.Error(err)
 		}
 		a.closeQuiet() // it has been read now
-		if a.held() != 1 {
+		if a.openConnections() != 1 {
 			t.Error("closed under a request")
 		}
 		a.refuseRest()
 		if resp, err := http.ReadResponse(bufio.NewReader(client), nil); err != nil || resp.StatusCode != 503 {
 			t.Errorf("%v, %v", resp, err)
 		}
-		if a.held() != 0 {
+		if a.openConnections() != 0 {
 			t.Error("still open")
 		}
 	})
@@ -79,7 +79,7 @@
 		_, c, client := pair(t)
 		got := read(c)
 		eventually(t, "reading", waits(c))
-		if !c.shutQuiet(true) {
+		if !c.closeIfQuiet(true) {
 			t.Fatal("not shut")
 		}
 		io.WriteString(client, "GET")
@@ -90,14 +90,14 @@
 	t.Run("quiet", func(t *testing.T) {
 		a, c, client := pair(t)
 		a.closeQuiet() // nobody has looked yet
-		if a.held() != 1 {
+		if a.openConnections() != 1 {
 			t.Error("closed before anybody has looked")
 		}
 		got := read(c)
 		eventually(t, "reading", waits(c))
 		a.closeQuiet()
-		if err := receive(t, "a read", got); !errors.Is(err, net.ErrClosed) || a.held() != 0 {
-			t.Errorf("read %v, %d held", err, a.held())
+		if err := receive(t, "a read", got); !errors.Is(err, net.ErrClosed) || a.openConnections() != 0 {
+			t.Errorf("read %v, %d held", err, a.openConnections())
 		}
 		if n, err := client.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("the client reads %d, %v", n, err)
@@ -110,8 +110,8 @@
 			t.Fatal(err)
 		}
 		a.mu.Lock()
-		c.since = time.Now().Add(-freshLeast)
-		old, begun := a.longest()
+		c.since = time.Now().Add(-minFresh)
+		old, begun := a.evictionCandidate()
 		a.mu.Unlock()
 		if old != c || !begun {
 			t.Fatalf("%v, %v", old, begun)
@@ -125,10 +125,10 @@
 
 // shutQuietBack is shutQuiet(false), undone.
 func (c *clientConn) shutQuietBack() bool {
-	quiet := c.shutQuiet(false)
+	quiet := c.closeIfQuiet(false)
 	c.reading.Lock()
 	defer c.reading.Unlock()
-	c.shut = false
+	c.closedForReading = false
 	return quiet
 }
 
@@ -156,7 +156,7 @@
 			io.WriteString(c, ok("x"))
 		}
 	})
-	c.Known = known(silent)
+	c.KnownBackends = known(silent)
 	n := start(t, c)
 	dial := func() (net.Conn, *bufio.Reader) {
 		conn, err := net.Dial("tcp", n.addr)
@@ -225,7 +225,7 @@
 // lateBody brings its last byte when the time for it is over: that has begun before the first read.
 type lateBody struct{}
 
-func (lateBody) Read(p []byte) (int, error) { <-time.After(bodyWait); p[0] = 'b'; return 1, io.EOF }
+func (lateBody) Read(p []byte) (int, error) { <-time.After(bodyTimeout); p[0] = 'b'; return 1, io.EOF }
 func (lateBody) Close() error               { return nil }
 
 // A body whose end crosses the deadline for it is told to be late: net/http's watch for the client's going may have
@@ -256,9 +256,9 @@
 	io.WriteString(conn, message("order", "9.5", "b"))
 	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
 	read := make(chan struct{}, 9)
-	c := &Config{Settings: settings(), Known: known(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 256}}
+	c := &Config{Settings: settings(), KnownBackends: known(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 256}}
 	c.Discovery = netip.MustParseAddrPort(backend(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
-	c.reread = func() (*Config, error) { read <- struct{}{}; return nil, errors.New("bad") }
+	c.readAgain = func() (*Config, error) { read <- struct{}{}; return nil, errors.New("bad") }
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
 	hup, ended := make(chan os.Signal, 1), make(chan error, 1)
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -28,7 +28,7 @@
 		t.Fatalf("load configuration: %v", err)
 	}
 	text := fmt.Sprintln(c.Name, c.Listen, c.Discovery, c.Seed, c.Limits, c.PeerListen, c.PeersAll, c.Peers)
-	text += fmt.Sprintf("known %v\nsettings %v\n", c.Known, c.Settings)
+	text += fmt.Sprintf("known %v\nsettings %v\n", c.KnownBackends, c.Settings)
 	golden.Text(t, "config.txt", text)
 }
 
@@ -67,8 +67,8 @@
 	}))
 	const host, id, left, key, none, end = "Host: h\r\n", "X-Correlation-Id: q\r\n", "X-Time-Left: 9\r\n", "Idempotency-Key: k\r\n", "Content-Length: 0\r\n", "\r\n"
 	const get, post, head = "GET /read HTTP/1.1\r\n", "POST /order HTTP/1.1\r\n", host + id + left
-	empty := start(t, &Config{Settings: settings(), Known: known()})
-	serving := start(t, &Config{Settings: settings(), Known: known(addr)})
+	empty := start(t, &Config{Settings: settings(), KnownBackends: known()})
+	serving := start(t, &Config{Settings: settings(), KnownBackends: known(addr)})
 	serving.waitReady(t, http.StatusOK)
 	var text strings.Builder
 	for _, c := range []struct {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -216,7 +216,7 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(patient))
 	io.WriteString(c, text)
-	late := time.Since(began) >= freshLeast
+	late := time.Since(began) >= minFresh
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil && late {
 		return nil, "", fmt.Errorf("%w: %w", errSentLate, err)
@@ -262,7 +262,7 @@
 		c.Limits = Limits{Cores: 1, MemoryMB: 192, Sockets: 256}
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	b := newBackends(c, 100, quiet)
+	b := newTransport(c, 100, quiet)
 	l := newLoop(ctx, c, b, newDiscovery(c.Discovery, quiet), nil, quiet)
 	p := &parts{loop: l, front: newFrontend(l, 1<<20, quiet), door: newAdmission(tcp, 100), addr: tcp.Addr().String()}
 	srv := p.front.server(p.door)
@@ -275,7 +275,7 @@
 		}
 		b.Wait()
 	})
-	go func() { l.run(c.Known); ended <- struct{}{} }()
+	go func() { l.run(c.KnownBackends); ended <- struct{}{} }()
 	go func() { b.Run(ctx); ended <- struct{}{} }()
 	go func() { srv.Serve(p.door); ended <- struct{}{} }()
 	return p
@@ -290,7 +290,7 @@
 
 // wrapDial has connections to backends made by another function, which is given the one before. No request may be under
 // way.
-func wrapDial(b *backends, wrap func(upstream.DialFunc) upstream.DialFunc) {
+func wrapDial(b *transport, wrap func(upstream.DialFunc) upstream.DialFunc) {
 	before := b.SetDial(nil)
 	b.SetDial(wrap(before))
 }
--- a/internal/node/left_test.go
+++ b/internal/node/left_test.go
@@ -21,7 +21,7 @@
 	"resets":           func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	"stops sending":    func(c *net.TCPConn) { c.CloseWrite() },
 	"sends more, goes": func(c *net.TCPConn) { io.WriteString(c, strings.Repeat("G", 1000)); c.Close() },
-	"floods, goes":     func(c *net.TCPConn) { io.WriteString(c, strings.Repeat("G", aheadMost+1000)); c.Close() },
+	"floods, goes":     func(c *net.TCPConn) { io.WriteString(c, strings.Repeat("G", maxReadAhead+1000)); c.Close() },
 }
 
 // What nothing has been written of when its client leaves is not sent on, wherever it waits and whatever it is: in the
@@ -55,7 +55,7 @@
 	first := make(chan struct{}, 1)
 	first <- struct{}{}
 	serve := answering(func(r *http.Request, _ []byte) string {
-		if r.URL.Path == registryURL { // of another test's node: its discovery had this port before
+		if r.URL.Path == registryPath { // of another test's node: its discovery had this port before
 			return ""
 		}
 		if strings.HasPrefix(stage, "further") {
@@ -74,11 +74,11 @@
 		}
 		return ok("x")
 	})
-	c := &Config{Settings: settings(), Known: known(backend(t, serve), backend(t, serve))}
+	c := &Config{Settings: settings(), KnownBackends: known(backend(t, serve), backend(t, serve))}
 	c.Settings.MayCancel, c.Settings.ListOnRequest = cancel, true
 	p := assemble(t, c)
 	t.Cleanup(answerFull)
-	b := p.loop.backends
+	b := p.loop.transport
 	dials, let := make(chan struct{}, 9), make(chan struct{})
 	release := sync.OnceFunc(func() { close(let) })
 	t.Cleanup(release)
@@ -115,17 +115,17 @@
 	io.WriteString(conn, text)
 	switch stage {
 	case "queued":
-		eventually(t, "in the queue", func() bool { return len(p.loop.happened) > 0 })
+		eventually(t, "in the queue", func() bool { return len(p.loop.events) > 0 })
 	case "further attempt queued":
 		receive(t, "the request", came)
 		holdLoop()
 		answerFull()
-		eventually(t, "an outcome in the queue", func() bool { return len(p.loop.happened) > 0 })
+		eventually(t, "an outcome in the queue", func() bool { return len(p.loop.events) > 0 })
 	default:
 		receive(t, "a dial", dials)
 	}
 	leave(conn.(*net.TCPConn))
-	eventually(t, "noticed", func() bool { return p.front.stats.gone.Load() == 1 })
+	eventually(t, "noticed", func() bool { return p.front.stats.clientsGone.Load() == 1 })
 	letLoop()
 	if stage == "connecting" || stage == "further attempt" { // nothing is awaited any more
 		eventually(t, "over", func() (over bool) { p.in(func() { over = len(p.loop.requests) == 0 }); return })
@@ -142,7 +142,7 @@
 		eventually(t, "kept", func() bool {
 			idle = nil
 			for _, h := range []*upstream.Backend{b.Find(1), b.Find(2)} {
-				if kept := b.Idle(h); len(kept) > 0 && time.Since(kept[0].IdleSince()) >= restLeast {
+				if kept := b.Idle(h); len(kept) > 0 && time.Since(kept[0].IdleSince()) >= minRest {
 					idle = append(idle, h)
 				}
 			}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -23,7 +23,7 @@
 		seen <- fmt.Sprint(r.Method, " ", r.RequestURI, " ", r.Header.Get("Idempotency-Key"), " ", r.Header.Get("X-Correlation-Id") != "", " ", string(body))
 		return ok(want)
 	}))
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	n := start(t, &Config{Settings: settings(), KnownBackends: known(addr)})
 	for class, line := range map[string]string{"read": "GET /read?obj=a%2fb  true ", "tag": "POST /tag?obj=a%2fb k true B", "order": "POST /order?obj=a%2fb  true B"} {
 		body := "B"
 		if class == "read" {
@@ -45,7 +45,7 @@
 	t.Parallel()
 	var passed atomic.Int64
 	addr := backend(t, answering(func(*http.Request, []byte) string { passed.Add(1); return ok("x") }))
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	n := start(t, &Config{Settings: settings(), KnownBackends: known(addr)})
 	const host, id, left, key, none = "Host: h\r\n", "X-Correlation-Id: q\r\n", "X-Time-Left: 9\r\n", "Idempotency-Key: k\r\n", "Content-Length: 0\r\n"
 	const get, post, head, end = "GET /read HTTP/1.1\r\n", "POST /order HTTP/1.1\r\n", host + id + left, "\r\n"
 	hidden := post + "Host: h\r\nX-Correlation-Id: hidden\r\n" + left + none + end
@@ -132,7 +132,7 @@
 func TestSilentClients(t *testing.T) {
 	t.Parallel()
 	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
-	n := start(t, &Config{Settings: settings(), Known: known(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: leastSockets}})
+	n := start(t, &Config{Settings: settings(), KnownBackends: known(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: minSockets}})
 	stuck := message("order", "9.5", "abc")
 	stuck = stuck[:len(stuck)-1]
 	var waiting sync.WaitGroup
@@ -199,17 +199,17 @@
 		t.Fatalf("with none to close: %v, %v", resp, err)
 	}
 	a.mu.Lock()
-	idle.since, fresh.since = time.Now().Add(-idleLeast), time.Now().Add(-freshLeast)
+	idle.since, fresh.since = time.Now().Add(-minIdle), time.Now().Add(-minFresh)
 	a.mu.Unlock()
 	dial()
 	third := receive(t, "the third connection", done)
 	a.track(third, http.StateActive)
-	if !idle.lost() || fresh.lost() || busy.lost() {
+	if !idle.wasEvicted() || fresh.wasEvicted() || busy.wasEvicted() {
 		t.Error("the wrong one was closed first")
 	}
 	fourth := accept()
 	a.track(fourth, http.StateActive)
-	if !fresh.lost() || busy.lost() || a.count != 3 {
+	if !fresh.wasEvicted() || busy.wasEvicted() || a.count != 3 {
 		t.Errorf("the wrong one was closed second; %d open", a.count)
 	}
 	for _, c := range []*clientConn{busy, third, fourth, idle, fresh} {
@@ -225,7 +225,7 @@
 func TestSilentBackend(t *testing.T) {
 	t.Parallel()
 	addr := backend(t, func(c net.Conn) { io.Copy(io.Discard, c) })
-	p := assemble(t, &Config{Settings: settings(), Known: known(addr)})
+	p := assemble(t, &Config{Settings: settings(), KnownBackends: known(addr)})
 	n := &testNode{addr: p.addr}
 	for class, want := range map[string]int{"read": 503, "tag": 502, "order": 502} {
 		status := 0
@@ -255,7 +255,7 @@
 		r.ReadByte()
 		close(gone)
 	})
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	n := start(t, &Config{Settings: settings(), KnownBackends: known(addr)})
 	c, err := net.Dial("tcp", n.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -275,7 +275,7 @@
 	t.Parallel()
 	came, let := make(chan struct{}, 9), make(chan struct{})
 	addr := backend(t, answering(func(*http.Request, []byte) string { came <- struct{}{}; <-let; return ok("x") }))
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	n := start(t, &Config{Settings: settings(), KnownBackends: known(addr)})
 	text := message("order", "9.5", "b")
 	release := sync.OnceFunc(func() { close(let) })
 	t.Cleanup(release)
@@ -303,7 +303,7 @@
 		<-let
 		return ok("x")
 	}))
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	n := start(t, &Config{Settings: settings(), KnownBackends: known(addr)})
 	release := sync.OnceFunc(func() { close(let) })
 	t.Cleanup(release)
 	held := n.askLater(t, message("order", "9.5", "b"))
@@ -371,7 +371,7 @@
 	t.Parallel()
 	let := make(chan struct{})
 	addr := backend(t, answering(func(*http.Request, []byte) string { <-let; return ok("x") }))
-	c := &Config{Settings: settings(), Known: known(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: leastSockets}}
+	c := &Config{Settings: settings(), KnownBackends: known(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: minSockets}}
 	c.Settings.MaxOpen = 1
 	n := start(t, c)
 	release := sync.OnceFunc(func() { close(let) })
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	datagramLimit = 256 // bytes
-	datagramQueue = 64  // datagrams that wait to be sent; more are lost, as datagrams may be
+	maxDatagram         = 256 // bytes
+	datagramQueueLength = 64  // datagrams that wait to be sent; more are lost, as datagrams may be
 )
 
 type datagram struct {
@@ -38,12 +38,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	return &peers{conn: conn, nodes: c.Peers, all: c.PeersAll, self: c.Settings.Self, queue: make(chan datagram, datagramQueue), log: log}, nil
+	return &peers{conn: conn, nodes: c.Peers, all: c.PeersAll, self: c.Settings.Self, queue: make(chan datagram, datagramQueueLength), log: log}, nil
 }
 
 // send never blocks.
 func (p *peers) send(to int, toAll bool, data []byte) {
-	if p == nil || len(data) > datagramLimit {
+	if p == nil || len(data) > maxDatagram {
 		return
 	}
 	var dest []netip.AddrPort
@@ -88,7 +88,7 @@
 	for i, a := range p.nodes {
 		number[a] = i
 	}
-	buf := make([]byte, datagramLimit+1)
+	buf := make([]byte, maxDatagram+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -99,7 +99,7 @@
 			continue
 		}
 		i, known := number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if known && i != p.self && n <= datagramLimit {
+		if known && i != p.self && n <= maxDatagram {
 			heard(i, append([]byte(nil), buf[:n]...))
 		}
 	}
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -10,7 +10,7 @@
 	"nickelline/internal/upstream"
 )
 
-const statsEvery = 5 * time.Second // a line of counts: enough to tell a bad stretch from a good one
+const statsInterval = 5 * time.Second // a line of counts: enough to tell a bad stretch from a good one
 
 // stats counts what passes through the sockets, for the operators; nothing is decided by it. All but the gauges in
 // line begin anew with each line.
@@ -18,7 +18,7 @@
 	accepted, turnedAway, evicted atomic.Int64 // clients' connections
 	requests, rejected            atomic.Int64 // taken from clients; answered without the module
 	served, refused, failed       atomic.Int64 // final answers
-	gone, overdue                 atomic.Int64 // clients that left; requests that the module left open
+	clientsGone, overdue          atomic.Int64 // clients that left; requests that the module left open
 	upstream.Counters                          // connections to backends
 	outcomes                      [decide.NotSent + 1]atomic.Int64
 }
@@ -44,20 +44,20 @@
 	}
 	return []slog.Attr{take("accepted", &s.accepted), take("turned_away", &s.turnedAway), take("evicted", &s.evicted),
 		take("requests", &s.requests), take("rejected", &s.rejected), take("served", &s.served), take("refused", &s.refused),
-		take("failed", &s.failed), take("gone", &s.gone), take("overdue", &s.overdue), take("dialled", &s.Dialled),
+		take("failed", &s.failed), take("gone", &s.clientsGone), take("overdue", &s.overdue), take("dialled", &s.Dialled),
 		take("dial_failed", &s.DialFailed), take("retired", &s.Retired), slog.Any("ended", ended)}
 }
 
 // report logs the counts now and then until ctx ends, and once more then.
-func (s *stats) report(ctx context.Context, door *admission, b *backends, log *slog.Logger) {
-	tick := time.NewTicker(statsEvery)
+func (s *stats) report(ctx context.Context, door *admission, b *transport, log *slog.Logger) {
+	tick := time.NewTicker(statsInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-tick.C:
 		}
-		attrs := append(s.attrs(), slog.Int("clients", door.held()), slog.Int("backend_conns", b.Open()))
+		attrs := append(s.attrs(), slog.Int("clients", door.openConnections()), slog.Int("backend_conns", b.Open()))
 		log.LogAttrs(context.WithoutCancel(ctx), slog.LevelInfo, "sockets", attrs...)
 	}
 }
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -82,7 +82,7 @@
 func lateDials(t *testing.T, p *parts) (client net.Conn, dials, let chan struct{}) {
 	t.Helper()
 	dials, let = make(chan struct{}, 9), make(chan struct{}, 9)
-	wrapDial(p.loop.backends, func(dial upstream.DialFunc) upstream.DialFunc {
+	wrapDial(p.loop.transport, func(dial upstream.DialFunc) upstream.DialFunc {
 		return func(ctx context.Context, network, addr string, deadline time.Time) (net.Conn, error) {
 			dials <- struct{}{}
 			select {
@@ -120,7 +120,7 @@
 			return ok("x")
 		}
 	})
-	p := assemble(t, &Config{Settings: settings(), Known: known(backend(t, serve), backend(t, serve))})
+	p := assemble(t, &Config{Settings: settings(), KnownBackends: known(backend(t, serve), backend(t, serve))})
 	conn, dials, let := lateDials(t, p)
 	var sent time.Time
 	left := func(attempt string, since time.Time) {
@@ -163,7 +163,7 @@
 			c.(*net.TCPConn).SetLinger(0)
 		}
 	}
-	c := &Config{Settings: settings(), Known: known(backend(t, serve), backend(t, serve))}
+	c := &Config{Settings: settings(), KnownBackends: known(backend(t, serve), backend(t, serve))}
 	for i := range c.Settings.Classes {
 		c.Settings.Classes[i].DedupWindow = window
 	}
@@ -213,7 +213,7 @@
 				t.Parallel()
 				c := &Config{Settings: settings()}
 				c.Settings.ListOnRequest = !pushed
-				c.Known = known(backend(t, answering(func(*http.Request, []byte) string { return ok("x") })))
+				c.KnownBackends = known(backend(t, answering(func(*http.Request, []byte) string { return ok("x") })))
 				c.Discovery = netip.MustParseAddrPort(closed.Addr().String())
 				if serve != nil {
 					c.Discovery = netip.MustParseAddrPort(backend(t, serve))
@@ -221,7 +221,7 @@
 				began := time.Now()
 				n := start(t, c)
 				n.waitReady(t, 200)
-				if took := time.Since(began); took >= callSlack { // longer than a call is waited for
+				if took := time.Since(began); took >= callTimeout { // longer than a call is waited for
 					t.Errorf("ready after %v", took)
 				}
 				if resp, _ := n.askServed(t, message("order", "9.5", "b")); resp.StatusCode != 200 {
@@ -248,14 +248,14 @@
 				c.(*net.TCPConn).SetLinger(0)
 			}
 		})
-		b := newBackends(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
+		b := newTransport(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
 		b.SetDial(func(ctx context.Context, network, addr string, _ time.Time) (net.Conn, error) {
 			c, err := net.Dial(network, addr)
 			return &tellsOfReads{c.(*net.TCPConn), read, false}, err
 		})
 		b.update(known(addr))
 		r := b.do(t.Context(), b.Find(1), get(patient))
-		if r.code != decide.Reset || len(r.body) > 0 || r.client != 0 {
+		if r.code != decide.Reset || len(r.body) > 0 || r.clientStatus != 0 {
 			t.Errorf("reset %v: %v, %q (%v)", reset, r.code, r.body, r.err)
 		}
 		if reset == errors.Is(r.err, errTruncated) {
@@ -285,7 +285,7 @@
 	t.Parallel()
 	came, let := make(chan struct{}, 9), make(chan struct{})
 	addr := backend(t, answering(func(*http.Request, []byte) string { came <- struct{}{}; <-let; return ok("x") }))
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	n := start(t, &Config{Settings: settings(), KnownBackends: known(addr)})
 	t.Cleanup(func() { close(let) })
 	conn, err := net.Dial("tcp", n.addr)
 	if err != nil {
@@ -329,7 +329,7 @@
 	if !full {
 		t.Fatal("connections come up still")
 	}
-	c := &Config{Settings: settings(), Known: known(l.Addr().String())}
+	c := &Config{Settings: settings(), KnownBackends: known(l.Addr().String())}
 	c.Settings.ConnectTimeout, c.Settings.MaxAttempts = 200*time.Millisecond, 1
 	n := start(t, c)
 	began := time.Now()
--- a/internal/node/backend_test.go
+++ b/internal/node/transport_test.go
@@ -53,8 +53,8 @@
 		"truncated chunk":  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nx", 502, decide.Reset},
 		"no end":           {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nx", 502, decide.Reset},
 		"huge header":      {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<20) + "\r\nContent-Length: 1\r\n\r\nx", 502, decide.Reset},
-		"large":            {ok(strings.Repeat("x", 6*bodyLimit)), 200, decide.OK},
-		"too large":        {ok(strings.Repeat("x", answerLimit+1)), 502, decide.Reset},
+		"large":            {ok(strings.Repeat("x", 6*maxBody)), 200, decide.OK},
+		"too large":        {ok(strings.Repeat("x", maxAnswerBody+1)), 502, decide.Reset},
 		"too large chunks": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("10000\r\n"+strings.Repeat("x", 1<<16)+"\r\n", 20), 502, decide.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -64,12 +64,12 @@
 					io.WriteString(conn, c.reply)
 				}
 			})
-			b := newBackends(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
+			b := newTransport(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
 			b.update(known(addr))
 			if r := b.do(t.Context(), b.Find(1), get(patient)); r.code != c.code {
 				t.Errorf("outcome %v (%v), want %v", r.code, r.err, c.code)
 			}
-			n := start(t, &Config{Settings: settings(), Known: known(addr)})
+			n := start(t, &Config{Settings: settings(), KnownBackends: known(addr)})
 			if resp, _ := n.ask(t, message("order", "9.5", "")); resp.StatusCode != c.status {
 				t.Errorf("status %d, want %d", resp.StatusCode, c.status)
 			}
@@ -99,12 +99,12 @@
 			io.WriteString(c, ok("x"))
 		}
 	})
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	n := start(t, &Config{Settings: settings(), KnownBackends: known(addr)})
 	for i, want := range []int{200, 503} {
 		if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode != want {
 			t.Errorf("request %d: status %d, want %d", i, resp.StatusCode, want)
 		}
-		time.Sleep(2 * restLeast)
+		time.Sleep(2 * minRest)
 	}
 	if got.Load() != 2 {
 		t.Errorf("the backend got %d requests, want 2", got.Load())
@@ -115,7 +115,7 @@
 func TestNothingLeftOver(t *testing.T) {
 	t.Parallel()
 	for name, more := range map[string]string{"copy": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", "start of one": "HTTP/1"} {
-		for _, late := range []time.Duration{0, restLeast / 2, 10 * restLeast} {
+		for _, late := range []time.Duration{0, minRest / 2, 10 * minRest} {
 			sent := make(chan struct{}, 9)
 			addr := backend(t, inPieces(func(c net.Conn) {
 				if late == 0 {
@@ -127,7 +127,7 @@
 				}
 				sent <- struct{}{}
 			}))
-			b := newBackends(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
+			b := newTransport(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
 			b.update(known(addr))
 			for range 3 {
 				if r := b.do(t.Context(), b.Find(1), get(patient)); r.code != decide.OK || string(r.body) != "right" {
@@ -150,11 +150,11 @@
 func TestRest(t *testing.T) {
 	t.Parallel()
 	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
-	b := newBackends(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
+	b := newTransport(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
 	b.update(known(addr))
 	h := b.Find(1)
 	opened := 0
-	for _, rested := range []time.Duration{0, 0, restLeast} {
+	for _, rested := range []time.Duration{0, 0, minRest} {
 		eventually(t, "rested", func() bool {
 			idle := b.Idle(h)
 			return len(idle) == 0 || time.Since(idle[len(idle)-1].IdleSince()) >= rested
@@ -208,7 +208,7 @@
 func TestAddressTakenOver(t *testing.T) {
 	t.Parallel()
 	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
-	b := newBackends(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
+	b := newTransport(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
 	b.update(known(addr))
 	if r := b.do(t.Context(), b.Find(1), get(patient)); r.code != decide.OK || b.Open() != 1 {
 		t.Fatalf("%v, %d open", r.code, b.Open())
@@ -224,7 +224,7 @@
 		if r := b.do(t.Context(), b.Find(2), get(patient)); r.code != decide.OK || b.Open() != 1 {
 			t.Errorf("the new one: %v, %d open", r.code, b.Open())
 		}
-		time.Sleep(2 * restLeast)
+		time.Sleep(2 * minRest)
 	}
 	b.update(list{full: true})
 }
@@ -232,7 +232,7 @@
 // A machine that says nothing when connected to takes a part of the descriptors only.
 func TestDialsBounded(t *testing.T) {
 	t.Parallel()
-	b := newBackends(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 16, quiet)
+	b := newTransport(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 16, quiet)
 	b.update(known("127.0.0.1:1"))
 	h := b.Find(1)
 	const most = 2
@@ -270,7 +270,7 @@
 		c.Close()
 		closed <- struct{}{}
 	})
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	n := start(t, &Config{Settings: settings(), KnownBackends: known(addr)})
 	for range 5 {
 		if resp, _ := n.askServed(t, message("order", "9.5", "")); resp.StatusCode != 200 {
 			t.Fatalf("status %d", resp.StatusCode)
@@ -284,29 +284,29 @@
 	t.Parallel()
 	var got atomic.Int64
 	addr := backend(t, answering(func(*http.Request, []byte) string { got.Add(1); return ok("x") }))
-	fresh := func() (*backends, *upstream.Backend) {
-		b := newBackends(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
+	fresh := func() (*transport, *upstream.Backend) {
+		b := newTransport(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
 		b.update(known(addr))
 		return b, b.Find(1)
 	}
 	for name, c := range map[string]struct {
-		change func(*backends, *exchange, context.CancelFunc)
+		change func(*transport, *exchange, context.CancelFunc)
 		want   decide.OutcomeCode
 	}{
-		"draining": {func(b *backends, _ *exchange, _ context.CancelFunc) {
+		"draining": {func(b *transport, _ *exchange, _ context.CancelFunc) {
 			l := known(addr)
 			l.full, l.entries[0].State = false, decide.Draining
 			b.update(l)
 		}, decide.ConnectFailed},
-		"gone from the list": {func(b *backends, _ *exchange, _ context.CancelFunc) { b.update(list{full: true}) }, decide.ConnectFailed},
-		"restarted": {func(b *backends, _ *exchange, _ context.CancelFunc) {
+		"gone from the list": {func(b *transport, _ *exchange, _ context.CancelFunc) { b.update(list{full: true}) }, decide.ConnectFailed},
+		"restarted": {func(b *transport, _ *exchange, _ context.CancelFunc) {
 			l := known(addr)
 			l.entries[0].StartedAt = 1
 			b.update(l)
 		}, decide.ConnectFailed},
-		"window over": {func(_ *backends, x *exchange, _ context.CancelFunc) { x.writeBy = time.Now() }, decide.NotSent},
-		"too late":    {func(_ *backends, x *exchange, _ context.CancelFunc) { x.deadline = time.Now() }, decide.ConnectFailed},
-		"called off":  {func(_ *backends, _ *exchange, cancel context.CancelFunc) { cancel() }, decide.Cancelled},
+		"window over": {func(_ *transport, x *exchange, _ context.CancelFunc) { x.writeBefore = time.Now() }, decide.NotSent},
+		"too late":    {func(_ *transport, x *exchange, _ context.CancelFunc) { x.deadline = time.Now() }, decide.ConnectFailed},
+		"called off":  {func(_ *transport, _ *exchange, cancel context.CancelFunc) { cancel() }, decide.Cancelled},
 	} {
 		b, h := fresh()
 		// An idle connection, so that connecting succeeds whatever the time.
@@ -342,7 +342,7 @@
 		t.Fatal(err)
 	}
 	defer refused.Close()
-	b := newBackends(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 1, quiet)
+	b := newTransport(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 1, quiet)
 	b.update(known(addr, other, refused.LocalAddr().String()))
 	for i, want := range map[decide.BackendID]decide.OutcomeCode{1: decide.OK, 2: decide.OK, 3: decide.ConnectFailed, 4: decide.ConnectFailed} {
 		if r := b.do(t.Context(), b.Find(i), get(patient)); r.code != want {
@@ -369,7 +369,7 @@
 	t.Parallel()
 	addr := backend(t, func(c net.Conn) { io.Copy(io.Discard, c) })
 	for heard, want := range map[bool]int{false: 0, true: 1} {
-		b := newBackends(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
+		b := newTransport(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
 		b.update(known(addr))
 		h := b.Find(1)
 		var conns [2]*upstream.Conn
@@ -382,7 +382,7 @@
 		for _, c := range conns {
 			b.Release(c, true)
 		}
-		time.Sleep(2 * restLeast)
+		time.Sleep(2 * minRest)
 		if heard {
 			b.RecordAnswer(h, time.Now().Add(patient))
 		}
