--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -9,32 +9,42 @@
 )
 
 const (
-	minIdle      = 2 * time.Second            // a connection without a request is kept so long at least
-	minFresh     = 250 * time.Millisecond     // one that has brought no request yet may go sooner: clients send at once
-	minReadAhead = 4 << 10                    // bytes that a client sends behind an open request and that are kept for the next:
-	maxReadAhead = maxRequestHeader + maxBody // a whole one at most
-	// hangUpLimit bounds the bytes that are thrown away at a close. It is what net/http reads of a body for the same end.
-	maxDiscarded    = 256 << 10
-	refusalResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.5\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+	// minIdle is the time for which a connection with no request open is kept at least.
+	minIdle = 2 * time.Second
+	// minFresh is the same for one that has brought no request yet; it is shorter, as clients send at once.
+	minFresh = 250 * time.Millisecond
+	// minReadAhead and maxReadAhead bound the bytes that a client sends behind an open request and that are kept for the
+	// next one: a whole request at most.
+	minReadAhead = 4 << 10
+	maxReadAhead = maxRequestHeader + maxBody
 )
 
-// admission accepts clients' connections, always, and bounds them: at the bound the one that has waited longest
-// with no request open makes room, else the new one is refused. Silent clients then shut out nobody.
+// admission is a listener that always accepts clients' connections, and bounds them: at the bound the one that has waited
+// longest with no request open makes room, else the new one is refused. So clients that send nothing shut out nobody.
 type admission struct {
 	*net.TCPListener
 	limit     int
 	readAhead int // bytes behind an open request that are kept
 	stats     *stats
 
-	mu          sync.Mutex
-	count       int
-	fresh, idle *queue.List // of *clientConn: no request yet; none open now. The longest wait is first
+	mu    sync.Mutex
+	count int         // of open connections
+	fresh *queue.List // of *clientConn that have brought no request yet; the longest wait is first
+	idle  *queue.List // of *clientConn with no request open; the longest wait is first
 }
 
 func newAdmission(l *net.TCPListener, limit int) *admission {
-	return &admission{TCPListener: l, limit: limit, readAhead: maxReadAhead, stats: &stats{}, fresh: queue.New(), idle: queue.New()}
+	return &admission{
+		TCPListener: l,
+		limit:       limit,
+		readAhead:   maxReadAhead,
+		stats:       &stats{},
+		fresh:       queue.New(),
+		idle:        queue.New(),
+	}
 }
 
+// Accept returns the next connection that there is room for.
 func (a *admission) Accept() (net.Conn, error) {
 	for {
 		tcp, err := a.AcceptTCP()
@@ -50,6 +60,7 @@
 	}
 }
 
+// admit returns the connection to be served, once another has made room if need be; nil if none can.
 func (a *admission) admit(tcp *net.TCPConn) *clientConn {
 	a.mu.Lock()
 	for a.count >= a.limit {
@@ -79,21 +90,22 @@
 	return c
 }
 
+// openConnections returns the number of clients' connections.
 func (a *admission) openConnections() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.count
 }
 
-// longest gives the connection that is to make room, if one may be closed, and shuts it. One of which nothing has been
-// read goes first; a request that has begun, and does not go on, is answered.
+// evictionCandidate returns the connection that is to make room, closed for reading, or nil if none may be closed. One of
+// which nothing has been read goes first. begun reports that a request has begun on it, which has to be answered.
 func (a *admission) evictionCandidate() (c *clientConn, begun bool) {
 	for _, from := range []struct {
-		l     *queue.List
-		least time.Duration
-		begun bool
+		conns   *queue.List
+		minWait time.Duration
+		begun   bool
 	}{{a.idle, minIdle, false}, {a.fresh, minFresh, false}, {a.fresh, minFresh, true}} {
-		for e := from.l.Front(); e != nil && time.Since(e.Value.(*clientConn).since) >= from.least; e = e.Next() {
+		for e := from.conns.Front(); e != nil && time.Since(e.Value.(*clientConn).since) >= from.minWait; e = e.Next() {
 			c := e.Value.(*clientConn)
 			if from.begun {
 				c.closeForReading()
@@ -122,15 +134,15 @@
 	}
 }
 
-// resting takes the connections with no request open of which shut is true.
-func (a *admission) takeResting(shut func(*clientConn) bool) (taken []*clientConn) {
+// takeResting takes out the connections with no request open that closeForReading closes for reading.
+func (a *admission) takeResting(closeForReading func(*clientConn) bool) (taken []*clientConn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, l := range []*queue.List{a.fresh, a.idle} {
 		for e := l.Front(); e != nil; {
 			c := e.Value.(*clientConn)
 			e = e.Next()
-			if shut(c) {
+			if closeForReading(c) {
 				c.leave()
 				c.evicted = true
 				taken = append(taken, c)
@@ -140,7 +152,7 @@
 	return taken
 }
 
-// track follows what the server does with a connection. It becomes active when a header has been read.
+// track follows the state of a connection in net/http. It becomes active when a header has been read.
 func (a *admission) track(conn net.Conn, state http.ConnState) {
 	c := conn.(*clientConn)
 	c.requestOpen.Store(state == http.StateActive)
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -15,62 +15,104 @@
 	maxFaultText = 200
 	// faultLogInterval is the least time between two lines about failed attempts: one backend alone may have hundreds.
 	faultLogInterval = 200 * time.Millisecond
+	// loadPath and livePath are what a probe asks a backend for: its load, or only whether it is alive.
+	loadPath = "/stats"
+	livePath = "/health/live"
 )
 
+// attempt is an attempt of a request at a backend. It belongs to the loop.
 type attempt struct {
 	sent     time.Time
 	cancel   context.CancelFunc
 	neverRan bool // and has ended
 }
 
-func (l *loop) startAttempt(a decide.Send) {
-	r := l.requests[a.ID]
+// startAttempt starts an attempt. One that is no longer possible ends at once, as not sent.
+func (l *loop) startAttempt(send decide.Send) {
+	r := l.requests[send.ID]
 	if r == nil {
-		l.handle(decide.AttemptEnded{ID: a.ID, Backend: a.Backend, Over: true, Code: decide.NotSent})
+		l.handle(decide.AttemptEnded{ID: send.ID, Backend: send.Backend, Over: true, Code: decide.NotSent})
 		return
 	}
 	now := time.Now()
 	ctx, cancel := context.WithCancel(l.ctx)
-	t := &attempt{sent: now, cancel: cancel}
-	n := len(r.attempts)
-	r.attempts = append(r.attempts, t)
+	number := len(r.attempts)
+	r.attempts = append(r.attempts, &attempt{sent: now, cancel: cancel})
 	r.inFlight++
-	if r.client.Err() != nil { // the news of it may be queued behind what led to this
+	if r.client.Err() != nil { // the event that says so may be queued behind what led to this
 		l.abandon(r)
 	}
-	if r.answered || n >= max(1, l.settings.MaxAttempts) || !now.Before(r.deadline) {
-		l.attemptEnded(a, n, result{code: decide.NotSent})
+	if r.answered || number >= max(1, l.settings.MaxAttempts) || !now.Before(r.deadline) {
+		l.attemptEnded(send, number, result{code: decide.NotSent})
 		return
 	}
+	x := r.exchange(now, send.Timeout)
+	backend := l.transport.Find(send.Backend)
+	l.running.Go(func() {
+		defer cancel()
+		res := l.transport.do(ctx, backend, x)
+		l.post(func() { l.attemptEnded(send, number, res) })
+	})
+}
+
+// exchange returns the exchange of the latest attempt, which starts now and, unless timeout is 0, has that time.
+func (r *request) exchange(now time.Time, timeout time.Duration) *exchange {
 	x := &exchange{method: r.method, url: r.url, header: r.header, body: r.body, deadline: r.deadline, client: r.client}
-	if a.Timeout != 0 && now.Add(a.Timeout).Before(r.deadline) {
-		x.deadline = now.Add(a.Timeout)
+	if timeout != 0 && now.Add(timeout).Before(r.deadline) {
+		x.deadline = now.Add(timeout)
 	}
-	for _, earlier := range r.attempts[:n] {
-		if r.keyWindow > 0 && !earlier.neverRan {
+	if r.keyWindow <= 0 {
+		return x
+	}
+	for _, earlier := range r.attempts[:len(r.attempts)-1] {
+		if !earlier.neverRan {
 			x.writeBefore = earlier.sent.Add(r.keyWindow - keyWindowMargin)
 			break
 		}
 	}
-	h := l.transport.Find(a.Backend)
-	l.running.Go(func() {
-		defer cancel()
-		res := l.transport.do(ctx, h, x)
-		l.post(func() { l.attemptEnded(a, n, res) })
-	})
+	return x
 }
 
-// ended tells the module of an attempt's end; the first answer goes to the client.
-func (l *loop) attemptEnded(a decide.Send, n int, res result) {
+// cancelAttempt cancels an attempt, if it is there and the settings allow it.
+func (l *loop) cancelAttempt(a decide.CancelAttempt) {
 	r := l.requests[a.ID]
-	if r.client.Err() != nil { // the news of it may be queued behind this
+	if r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) && l.settings.MayCancel {
+		r.attempts[a.Attempt].cancel()
+	}
+}
+
+// attemptEnded takes the end of an attempt: the first answer goes to the client, and the module is notified.
+func (l *loop) attemptEnded(send decide.Send, number int, res result) {
+	r := l.requests[send.ID]
+	if r.client.Err() != nil { // the event that says so may be queued behind this
 		l.abandon(r)
 	}
-	t := r.attempts[n]
-	t.cancel()
-	t.neverRan = res.code == decide.Full || res.code == decide.ConnectFailed || res.code == decide.NotSent
+	ended := r.attempts[number]
+	ended.cancel()
+	ended.neverRan = res.code == decide.Full || res.code == decide.ConnectFailed || res.code == decide.NotSent
 	r.inFlight--
 	l.transport.stats.outcomes[res.code].Add(1)
+	r.takeResult(res)
+	if res.code != decide.OK && res.code != decide.Cancelled {
+		l.logFault(send, ended, res)
+	}
+	if r.answered && r.inFlight == 0 {
+		delete(l.requests, send.ID)
+	}
+	l.handle(decide.AttemptEnded{
+		ID:      send.ID,
+		Attempt: number,
+		Backend: send.Backend,
+		Over:    r.answered,
+		Elapsed: time.Since(ended.sent),
+		Code:    res.code,
+		Report:  res.report,
+		Opened:  res.opened,
+	})
+}
+
+// takeResult answers the client if the result is an answer for it, and it has none yet.
+func (r *request) takeResult(res result) {
 	switch {
 	case r.answered:
 	case res.code == decide.OK:
@@ -80,21 +122,23 @@
 		r.answer <- answer{status: res.clientStatus}
 		r.answered = true
 	}
-	if res.code != decide.OK && res.code != decide.Cancelled {
-		if now := time.Now(); now.Sub(l.faultLoggedAt) >= faultLogInterval {
-			l.faultLoggedAt = now
-			l.log.Info("attempt", "id", clip(string(a.ID)), "server", a.Backend, "code", res.code, "took", now.Sub(t.sent), "conn_uses", res.connFacts.Requests,
-				"conn_age", res.connFacts.Age, "conn_idle", res.connFacts.Idle, "err", faultText(res.err))
-		}
-	}
-	if r.answered && r.inFlight == 0 {
-		delete(l.requests, a.ID)
+}
+
+// logFault logs a failed attempt, at most one in faultLogInterval.
+func (l *loop) logFault(send decide.Send, ended *attempt, res result) {
+	now := time.Now()
+	if now.Sub(l.faultLoggedAt) < faultLogInterval {
+		return
 	}
-	l.handle(decide.AttemptEnded{ID: a.ID, Attempt: n, Backend: a.Backend, Over: r.answered, Elapsed: time.Since(t.sent),
-		Code: res.code, Report: res.report, Opened: res.opened})
+	l.faultLoggedAt = now
+	l.log.Info("attempt failed",
+		"id", clip(string(send.ID)), "backend", send.Backend, "code", res.code, "took", now.Sub(ended.sent),
+		"conn_uses", res.connHistory.Requests, "conn_age", res.connHistory.Age, "conn_idle", res.connHistory.Idle,
+		"err", faultText(res.err))
 }
 
-// faultOf and clip bound what a fault puts into the log: it may quote what a peer sent.
+// faultText returns the text of an error for the log, or nothing for none. It is bounded, as the text may quote what a
+// peer sent.
 func faultText(err error) string {
 	if err == nil {
 		return ""
@@ -104,20 +148,16 @@
 
 func clip(text string) string { return text[:min(len(text), maxFaultText)] }
 
-// heard takes a datagram from another node.
-func (l *loop) receiveMessage(from int, data []byte) {
-	l.post(func() { l.handle(decide.MessageReceived{From: from, Data: data}) })
-}
-
+// probe starts a probe of a backend, and notifies the module of its end.
 func (l *loop) probe(id decide.BackendID) {
-	h := l.transport.Find(id)
-	path := "/stats"
+	backend := l.transport.Find(id)
+	path := loadPath
 	if l.settings.ReportVia == decide.ReportNone {
-		path = "/health/live"
+		path = livePath
 	}
 	began := time.Now()
 	l.running.Go(func() {
-		res := l.transport.probe(l.ctx, h, path)
+		res := l.transport.probe(l.ctx, backend, path)
 		l.post(func() {
 			l.handle(decide.ProbeEnded{Backend: id, Code: res.code, Elapsed: time.Since(began), Report: res.report})
 		})
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -11,33 +11,38 @@
 	"time"
 )
 
-// clientConn embeds *net.TCPConn: net/http would reset connections whose CloseWrite it doesn't see.
+// clientConn is a connection of a client. It embeds *net.TCPConn: net/http would reset connections whose CloseWrite it
+// doesn't see.
 type clientConn struct {
 	*net.TCPConn
 	raw         syscall.RawConn
 	owner       *admission
 	once        sync.Once
-	requestOpen atomic.Bool // a request is, or has just been answered
+	requestOpen atomic.Bool // a request is open, or has just been answered
 	refused     atomic.Bool // the node has answered what was no whole request yet
-	ahead       []byte      // what was read behind an open request; only one goroutine reads at a time
+	ahead       []byte      // read behind an open request; only one goroutine reads at a time
 
 	// Under the owner's lock.
-	list    *queue.List // that it waits in, if it does
+	list    *queue.List // that it waits in, or nil
 	element *queue.Element
 	since   time.Time
 	evicted bool
 
 	reading          sync.Mutex // held with the owner's lock or without it, and over each read of the socket
 	received         bool       // something of a further request was read
-	waiting          bool       // whoever reads has seen that there is nothing
+	waiting          bool       // the reader has seen that there is nothing to read
 	closedForReading bool       // by the node: nothing is read any more
 }
 
+// readAheadStep is the number of bytes that are read ahead at once.
+const readAheadStep = 512
+
 var errFlood = errors.New("the client floods behind an open request")
 
-// Read reads for net/http. While a request is open that reads a single byte, to see the client's going, and a byte that
-// comes would end its watch: what comes is kept here instead, until the request is answered. A client sends one request at
-// a time: one that sends more than can be kept is cut, or its going would stay unseen behind what it has sent.
+// Read reads for net/http. While a request is open net/http reads a single byte, to notice that the client leaves, and a
+// byte that comes would end that watch: what comes is kept here instead, until the request is answered. A client sends one
+// request at a time: the connection of one that sends more than can be kept is closed, or its leaving would stay unnoticed
+// behind what it has sent.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if len(c.ahead) > 0 && !(len(p) == 1 && c.requestOpen.Load()) {
 		n := copy(p, c.ahead)
@@ -48,7 +53,7 @@
 		return c.receive(p)
 	}
 	for len(c.ahead) <= c.owner.readAhead {
-		var next [512]byte
+		var next [readAheadStep]byte
 		n, err := c.receive(next[:])
 		if err != nil {
 			return 0, err
@@ -58,12 +63,13 @@
 	return 0, errFlood
 }
 
-// shutQuiet shuts the connection if nothing of a further request has been read, or waits to be. What comes from then on
-// is not read: then its client knows that it may send it again. seen: whoever reads has to have looked.
-func (c *clientConn) closeIfQuiet(seen bool) bool {
+// closeIfQuiet closes the connection for reading if nothing of a further request has been read, or waits to be, and
+// reports whether it is closed. What comes from then on is not read: then its client knows that it may send it again. With
+// readerWaits the reader must have seen that there is nothing.
+func (c *clientConn) closeIfQuiet(readerWaits bool) bool {
 	c.reading.Lock()
 	defer c.reading.Unlock()
-	if c.received || c.closedForReading || seen && !c.waiting {
+	if c.received || c.closedForReading || readerWaits && !c.waiting {
 		return false
 	}
 	err := c.raw.Control(func(fd uintptr) {
@@ -74,6 +80,7 @@
 	return err == nil && c.closedForReading
 }
 
+// closeForReading has nothing read from the connection any more. It returns true.
 func (c *clientConn) closeForReading() bool {
 	c.reading.Lock()
 	defer c.reading.Unlock()
@@ -81,13 +88,13 @@
 	return true
 }
 
-// refuse writes an answer of the node's own where no request is open, so that nobody else writes.
+// refuse writes an answer of the node's own. No request may be open, so that nobody else writes.
 func (c *clientConn) refuse() {
 	c.refused.Store(true)
 	writeRefusal(c.TCPConn)
 }
 
-// receive reads from the socket unless the connection is shut.
+// receive reads from the socket unless the connection is closed for reading.
 func (c *clientConn) receive(p []byte) (n int, err error) {
 	rawErr := c.raw.Read(func(fd uintptr) bool {
 		c.reading.Lock()
@@ -113,12 +120,14 @@
 	return n, nil
 }
 
+// wait puts the connection at the end of a list, under the owner's lock.
 func (c *clientConn) wait(l *queue.List) {
 	c.leave()
 	c.list, c.since = l, time.Now()
 	c.element = l.PushBack(c)
 }
 
+// leave takes the connection out of its list, under the owner's lock.
 func (c *clientConn) leave() {
 	if c.list != nil {
 		c.list.Remove(c.element)
@@ -126,13 +135,15 @@
 	}
 }
 
-// lost tells whether the connection was closed to make room while a request was on its way. Nothing may be sent on for it.
+// wasEvicted reports whether the connection was closed to make room while a request was on its way. That request must not
+// be sent on.
 func (c *clientConn) wasEvicted() bool {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
 	return c.evicted
 }
 
+// Close closes the connection once, behind the answer if there is one.
 func (c *clientConn) Close() error {
 	err := net.ErrClosed
 	c.once.Do(func() {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,6 +1,3 @@
-// Package node is a real node round the decision module: it serves clients,
-// talks to backends, discovery and peers, and leaves every decision to package
-// decide.
 package node
 
 import (
@@ -15,30 +12,30 @@
 	"nickelline/internal/wire"
 )
 
-// Limits are what the platform lets the node's process use.
+// Limits are the resources that the platform gives the node's process.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"` // file descriptors
 }
 
-// Config is all that a node is told at its start.
+// Config is the configuration of a node.
 type Config struct {
 	Name      string
 	Listen    netip.AddrPort // clients
 	Discovery netip.AddrPort
 	Seed      int64
 	Limits    Limits
-	PeerListen,
-	PeersAll netip.AddrPort // invalid where nodes don't talk
-	Peers         []netip.AddrPort
-	KnownBackends list // the backends as this node last had them
-	Settings      decide.Settings
+	// PeerListen, PeersAll and Peers are for messages between nodes; the first two are invalid where there are none.
+	PeerListen, PeersAll netip.AddrPort
+	Peers                []netip.AddrPort
+	KnownBackends        list // the backends as this node last had them
+	Settings             decide.Settings
 
 	readAgain func() (*Config, error)
 }
 
-// The least that a node can run with, and what it takes where it isn't told.
+// The least limits that a node can run with, and those that it takes if the file has none.
 const (
 	minSockets      = 64
 	minMemoryMB     = 32
@@ -46,7 +43,7 @@
 	defaultMemoryMB = 192
 )
 
-// LoadConfig reads the file that GW_CONFIG names. The other GW_ variables go before what it says.
+// LoadConfig reads the file that GW_CONFIG names. GW_NAME, GW_LISTEN and GW_DISCOVERY, if set, override what it says.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	c, err := readConfig(getenv)
 	if err != nil {
@@ -54,7 +51,7 @@
 	}
 	c.readAgain = func() (*Config, error) {
 		return readConfig(func(name string) string {
-			if name == "GW_DISCOVERY" { // it still has the address of the start: what is new is in the file
+			if name == "GW_DISCOVERY" { // it still has the address of the start: a new one is in the file
 				return ""
 			}
 			return getenv(name)
@@ -63,6 +60,21 @@
 	return c, nil
 }
 
+// configJSON is the configuration file.
+type configJSON struct {
+	Name       string          `json:"name"`
+	Listen     string          `json:"listen"`
+	Discovery  string          `json:"discovery"`
+	Seed       string          `json:"seed"` // hexadecimal
+	Limits     Limits          `json:"limits"`
+	PeerListen string          `json:"peer_listen"`
+	Peers      []string        `json:"peers"`
+	PeersAll   string          `json:"peers_all"`
+	Known      json.RawMessage `json:"known"`
+	Settings   json.RawMessage `json:"settings"`
+}
+
+// readConfig reads the file and the environment. Errors about the file's content name the file.
 func readConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
@@ -72,78 +84,111 @@
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	var in struct {
-		Name       string          `json:"name"`
-		Listen     string          `json:"listen"`
-		Discovery  string          `json:"discovery"`
-		Seed       string          `json:"seed"`
-		Limits     Limits          `json:"limits"`
-		PeerListen string          `json:"peer_listen"`
-		Peers      []string        `json:"peers"`
-		PeersAll   string          `json:"peers_all"`
-		Known      json.RawMessage `json:"known"`
-		Settings   json.RawMessage `json:"settings"`
-	}
+	var in configJSON
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	for variable, field := range map[string]*string{"GW_NAME": &in.Name, "GW_LISTEN": &in.Listen, "GW_DISCOVERY": &in.Discovery} {
-		if v := getenv(variable); v != "" {
-			*field = v
+	in.override(getenv)
+	c, err := in.config()
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return c, nil
+}
+
+// override puts what the environment says in place of what the file says.
+func (in *configJSON) override(getenv func(string) string) {
+	for variable, field := range map[string]*string{
+		"GW_NAME":      &in.Name,
+		"GW_LISTEN":    &in.Listen,
+		"GW_DISCOVERY": &in.Discovery,
+	} {
+		if value := getenv(variable); value != "" {
+			*field = value
 		}
 	}
+}
+
+// config checks the fields in turn.
+func (in *configJSON) config() (*Config, error) {
+	if in.Name == "" {
+		return nil, errors.New("name is missing")
+	}
 	c := &Config{Name: in.Name, Limits: in.Limits}
-	if c.Name == "" {
-		return nil, fmt.Errorf("%s: name is missing", path)
+	if err := in.parseAddresses(c); err != nil {
+		return nil, err
+	}
+	seed, err := strconv.ParseUint(in.Seed, 16, 64)
+	if err != nil {
+		return nil, fmt.Errorf("seed: %w", err)
+	}
+	c.Seed = int64(seed)
+	if err := c.Limits.complete(); err != nil {
+		return nil, err
 	}
-	peers := in.PeerListen != ""
-	for _, a := range []struct {
+	if in.Known != nil && string(in.Known) != "null" { // null: a node that has never had a list
+		if c.KnownBackends, err = decodeList(in.Known); err != nil {
+			return nil, fmt.Errorf("known: %w", err)
+		}
+	}
+	c.Settings, err = in.settings()
+	return c, err
+}
+
+func (in *configJSON) parseAddresses(c *Config) error {
+	for _, address := range []struct {
 		name, text string
 		into       *netip.AddrPort
-		wanted     bool
-	}{{"listen", in.Listen, &c.Listen, true}, {"discovery", in.Discovery, &c.Discovery, true},
-		{"peer_listen", in.PeerListen, &c.PeerListen, peers}, {"peers_all", in.PeersAll, &c.PeersAll, in.PeersAll != ""}} {
-		if !a.wanted {
+		required   bool
+	}{
+		{"listen", in.Listen, &c.Listen, true},
+		{"discovery", in.Discovery, &c.Discovery, true},
+		{"peer_listen", in.PeerListen, &c.PeerListen, false},
+		{"peers_all", in.PeersAll, &c.PeersAll, false},
+	} {
+		if address.text == "" && !address.required {
 			continue
 		}
-		if *a.into, err = netip.ParseAddrPort(a.text); err != nil {
-			return nil, fmt.Errorf("%s: %s: %w", path, a.name, err)
+		parsed, err := netip.ParseAddrPort(address.text)
+		if err != nil {
+			return fmt.Errorf("%s: %w", address.name, err)
 		}
+		*address.into = parsed
 	}
 	for i, text := range in.Peers {
-		a, err := netip.ParseAddrPort(text)
+		peer, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return nil, fmt.Errorf("%s: peers, entry %d: %w", path, i, err)
+			return fmt.Errorf("peers, entry %d: %w", i, err)
 		}
-		c.Peers = append(c.Peers, a)
+		c.Peers = append(c.Peers, peer)
 	}
-	seed, err := strconv.ParseUint(in.Seed, 16, 64)
-	if err != nil {
-		return nil, fmt.Errorf("%s: seed: %w", path, err)
-	}
-	c.Seed = int64(seed)
-	if c.Limits.Sockets == 0 {
-		c.Limits.Sockets = defaultSockets
-	}
-	if c.Limits.MemoryMB == 0 {
-		c.Limits.MemoryMB = defaultMemoryMB
+	return nil
+}
+
+// complete puts in the defaults, and returns an error if the node can't run within the limits.
+func (l *Limits) complete() error {
+	if l.Sockets == 0 {
+		l.Sockets = defaultSockets
 	}
-	if c.Limits.Sockets < minSockets || c.Limits.MemoryMB < minMemoryMB || c.Limits.Cores < 0 {
-		return nil, fmt.Errorf("%s: limits: want %d sockets and %d MB of memory at least, have %+v", path, minSockets, minMemoryMB, c.Limits)
+	if l.MemoryMB == 0 {
+		l.MemoryMB = defaultMemoryMB
 	}
-	if in.Known != nil && string(in.Known) != "null" { // a node that has never had a list
-		if c.KnownBackends, err = decodeList(in.Known); err != nil {
-			return nil, fmt.Errorf("%s: known: %w", path, err)
-		}
+	if l.Sockets < minSockets || l.MemoryMB < minMemoryMB || l.Cores < 0 {
+		return fmt.Errorf("limits: want %d sockets and %d MB of memory at least, have %+v", minSockets, minMemoryMB, *l)
 	}
+	return nil
+}
+
+func (in *configJSON) settings() (decide.Settings, error) {
 	if in.Settings == nil {
-		return nil, fmt.Errorf("%s: settings are missing", path)
+		return decide.Settings{}, errors.New("settings are missing")
 	}
-	if c.Settings, err = wire.DecodeSettings(in.Settings); err != nil {
-		return nil, fmt.Errorf("%s: settings: %w", path, err)
+	settings, err := wire.DecodeSettings(in.Settings)
+	if err != nil {
+		return decide.Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	if len(c.Settings.Classes) == 0 || c.Settings.ConnectTimeout <= 0 {
-		return nil, fmt.Errorf("%s: settings: want classes and caps.connect_timeout_ns", path)
+	if len(settings.Classes) == 0 || settings.ConnectTimeout <= 0 {
+		return decide.Settings{}, errors.New("settings: want classes and caps.connect_timeout_ns")
 	}
-	return c, nil
+	return settings, nil
 }
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -15,20 +15,30 @@
 )
 
 const (
-	maxListBytes    = 4 << 20          // bytes of a list, at most
-	watchPoll       = 3 * time.Second  // for news, in one call of a watch: a path that goes silent is noticed by then
-	firstPoll       = time.Millisecond // the same in the call that begins one: the module waits for its answer
-	callTimeout     = 3 * time.Second  // a call may wait its turn so long beyond that
-	dialTimeout     = time.Second
-	pollSlack       = time.Second // a watch that is on has its turn: an answer later than this is none
+	// maxListBytes bounds a list.
+	maxListBytes = 4 << 20
+	// watchPoll is the time that a call of a watch waits for changes: a path that fails silently is noticed by then.
+	watchPoll = 3 * time.Second
+	// firstPoll is the same in the call that begins a watch: the module waits for its answer.
+	firstPoll = time.Millisecond
+	// callTimeout is the time beyond that for which a call may wait its turn.
+	callTimeout = 3 * time.Second
+	// pollSlack is the same within a watch, which has its turn: an answer that comes later is none.
+	pollSlack = time.Second
+	// dialTimeout is the time to connect.
+	dialTimeout = time.Second
+	// minPollInterval is the pause after an agent has answered at once without a change.
 	minPollInterval = 50 * time.Millisecond
-	firstRetryWait  = 200 * time.Millisecond
-	maxRetryWait    = 5 * time.Second
-	maxStartMillis  = 1 << 43 // ms; a later one would not fit the module's clock
-	registryPath    = "/registry/instances"
+	// firstRetryWait is the pause after a watch has failed; it doubles up to maxRetryWait.
+	firstRetryWait = 200 * time.Millisecond
+	maxRetryWait   = 5 * time.Second
+	// registryPath is the path of the list.
+	registryPath = "/registry/instances"
 )
 
-// discovery asks for the list of backends, at one address. Its calls go out on connections of its own.
+var errNotWhole = errors.New("list: want the whole")
+
+// discovery fetches the list of backends from one address, over connections of its own.
 type discovery struct {
 	address netip.AddrPort
 	client  *http.Client
@@ -43,8 +53,8 @@
 func (d *discovery) call(ctx context.Context, query string, limit time.Duration) (list, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	// An empty body that can't be had again keeps net/http from repeating a call that is reset by itself: all nodes would do
-	// so at once, in the time that is left of the old call.
+	// An empty body that can't be read again keeps net/http from repeating by itself a call that is reset: all nodes would
+	// do so at once, in the time that is left of the old call.
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.address.String()+registryPath+query, io.NopCloser(http.NoBody))
 	if err != nil {
 		return list{}, err
@@ -64,18 +74,19 @@
 	return decodeList(body.Bytes())
 }
 
-// fetch asks for the whole list once.
+// fetch fetches the whole list once.
 func (d *discovery) fetch(ctx context.Context) (list, error) {
 	l, err := d.call(ctx, "", callTimeout)
 	if err == nil && !l.full {
-		return list{}, errors.New("list: want the whole")
+		return list{}, errNotWhole
 	}
 	return l, err
 }
 
-// watch hands on changes from a version on, the answer to its first call even if it holds none, until a call
-// fails. With no version to begin at, it begins with the whole list. slack is what the first call may take.
-func (d *discovery) watch(ctx context.Context, since *uint64, slack time.Duration, news func(list)) error {
+// watch calls handle with the changes from a version on, and with the answer to its first call even if it holds none,
+// until a call fails; it returns that call's error. If since is nil it begins with the whole list. slack is the time that
+// the first call may take.
+func (d *discovery) watch(ctx context.Context, since *uint64, slack time.Duration, handle func(list)) error {
 	var version uint64
 	wait := firstPoll
 	for first := true; ; first = false {
@@ -97,7 +108,7 @@
 			return err
 		}
 		if first || l.full || len(l.entries) > 0 || l.version != version {
-			news(l)
+			handle(l)
 		}
 		// An agent may answer at once, always: that must not become a busy loop. A watch goes on over 200 ms.
 		if !first && l.version == version && time.Since(asked) < minPollInterval {
@@ -110,10 +121,10 @@
 	}
 }
 
-// follow keeps a watch where lists are pushed and so nobody asks for one. What the agent has then counts as told, also
-// while there is no watch: as soon as it is back the node has the drain grace to hear of it, for a call that hangs, a
-// pause and the call that is answered.
-func (d *discovery) follow(ctx context.Context, since *uint64, grace time.Duration, news func(list)) {
+// follow keeps a watch, until ctx ends, where lists are pushed and so the module asks for none. What the agent has then
+// counts as delivered, also while there is no watch: as soon as the agent is back the node has the drain grace to learn of
+// it, for a call that hangs, a pause and the call that is answered.
+func (d *discovery) follow(ctx context.Context, since *uint64, grace time.Duration, handle func(list)) {
 	slack, last := callTimeout, maxRetryWait
 	if grace > 0 {
 		slack, last = min(callTimeout, grace/3), min(maxRetryWait, grace/4) // and half as much again, by the jitter
@@ -121,8 +132,11 @@
 	first := min(firstRetryWait, last)
 	retry := first
 	for ctx.Err() == nil {
-		err := d.watch(ctx, since, slack, func(l list) { since, retry = &l.version, first; news(l) })
-		d.log.Debug("watch ended", "err", err)
+		err := d.watch(ctx, since, slack, func(l list) {
+			since, retry = &l.version, first
+			handle(l)
+		})
+		d.log.Debug("watch of backends ended", "discovery", d.address, "err", err)
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Duration(float64(retry) * (0.5 + rand.Float64()))):
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -15,17 +15,27 @@
 )
 
 const (
-	// A connection that brings no whole request within 3 s has been answered or closed by then.
-	headerTimeout    = 1500 * time.Millisecond // for a request's header, all of it
-	bodyTimeout      = 1200 * time.Millisecond // for its body, all of it
-	writeTimeout     = 5 * time.Second         // for the client to take its answer
-	lingerTimeout    = 200 * time.Millisecond  // for the rest of what has been turned away, so that it gets to read why
-	idleTimeout      = 2100 * time.Millisecond // a client may count on 2 s; many ask once and keep what others then lack
+	// A connection that brings no whole request within 3 s has been answered or closed by then: headerTimeout is for the
+	// header of a request, bodyTimeout for its body.
+	headerTimeout = 1500 * time.Millisecond
+	bodyTimeout   = 1200 * time.Millisecond
+	// writeTimeout is the time that a client has to take its answer.
+	writeTimeout = 5 * time.Second
+	// lingerTimeout is for the rest of what has been rejected, so that its client gets to read why.
+	lingerTimeout = 200 * time.Millisecond
+	// idleTimeout: a client may count on 2 s; many ask once and keep connections that others then lack.
+	idleTimeout = 2100 * time.Millisecond
+	// maxRequestHeader bounds the bytes of a request's header.
 	maxRequestHeader = 16 << 10
-	maxPatience      = time.Hour
+	// maxPatience bounds the time that a client says it waits.
+	maxPatience = time.Hour
 	// answerMargin is kept from a client's patience: an answer has to get to it and be read by then.
-	answerMargin   = 10 * time.Millisecond
-	busyRetryAfter = 500 * time.Millisecond // what a client is told that the node itself has no room for
+	answerMargin = 10 * time.Millisecond
+	// answerGrace is the time after a request's deadline at which the node answers by itself if the module has not: no
+	// client may wait for ever, whatever the module does.
+	answerGrace = 20 * time.Millisecond
+	// busyRetryAfter is the wait that a client is asked for if the node itself has no room for its request.
+	busyRetryAfter = 500 * time.Millisecond
 )
 
 // frontend serves clients.
@@ -34,8 +44,8 @@
 	log          *slog.Logger
 	stats        *stats
 	classes      map[string]decide.Class
-	drainEnd     atomic.Pointer[time.Time] // set once the node is to end
-	closing      atomic.Bool               // it takes no more requests
+	drainEnd     atomic.Pointer[time.Time] // set once the node drains: by then all is answered
+	closing      atomic.Bool               // the node takes no more requests
 	answersDue   chan struct{}             // closed when what is still open has to be answered
 	openRequests atomic.Int64              // requests that the module has
 	maxOpen      int64
@@ -63,9 +73,10 @@
 		ErrorLog:    slog.NewLogLogger(f.log.Handler(), slog.LevelDebug)}
 }
 
-// ready tells whether the node can serve.
+// ready reports whether the node can serve.
 func (f *frontend) ready() bool { return f.drainEnd.Load() == nil && f.loop.hasReady.Load() }
 
+// ServeHTTP answers health checks, rejects what is no request, and serves the rest.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	class, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	if class == "health" && (rest == "ready" || rest == "live") && r.ContentLength == 0 {
@@ -88,7 +99,7 @@
 	if f.bodyBytes.Add(r.ContentLength) > f.maxBodyBytes {
 		w.Header().Set("Connection", "close") // its body is not read
 		http.NewResponseController(w).SetReadDeadline(time.Now().Add(lingerTimeout))
-		f.write(w, answer{status: http.StatusServiceUnavailable, retryAfter: busyRetryAfter})
+		f.writeBusy(w)
 		return
 	}
 	body, status, fault := readBody(w, r)
@@ -99,9 +110,14 @@
 	if c := r.Context().Value(connKey{}).(*clientConn); c.wasEvicted() {
 		panic(http.ErrAbortHandler)
 	}
+	f.serveRequest(w, r, class, patience, body)
+}
+
+// serveRequest has the module decide on a request, unless the node has no room for it, and waits for the answer.
+func (f *frontend) serveRequest(w http.ResponseWriter, r *http.Request, class string, patience time.Duration, body []byte) {
 	defer f.openRequests.Add(-1)
 	if f.openRequests.Add(1) > f.maxOpen || f.closing.Load() {
-		f.write(w, answer{status: http.StatusServiceUnavailable, retryAfter: busyRetryAfter})
+		f.writeBusy(w)
 		return
 	}
 	f.stats.requests.Add(1)
@@ -113,44 +129,79 @@
 		f.write(w, answer{status: http.StatusServiceUnavailable})
 		return
 	}
+	a, end := f.await(r.Context(), req)
+	if end == answered {
+		f.write(w, a)
+		return
+	}
+	f.writeUnanswered(w, req, end)
+}
+
+// waitEnd is why the wait for an answer has ended.
+type waitEnd int
+
+const (
+	answered waitEnd = iota
+	loopEnded
+	clientLeft
+	deadlinePassed
+	nodeEnds
+)
+
+// await waits for the answer of a request, until none is to be waited for any more.
+func (f *frontend) await(client context.Context, req *request) (a answer, end waitEnd) {
 	timer := time.NewTimer(max(0, time.Until(req.deadline)) + answerGrace)
 	defer timer.Stop()
-	left := false
-	var late string
 	select {
-	case a := <-req.answer:
-		f.write(w, a)
-		return
-	case <-r.Context().Done():
-		left = true
+	case a = <-req.answer:
+		return a, answered
+	case <-client.Done():
+		end = clientLeft
 	case <-timer.C:
-		late = "overdue"
+		end = deadlinePassed
 	case <-f.answersDue:
-		late = "the node ends"
+		end = nodeEnds
 	case <-f.loop.ctx.Done():
+		end = loopEnded
 	}
-	select { // of two that are there select takes any: an answer goes first
-	case a := <-req.answer:
-		f.write(w, a)
-		return
+	select { // of two that are ready select takes any: an answer goes first
+	case a = <-req.answer:
+		return a, answered
 	default:
+		return answer{}, end
 	}
-	switch {
-	case left:
+}
+
+// writeUnanswered answers a request that the module has left open.
+func (f *frontend) writeUnanswered(w http.ResponseWriter, req *request, end waitEnd) {
+	switch end {
+	case clientLeft:
 		// It has closed its connection, or its own direction only: then it is told that nothing comes.
 		f.loop.post(func() { f.loop.abandon(req) })
 		f.stats.clientsGone.Add(1)
 		reject(w, http.StatusBadRequest, "the client has closed")
-	case late != "":
-		f.loop.post(func() { f.loop.abandon(req) })
-		f.stats.overdue.Add(1)
-		f.log.Warn(late, "id", req.arrived.ID)
-		f.write(w, answer{status: http.StatusGatewayTimeout})
-	default:
+	case deadlinePassed:
+		f.writeOverdue(w, req, "overdue")
+	case nodeEnds:
+		f.writeOverdue(w, req, "the node ends")
+	case answered, loopEnded:
 		f.write(w, answer{status: http.StatusBadGateway})
 	}
 }
 
+func (f *frontend) writeOverdue(w http.ResponseWriter, req *request, why string) {
+	f.loop.post(func() { f.loop.abandon(req) })
+	f.stats.overdue.Add(1)
+	f.log.Warn("request not answered by the module", "why", why, "id", req.arrived.ID)
+	f.write(w, answer{status: http.StatusGatewayTimeout})
+}
+
+// writeBusy answers a request that the node itself has no room for.
+func (f *frontend) writeBusy(w http.ResponseWriter) {
+	f.write(w, answer{status: http.StatusServiceUnavailable, retryAfter: busyRetryAfter})
+}
+
+// reject counts and answers what is no request.
 func (f *frontend) reject(w http.ResponseWriter, status int, fault string) {
 	f.stats.rejected.Add(1)
 	reject(w, status, fault)
--- a/internal/node/loadreport.go
+++ b/internal/node/loadreport.go
@@ -8,20 +8,24 @@
 	"nickelline/internal/wire"
 )
 
-// parseReport reads a load report. One that does not make sense in all its parts, or has no known field, is none.
+// maxLoadFigure is more than any figure of a load report can be.
+const maxLoadFigure = 1e6
+
+// parseReport parses a load report, a list of name=value. It returns nil unless all values are valid and some name is
+// known.
 func parseReport(text string) *decide.Report {
-	var r decide.Report
+	var report decide.Report
 	known := false
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
-		v, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(v >= 0 && v <= maxLoadFigure) {
+		figure, err := strconv.ParseFloat(value, 64)
+		if err != nil || !(figure >= 0 && figure <= maxLoadFigure) {
 			return nil
 		}
-		known = wire.SetReport(&r, name, v) || known
+		known = wire.SetReport(&report, name, figure) || known
 	}
 	if !known {
 		return nil
 	}
-	return &r
+	return &report
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -3,7 +3,6 @@
 import (
 	"container/heap"
 	"context"
-	"errors"
 	"log/slog"
 	"net/http"
 	"sync"
@@ -13,15 +12,11 @@
 	"nickelline/decide"
 )
 
-const (
-	// overdue is how long after a request's deadline the node answers by itself if the module has not: nothing
-	// may wait for ever, whatever the module does.
-	answerGrace      = 20 * time.Millisecond
-	eventQueueLength = 1024
-)
+// eventQueueLength is the number of events that may wait for the loop before those who post more have to wait.
+const eventQueueLength = 1024
 
-// loop owns the module: all that happens is put into words for it here, one thing at a time, and what it wants
-// is set going. Nothing in it waits for the network.
+// loop owns the decision module: it hands all events to it, one at a time, and carries out what the module asks for.
+// Nothing in it waits for the network.
 type loop struct {
 	module    *decide.Module
 	settings  decide.Settings
@@ -30,16 +25,16 @@
 	peers     *peers
 	log       *slog.Logger
 
-	ctx       context.Context // of all that the loop sets going
-	events    chan func()
-	running   sync.WaitGroup
-	hasReady  atomic.Bool // some backend is ready
+	ctx       context.Context // of all goroutines that the loop starts
+	running   sync.WaitGroup  // those goroutines
+	events    chan func()     // run by the loop in order
+	hasReady  atomic.Bool     // some backend is ready
 	startedAt time.Time
-	clockBase decide.Time // the clock's reading at began
+	clockBase decide.Time // the module's clock at startedAt
 
 	requests      map[decide.RequestID]*request
 	timers        timerHeap
-	queue         []decide.Event
+	queue         []decide.Event // events for the module that come about while it handles one
 	handling      bool
 	ready         map[decide.BackendID]bool
 	numbering     *backendNumbers
@@ -49,18 +44,30 @@
 	faultLoggedAt time.Time
 }
 
-func newLoop(ctx context.Context, c *Config, b *transport, d *discovery, p *peers, log *slog.Logger) *loop {
+func newLoop(ctx context.Context, c *Config, t *transport, d *discovery, p *peers, log *slog.Logger) *loop {
 	now := time.Now()
-	return &loop{module: decide.New(c.Settings, c.Seed), settings: c.Settings, transport: b, discovery: d, peers: p, log: log,
-		ctx: ctx, events: make(chan func(), eventQueueLength), startedAt: now, clockBase: time.Duration(now.UnixNano()),
-		requests: map[decide.RequestID]*request{}, ready: map[decide.BackendID]bool{}, numbering: newBackendNumbers()}
+	return &loop{
+		module:    decide.New(c.Settings, c.Seed),
+		settings:  c.Settings,
+		transport: t,
+		discovery: d,
+		peers:     p,
+		log:       log,
+		ctx:       ctx,
+		events:    make(chan func(), eventQueueLength),
+		startedAt: now,
+		clockBase: time.Duration(now.UnixNano()),
+		requests:  map[decide.RequestID]*request{},
+		ready:     map[decide.BackendID]bool{},
+		numbering: newBackendNumbers(),
+	}
 }
 
-// now is the module's clock: it goes on evenly from the time of day at the start, so that the times at which
-// backends started can be told on it.
+// now returns the time on the module's clock. It goes on evenly from the time of day at the start, so that the times at
+// which backends started can be given on it.
 func (l *loop) now() decide.Time { return l.clockBase + time.Since(l.startedAt) }
 
-// post has f run in the loop. It tells whether it will.
+// post has f run in the loop, and reports whether it will be: not after the end of the loop's context.
 func (l *loop) post(f func()) bool {
 	select {
 	case l.events <- f:
@@ -70,7 +77,7 @@
 	}
 }
 
-// run is the loop's goroutine. It ends with the context, once all that it has set going has ended.
+// run is the loop's goroutine. It returns when the context has ended and all goroutines that it has started have.
 func (l *loop) run(known list) {
 	defer l.running.Wait()
 	known.full = true
@@ -90,32 +97,38 @@
 		case f := <-l.events:
 			f()
 		case <-timer.C:
-			for now := time.Now(); len(l.timers) > 0 && !l.timers[0].at.After(now); {
-				l.handle(decide.TimerFired{Token: heap.Pop(&l.timers).(runningTimer).token})
-			}
+			l.fireTimers()
 		}
 	}
 }
 
-// handle gives the module an event and does what it asks for. What that brings about at once comes after it.
-func (l *loop) handle(e decide.Event) {
-	l.queue = append(l.queue, e)
+// fireTimers hands the module all timers that are due by now.
+func (l *loop) fireTimers() {
+	for now := time.Now(); len(l.timers) > 0 && !l.timers[0].at.After(now); {
+		l.handle(decide.TimerFired{Token: heap.Pop(&l.timers).(runningTimer).token})
+	}
+}
+
+// handle gives the module an event and carries out what it asks for. Events that come about meanwhile are handled
+// behind it, in order.
+func (l *loop) handle(event decide.Event) {
+	l.queue = append(l.queue, event)
 	if l.handling {
 		return
 	}
 	l.handling = true
 	for len(l.queue) > 0 {
-		e := l.queue[0]
+		next := l.queue[0]
 		l.queue = l.queue[1:]
-		for _, a := range l.module.Handle(l.now(), e) {
-			l.carryOut(a)
+		for _, action := range l.module.Handle(l.now(), next) {
+			l.carryOut(action)
 		}
 	}
 	l.handling, l.queue = false, nil
 }
 
-func (l *loop) carryOut(a decide.Action) {
-	switch a := a.(type) {
+func (l *loop) carryOut(action decide.Action) {
+	switch a := action.(type) {
 	case decide.Send:
 		l.startAttempt(a)
 	case decide.Refuse:
@@ -123,9 +136,7 @@
 	case decide.Fail:
 		l.answerRequest(a.ID, answer{status: http.StatusBadGateway})
 	case decide.CancelAttempt:
-		if r := l.requests[a.ID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) && l.settings.MayCancel {
-			r.attempts[a.Attempt].cancel()
-		}
+		l.cancelAttempt(a)
 	case decide.SetTimer:
 		heap.Push(&l.timers, runningTimer{time.Now().Add(a.After), a.Token})
 	case decide.Probe:
@@ -135,19 +146,15 @@
 	case decide.Subscribe:
 		l.subscribe(a.On)
 	case decide.FetchList:
-		d := l.discovery
-		l.running.Go(func() {
-			n, err := d.fetch(l.ctx)
-			l.post(func() {
-				if d != l.discovery {
-					n, err = list{}, errors.New("discovery has moved")
-				}
-				l.listFetched(n, err)
-			})
-		})
+		l.fetchList()
 	case decide.CloseIdle:
 		l.transport.CloseIdle(a.Backend)
 	case decide.Log:
 		l.log.Info(a.Line)
 	}
 }
+
+// receiveMessage takes a datagram from another node.
+func (l *loop) receiveMessage(from int, data []byte) {
+	l.post(func() { l.handle(decide.MessageReceived{From: from, Data: data}) })
+}
--- a/internal/node/numbers.go
+++ b/internal/node/numbers.go
@@ -9,8 +9,8 @@
 	"nickelline/decide"
 )
 
-// serverID makes the module's number of a name, the same at every node: the module's order of servers hangs on
-// it. Names that end in eight hex digits hold it; of others it is a hash.
+// backendID returns the module's number for a name, the same at every node: the module's order of backends depends on it.
+// Names that end in eight hex digits hold the number; of others it is a hash.
 func backendID(name string) decide.BackendID {
 	if _, digits, ok := strings.Cut(name, "-"); ok && len(digits) == 8 {
 		if v, err := strconv.ParseUint(digits, 16, 32); err == nil {
@@ -22,7 +22,7 @@
 	return decide.BackendID(h.Sum32())
 }
 
-// names keeps apart backends whose names give one number: the one that is listed later gets the next free one.
+// backendNumbers keeps apart backends whose names give one number: the one that is listed later gets the next free one.
 type backendNumbers struct {
 	ids  map[string]decide.BackendID
 	used map[decide.BackendID]bool
@@ -32,7 +32,7 @@
 	return &backendNumbers{ids: map[string]decide.BackendID{}, used: map[decide.BackendID]bool{}}
 }
 
-// number puts the numbers that this node uses into a list. A name that is gone gives its number back.
+// assign puts the numbers that this node uses into a list. A name that is gone gives its number back.
 func (n *backendNumbers) assign(l list) {
 	listed := map[string]bool{}
 	for i := range l.entries {
@@ -46,7 +46,7 @@
 		e.ID, listed[e.name] = id, e.State != decide.Gone
 	}
 	for name, id := range n.ids {
-		if there, told := listed[name]; told && !there || l.full && !told {
+		if present, mentioned := listed[name]; mentioned && !present || l.full && !mentioned {
 			delete(n.ids, name)
 			delete(n.used, id)
 		}
--- a/internal/node/requestheader.go
+++ b/internal/node/requestheader.go
@@ -13,7 +13,7 @@
 	"nickelline/decide"
 )
 
-// check says what is wrong with a request by its header, or how long its client waits.
+// checkHeader returns how long the client of a request waits or, if the header is not valid, a status and what is wrong.
 func checkHeader(r *http.Request, class decide.Class) (patience time.Duration, status int, fault string) {
 	method := http.MethodPost
 	if class.Effect == decide.Safe {
@@ -47,9 +47,10 @@
 	return time.Duration(min(seconds, maxPatience.Seconds()) * float64(time.Second)), 0, ""
 }
 
+// single reports whether a header has one value, which is not empty.
 func single(values []string) bool { return len(values) == 1 && values[0] != "" }
 
-// readBody takes in the body, whole and in time, or says what is wrong with it.
+// readBody reads the body, whole and in time, or returns a status and what is wrong with it.
 func readBody(w http.ResponseWriter, r *http.Request) (body []byte, status int, fault string) {
 	if r.ContentLength == 0 {
 		return nil, 0, ""
@@ -72,9 +73,16 @@
 	return body, 0, ""
 }
 
+// newRequest returns the request that a valid header and a body make.
 func newRequest(r *http.Request, class string, patience time.Duration, body []byte) *request {
-	e := decide.RequestArrived{ID: decide.RequestID(r.Header.Get("X-Correlation-Id")), Class: class, Tenant: r.Header.Get("X-Account"),
-		Key: r.URL.Query().Get("obj"), Repeat: r.Header.Get("X-Repeat") == "1", Write: hasFact(r.Header.Get("X-Facts"), "write")}
+	e := decide.RequestArrived{
+		ID:     decide.RequestID(r.Header.Get("X-Correlation-Id")),
+		Class:  class,
+		Tenant: r.Header.Get("X-Account"),
+		Key:    r.URL.Query().Get("obj"),
+		Repeat: r.Header.Get("X-Repeat") == "1",
+		Write:  hasFact(r.Header.Get("X-Facts"), "write"),
+	}
 	if us, err := strconv.ParseFloat(r.Header.Get("X-Weight-Hint"), 64); err == nil && us >= 0 && us < maxPatience.Seconds()*1e6 {
 		e.WorkHint, e.HasHint = time.Duration(us*float64(time.Microsecond)), true
 	}
@@ -83,7 +91,7 @@
 		header: endToEnd(r.Header), client: r.Context(), answer: make(chan answer, 1)}
 }
 
-// fact tells whether one of the further figures of a request is set.
+// hasFact reports whether a fact is set in an X-Facts header.
 func hasFact(text, name string) bool {
 	for field := range strings.SplitSeq(text, ",") {
 		if n, v, _ := strings.Cut(strings.TrimSpace(field), "="); n == name {
@@ -93,8 +101,8 @@
 	return false
 }
 
-// endToEnd copies a header without what belongs to one connection or is the node's own. What tells one request
-// from another goes on, whatever Connection says of it.
+// endToEnd returns a copy of a header without what belongs to one connection or is the node's own. What distinguishes one
+// request from another stays, whatever Connection says of it.
 func endToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	for _, field := range h["Connection"] {
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -9,7 +9,7 @@
 	"nickelline/decide"
 )
 
-// request is a client's request as the front end has read it.
+// request is a client's request as the front end has read it, and what the loop knows of it.
 type request struct {
 	arrived  decide.RequestArrived // but for Patience
 	deadline time.Time             // the client has its answer by then
@@ -22,12 +22,12 @@
 
 	// The rest belongs to the loop.
 	answered  bool
-	inFlight  int
+	inFlight  int // attempts
 	attempts  []*attempt
 	keyWindow time.Duration // for keyed ones: how long backends remember the key
 }
 
-// answer is a request's final answer.
+// answer is a request's final answer, which the node or a backend gives.
 type answer struct {
 	status     int
 	header     http.Header
@@ -35,10 +35,10 @@
 	retryAfter time.Duration
 }
 
-// arrive takes a request from the front end. An id that is still open is not taken twice: the module would not
+// takeRequest takes a request from the front end. An id that is still open is not taken twice: the module would not
 // answer it, and its effect could happen twice.
 func (l *loop) takeRequest(r *request) {
-	if r.client.Err() != nil { // it left while this was queued
+	if r.client.Err() != nil { // the client left while this was queued
 		return
 	}
 	if l.requests[r.arrived.ID] != nil {
@@ -55,7 +55,7 @@
 	l.handle(r.arrived)
 }
 
-// abandon ends a request whose client is gone.
+// abandon closes a request whose client is gone.
 func (l *loop) abandon(r *request) {
 	if l.requests[r.arrived.ID] == r && !r.answered {
 		l.closeRequest(r)
@@ -63,6 +63,7 @@
 	}
 }
 
+// answerRequest gives a request its final answer, unless it has one.
 func (l *loop) answerRequest(id decide.RequestID, a answer) {
 	if r := l.requests[id]; r != nil && !r.answered {
 		r.answer <- a
@@ -70,7 +71,7 @@
 	}
 }
 
-// close marks a request as over and forgets it once its attempts are in.
+// closeRequest marks a request as answered and forgets it once its attempts have ended.
 func (l *loop) closeRequest(r *request) {
 	r.answered = true
 	if r.inFlight == 0 {
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -2,13 +2,17 @@
 
 import (
 	"context"
+	"errors"
 	"net/netip"
 	"os"
 
 	"nickelline/decide"
 )
 
-// subscribe begins a watch, or begins it anew so that there is an answer, unless the answer is still to come.
+var errDiscoveryMoved = errors.New("discovery has moved")
+
+// subscribe begins a watch, or begins it anew so that there is an answer, unless the answer is still to come. With on
+// false it ends the watch.
 func (l *loop) subscribe(on bool) {
 	if on && l.endWatch != nil && !l.watchOpen {
 		return
@@ -21,34 +25,53 @@
 	d, since := l.discovery, l.version
 	l.running.Go(func() {
 		err := d.watch(ctx, since, callTimeout, l.listHandler(ctx))
-		current(func() { l.endCurrentWatch(); l.listFetched(list{}, err) })
+		current(func() {
+			l.endCurrentWatch()
+			l.listFetched(list{}, err)
+		})
+	})
+}
+
+// fetchList fetches the whole list once. What comes after discovery has moved to another address counts as a failure.
+func (l *loop) fetchList() {
+	d := l.discovery
+	l.running.Go(func() {
+		fetched, err := d.fetch(l.ctx)
+		l.post(func() {
+			if d != l.discovery {
+				fetched, err = list{}, errDiscoveryMoved
+			}
+			l.listFetched(fetched, err)
+		})
 	})
 }
 
-// listen keeps a watch where lists are pushed and so nobody asks for one.
+// followList keeps a watch where lists are pushed and so the module asks for none.
 func (l *loop) followList() {
 	ctx, _ := l.newWatch()
 	d, since := l.discovery, l.version
 	l.running.Go(func() { d.follow(ctx, since, l.settings.DrainGrace, l.listHandler(ctx)) })
 }
 
-// newsOf gives a watch's way of handing on news. What it was told before it ended may come behind its end, and counts as
-// told: unless its successor has brought something by then, it is followed where it is newer than what is known.
+// listHandler returns the function that takes the lists of a watch. What a watch got before it ended may come behind its
+// end, and still counts: unless its successor has had an answer by then, a list is taken if it is newer than what is
+// known.
 func (l *loop) listHandler(ctx context.Context) func(list) {
-	return func(n list) {
+	return func(update list) {
 		l.post(func() {
 			switch {
 			case ctx.Err() == nil:
 				l.watchOpen = true
-				l.takeList(n)
-			case !l.watchOpen && l.version != nil && n.version > *l.version:
-				l.takeList(n)
+				l.takeList(update)
+			case !l.watchOpen && l.version != nil && update.version > *l.version:
+				l.takeList(update)
 			}
 		})
 	}
 }
 
-// watching gives what a new watch needs: a context, and a way into the loop for as long as it is not ended.
+// newWatch returns what a new watch needs: a context, and a function that runs another in the loop unless the watch has
+// ended.
 func (l *loop) newWatch() (context.Context, func(func())) {
 	ctx, cancel := context.WithCancel(l.ctx)
 	l.endWatch, l.watchOpen = cancel, false
@@ -61,6 +84,7 @@
 	}
 }
 
+// endCurrentWatch ends the watch, if there is one.
 func (l *loop) endCurrentWatch() {
 	if l.endWatch != nil {
 		l.endWatch()
@@ -68,9 +92,9 @@
 	}
 }
 
-// move has discovery asked at another address, at once, for what has changed: it is one service for all nodes, they
-// all move together, and a whole list for each of them is more than it has time for. A watch at the old address may
-// hang, and would be taken for one that is kept.
+// moveDiscovery asks discovery at another address from now on, at once, for what has changed: discovery is one service
+// for all nodes, they all move together, and a whole list for each of them is more than it has time for. A watch at the
+// old address may hang, and would be taken for one that is kept.
 func (l *loop) moveDiscovery(to netip.AddrPort) {
 	if to == l.discovery.address {
 		return
@@ -86,58 +110,59 @@
 	}
 }
 
-// reload reads the configuration again whenever it is told to, until ctx ends. A bad one changes nothing; of a good
-// one discovery's address takes effect, what else is new in it at the next start.
-func (l *loop) reloadConfig(ctx context.Context, c *Config, asked <-chan os.Signal) {
+// reloadConfig reads the configuration again at each signal, until ctx ends. An invalid one changes nothing; of a valid
+// one discovery's address takes effect, and what else is new in it at the next start.
+func (l *loop) reloadConfig(ctx context.Context, c *Config, signals <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-asked:
+		case <-signals:
 		}
 		next, err := c.readAgain()
 		if err != nil {
-			l.log.Error("configuration not taken", "err", err)
+			l.log.Error("reload configuration failed", "err", err)
 			continue
 		}
 		l.post(func() { l.moveDiscovery(next.Discovery) })
 	}
 }
 
-// told takes the answer to a call that the module made.
-func (l *loop) listFetched(n list, err error) {
+// listFetched takes the answer to a call for the list that the module has asked for.
+func (l *loop) listFetched(fetched list, err error) {
 	if err != nil {
-		l.log.Info("discovery", "err", err)
+		l.log.Info("fetch list of backends failed", "discovery", l.discovery.address, "err", err)
 		l.handle(decide.ListUpdate{Kind: decide.ListFailed})
 		return
 	}
-	l.takeList(n)
+	l.takeList(fetched)
 }
 
-func (l *loop) takeList(n list) {
+// takeList applies a list from discovery, whole or changes.
+func (l *loop) takeList(update list) {
 	kind := decide.ListChanges
-	if n.full {
+	if update.full {
 		kind = decide.ListFull
 	}
-	l.applyList(n, kind)
+	l.applyList(update, kind)
 }
 
-// follow takes a list: connections first, so that nothing goes where the list says no.
-func (l *loop) applyList(n list, kind decide.ListKind) {
-	l.version = &n.version
-	l.numbering.assign(n)
-	l.transport.update(n)
-	if n.full {
+// applyList applies a list: to connections first, so that nothing goes where the list says no.
+func (l *loop) applyList(update list, kind decide.ListKind) {
+	l.version = &update.version
+	l.numbering.assign(update)
+	l.transport.update(update)
+	if update.full {
 		clear(l.ready)
 	}
-	e := decide.ListUpdate{Kind: kind, Version: n.version}
-	for _, s := range n.entries {
-		delete(l.ready, s.ID)
-		if s.State == decide.Ready {
-			l.ready[s.ID] = true
+	event := decide.ListUpdate{Kind: kind, Version: update.version}
+	for _, entry := range update.entries {
+		delete(l.ready, entry.ID)
+		if entry.State == decide.Ready {
+			l.ready[entry.ID] = true
 		}
-		e.Entries = append(e.Entries, s.Backend)
+		event.Entries = append(event.Entries, entry.Backend)
 	}
 	l.hasReady.Store(len(l.ready) > 0)
-	l.handle(e)
+	l.handle(event)
 }
