--- a/decide/subset.go
+++ b/decide/subset.go
@@ -64,9 +64,11 @@
 		part, opened = &m.rejectedNew, 1
 	}
 	m.openingShare += tableGain * (opened - m.openingShare)
-	if e.Code == Full {
+	switch e.Code {
+	case Full:
 		*part += tableGain * (1 - *part)
-	} else if e.Code == OK {
+	case OK:
 		*part -= tableGain * *part
+	default: // other outcomes say nothing of the tables
 	}
 }
