--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -26,7 +26,9 @@
 	os.Exit(m.Run())
 }
 
+// program returns this program, to be run with a configuration, and its log.
 func program(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,4 +1,4 @@
-// Package measure helps benchmarks to tell what their time does not: memory that is held, and processor time that is used.
+// Package measure gives benchmarks what their time does not show: the memory that is held, and the processor time used.
 package measure
 
 import (
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Heap is the average heap that a value holds as long as it is referred to. The value is created a number of times.
+// Heap returns the heap, in bytes, that one value of T holds while it is referred to: the mean over the given number of
+// copies that create makes.
 func Heap[T any](copies int, create func() T) float64 {
 	kept := make([]T, 0, copies)
 	before := heapInUse()
@@ -19,11 +20,11 @@
 	return float64(after-before) / float64(copies)
 }
 
-// collections is how often the collector runs before the heap is read: what lies in a sync.Pool is let go by the second
+// collections is how often the collector runs before the heap is read: what lies in a sync.Pool is freed by the second
 // run, and what had a finalizer by the one after it.
 const collections = 3
 
-// Memory is what the process holds once the collector has let go of all that it can.
+// Memory returns the memory statistics of the process once the collector has freed all that it can.
 func Memory() runtime.MemStats {
 	for range collections {
 		runtime.GC()
@@ -35,7 +36,8 @@
 
 func heapInUse() int64 { return int64(Memory().HeapAlloc) }
 
-// ProcessorTime is what the process has used since its start, in user and system mode.
+// ProcessorTime returns the processor time, user and system, that the process has used since its start; 0 if that is not
+// known.
 func ProcessorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/node/left_test.go
+++ b/internal/node/left_test.go
@@ -28,7 +28,7 @@
 // loop's queue, for a connection, or for the connection of a further attempt. Its connection serves others.
 func TestNothingIsSentForAClientThatLeft(t *testing.T) {
 	t.Parallel()
-	for _, stage := range []string{"queued", "connecting", "further attempt", "further attempt queued"} {
+	for _, at := range []stage{queued, connecting, furtherAttempt, furtherAttemptQueued} {
 		for _, class := range []string{"read", "tag", "order"} {
 			for name, leave := range ways {
 				for _, cancel := range []bool{false, true} {
@@ -38,9 +38,9 @@
 					} else if name == "resets" {
 						body = "" // a POST without a body
 					}
-					t.Run(strings.Join([]string{stage, class, name, map[bool]string{true: "may cancel", false: "no cancel"}[cancel]}, ", "), func(t *testing.T) {
+					t.Run(strings.Join([]string{string(at), class, name, map[bool]string{true: "may cancel", false: "no cancel"}[cancel]}, ", "), func(t *testing.T) {
 						t.Parallel()
-						leaves(t, stage, message(class, "9.5", body), leave, cancel)
+						leaves(t, at, message(class, "9.5", body), leave, cancel)
 					})
 				}
 			}
@@ -48,64 +48,105 @@
 	}
 }
 
-func leaves(t *testing.T, stage, text string, leave func(*net.TCPConn), cancel bool) {
-	came := make(chan struct{}, 9)
-	full, turnAway := make(chan struct{}), stage == "further attempt queued"
-	answerFull := sync.OnceFunc(func() { close(full) })
-	first := make(chan struct{}, 1)
-	first <- struct{}{}
-	serve := answering(func(r *http.Request, _ []byte) string {
-		if r.URL.Path == registryPath { // of another test's node: its discovery had this port before
-			return ""
-		}
-		if strings.HasPrefix(stage, "further") {
-			select {
-			case <-first:
-				if turnAway {
-					came <- struct{}{}
-					<-full
-				}
-				return "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
-			default:
+// stage is where a request waits when its client leaves.
+type stage string
+
+const (
+	queued               stage = "queued"                 // in the loop's queue
+	connecting           stage = "connecting"             // for a connection
+	furtherAttempt       stage = "further attempt"        // for the connection of a further attempt
+	furtherAttemptQueued stage = "further attempt queued" // in the loop's queue, behind the outcome of an attempt
+)
+
+// further reports whether an attempt has been turned away before.
+func (s stage) further() bool { return s == furtherAttempt || s == furtherAttemptQueued }
+
+// connects reports whether the request waits for a connection.
+func (s stage) connects() bool { return s == connecting || s == furtherAttempt }
+
+// leavingBackend is a backend that must not get a request whose client has left.
+type leavingBackend struct {
+	t     *testing.T
+	stage stage
+	first chan struct{} // holds one: for the attempt that is turned away
+	came  chan struct{} // gets a value when that attempt has come, where its outcome is held back
+	full  chan struct{} // closed when that outcome may come
+}
+
+func (b *leavingBackend) respond(r *http.Request, _ []byte) string {
+	if r.URL.Path == registryPath { // of another test's node: its discovery had this port before
+		return ""
+	}
+	if b.stage.further() {
+		select {
+		case <-b.first:
+			if b.stage == furtherAttemptQueued {
+				b.came <- struct{}{}
+				<-b.full
 			}
+			return "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
+		default:
 		}
-		if r.Header.Get("X-Correlation-Id") != "other" {
-			t.Errorf("sent on: %v", r.Header)
+	}
+	if r.Header.Get("X-Correlation-Id") != "other" {
+		b.t.Errorf("sent on: %v", r.Header)
+	}
+	return ok("x")
+}
+
+// holdDials holds back the dials to backends, but for the first one if passFirst, until released. Each one that is held
+// puts a value into dials.
+func holdDials(t *testing.T, b *transport, passFirst bool) (dials chan struct{}, release func()) {
+	t.Helper()
+	dials, let := make(chan struct{}, 9), make(chan struct{})
+	release = sync.OnceFunc(func() { close(let) })
+	t.Cleanup(release)
+	wrapDial(b, func(dial upstream.DialFunc) upstream.DialFunc {
+		return func(ctx context.Context, network, addr string, deadline time.Time) (net.Conn, error) {
+			if passFirst {
+				passFirst = false
+				return dial(ctx, network, addr, deadline)
+			}
+			dials <- struct{}{}
+			<-let
+			return dial(ctx, network, addr, deadline)
 		}
-		return ok("x")
 	})
+	return dials, release
+}
+
+// holdLoop holds the loop from a call of hold until a call of release.
+func holdLoop(t *testing.T, p *parts) (hold, release func()) {
+	t.Helper()
+	let := make(chan struct{})
+	release = sync.OnceFunc(func() { close(let) })
+	t.Cleanup(release)
+	hold = func() {
+		held := make(chan struct{})
+		p.loop.post(func() { close(held); <-let })
+		receive(t, "the loop", held)
+	}
+	return hold, release
+}
+
+func leaves(t *testing.T, at stage, text string, leave func(*net.TCPConn), cancel bool) {
+	serving := &leavingBackend{t: t, stage: at, first: make(chan struct{}, 1), came: make(chan struct{}, 9), full: make(chan struct{})}
+	serving.first <- struct{}{}
+	answerFull := sync.OnceFunc(func() { close(serving.full) })
+	serve := answering(serving.respond)
 	c := &Config{Settings: settings(), KnownBackends: known(backend(t, serve), backend(t, serve))}
 	c.Settings.MayCancel, c.Settings.ListOnRequest = cancel, true
 	p := assemble(t, c)
 	t.Cleanup(answerFull)
 	b := p.loop.transport
-	dials, let := make(chan struct{}, 9), make(chan struct{})
-	release := sync.OnceFunc(func() { close(let) })
-	t.Cleanup(release)
-	if stage == "connecting" || stage == "further attempt" {
-		pass := stage == "further attempt"
-		wrapDial(b, func(dial upstream.DialFunc) upstream.DialFunc {
-			return func(ctx context.Context, network, addr string, deadline time.Time) (net.Conn, error) {
-				if pass {
-					pass = false
-					return dial(ctx, network, addr, deadline)
-				}
-				dials <- struct{}{}
-				<-let
-				return dial(ctx, network, addr, deadline)
-			}
-		})
+	var dials chan struct{}
+	release := func() {}
+	if at.connects() {
+		dials, release = holdDials(t, b, at == furtherAttempt)
 	}
-	hold := make(chan struct{})
-	letLoop := sync.OnceFunc(func() { close(hold) })
-	t.Cleanup(letLoop)
-	holdLoop := func() {
-		held := make(chan struct{})
-		p.loop.post(func() { close(held); <-hold })
-		receive(t, "the loop", held)
-	}
-	if stage == "queued" {
-		holdLoop()
+	hold, releaseLoop := holdLoop(t, p)
+	if at == queued {
+		hold()
 	}
 	conn, err := net.Dial("tcp", p.addr)
 	if err != nil {
@@ -113,12 +154,12 @@
 	}
 	defer conn.Close()
 	io.WriteString(conn, text)
-	switch stage {
-	case "queued":
+	switch at {
+	case queued:
 		eventually(t, "in the queue", func() bool { return len(p.loop.events) > 0 })
-	case "further attempt queued":
-		receive(t, "the request", came)
-		holdLoop()
+	case furtherAttemptQueued:
+		receive(t, "the request", serving.came)
+		hold()
 		answerFull()
 		eventually(t, "an outcome in the queue", func() bool { return len(p.loop.events) > 0 })
 	default:
@@ -126,39 +167,45 @@
 	}
 	leave(conn.(*net.TCPConn))
 	eventually(t, "noticed", func() bool { return p.front.stats.clientsGone.Load() == 1 })
-	letLoop()
-	if stage == "connecting" || stage == "further attempt" { // nothing is awaited any more
-		eventually(t, "over", func() (over bool) { p.in(func() { over = len(p.loop.requests) == 0 }); return })
+	releaseLoop()
+	over := func() (over bool) { p.in(func() { over = len(p.loop.requests) == 0 }); return }
+	if at.connects() { // nothing is awaited any more
+		eventually(t, "over", over)
 	}
 	release()
-	eventually(t, "over", func() (over bool) { p.in(func() { over = len(p.loop.requests) == 0 }); return })
-	if stage == "connecting" || stage == "further attempt" {
-		// The connection comes up and is kept: another request has it, and there is nothing before that on it.
-		want := 1
-		if stage == "further attempt" {
-			want = 2
-		}
-		var idle []*upstream.Backend
-		eventually(t, "kept", func() bool {
-			idle = nil
-			for _, h := range []*upstream.Backend{b.Find(1), b.Find(2)} {
-				if kept := b.Idle(h); len(kept) > 0 && time.Since(kept[0].IdleSince()) >= minRest {
-					idle = append(idle, h)
-				}
-			}
-			return len(idle) == want
-		})
-		for _, h := range idle {
-			x := get(patient)
-			x.header = http.Header{"X-Correlation-Id": {"other"}}
-			if r := b.do(t.Context(), h, x); r.code != decide.OK {
-				t.Errorf("on the connection that was kept: %v (%v)", r.code, r.err)
+	eventually(t, "over", over)
+	switch at {
+	case connecting:
+		checkKept(t, b, 1)
+	case furtherAttempt:
+		checkKept(t, b, 2)
+	}
+}
+
+// checkKept compares the number of connections that come up and are kept: another request has each of them, and there is
+// nothing before that on it.
+func checkKept(t *testing.T, b *transport, want int) {
+	t.Helper()
+	var idle []*upstream.Backend
+	eventually(t, "kept", func() bool {
+		idle = nil
+		for _, h := range []*upstream.Backend{b.Find(1), b.Find(2)} {
+			if kept := b.Idle(h); len(kept) > 0 && time.Since(kept[0].IdleSince()) >= minRest {
+				idle = append(idle, h)
 			}
 		}
-		if dialled := b.stats.Dialled.Load(); dialled != int64(want) {
-			t.Errorf("%d connections, want %d", dialled, want)
+		return len(idle) == want
+	})
+	for _, h := range idle {
+		x := get(patient)
+		x.header = http.Header{"X-Correlation-Id": {"other"}}
+		if r := b.do(t.Context(), h, x); r.code != decide.OK {
+			t.Errorf("on the connection that was kept: got %v (%v), want an answer", r.code, r.err)
 		}
 	}
+	if dialled := b.stats.Dialled.Load(); dialled != int64(want) {
+		t.Errorf("got %d connections, want %d", dialled, want)
+	}
 }
 
 // What a client sends behind an open request waits for its turn, and is not lost.
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -11,8 +11,12 @@
 )
 
 const (
-	maxDatagram         = 256 // bytes
-	datagramQueueLength = 64  // datagrams that wait to be sent; more are lost, as datagrams may be
+	// maxDatagram bounds the bytes of a message.
+	maxDatagram = 256
+	// datagramQueueLength is the number of datagrams that may wait to be sent; more are lost, as datagrams may be.
+	datagramQueueLength = 64
+	// readErrorPause follows a failed read, so that a lasting error makes no busy loop.
+	readErrorPause = time.Millisecond
 )
 
 type datagram struct {
@@ -20,16 +24,17 @@
 	data []byte
 }
 
-// peers carries datagrams between nodes. A nil *peers carries none.
+// peers sends and receives datagrams between nodes. A nil *peers sends none.
 type peers struct {
 	conn  *net.UDPConn
-	nodes []netip.AddrPort
-	all   netip.AddrPort
-	self  int
+	nodes []netip.AddrPort // by number
+	all   netip.AddrPort   // reaches all nodes, if valid
+	self  int              // this node's number
 	queue chan datagram
 	log   *slog.Logger
 }
 
+// listenPeers returns the peers of a node, or nil where nodes send each other no messages.
 func listenPeers(c *Config, log *slog.Logger) (*peers, error) {
 	if !c.PeerListen.IsValid() || !c.Settings.MayMessage {
 		return nil, nil
@@ -38,10 +43,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	return &peers{conn: conn, nodes: c.Peers, all: c.PeersAll, self: c.Settings.Self, queue: make(chan datagram, datagramQueueLength), log: log}, nil
+	return &peers{
+		conn:  conn,
+		nodes: c.Peers,
+		all:   c.PeersAll,
+		self:  c.Settings.Self,
+		queue: make(chan datagram, datagramQueueLength),
+		log:   log,
+	}, nil
 }
 
-// send never blocks.
+// send queues a message to one node, or to all. It never blocks: a message that finds the queue full is lost.
 func (p *peers) send(to int, toAll bool, data []byte) {
 	if p == nil || len(data) > maxDatagram {
 		return
@@ -67,7 +79,7 @@
 	}
 }
 
-// write sends what is queued until ctx ends, and then ends read too.
+// write sends what is queued until ctx ends; then it closes the socket, which ends read too.
 func (p *peers) write(ctx context.Context) {
 	defer func() { _ = p.conn.Close() }() // nothing depends on how it closes
 	for {
@@ -76,14 +88,14 @@
 			return
 		case d := <-p.queue:
 			if _, err := p.conn.WriteToUDPAddrPort(d.data, d.to); err != nil {
-				p.log.Debug("datagram not sent", "to", d.to, "err", err)
+				p.log.Debug("send datagram failed", "peer", d.to, "err", err)
 			}
 		}
 	}
 }
 
-// read hands on what nodes of the tier say. Anything else is dropped.
-func (p *peers) read(heard func(from int, data []byte)) {
+// read calls receive with each message of another node, until the socket is closed. Anything else is dropped.
+func (p *peers) read(receive func(from int, data []byte)) {
 	number := map[netip.AddrPort]int{}
 	for i, a := range p.nodes {
 		number[a] = i
@@ -95,12 +107,12 @@
 			return
 		}
 		if err != nil { // an earlier datagram's refusal: no reason to stop, nor to spin
-			time.Sleep(time.Millisecond)
+			time.Sleep(readErrorPause)
 			continue
 		}
 		i, known := number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if known && i != p.self && n <= maxDatagram {
-			heard(i, append([]byte(nil), buf[:n]...))
+			receive(i, append([]byte(nil), buf[:n]...))
 		}
 	}
 }
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// runningTimer is a SetTimer that is running.
+// runningTimer is a timer that the module has set.
 type runningTimer struct {
 	at    time.Time
 	token int64
 }
 
+// timerHeap is a heap of timers, the next one first.
 type timerHeap []runningTimer
 
 func (h timerHeap) Len() int           { return len(h) }
--- a/internal/nodestate/nodestate.go
+++ b/internal/nodestate/nodestate.go
@@ -2,7 +2,7 @@
 // backends, the placement of batch partitions, and the admission pools of the services.
 //
 // Each is an immutable snapshot that is swapped whole when gossip brings a newer version. A version that cannot be read
-// is logged and passed over.
+// is logged and ignored.
 package nodestate
 
 import (
@@ -38,7 +38,7 @@
 	Log    *zap.Logger
 }
 
-// State is what a process knows. Its methods may be called at the same time.
+// State is what a process knows. Its methods are safe for concurrent use.
 type State struct {
 	options       Options
 	configuration atomic.Pointer[configuration.Snapshot]
@@ -60,21 +60,22 @@
 	return s
 }
 
-// Configuration gives the newest configuration, nil before the first.
+// Configuration returns the newest configuration, nil before the first.
 func (s *State) Configuration() *configuration.Snapshot { return s.configuration.Load() }
 
-// Backends gives the newest list of backends, nil before the first.
+// Backends returns the newest list of backends, nil before the first.
 func (s *State) Backends() *discovery.List { return s.backends.Load() }
 
-// Placement gives the newest placement, nil before the first.
+// Placement returns the newest placement, nil before the first.
 func (s *State) Placement() *placement.Table { return s.placement.Load() }
 
-// ConfigurationAge is how old the proof is that the configuration was the newest.
+// ConfigurationAge returns the age of the latest proof that the configuration was the newest.
 func (s *State) ConfigurationAge() time.Duration {
 	return s.options.Source.ProofAge(gossip.Configuration)
 }
 
-// OnBackends adds a function that is called with each new list of backends, after the pools have it.
+// OnBackends adds a function that is called with each new list of backends, after the pools have it, and at once with the
+// one that there is. It runs under the lock of the state: it must not call Pool, Pools, OnBackends or OnPlacement.
 func (s *State) OnBackends(notify func(*discovery.List)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +85,7 @@
 	}
 }
 
-// OnPlacement adds a function that is called with each new placement.
+// OnPlacement adds a function that is called with each new placement, and at once with the one that there is.
 func (s *State) OnPlacement(notify func(*placement.Table)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +95,7 @@
 	}
 }
 
-// Partition gives the newest known view of the partition that a tenant's batch jobs are in.
+// Partition returns the newest known view of the partition that a tenant's batch jobs are in.
 func (s *State) Partition(tenant string) (view.View, bool) {
 	table := s.placement.Load()
 	if table == nil {
@@ -107,7 +108,7 @@
 	return table.Partitions[partition].View, true
 }
 
-// Pool gives the admission pool of a service.
+// Pool returns the admission pool of a service.
 func (s *State) Pool(service string) *admission.Pool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +124,7 @@
 	return pool
 }
 
-// Pools gives the admission pools of all services that have been asked for.
+// Pools returns the admission pools of all services that have been asked for.
 func (s *State) Pools() map[string]*admission.Pool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,12 +134,12 @@
 func (s *State) takeConfiguration(v gossip.Value) {
 	document, err := configuration.Parse(v.Data)
 	if err != nil {
-		s.unreadable("configuration", v, err)
+		s.logInvalid("configuration", v, err)
 		return
 	}
 	snapshot, err := configuration.Compile(document)
 	if err != nil {
-		s.unreadable("configuration", v, err)
+		s.logInvalid("configuration", v, err)
 		return
 	}
 	s.mu.Lock()
@@ -150,7 +151,7 @@
 func (s *State) takeBackends(v gossip.Value) {
 	list, err := discovery.Decode(v.Data)
 	if err != nil {
-		s.unreadable("list of backends", v, err)
+		s.logInvalid("list of backends", v, err)
 		return
 	}
 	s.mu.Lock()
@@ -165,7 +166,7 @@
 func (s *State) takePlacement(v gossip.Value) {
 	table, err := placement.Decode(v.Data)
 	if err != nil {
-		s.unreadable("placement", v, err)
+		s.logInvalid("placement", v, err)
 		return
 	}
 	s.mu.Lock()
@@ -176,8 +177,9 @@
 	}
 }
 
-func (s *State) unreadable(what string, v gossip.Value, err error) {
-	s.options.Log.Error("version cannot be read", zap.String("of", what), zap.Uint64("sequence", v.Version.Sequence),
+// logInvalid logs a version that cannot be decoded, and so is ignored.
+func (s *State) logInvalid(what string, v gossip.Value, err error) {
+	s.options.Log.Error("decode version failed", zap.String("of", what), zap.Uint64("sequence", v.Version.Sequence),
 		zap.Error(err))
 }
 
@@ -187,7 +189,7 @@
 	}
 }
 
-// fill gives a pool the backends of its service.
+// fill sets the backends of a pool to those of its service.
 func (s *State) fill(service string, pool *admission.Pool) {
 	list := s.backends.Load()
 	if list == nil {
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause lets goroutines wait for a time, which the end of a context cuts short.
+// Package pause waits for a time that the end of a context cuts short.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for a time, and tells whether ctx still runs: it is false as soon as ctx has ended.
+// For waits for d, or until ctx ends, and reports whether ctx has not ended.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
