--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -51,7 +51,7 @@
 		root.SetRequest()
 		root.Request().SetCall(f.call)
 		root.Request().SetRemainingMicros(uint64(f.remaining.Microseconds()))
-	case answerFrame:
+	case responseFrame:
 		root.SetAnswer()
 		root.Answer().SetCall(f.call)
 	case failureFrame:
@@ -91,7 +91,7 @@
 		f.call = root.Request().Call()
 		f.remaining = time.Duration(root.Request().RemainingMicros()) * time.Microsecond
 	case peerwire.Frame_Which_answer:
-		f.frameType = answerFrame
+		f.frameType = responseFrame
 		f.call = root.Answer().Call()
 	case peerwire.Frame_Which_failure:
 		f.frameType = failureFrame
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -27,7 +27,7 @@
 const (
 	helloFrame frameType = iota
 	requestFrame
-	answerFrame
+	responseFrame
 	failureFrame
 	oneWayFrame
 	datagramFrame
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -20,7 +20,7 @@
 	}{
 		{"hello", &frame{frameType: helloFrame, address: netip.MustParseAddrPort("10.20.30.40:5060"), generation: 0x0102030405060708}},
 		{"request", &frame{frameType: requestFrame, kind: 0x301, call: 11, remaining: 12 * time.Microsecond, body: body}},
-		{"answer", &frame{frameType: answerFrame, kind: 0x302, call: 13, body: body}},
+		{"answer", &frame{frameType: responseFrame, kind: 0x302, call: 13, body: body}},
 		{"failure", &frame{frameType: failureFrame, kind: 0x303, call: 14, errorKind: fault.Conflict, body: body}},
 		{"one_way", &frame{frameType: oneWayFrame, kind: 0x304, body: body}},
 		{"datagram", &frame{frameType: datagramFrame, kind: 0x305, body: body}},
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -28,9 +28,9 @@
 	return nil
 }
 
-// enqueueAnswer adds a response. The bound is higher than for requests, so that what the peer waits for is not held up
+// enqueueResponse adds a response. The bound is higher than for requests, so that what the peer waits for is not held up
 // by what it has to work on.
-func (c *connection) enqueueAnswer(frame queuedFrame) error {
+func (c *connection) enqueueResponse(frame queuedFrame) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.queuedBytes >= 2*maxQueuedBytes {
--- a/internal/peer/receive.go
+++ b/internal/peer/receive.go
@@ -34,7 +34,7 @@
 		return c.receiveHello(f)
 	case requestFrame:
 		c.receiveRequest(f)
-	case answerFrame:
+	case responseFrame:
 		c.complete(f.call, callResult{message: Message{Kind: f.kind, Body: f.body}})
 	case failureFrame:
 		c.complete(f.call, callResult{err: fault.New(f.errorKind, "%s", f.body)})
@@ -91,7 +91,7 @@
 
 // respond queues the response to a request. If it cannot be queued, the caller runs into its deadline.
 func (c *connection) respond(id uint64, message Message, err error) {
-	f := &frame{frameType: answerFrame, kind: message.Kind, call: id, body: message.Body}
+	f := &frame{frameType: responseFrame, kind: message.Kind, call: id, body: message.Body}
 	if err == nil && len(message.Body) > MaxBody {
 		err = merry.Errorf("answer of %d bytes", len(message.Body))
 	}
@@ -100,7 +100,7 @@
 	}
 	data, err := f.encode()
 	if err == nil {
-		err = c.enqueueAnswer(queuedFrame{data: data})
+		err = c.enqueueResponse(queuedFrame{data: data})
 	}
 	if err != nil {
 		c.transport.log.Debug("send response failed", zap.Stringer("to", c.to), zap.Error(err))
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -370,7 +370,7 @@
 	for _, f := range []*frame{
 		{frameType: helloFrame, address: netip.MustParseAddrPort("10.1.2.3:7660"), generation: 9},
 		{frameType: requestFrame, kind: 3, call: 7, remaining: 1500 * time.Microsecond, body: []byte("abc")},
-		{frameType: answerFrame, kind: 3, call: 7, body: make([]byte, 100_000)},
+		{frameType: responseFrame, kind: 3, call: 7, body: make([]byte, 100_000)},
 		{frameType: failureFrame, call: 7, errorKind: fault.Unclear, body: []byte("text")},
 		{frameType: oneWayFrame, kind: 3},
 		{frameType: datagramFrame, kind: 3, body: []byte("abc")},
--- a/internal/peer/unreliable_test.go
+++ b/internal/peer/unreliable_test.go
@@ -76,47 +76,47 @@
 		if f.frameType != requestFrame {
 			continue
 		}
-		p.note(f)
-		if owed = p.react(socket, append(owed, f)); owed == nil {
+		p.record(f)
+		if owed = p.respond(socket, append(owed, f)); owed == nil {
 			return
 		}
 	}
 }
 
-func (p *unreliablePeer) note(f *frame) {
+func (p *unreliablePeer) record(f *frame) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.received[binary.LittleEndian.Uint64(f.body)]++
 }
 
-// react answers some of the requests that are owed an answer, and returns the rest, nil once the connection is at its end.
-func (p *unreliablePeer) react(socket *net.TCPConn, owed []*frame) []*frame {
+// respond answers some of the requests that are owed an answer, and returns the rest, nil once the connection is at its end.
+func (p *unreliablePeer) respond(socket *net.TCPConn, owed []*frame) []*frame {
 	last := owed[len(owed)-1]
 	switch p.draw(10) {
 	case 0: // no response for now
 		return owed
 	case 1: // all that is owed, the newest first
 		for i := len(owed) - 1; i >= 0; i-- {
-			if p.write(socket, answerTo(owed[i])) != nil {
+			if p.write(socket, responseTo(owed[i])) != nil {
 				return nil
 			}
 		}
 		return owed[:0:len(owed)]
 	case 2: // twice
 		for range 2 {
-			if p.write(socket, answerTo(last)) != nil {
+			if p.write(socket, responseTo(last)) != nil {
 				return nil
 			}
 		}
 	case 3: // an answer to a call that was never made
-		stray := answerTo(last)
+		stray := responseTo(last)
 		stray.call += 1 << 40
 		if p.write(socket, stray) != nil {
 			return nil
 		}
 		return owed
 	case 4: // half an answer, and a reset
-		data, _ := answerTo(last).encode()
+		data, _ := responseTo(last).encode()
 		_, _ = socket.Write(data[:len(data)/2])
 		_ = socket.SetLinger(0)
 		return nil
@@ -124,7 +124,7 @@
 		_ = socket.SetLinger(0)
 		return nil
 	default:
-		if p.write(socket, answerTo(last)) != nil {
+		if p.write(socket, responseTo(last)) != nil {
 			return nil
 		}
 	}
@@ -140,14 +140,14 @@
 	return err
 }
 
-// answerTo repeats the body of a request behind its number.
-func answerTo(f *frame) *frame {
-	return &frame{frameType: answerFrame, kind: f.kind, call: f.call, body: f.body}
+// responseTo repeats the body of a request behind its number.
+func responseTo(f *frame) *frame {
+	return &frame{frameType: responseFrame, kind: f.kind, call: f.call, body: f.body}
 }
 
 // Whatever a peer does, an answer reaches the call that it belongs to or nobody, a request is sent at most once, and a call that
 // ends as not sent was not sent.
-func TestAnswersOfAnUnreliablePeer(t *testing.T) {
+func TestResponsesOfAnUnreliablePeer(t *testing.T) {
 	const (
 		seeds       = 12
 		callers     = 8
--- a/internal/peer/write.go
+++ b/internal/peer/write.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// writeFrames writes frames, joining small ones so that they take few system calls.
+// writeFrames writes frames within writeTimeout.
 func writeFrames(socket net.Conn, frames [][]byte) error {
 	if err := socket.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
@@ -32,27 +32,51 @@
 		_, err := socket.Write(frames[0])
 		return err
 	}
-	buffer := writeBuffers.Get().(*[writeBufferSize]byte)
-	defer writeBuffers.Put(buffer)
-	joined := buffer[:0]
+	writer := newFrameWriter(socket)
+	defer writer.release()
 	for _, frame := range frames {
-		if len(joined)+len(frame) > writeBufferSize {
-			if _, err := socket.Write(joined); err != nil {
-				return err
-			}
-			joined = buffer[:0]
+		if err := writer.write(frame); err != nil {
+			return err
 		}
-		if len(frame) > writeBufferSize {
-			if _, err := socket.Write(frame); err != nil {
-				return err
-			}
-			continue
+	}
+	return writer.flush()
+}
+
+// frameWriter joins small frames in a buffer, so that they take few system calls.
+type frameWriter struct {
+	socket net.Conn
+	buffer *[writeBufferSize]byte
+	size   int // of the joined frames
+}
+
+func newFrameWriter(socket net.Conn) *frameWriter {
+	return &frameWriter{socket: socket, buffer: writeBuffers.Get().(*[writeBufferSize]byte)}
+}
+
+// write adds a frame to the buffer, or writes it directly if it is larger than the buffer.
+func (w *frameWriter) write(frame []byte) error {
+	if w.size+len(frame) > writeBufferSize {
+		if err := w.flush(); err != nil {
+			return err
 		}
-		joined = append(joined, frame...)
 	}
-	if len(joined) == 0 {
+	if len(frame) > writeBufferSize {
+		_, err := w.socket.Write(frame)
+		return err
+	}
+	w.size += copy(w.buffer[w.size:], frame)
+	return nil
+}
+
+// flush writes the joined frames.
+func (w *frameWriter) flush() error {
+	if w.size == 0 {
 		return nil
 	}
-	_, err := socket.Write(joined)
+	_, err := w.socket.Write(w.buffer[:w.size])
+	w.size = 0
 	return err
 }
+
+// release returns the buffer to the pool.
+func (w *frameWriter) release() { writeBuffers.Put(w.buffer) }
