--- a/internal/discovery/simulation_test.go
+++ b/internal/discovery/simulation_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"math/rand/v2"
-	"testing"
 	"time"
 
 	"nickelline/internal/simnet"
@@ -79,7 +78,7 @@
 // now returns the time of the simulated clock.
 func (s *simulation) now() time.Time { return s.start.Add(s.clock.Now()) }
 
-// step lets a node read if it is due, or wait.
+// step has a node poll or pull if it is due, or wait, as Poller.Run does.
 func (s *simulation) step(n *simulatedNode) {
 	if n.frozen {
 		s.clock.After(minPause, func() { s.step(n) })
@@ -92,13 +91,13 @@
 	if s.clock.Now() < s.site.joined {
 		role.Rank, role.Members = 0, 1
 	}
-	wait, askWait := n.schedule.pollWait(s.now(), role), n.schedule.pullWait(s.now(), role)
-	if wait > 0 && askWait <= 0 {
+	wait, pullWait := n.schedule.pollWait(s.now(), role), n.schedule.pullWait(s.now(), role)
+	if wait > 0 && pullWait <= 0 {
 		s.pull(n)
 		return
 	}
 	if wait > 0 {
-		wait = min(wait, askWait)
+		wait = min(wait, pullWait)
 		if role.ProofAge == unproven {
 			wait = min(wait, maxStartPause)
 		}
@@ -106,10 +105,14 @@
 		return
 	}
 	n.schedule.pollStarted(s.now())
-	s.readPage(n, simulatedPoll{began: s.clock.Now(), version: s.platformVersion, pacing: callPacing{ratePerS: testRate, primary: role.isPrimary()}})
+	s.readPage(n, simulatedPoll{
+		began:   s.clock.Now(),
+		version: s.platformVersion,
+		pacing:  callPacing{ratePerS: testRate, primary: role.isPrimary()},
+	})
 }
 
-// simulatedPoll is one pass over the listing.
+// simulatedPoll is a poll in progress.
 type simulatedPoll struct {
 	began    time.Duration
 	version  int
@@ -118,7 +121,7 @@
 	pacing   callPacing
 }
 
-// readPage calls for the next page, as Platform.Read does.
+// readPage requests the next page, as Platform.Read does.
 func (s *simulation) readPage(n *simulatedNode, r simulatedPoll) {
 	s.calls++
 	if s.clock.Now()-r.began > n.schedule.maxPollTime(n.version > 0) {
@@ -283,155 +286,3 @@
 		})
 	}
 }
-
-func TestSimulatedPolls(t *testing.T) {
-	t.Run("small", func(t *testing.T) { testSimulatedPolls(t, smallSite) })
-	t.Run("large", func(t *testing.T) { testSimulatedPolls(t, largeSite) })
-}
-
-// TestSimulatedPollsAtTargetSize: where the primary takes nearly all of the platform's rate, a drain is known within a cycle of calls
-// in calm and beside a partitioned node, and after the primary has failed the list goes on once another one is the first.
-func TestSimulatedPollsAtTargetSize(t *testing.T) {
-	// In the first seconds readers still get in each other's way.
-	const started, lost, noticed, end = 10 * time.Second, 15 * time.Second, 17 * time.Second, 45 * time.Second
-	// A drain waits for the next call for its page, which takes what the rate allows, and then for two exchanges at most:
-	// about the drain time-out of the site. No larger listing could be read in time at this rate.
-	cycle := fraction(time.Second, float64(targetSite.pages)/(steadyRateFraction*testRate)) + 2*testHeartbeat
-	for name, c := range map[string]struct {
-		fault func(*simulation)
-		worst time.Duration
-	}{
-		"calm": {func(*simulation) {}, cycle},
-		"node partitioned": {func(s *simulation) {
-			s.clock.At(lost, func() { s.nodes[17].partitioned = true })
-		}, cycle},
-		"primary frozen": {func(s *simulation) {
-			s.clock.At(lost, func() { s.nodes[0].frozen = true })
-			s.clock.At(noticed, func() {
-				for _, n := range s.nodes[:s.site.controls] {
-					n.rank--
-				}
-			})
-		}, 2 * cycle},
-	} {
-		t.Run(name, func(t *testing.T) {
-			worst, calls := time.Duration(0), 0
-			for seed := range uint64(10) {
-				s := newSimulation(seed, targetSite)
-				s.scheduleDrains(started, end-2*targetSite.drain)
-				c.fault(s)
-				s.clock.RunUntil(end)
-				for i, n := range s.nodes {
-					if !n.frozen && !n.partitioned && len(n.knownChanges) != s.platformVersion {
-						t.Errorf("seed %d: changes that node %d knows: got %d, want %d", seed, i, len(n.knownChanges), s.platformVersion)
-					}
-				}
-				worst, calls = max(worst, s.worstDelay), max(calls, s.calls)
-			}
-			rate := float64(calls) / end.Seconds()
-			t.Logf("known everywhere after %v, %.1f calls a second", worst, rate)
-			if worst > c.worst {
-				t.Errorf("time until a drain is known: got %v", worst)
-			}
-			if rate > testRate {
-				t.Errorf("calls a second: got %.1f", rate)
-			}
-		})
-	}
-}
-
-// TestOnlyThePrimaryPollsWithoutFaults: where nobody fails, the others learn from the primary and leave the platform alone.
-func TestOnlyThePrimaryPollsWithoutFaults(t *testing.T) {
-	const begin, end = 5 * time.Second, 65 * time.Second // without the start, when the nodes have not joined yet
-	for name, site := range map[string]simulatedSite{"small": smallSite, "large": largeSite} {
-		site.pages = 1 // so that calls are polls
-		for seed := range uint64(5) {
-			s := newSimulation(seed, site)
-			s.scheduleDrains(firstDrain, end)
-			s.clock.RunUntil(begin)
-			before, asked := s.calls, s.pulls
-			s.clock.RunUntil(end)
-			polls := float64(s.calls - before)
-			own := float64(end-begin) / float64(s.nodes[0].schedule.period())
-			t.Logf("%s, seed %d: %v polls, the primary makes %v, %d pulls", name, seed, polls, own, s.pulls-asked)
-			if polls > 1.1*own {
-				t.Errorf("%s, seed %d: got %v polls, the primary makes %v", name, seed, polls, own)
-			}
-		}
-	}
-}
-
-// TestSimulatedSimultaneousStart: many nodes that start together share the platform's rate so that one of them gets the whole list
-// soon, and the others have it from that one.
-func TestSimulatedSimultaneousStart(t *testing.T) {
-	const bound = 5 * time.Second
-	for name, site := range map[string]simulatedSite{"large": largeSite, "huge": hugeSite} {
-		site.joined = 400 * time.Millisecond
-		for seed := range uint64(5) {
-			s := newSimulation(seed, site)
-			s.platformVersion = 1
-			known := func() int {
-				count := 0
-				for _, n := range s.nodes {
-					count += n.version
-				}
-				return count
-			}
-			for s.clock.Now() < bound && known() < site.nodes {
-				s.clock.RunUntil(s.clock.Now() + 20*time.Millisecond)
-			}
-			t.Logf("%s, seed %d: %d nodes know the list after %v, %d calls", name, seed, known(), s.clock.Now(), s.calls)
-			if known() < site.nodes {
-				t.Errorf("%s, seed %d: nodes that know the list: got %d after %v", name, seed, known(), bound)
-			}
-		}
-	}
-}
-
-func testSimulatedPolls(t *testing.T, site simulatedSite) {
-	for name, fault := range map[string]func(*simulation){
-		"calm": func(*simulation) {},
-		"primary frozen": func(s *simulation) {
-			s.clock.At(10*time.Second, func() { s.nodes[0].frozen = true })
-		},
-		"two control nodes frozen": func(s *simulation) {
-			s.clock.At(10*time.Second, func() { s.nodes[0].frozen, s.nodes[1].frozen = true, true })
-		},
-		"node partitioned": func(s *simulation) {
-			s.clock.At(10*time.Second, func() { s.nodes[7].partitioned = true })
-		},
-		"control nodes partitioned": func(s *simulation) {
-			s.clock.At(10*time.Second, func() {
-				for _, n := range s.nodes[:site.controls] {
-					n.partitioned = true
-				}
-			})
-		},
-	} {
-		t.Run(name, func(t *testing.T) {
-			worst, calls := time.Duration(0), 0
-			const end = 40 * time.Second
-			for seed := range uint64(10) {
-				s := newSimulation(seed, site)
-				s.scheduleDrains(firstDrain, end-site.drain)
-				fault(s)
-				s.clock.RunUntil(end)
-				for _, n := range s.nodes {
-					if !n.frozen && n.version != s.platformVersion {
-						t.Errorf("seed %d: version of a node: got %d, want %d", seed, n.version, s.platformVersion)
-					}
-				}
-				worst = max(worst, s.worstDelay)
-				calls = max(calls, s.calls)
-			}
-			rate := float64(calls) / end.Seconds()
-			t.Logf("known everywhere after %v, %.1f calls a second", worst, rate)
-			if worst > site.drain*9/10 {
-				t.Errorf("time until a drain is known: got %v", worst)
-			}
-			if rate > testRate/2 {
-				t.Errorf("calls a second: got %.1f", rate)
-			}
-		})
-	}
-}
