--- a/internal/quota/activation.go
+++ b/internal/quota/activation.go
@@ -69,7 +69,7 @@
 // activeAllocator returns the allocator while this node is known to be the head, and nil on other nodes and before the
 // allocator has started. The caller holds the mutex.
 func (s *Service) activeAllocator() *Allocator {
-	if s.allocator == nil || !s.headship.Fresh() || s.epoch != s.headship.Epoch() {
+	if s.allocator == nil || !s.headStatus.Fresh() || s.epoch != s.headStatus.Epoch() {
 		return nil
 	}
 	return s.allocator
--- a/internal/quota/registry.go
+++ b/internal/quota/registry.go
@@ -67,56 +67,75 @@
 	return r.finished
 }
 
+// plannedChange is a change that is due.
+type plannedChange struct {
+	RegistryChange
+	// startsAllocator is set for the first change of an allocator, after which it starts.
+	startsAllocator bool
+}
+
 // run makes changes until none is due.
 func (r *registryUpdater) run() {
 	for {
-		change, starts, due := r.next()
-		if !due {
+		change := r.next()
+		if change == nil {
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
-		after, err := r.registry.Change(ctx, change)
+		after, err := r.registry.Change(ctx, change.RegistryChange)
 		cancel()
-		r.finish(change, starts, after, err)
+		r.finish(change, after, err)
 		if err != nil {
 			time.Sleep(changePause)
 		}
 	}
 }
 
-// next returns the change to make, if any is due. The first one of an allocator is empty: it fences off former
+// next returns the change to make, nil if none is due. The first one of an allocator is empty: it fences off former
 // allocators, and the allocator starts after it.
-func (r *registryUpdater) next() (change RegistryChange, starts, due bool) {
+func (r *registryUpdater) next() *plannedChange {
 	s := r.service
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !s.headship.Fresh() {
-		return r.stop()
+	if !s.headStatus.Fresh() {
+		r.stop()
+		return nil
 	}
-	change = RegistryChange{Epoch: s.headship.Epoch(), ExpectedRevision: r.registry.Current().Revision}
+	change := &plannedChange{}
+	change.Epoch = s.headStatus.Epoch()
+	change.ExpectedRevision = r.registry.Current().Revision
 	allocator := s.activeAllocator()
 	if allocator == nil {
-		return change, true, true
+		change.startsAllocator = true
+		return change
+	}
+	change.Add = r.takeUnregistered(allocator)
+	change.Remove = allocator.TakeRemovable(time.Now())
+	if len(change.Add)+len(change.Remove) == 0 {
+		r.stop()
+		return nil
 	}
+	return change
+}
+
+// takeUnregistered returns the processes that wait to be registered. The caller holds the mutex.
+func (r *registryUpdater) takeUnregistered(allocator *Allocator) []Leaseholder {
+	var unregistered []Leaseholder
 	for address, generation := range r.waiting {
-		if h := (Leaseholder{Address: address, Generation: generation}); allocator.StatusOf(h) == Unregistered {
-			change.Add = append(change.Add, h)
+		process := Leaseholder{Address: address, Generation: generation}
+		if allocator.StatusOf(process) == Unregistered {
+			unregistered = append(unregistered, process)
 		}
 	}
 	r.waiting = nil
-	change.Remove = allocator.TakeRemovable(time.Now())
-	if len(change.Add)+len(change.Remove) == 0 {
-		return r.stop()
-	}
-	return change, false, true
+	return unregistered
 }
 
 // stop ends the run and has those that wait look again. The caller holds the mutex.
-func (r *registryUpdater) stop() (change RegistryChange, starts, due bool) {
+func (r *registryUpdater) stop() {
 	r.running = false
 	r.waiting = nil
 	r.notifyWaiting()
-	return change, false, false
 }
 
 // notifyWaiting wakes all that wait for a change. The caller holds the mutex.
@@ -126,7 +145,7 @@
 }
 
 // finish applies the outcome of a change.
-func (r *registryUpdater) finish(change RegistryChange, starts bool, after RegistryState, err error) {
+func (r *registryUpdater) finish(change *plannedChange, after RegistryState, err error) {
 	s := r.service
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -134,7 +153,7 @@
 	switch {
 	case err != nil:
 		s.log.Info("change quota registry failed", zap.Uint64("epoch", change.Epoch), zap.Error(err))
-	case starts:
+	case change.startsAllocator:
 		s.startAllocator(time.Now(), change.Epoch, after.Leaseholders)
 	case s.allocator != nil:
 		s.allocator.SetRegistered(time.Now(), after.Leaseholders)
--- a/internal/quota/service.go
+++ b/internal/quota/service.go
@@ -26,13 +26,13 @@
 // Service answers proxies' renewals at a control node: as the allocator where the node is the head, elsewhere with the
 // allocator's address.
 type Service struct {
-	policy    Policy
-	headship  HeadStatus
-	limits    func(tenant string) Limit
-	isDown    func(netip.AddrPort) bool
-	transport *peer.Transport
-	log       *zap.Logger
-	updater   registryUpdater
+	policy     Policy
+	headStatus HeadStatus
+	limits     func(tenant string) Limit
+	isDown     func(netip.AddrPort) bool
+	transport  *peer.Transport
+	log        *zap.Logger
+	updater    registryUpdater
 
 	mutex      sync.Mutex
 	epoch      uint64
@@ -46,7 +46,7 @@
 	p Policy, h HeadStatus, r Registry, limits func(tenant string) Limit, isDown func(netip.AddrPort) bool,
 	t *peer.Transport, log *zap.Logger,
 ) *Service {
-	s := &Service{policy: p, headship: h, limits: limits, isDown: isDown, transport: t, log: log}
+	s := &Service{policy: p, headStatus: h, limits: limits, isDown: isDown, transport: t, log: log}
 	s.updater = registryUpdater{service: s, registry: r, finished: make(chan struct{})}
 	t.Handle(kindRenew, s.renew)
 	s.activateSoon()
@@ -89,8 +89,8 @@
 func (s *Service) tryAnswer(now time.Time, from Leaseholder, renewal *Renewal) (*renewalAnswer, <-chan struct{}, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !s.headship.Fresh() || renewal.Epoch > s.headship.Epoch() {
-		head, _ := s.headship.Head()
+	if !s.headStatus.Fresh() || renewal.Epoch > s.headStatus.Epoch() {
+		head, _ := s.headStatus.Head()
 		return &renewalAnswer{moved: true, allocator: head}, nil, nil
 	}
 	allocator := s.activeAllocator()
