--- /dev/null
+++ b/internal/quota/bucket_test.go
@@ -0,0 +1,62 @@
+package quota
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+func TestBucketNeedsALease(t *testing.T) {
+	b := newLeasedBuckets(rulePolicy)
+	if b.takeOnArrival(after(0), "t") {
+		t.Fatal("without a lease: got a token, want none")
+	}
+	entries := b.renewalEntries(after(0), map[string]int{"t": 1}, false)
+	b.apply(after(time.Second), after(0), entries, []Grant{{Lease: Share{Rate: 10, Depth: 3}}})
+	if b.takeOnArrival(after(time.Second), "t") {
+		t.Error("new lease: got a token, want an empty bucket")
+	}
+	if !b.takeOnArrival(after(1200*time.Millisecond), "t") {
+		t.Error("after 0.2 s of 10 a second: got no token, want one")
+	}
+	if b.takeOnArrival(after(rulePolicy.Lease), "t") {
+		t.Error("after Policy.Lease since the request: got a token, want none")
+	}
+}
+
+func TestBucketReturnsItsSurplus(t *testing.T) {
+	b := newLeasedBuckets(rulePolicy)
+	b.takeOnArrival(after(0), "t")
+	entries := b.renewalEntries(after(0), nil, true)
+	b.apply(after(0), after(0), entries, []Grant{{Lease: Share{Rate: 10, Depth: 3}}})
+	entries = b.renewalEntries(after(time.Second), nil, true)
+	if got := entries[0].Returned; math.Abs(got-5) > 1e-9 { // of 10 given 3 are saved, 5 come in a period
+		t.Errorf("returned surplus: got %v, want 5", got)
+	}
+	if again := b.renewalEntries(after(time.Second), nil, true)[0].Returned; again != 0 {
+		t.Errorf("surplus returned again: got %v, want 0", again)
+	}
+}
+
+func TestRefundReturnsAToken(t *testing.T) {
+	b := newLeasedBuckets(rulePolicy)
+	b.takeOnArrival(after(0), "t")
+	entries := b.renewalEntries(after(0), nil, true)
+	b.apply(after(0), after(0), entries, []Grant{{Lease: Share{Rate: 1, Depth: 1}}})
+	now := after(time.Second)
+	if !b.takeOnArrival(now, "t") || b.takeOnArrival(now, "t") {
+		t.Fatal("tokens: want exactly one")
+	}
+	b.refund(now, "t")
+	if !b.takeOnArrival(now, "t") {
+		t.Error("after refund: got no token, want one")
+	}
+}
+
+func TestIdleTenantsAreForgotten(t *testing.T) {
+	b := newLeasedBuckets(rulePolicy)
+	b.takeOnArrival(after(0), "t")
+	if entries := b.renewalEntries(after(idleTimeout+time.Second), nil, true); len(entries) != 0 || len(b.byTenant) != 0 {
+		t.Errorf("idle tenant: got %d entries and %d buckets, want none", len(entries), len(b.byTenant))
+	}
+}
