--- a/internal/discovery/codec.go
+++ b/internal/discovery/codec.go
@@ -14,19 +14,19 @@
 
 // Encode returns the encoded list.
 func Encode(l *List) ([]byte, error) {
-	data, err := capnpcodec.Marshal(0, discoverywire.NewRootReading, func(reading discoverywire.Reading) error {
-		reading.SetPages(uint16(min(l.pages, math.MaxUint16)))
-		return encodeList(reading, l.backends)
+	data, err := capnpcodec.Marshal(0, discoverywire.NewRootReading, func(message discoverywire.Reading) error {
+		message.SetPages(uint16(min(l.pages, math.MaxUint16)))
+		return encodeList(message, l.backends)
 	})
 	return data, merry.Prepend(err, "encode list of backends")
 }
 
-func encodeList(reading discoverywire.Reading, backends []Backend) error {
+func encodeList(message discoverywire.Reading, backends []Backend) error {
 	names := newNameTable(backends)
-	if err := encodeNames(reading, names.texts); err != nil {
+	if err := encodeNames(message, names.texts); err != nil {
 		return err
 	}
-	entries, err := reading.NewBackends(int32(len(backends)))
+	entries, err := message.NewBackends(int32(len(backends)))
 	if err != nil {
 		return err
 	}
@@ -62,8 +62,8 @@
 	t.texts = append(t.texts, name)
 }
 
-func encodeNames(reading discoverywire.Reading, texts []string) error {
-	list, err := reading.NewNames(int32(len(texts)))
+func encodeNames(message discoverywire.Reading, texts []string) error {
+	list, err := message.NewNames(int32(len(texts)))
 	if err != nil {
 		return err
 	}
@@ -93,34 +93,34 @@
 
 // Decode decodes what Encode returned.
 func Decode(data []byte) (*List, error) {
-	reading, err := capnpcodec.Unmarshal(data, discoverywire.ReadRootReading)
+	message, err := capnpcodec.Unmarshal(data, discoverywire.ReadRootReading)
 	if err != nil {
 		return nil, merry.Prepend(err, "decode list of backends")
 	}
-	backends, err := decodeList(reading)
+	backends, err := decodeList(message)
 	if err != nil {
 		return nil, merry.Prepend(err, "decode list of backends")
 	}
 	list := NewList(backends)
-	list.pages = int(reading.Pages())
+	list.pages = int(message.Pages())
 	return list, nil
 }
 
 // pageCount returns how many calls the poll of an encoded list took, 0 if that is not known.
 func pageCount(data []byte) int {
-	reading, err := capnpcodec.Unmarshal(data, discoverywire.ReadRootReading)
+	message, err := capnpcodec.Unmarshal(data, discoverywire.ReadRootReading)
 	if err != nil {
 		return 0
 	}
-	return int(reading.Pages())
+	return int(message.Pages())
 }
 
-func decodeList(reading discoverywire.Reading) ([]Backend, error) {
-	names, err := decodeNames(reading)
+func decodeList(message discoverywire.Reading) ([]Backend, error) {
+	names, err := decodeNames(message)
 	if err != nil {
 		return nil, err
 	}
-	entries, err := reading.Backends()
+	entries, err := message.Backends()
 	if err != nil {
 		return nil, err
 	}
@@ -136,8 +136,8 @@
 	return backends, nil
 }
 
-func decodeNames(reading discoverywire.Reading) ([]string, error) {
-	list, err := reading.Names()
+func decodeNames(message discoverywire.Reading) ([]string, error) {
+	list, err := message.Names()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -17,8 +17,9 @@
 //     one changes nothing except that backends shown as draining are published as draining at once.
 //   - Versions have the writer's address in their low bits, so that two writers never publish different lists under the
 //     same version (nextSequence).
-//   - All nodes together stay below the platform's rate of calls, apart from polls of the primary, which may start with a
-//     burst.
+//   - A poll stays below the platform's rate of calls, apart from a burst at the start of a poll of the primary
+//     (callPacing). Nodes that are no control nodes space their polls so that all of them together stay below it
+//     (schedule.minInterval).
 //
 // # Goroutines
 //
--- a/internal/discovery/poller.go
+++ b/internal/discovery/poller.go
@@ -107,7 +107,7 @@
 
 // role returns what the schedule depends on, and passes on the number of pages of a list that another node has polled.
 func (p *Poller) role() nodeRole {
-	if sequence, data, held := p.distribution.Current(); held && sequence != p.pagesVersion {
+	if sequence, data, known := p.distribution.Current(); known && sequence != p.pagesVersion {
 		p.pagesVersion = sequence
 		p.schedule.setPages(pageCount(data))
 	}
@@ -138,10 +138,10 @@
 
 // poll polls the listing once and publishes what has changed.
 func (p *Poller) poll(ctx context.Context, primary bool) {
-	began := time.Now()
-	before, _, held := p.distribution.Current()
-	timeout := p.schedule.maxPollTime(held)
-	p.schedule.pollStarted(began)
+	startedAt := time.Now()
+	before, _, known := p.distribution.Current()
+	timeout := p.schedule.maxPollTime(known)
+	p.schedule.pollStarted(startedAt)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	listing, err := p.source.Read(ctx, primary, func(page []Backend) {
@@ -155,7 +155,7 @@
 		p.log.Debug("poll platform listing failed", zap.Int("pages", listing.Pages), zap.Error(err))
 		return
 	}
-	if now.Sub(began) <= timeout {
-		p.publishOrCertify(listing.List, before, began, now)
+	if now.Sub(startedAt) <= timeout {
+		p.publishOrCertify(listing.List, before, startedAt, now)
 	}
 }
--- a/internal/discovery/publish.go
+++ b/internal/discovery/publish.go
@@ -16,13 +16,13 @@
 // publishOrCertify certifies the current version if the polled list is the same. Otherwise it publishes the polled
 // list, unless something newer has arrived since the poll started: version before is the one that the poll started
 // from.
-func (p *Poller) publishOrCertify(list *List, before uint64, began, now time.Time) {
-	sequence, data, held := p.distribution.Current()
-	if held && p.decodeCurrent(sequence, data) && sameBackends(p.decoded.list, list) {
-		p.distribution.Certify(sequence, began)
+func (p *Poller) publishOrCertify(list *List, before uint64, startedAt, now time.Time) {
+	sequence, data, known := p.distribution.Current()
+	if known && p.decodeCurrent(sequence, data) && sameBackends(p.decoded.list, list) {
+		p.distribution.Certify(sequence, startedAt)
 		return
 	}
-	newer := p.distribution.ProofAge() < now.Sub(began)
+	newer := p.distribution.ProofAge() < now.Sub(startedAt)
 	if sequence != before || newer {
 		return
 	}
@@ -30,7 +30,7 @@
 	if !published {
 		return
 	}
-	p.distribution.Certify(next, began)
+	p.distribution.Certify(next, startedAt)
 	p.log.Info("list of backends changed", zap.Int("backends", list.Len()), zap.Uint64("version", next>>writerBits))
 }
 
@@ -38,8 +38,8 @@
 // its version. They are about to end, so this does not wait for the rest of a long listing. The proof of the new
 // version is as old as that of the former one.
 func (p *Poller) publishDraining(page []Backend) (uint64, bool) {
-	sequence, data, held := p.distribution.Current()
-	if !held || !p.decodeCurrent(sequence, data) {
+	sequence, data, known := p.distribution.Current()
+	if !known || !p.decodeCurrent(sequence, data) {
 		return 0, false
 	}
 	list, changed := p.decoded.list.withDraining(page)
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -41,10 +41,14 @@
 // # Goroutines
 //
 // The caller starts Limiter.Run and waits for it; it ends with its context, after which Limiter.Leave may release the
-// leases. A Service has no goroutine of its own while nothing changes: registryUpdater.run is started when the registry
-// has to be changed and ends when there is nothing more to change or the node is not the head; timers (activation,
-// announcements) end when the allocator has started or all leases are reclaimed. Allocator and leasedBuckets read no
-// clock, do no I/O and are guarded by their owners' locks.
+// leases. Limiter.Take runs on the goroutine of the request; a request that waits for a token of its lease is resolved by
+// a timer (Limiter.resolveLater), one that waits for a grant by Run.
+//
+// A Service has no goroutine while nothing changes. registryUpdater.run is started when the registry has to be changed,
+// and ends when no change is due or the node is not the head. Timers end by themselves: Service.activate when the
+// allocator has started or after activationAttempts, Service.announce when all leases are reclaimed.
+//
+// Allocator and leasedBuckets read no clock, do no I/O and are guarded by the mutexes of their owners.
 //
 // # Files in reading order
 //
