--- a/internal/chain/attempt.go
+++ b/internal/chain/attempt.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// askAll puts a question to all acceptors and witnesses, to the own replica first: what it answers is on the disk before others are asked,
-// so that no proposal number of this replica is used twice.
+// askAll puts a question to all acceptors and non-voters, to the own replica first: what it answers is on the disk before others are asked,
+// so that no number of this replica is used twice.
 func (r *Reconfigurer) askAll(ctx context.Context, asked []netip.AddrPort, q agreementRequest, events chan<- agreementEvent) {
 	q.sender = r.self()
 	if slices.Contains(asked, r.self().Address) {
--- a/internal/chain/codec.go
+++ b/internal/chain/codec.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	w.SetLife(s.Life)
+	w.SetLife(s.Generation)
 	w.SetNumber(s.Number)
 	return nil
 }
@@ -100,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	w.SetLife(m.Life)
+	w.SetLife(m.Generation)
 	w.SetCommitted(m.Committed)
 	runs, err := w.NewRuns(int32(len(m.Runs)))
 	if err != nil {
@@ -119,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	w.SetLife(m.Life)
+	w.SetLife(m.Generation)
 	w.SetTarget(m.Target)
 	if err := writePosition(w.NewMatch, m.Match); err != nil {
 		return err
@@ -132,7 +132,7 @@
 	if err != nil {
 		return err
 	}
-	w.SetLife(m.Life)
+	w.SetLife(m.Generation)
 	w.SetTotal(m.Total)
 	w.SetOffset(m.Offset)
 	if err := w.SetData(m.Data); err != nil {
@@ -227,7 +227,7 @@
 	if err != nil {
 		return Session{}, err
 	}
-	return Session{Life: r.Life(), Number: r.Number()}, nil
+	return Session{Generation: r.Life(), Number: r.Number()}, nil
 }
 
 func readPosition(r chainwire.Position, err error) (Position, error) {
@@ -249,7 +249,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m := History{Life: r.Life(), Committed: r.Committed()}
+	m := History{Generation: r.Life(), Committed: r.Committed()}
 	if m.Session, err = readSession(r.Session()); err != nil {
 		return nil, err
 	}
@@ -271,7 +271,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m := Start{Life: r.Life(), Target: r.Target()}
+	m := Start{Generation: r.Life(), Target: r.Target()}
 	if m.Session, err = readSession(r.Session()); err != nil {
 		return nil, err
 	}
@@ -283,7 +283,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m := SnapshotPart{Life: r.Life(), Total: r.Total(), Offset: r.Offset()}
+	m := SnapshotPart{Generation: r.Life(), Total: r.Total(), Offset: r.Offset()}
 	if m.Session, err = readSession(r.Session()); err != nil {
 		return nil, err
 	}
@@ -342,7 +342,7 @@
 func encodeRecord(record Record) ([]byte, error) {
 	return capnpcodec.Marshal(0, chainwire.NewRootRecord, func(w chainwire.Record) error {
 		w.SetCompleteEpoch(record.CompleteEpoch)
-		w.SetLife(record.Life)
+		w.SetLife(record.Generation)
 		data, err := view.Encode(record.View)
 		if err != nil {
 			return err
@@ -361,5 +361,5 @@
 		return Record{}, err
 	}
 	v, err := view.Decode(encoded)
-	return Record{View: v, CompleteEpoch: r.CompleteEpoch(), Life: r.Life()}, err
+	return Record{View: v, CompleteEpoch: r.CompleteEpoch(), Generation: r.Life()}, err
 }
--- a/internal/chain/codec_test.go
+++ b/internal/chain/codec_test.go
@@ -17,13 +17,13 @@
 }
 
 func TestEnvelopeCodec(t *testing.T) {
-	session := Session{Life: 3, Number: 9}
+	session := Session{Generation: 3, Number: 9}
 	bodies := []Body{
 		Attach{Session: session, Broken: true},
 		Connect{Session: session},
-		History{Session: session, Life: 2, Committed: 5, Runs: []Run{{1, 0, 4}, {3, 5, 9}}},
-		Start{Session: session, Life: 2, Match: Position{1, 4}, Target: 9},
-		SnapshotPart{Session: session, Life: 2, Position: Position{1, 4}, Total: 9, Offset: 3, Data: bytes.Repeat([]byte{7}, 300_000)},
+		History{Session: session, Generation: 2, Committed: 5, Runs: []Run{{1, 0, 4}, {3, 5, 9}}},
+		Start{Session: session, Generation: 2, Match: Position{1, 4}, Target: 9},
+		SnapshotPart{Session: session, Generation: 2, Position: Position{1, 4}, Total: 9, Offset: 3, Data: bytes.Repeat([]byte{7}, 300_000)},
 		Append{Session: session, Previous: Position{1, 4}, Committed: 3, Barrier: 8},
 		Append{Session: session, Previous: Position{1, 4}, Entries: []segment.Entry{
 			{Epoch: 1, Sequence: 5, Data: bytes.Repeat([]byte{1}, 4<<20)},
@@ -68,7 +68,7 @@
 }
 
 func TestRecordCodec(t *testing.T) {
-	want := Record{View: testView(), CompleteEpoch: 2, Life: 6}
+	want := Record{View: testView(), CompleteEpoch: 2, Generation: 6}
 	data, err := encodeRecord(want)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/chain/core.go
+++ b/internal/chain/core.go
@@ -19,7 +19,7 @@
 	learnerAttempts = 8                      // sessions without progress until a learner is given up
 	snapshotWindow  = 2                      // pieces of a snapshot that are sent and not acknowledged
 	batchEntries    = 4096                   // entries in one message
-	lifeShift       = 32                     // barrier numbers are ordered by the life of the head, then by its count
+	generationShift = 32                     // barrier numbers are ordered by the generation of the head, then by its count
 )
 
 // sizes are bounds on bytes.
@@ -64,7 +64,7 @@
 	chain           uint32
 	self            view.Member
 	minimumReplicas int
-	life            uint64
+	generation      uint64
 	sizes           sizes
 
 	view          view.View
@@ -104,14 +104,14 @@
 }
 
 // NewCore makes the state machine of a replica that was started. The record that its first output asks to be written
-// raises the number of its lives.
+// raises its generation.
 func NewCore(now time.Duration, chain uint32, self view.Member, minimumReplicas int, recovered Recovered) *Core {
 	base := Position{Epoch: recovered.Snapshot.Epoch, Sequence: recovered.Snapshot.Sequence}
 	c := &Core{
 		chain:           chain,
 		self:            self,
 		minimumReplicas: minimumReplicas,
-		life:            recovered.Record.Life + 1,
+		generation:      recovered.Record.Generation + 1,
 		sizes:           defaultSizes(),
 		completeEpoch:   recovered.Record.CompleteEpoch,
 		history:         newHistory(base, recovered.Entries),
@@ -209,7 +209,7 @@
 
 // record is what should be on the disk with a view. While one is being installed a later record keeps it.
 func (c *Core) record(v view.View) *Record {
-	return &Record{View: v.Clone(), CompleteEpoch: max(c.completeEpoch, c.completing), Life: c.life}
+	return &Record{View: v.Clone(), CompleteEpoch: max(c.completeEpoch, c.completing), Generation: c.generation}
 }
 
 // newestView is the one that the record on disk holds, or will.
--- a/internal/chain/registry.go
+++ b/internal/chain/dispatcher.go
@@ -24,80 +24,80 @@
 
 // NewRegistry sets its handlers on a transport that has not been started.
 func NewRegistry(transport *peer.Transport, log *zap.Logger) *Registry {
-	r := &Registry{
+	d := &Registry{
 		transport:     transport,
 		log:           log,
 		nodes:         make(map[uint32]*Node),
 		reconfigurers: make(map[uint32]*Reconfigurer),
 	}
-	transport.HandleOneWay(kindEnvelope, r.receive)
-	transport.Handle(kindPropose, r.propose)
-	transport.Handle(kindBarrier, r.barrier)
-	transport.Handle(kindAgreement, r.agreement)
-	return r
+	transport.HandleOneWay(kindEnvelope, d.receive)
+	transport.Handle(kindPropose, d.propose)
+	transport.Handle(kindBarrier, d.barrier)
+	transport.Handle(kindAgreement, d.agreement)
+	return d
 }
 
-func (r *Registry) add(n *Node) error {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if r.nodes[n.options.Chain] != nil {
+func (d *Registry) add(n *Node) error {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if d.nodes[n.options.Chain] != nil {
 		return merry.Errorf("chain %d is open already", n.options.Chain)
 	}
-	r.nodes[n.options.Chain] = n
+	d.nodes[n.options.Chain] = n
 	return nil
 }
 
-func (r *Registry) remove(n *Node) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if r.nodes[n.options.Chain] == n {
-		delete(r.nodes, n.options.Chain)
-		delete(r.reconfigurers, n.options.Chain)
+func (d *Registry) remove(n *Node) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if d.nodes[n.options.Chain] == n {
+		delete(d.nodes, n.options.Chain)
+		delete(d.reconfigurers, n.options.Chain)
 	}
 }
 
-func (r *Registry) addReconfigurer(chain uint32, reconfigurer *Reconfigurer) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.reconfigurers[chain] = reconfigurer
+func (d *Registry) addReconfigurer(chain uint32, reconfigurer *Reconfigurer) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.reconfigurers[chain] = reconfigurer
 }
 
-func (r *Registry) node(chain uint32) (*Node, error) {
-	r.mutex.RLock()
-	defer r.mutex.RUnlock()
-	if n := r.nodes[chain]; n != nil {
+func (d *Registry) node(chain uint32) (*Node, error) {
+	d.mutex.RLock()
+	defer d.mutex.RUnlock()
+	if n := d.nodes[chain]; n != nil {
 		return n, nil
 	}
 	return nil, fault.New(fault.NotReady, "chain %d is not here", chain)
 }
 
-func (r *Registry) reconfigurer(chain uint32) (*Reconfigurer, error) {
-	r.mutex.RLock()
-	defer r.mutex.RUnlock()
-	if reconfigurer := r.reconfigurers[chain]; reconfigurer != nil {
+func (d *Registry) reconfigurer(chain uint32) (*Reconfigurer, error) {
+	d.mutex.RLock()
+	defer d.mutex.RUnlock()
+	if reconfigurer := d.reconfigurers[chain]; reconfigurer != nil {
 		return reconfigurer, nil
 	}
 	return nil, fault.New(fault.NotReady, "chain %d does not agree on its views here", chain)
 }
 
-func (r *Registry) receive(from netip.AddrPort, m peer.Message) {
+func (d *Registry) receive(from netip.AddrPort, m peer.Message) {
 	e, err := decodeEnvelope(m.Body)
 	if err != nil {
-		r.log.Warn("bad message of a chain", zap.Stringer("from", from), zap.Error(err))
+		d.log.Warn("bad message of a chain", zap.Stringer("from", from), zap.Error(err))
 		return
 	}
-	if n, err := r.node(e.Chain); err == nil {
+	if n, err := d.node(e.Chain); err == nil {
 		n.receive(from, e)
 	}
 }
 
 // propose answers a proposal that another replica passed on.
-func (r *Registry) propose(ctx context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
+func (d *Registry) propose(ctx context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
 	chain, command, err := decodeProposeRequest(m.Body)
 	if err != nil {
 		return peer.Message{}, fault.Wrap(fault.NotReady, err)
 	}
-	n, err := r.node(chain)
+	n, err := d.node(chain)
 	if err != nil {
 		return peer.Message{}, err
 	}
@@ -110,12 +110,12 @@
 }
 
 // barrier answers a replica that asks for a barrier.
-func (r *Registry) barrier(ctx context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
+func (d *Registry) barrier(ctx context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
 	chain, err := decodeBarrierRequest(m.Body)
 	if err != nil {
 		return peer.Message{}, fault.Wrap(fault.NotReady, err)
 	}
-	n, err := r.node(chain)
+	n, err := d.node(chain)
 	if err != nil {
 		return peer.Message{}, err
 	}
@@ -128,12 +128,12 @@
 }
 
 // agreement answers a question of the agreement on views.
-func (r *Registry) agreement(_ context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
+func (d *Registry) agreement(_ context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
 	request, err := decodeAgreementRequest(m.Body)
 	if err != nil {
 		return peer.Message{}, fault.Wrap(fault.BadRequest, err)
 	}
-	reconfigurer, err := r.reconfigurer(request.chain)
+	reconfigurer, err := d.reconfigurer(request.chain)
 	if err != nil {
 		return peer.Message{}, err
 	}
--- a/internal/chain/downstream.go
+++ b/internal/chain/downstream.go
@@ -24,13 +24,13 @@
 	to      view.Member
 	learner bool
 
-	session Session
-	state   linkState
-	life    uint64 // of the receiver
-	next    uint64 // sequence of the next entry to send
-	stored  uint64 // on the receiver's disk
-	acked   uint64 // on the disks of the receiver and of all after it
-	ready   bool
+	session    Session
+	state      linkState
+	generation uint64 // of the receiver
+	next       uint64 // sequence of the next entry to send
+	stored     uint64 // on the receiver's disk
+	acked      uint64 // on the disks of the receiver and of all after it
+	ready      bool
 
 	committedSent uint64
 	barrierSent   uint64
@@ -87,7 +87,7 @@
 // connect begins a new session. What the receiver had acknowledged before no longer counts.
 func (c *Core) connect(now time.Duration, l *link) {
 	c.sessions++
-	l.session = Session{Life: c.life, Number: c.sessions}
+	l.session = Session{Generation: c.generation, Number: c.sessions}
 	l.state = linkConnecting
 	l.ready = false
 	l.stored = 0
@@ -144,7 +144,7 @@
 	if l == nil || l.session != m.Session || l.state != linkConnecting {
 		return
 	}
-	l.life = m.Life
+	l.generation = m.Generation
 	common, ok := match(c.history.runs(), m.Runs)
 	if !ok {
 		l.state = linkAwaitingSnapshot
@@ -168,7 +168,7 @@
 	if l.learner {
 		target = c.committed
 	}
-	c.send(l.to.Address, Start{Session: l.session, Life: l.life, Match: common, Target: target})
+	c.send(l.to.Address, Start{Session: l.session, Generation: l.generation, Match: common, Target: target})
 	c.progress(now, l)
 }
 
@@ -295,12 +295,12 @@
 	for l.snapshotSent < total && l.snapshotSent-l.snapshotAcked < snapshotWindow*c.sizes.snapshotPart {
 		end := min(l.snapshotSent+c.sizes.snapshotPart, total)
 		c.send(l.to.Address, SnapshotPart{
-			Session:  l.session,
-			Life:     l.life,
-			Position: Position{Epoch: l.snapshot.Epoch, Sequence: l.snapshot.Sequence},
-			Total:    total,
-			Offset:   l.snapshotSent,
-			Data:     l.snapshot.Data[min(l.snapshotSent, uint64(len(l.snapshot.Data))):min(end, uint64(len(l.snapshot.Data)))],
+			Session:    l.session,
+			Generation: l.generation,
+			Position:   Position{Epoch: l.snapshot.Epoch, Sequence: l.snapshot.Sequence},
+			Total:      total,
+			Offset:     l.snapshotSent,
+			Data:       l.snapshot.Data[min(l.snapshotSent, uint64(len(l.snapshot.Data))):min(end, uint64(len(l.snapshot.Data)))],
 		})
 		l.snapshotSent = end
 		c.awaitProgress(now, l)
--- a/internal/chain/golden_test.go
+++ b/internal/chain/golden_test.go
@@ -35,7 +35,7 @@
 }
 
 func TestGoldenEnvelopes(t *testing.T) {
-	session := Session{Life: 0x41, Number: 0x42}
+	session := Session{Generation: 0x41, Number: 0x42}
 	position := Position{Epoch: 0x51, Sequence: 0x52}
 	tests := []struct {
 		name string
@@ -45,19 +45,19 @@
 		{"attach-broken", Attach{Session: session, Broken: true}},
 		{"connect", Connect{Session: session}},
 		{"history", History{
-			Session:   session,
-			Life:      0x61,
-			Committed: 0x62,
-			Runs:      []Run{{Epoch: 0x63, First: 0x64, Last: 0x65}, {Epoch: 0x66, First: 0x67, Last: 0x68}},
+			Session:    session,
+			Generation: 0x61,
+			Committed:  0x62,
+			Runs:       []Run{{Epoch: 0x63, First: 0x64, Last: 0x65}, {Epoch: 0x66, First: 0x67, Last: 0x68}},
 		}},
-		{"start", Start{Session: session, Life: 0x71, Match: position, Target: 0x72}},
+		{"start", Start{Session: session, Generation: 0x71, Match: position, Target: 0x72}},
 		{"snapshot", SnapshotPart{
-			Session:  session,
-			Life:     0x81,
-			Position: position,
-			Total:    0x82,
-			Offset:   0x83,
-			Data:     []byte("snapshot data"),
+			Session:    session,
+			Generation: 0x81,
+			Position:   position,
+			Total:      0x82,
+			Offset:     0x83,
+			Data:       []byte("snapshot data"),
 		}},
 		{"append", Append{
 			Session:  session,
@@ -257,7 +257,7 @@
 
 func TestGoldenRecordFile(t *testing.T) {
 	n := goldenNode(t)
-	want := Record{View: goldenView(), CompleteEpoch: 0xe1, Life: 0xe2}
+	want := Record{View: goldenView(), CompleteEpoch: 0xe1, Generation: 0xe2}
 	if err := (&diskWriter{node: n}).saveRecord(want); err != nil {
 		t.Fatalf("save: %v", err)
 	}
--- a/internal/chain/head.go
+++ b/internal/chain/head.go
@@ -151,7 +151,7 @@
 		return
 	}
 	c.head.rounds++
-	c.head.round = c.life<<lifeShift | c.head.rounds
+	c.head.round = c.generation<<generationShift | c.head.rounds
 	c.head.roundFor = c.head.waitingBarrier
 	c.head.waitingBarrier = nil
 	c.head.roundSequence = max(c.committed, c.head.floor)
--- a/internal/chain/message.go
+++ b/internal/chain/message.go
@@ -13,14 +13,14 @@
 // Session names one connection from a replica to the one that it feeds. Sessions of a sender are ordered: a later one
 // replaces an earlier one.
 type Session struct {
-	Life   uint64 // of the sender: how often it was started
-	Number uint64
+	Generation uint64 // of the sender: how often it was started
+	Number     uint64
 }
 
 // After tells whether s is later than other, given that both are of one sender.
 func (s Session) After(other Session) bool {
-	if s.Life != other.Life {
-		return s.Life > other.Life
+	if s.Generation != other.Generation {
+		return s.Generation > other.Generation
 	}
 	return s.Number > other.Number
 }
@@ -51,29 +51,29 @@
 
 // History answers Connect with an outline of the receiver's log.
 type History struct {
-	Session   Session
-	Life      uint64 // of the process that answers
-	Committed uint64
-	Runs      []Run
+	Session    Session
+	Generation uint64 // of the process that answers
+	Committed  uint64
+	Runs       []Run
 }
 
 // Start tells the receiver to cut its log after Match: entries follow from there. A member of the view that has synced
 // Target is complete.
 type Start struct {
-	Session Session
-	Life    uint64
-	Match   Position
-	Target  uint64
+	Session    Session
+	Generation uint64
+	Match      Position
+	Target     uint64
 }
 
 // SnapshotPart is a piece of a snapshot that replaces the receiver's log.
 type SnapshotPart struct {
-	Session  Session
-	Life     uint64
-	Position Position
-	Total    uint64
-	Offset   uint64
-	Data     []byte
+	Session    Session
+	Generation uint64
+	Position   Position
+	Total      uint64
+	Offset     uint64
+	Data       []byte
 }
 
 // Append carries entries that follow Previous, what is committed, and the newest barrier. Each part may be empty.
--- a/internal/chain/output.go
+++ b/internal/chain/output.go
@@ -34,7 +34,7 @@
 type Record struct {
 	View          view.View
 	CompleteEpoch uint64
-	Life          uint64
+	Generation    uint64
 }
 
 // ApplyOperation changes the machine. One of its parts is set.
--- a/internal/chain/stored_record_test.go
+++ b/internal/chain/stored_record_test.go
@@ -16,8 +16,8 @@
 		want      Record // without its view
 		epoch     uint64
 	}{
-		{name: "control replica", directory: "../control/testdata/stored/replica/control", want: Record{CompleteEpoch: 0, Life: 3}, epoch: 1},
-		{name: "store partition", directory: "../store/testdata/stored/store/partition-1", want: Record{CompleteEpoch: 0, Life: 3}, epoch: 3},
+		{name: "control replica", directory: "../control/testdata/stored/replica/control", want: Record{CompleteEpoch: 0, Generation: 3}, epoch: 1},
+		{name: "store partition", directory: "../store/testdata/stored/store/partition-1", want: Record{CompleteEpoch: 0, Generation: 3}, epoch: 3},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -29,7 +29,7 @@
 			if err != nil {
 				t.Fatalf("load record: %v", err)
 			}
-			if got.View.Epoch != test.epoch || got.CompleteEpoch != test.want.CompleteEpoch || got.Life != test.want.Life {
+			if got.View.Epoch != test.epoch || got.CompleteEpoch != test.want.CompleteEpoch || got.Generation != test.want.Generation {
 				t.Errorf("record: got %+v, want epoch %d and %+v", got, test.epoch, test.want)
 			}
 		})
--- a/internal/chain/upstream.go
+++ b/internal/chain/upstream.go
@@ -98,7 +98,7 @@
 	if u.attachAt == 0 {
 		u.attachAt = now + attachInterval
 	}
-	c.send(from, History{Session: m.Session, Life: c.life, Committed: c.committed, Runs: c.history.runs()})
+	c.send(from, History{Session: m.Session, Generation: c.generation, Committed: c.committed, Runs: c.history.runs()})
 }
 
 // current tells whether a message belongs to the session. The sender of a later one, which was not begun here, has to
@@ -124,7 +124,7 @@
 
 func (c *Core) receiveStart(now time.Duration, sender view.ReplicaID, m Start) {
 	u := &c.upstream
-	if !c.current(sender, m.Session) || m.Life != c.life || u.started {
+	if !c.current(sender, m.Session) || m.Generation != c.generation || u.started {
 		return
 	}
 	if held, ok := c.history.position(m.Match.Sequence); !ok || held != m.Match || m.Match.Sequence < c.committed {
@@ -169,7 +169,7 @@
 
 func (c *Core) receiveSnapshotPart(now time.Duration, sender view.ReplicaID, m SnapshotPart) {
 	u := &c.upstream
-	if !c.current(sender, m.Session) || m.Life != c.life || u.started {
+	if !c.current(sender, m.Session) || m.Generation != c.generation || u.started {
 		return
 	}
 	if m.Position.Sequence < c.committed {
