--- a/internal/chain/applier.go
+++ b/internal/chain/applier.go
@@ -161,10 +161,10 @@
 	}
 }
 
-// giveSnapshot hands a snapshot to the core, for a replica that is to be fed.
+// giveSnapshot hands a snapshot to the replica, for a replica that is to be fed.
 func (a *applier) giveSnapshot() {
 	snapshot := a.snapshot()
-	a.node.step(func(now time.Duration) { a.node.core.SnapshotTaken(now, snapshot) })
+	a.node.step(func(now time.Duration) { a.node.replica.SnapshotTaken(now, snapshot) })
 }
 
 func (a *applier) snapshot() segment.Snapshot {
--- a/internal/chain/barrier.go
+++ b/internal/chain/barrier.go
@@ -89,7 +89,7 @@
 	id := n.lastID
 	settled := make(chan BarrierResult, 1)
 	n.barriers[id] = settled
-	n.stepLocked(func(now time.Duration) { n.core.Barrier(now, id) })
+	n.stepLocked(func(now time.Duration) { n.replica.Barrier(now, id) })
 	return id, settled, nil
 }
 
@@ -154,6 +154,6 @@
 	if err != nil {
 		return 0, err
 	}
-	n.step(func(time.Duration) { n.core.learnOf(epoch, head.Address) })
+	n.step(func(time.Duration) { n.replica.learnOf(epoch, head.Address) })
 	return sequence, nil
 }
--- a/internal/chain/codec.go
+++ b/internal/chain/codec.go
@@ -35,7 +35,7 @@
 			size += len(entry.Data) + entryOverhead + wordBytes
 		}
 		return size
-	case SnapshotPart:
+	case SnapshotChunk:
 		return messageOverhead + len(m.Data) + wordBytes
 	}
 	return 0
@@ -56,8 +56,8 @@
 		return writeHistory(w.NewHistory, m)
 	case Start:
 		return writeStart(w.NewStart, m)
-	case SnapshotPart:
-		return writeSnapshotPart(w.NewSnapshotPart, m)
+	case SnapshotChunk:
+		return writeSnapshotChunk(w.NewSnapshotPart, m)
 	case Append:
 		return writeAppend(w.NewAppend, m)
 	case Acknowledge:
@@ -127,7 +127,7 @@
 	return writeSession(w.NewSession, m.Session)
 }
 
-func writeSnapshotPart(allocate func() (chainwire.SnapshotPart, error), m SnapshotPart) error {
+func writeSnapshotChunk(allocate func() (chainwire.SnapshotPart, error), m SnapshotChunk) error {
 	w, err := allocate()
 	if err != nil {
 		return err
@@ -205,7 +205,7 @@
 	case chainwire.Envelope_Which_start:
 		return readStart(r.Start())
 	case chainwire.Envelope_Which_snapshotPart:
-		return readSnapshotPart(r.SnapshotPart())
+		return readSnapshotChunk(r.SnapshotPart())
 	case chainwire.Envelope_Which_append:
 		return readAppend(r.Append())
 	case chainwire.Envelope_Which_acknowledge:
@@ -279,11 +279,11 @@
 	return m, err
 }
 
-func readSnapshotPart(r chainwire.SnapshotPart, err error) (Body, error) {
+func readSnapshotChunk(r chainwire.SnapshotPart, err error) (Body, error) {
 	if err != nil {
 		return nil, err
 	}
-	m := SnapshotPart{Generation: r.Life(), Total: r.Total(), Offset: r.Offset()}
+	m := SnapshotChunk{Generation: r.Life(), Total: r.Total(), Offset: r.Offset()}
 	if m.Session, err = readSession(r.Session()); err != nil {
 		return nil, err
 	}
--- a/internal/chain/codec_test.go
+++ b/internal/chain/codec_test.go
@@ -23,7 +23,7 @@
 		Connect{Session: session},
 		History{Session: session, Generation: 2, Committed: 5, Runs: []Run{{1, 0, 4}, {3, 5, 9}}},
 		Start{Session: session, Generation: 2, Match: Position{1, 4}, Target: 9},
-		SnapshotPart{Session: session, Generation: 2, Position: Position{1, 4}, Total: 9, Offset: 3, Data: bytes.Repeat([]byte{7}, 300_000)},
+		SnapshotChunk{Session: session, Generation: 2, Position: Position{1, 4}, Total: 9, Offset: 3, Data: bytes.Repeat([]byte{7}, 300_000)},
 		Append{Session: session, Previous: Position{1, 4}, Committed: 3, Barrier: 8},
 		Append{Session: session, Previous: Position{1, 4}, Entries: []segment.Entry{
 			{Epoch: 1, Sequence: 5, Data: bytes.Repeat([]byte{1}, 4<<20)},
--- a/internal/chain/core.go
+++ b/internal/chain/core.go
@@ -24,28 +24,28 @@
 
 // sizes are bounds on bytes.
 type sizes struct {
-	window       uint64 // of entries sent and not on the receiver's disk
-	batch        uint64 // of entries in one message, if there is more than one
-	snapshotPart uint64 // of a snapshot in one message
-	uncommitted  uint64 // appended at the head and not committed; further proposals wait
-	waiting      int    // of proposals that wait; further ones are refused
-	retained     uint64 // of committed entries kept for receivers to come
-	lagging      uint64 // the same, for a receiver that lags
+	window        uint64 // of entries sent and not on the receiver's disk
+	batch         uint64 // of entries in one message, if there is more than one
+	snapshotChunk uint64 // of a snapshot in one message
+	uncommitted   uint64 // appended at the head and not committed; further proposals wait
+	waiting       int    // of proposals that wait; further ones are refused
+	retained      uint64 // of committed entries kept for receivers to come
+	lagging       uint64 // the same, for a receiver that lags
 }
 
 func defaultSizes() sizes {
 	return sizes{
-		window:       1 << 20,
-		batch:        256 << 10,
-		snapshotPart: 256 << 10,
-		uncommitted:  8 << 20,
-		waiting:      16 << 20,
-		retained:     1 << 20,
-		lagging:      4 << 20,
+		window:        1 << 20,
+		batch:         256 << 10,
+		snapshotChunk: 256 << 10,
+		uncommitted:   8 << 20,
+		waiting:       16 << 20,
+		retained:      1 << 20,
+		lagging:       4 << 20,
 	}
 }
 
-// Core is a replica of a chain as a state machine without input or output: events go in by its methods, each of which
+// Replica is a replica of a chain as a state machine without input or output: events go in by its methods, each of which
 // takes a reading of a steady clock; Output tells what to do.
 //
 // # Protocol
@@ -60,7 +60,7 @@
 // joined later is once it has synced what its predecessor, itself complete, had when their session began. As entries
 // are only committed with all members, a complete one stays so while it is in every view. Only complete replicas feed
 // others, and only a complete head takes proposals.
-type Core struct {
+type Replica struct {
 	chain           uint32
 	self            view.Member
 	minimumReplicas int
@@ -103,11 +103,11 @@
 	Entries  []segment.Entry
 }
 
-// NewCore makes the state machine of a replica that was started. The record that its first output asks to be written
+// NewReplica makes the state machine of a replica that was started. The record that its first output asks to be written
 // raises its generation.
-func NewCore(now time.Duration, chain uint32, self view.Member, minimumReplicas int, recovered Recovered) *Core {
+func NewReplica(now time.Duration, chain uint32, self view.Member, minimumReplicas int, recovered Recovered) *Replica {
 	base := Position{Epoch: recovered.Snapshot.Epoch, Sequence: recovered.Snapshot.Sequence}
-	c := &Core{
+	r := &Replica{
 		chain:           chain,
 		self:            self,
 		minimumReplicas: minimumReplicas,
@@ -119,268 +119,268 @@
 		learners:        make(map[view.ReplicaID]*link),
 		head:            headState{proposals: make(map[uint64]uint64)},
 	}
-	c.view.Chain = chain
-	c.synced = c.history.last().Sequence
+	r.view.Chain = chain
+	r.synced = r.history.last().Sequence
 	installed := recovered.Record.View
 	installed.Chain = chain
-	c.installing = &installed
-	c.write(DiskOperation{Record: c.record(installed)}, 0)
-	return c
+	r.installing = &installed
+	r.write(DiskOperation{Record: r.record(installed)}, 0)
+	return r
 }
 
 // Output takes what the events since the last call ask for.
-func (c *Core) Output() Output {
-	out := c.out
-	c.out = Output{}
+func (r *Replica) Output() Output {
+	out := r.out
+	r.out = Output{}
 	return out
 }
 
 // View gives the view that is in force.
-func (c *Core) View() view.View { return c.view }
+func (r *Replica) View() view.View { return r.view }
 
 // Status gives the replica's progress. Applied is left to the driver.
-func (c *Core) Status() Status {
+func (r *Replica) Status() Status {
 	return Status{
-		Epoch:        c.view.Epoch,
-		LastAppended: c.history.last().Sequence,
-		Synced:       c.synced,
-		Committed:    c.committed,
-		Complete:     c.complete(),
-		CaughtUp:     c.caughtUp(),
-		Ready:        c.headReady(),
+		Epoch:        r.view.Epoch,
+		LastAppended: r.history.last().Sequence,
+		Synced:       r.synced,
+		Committed:    r.committed,
+		Complete:     r.complete(),
+		CaughtUp:     r.caughtUp(),
+		Ready:        r.headReady(),
 	}
 }
 
 // Install takes a view that was decided. It comes into force once it is on the disk.
-func (c *Core) Install(now time.Duration, v view.View) {
-	newest := c.view.Epoch
-	if c.installing != nil {
-		newest = c.installing.Epoch
+func (r *Replica) Install(now time.Duration, v view.View) {
+	newest := r.view.Epoch
+	if r.installing != nil {
+		newest = r.installing.Epoch
 	}
-	if v.Epoch <= newest || v.Chain != c.chain {
+	if v.Epoch <= newest || v.Chain != r.chain {
 		return
 	}
 	v = v.Clone()
-	c.installing = &v
-	c.write(DiskOperation{Record: c.record(v)}, 0)
+	r.installing = &v
+	r.write(DiskOperation{Record: r.record(v)}, 0)
 }
 
 // DiskDone tells that a disk operation, and those before it, are on the disk.
-func (c *Core) DiskDone(now time.Duration, id uint64) {
-	for len(c.disk) > 0 && c.disk[0].id <= id {
-		operation := c.disk[0]
-		c.disk = c.disk[1:]
-		c.synced = max(c.synced, operation.synced)
+func (r *Replica) DiskDone(now time.Duration, id uint64) {
+	for len(r.disk) > 0 && r.disk[0].id <= id {
+		operation := r.disk[0]
+		r.disk = r.disk[1:]
+		r.synced = max(r.synced, operation.synced)
 		if operation.record != nil {
-			c.recordWritten(now, operation.record)
+			r.recordWritten(now, operation.record)
 		}
 	}
-	c.finish(now)
+	r.finish(now)
 }
 
-func (c *Core) recordWritten(now time.Duration, record *Record) {
-	if record.CompleteEpoch > c.completeEpoch {
-		c.completeEpoch = record.CompleteEpoch
-		c.connectSuccessor(now)
+func (r *Replica) recordWritten(now time.Duration, record *Record) {
+	if record.CompleteEpoch > r.completeEpoch {
+		r.completeEpoch = record.CompleteEpoch
+		r.connectSuccessor(now)
 	}
-	if c.installing != nil && c.installing.Epoch == record.View.Epoch {
-		installed := *c.installing
-		c.installing = nil
-		c.enter(now, installed)
+	if r.installing != nil && r.installing.Epoch == record.View.Epoch {
+		installed := *r.installing
+		r.installing = nil
+		r.enter(now, installed)
 	}
 }
 
 // enter brings a view into force, which is on the disk.
-func (c *Core) enter(now time.Duration, v view.View) {
-	c.notifyLearners(v)
-	c.view = v
-	if member, ok := v.Member(c.self.Replica); ok && member.Joined <= 1 {
-		c.completeEpoch = max(c.completeEpoch, 1)
-	}
-	c.successor = nil
-	clear(c.learners)
-	c.resetUpstream(now)
-	c.connectSuccessor(now)
-	c.enterAsHead(now)
+func (r *Replica) enter(now time.Duration, v view.View) {
+	r.notifyLearners(v)
+	r.view = v
+	if member, ok := v.Member(r.self.Replica); ok && member.Joined <= 1 {
+		r.completeEpoch = max(r.completeEpoch, 1)
+	}
+	r.successor = nil
+	clear(r.learners)
+	r.resetUpstream(now)
+	r.connectSuccessor(now)
+	r.enterAsHead(now)
 	if v.Epoch > 0 {
-		c.out.Views = append(c.out.Views, v.Clone())
+		r.out.Views = append(r.out.Views, v.Clone())
 	}
 }
 
 // record is what should be on the disk with a view. While one is being installed a later record keeps it.
-func (c *Core) record(v view.View) *Record {
-	return &Record{View: v.Clone(), CompleteEpoch: max(c.completeEpoch, c.completing), Generation: c.generation}
+func (r *Replica) record(v view.View) *Record {
+	return &Record{View: v.Clone(), CompleteEpoch: max(r.completeEpoch, r.completing), Generation: r.generation}
 }
 
 // newestView is the one that the record on disk holds, or will.
-func (c *Core) newestView() view.View {
-	if c.installing != nil {
-		return *c.installing
+func (r *Replica) newestView() view.View {
+	if r.installing != nil {
+		return *r.installing
 	}
-	return c.view
+	return r.view
 }
 
 // complete tells whether the replica has all that was ever committed.
-func (c *Core) complete() bool {
-	member, ok := c.view.Member(c.self.Replica)
-	return ok && c.completeEpoch >= member.Joined
+func (r *Replica) complete() bool {
+	member, ok := r.view.Member(r.self.Replica)
+	return ok && r.completeEpoch >= member.Joined
 }
 
 // checkComplete notices that the replica became complete, and has that written to disk first.
-func (c *Core) checkComplete() {
-	if c.complete() || c.completing == c.view.Epoch || !c.view.Has(c.self.Replica) {
+func (r *Replica) checkComplete() {
+	if r.complete() || r.completing == r.view.Epoch || !r.view.Has(r.self.Replica) {
 		return
 	}
-	if !c.upstream.started || c.synced < c.upstream.target {
+	if !r.upstream.started || r.synced < r.upstream.target {
 		return
 	}
-	c.completing = c.view.Epoch
-	c.write(DiskOperation{Record: c.record(c.newestView())}, 0)
+	r.completing = r.view.Epoch
+	r.write(DiskOperation{Record: r.record(r.newestView())}, 0)
 }
 
 // caughtUp tells whether a learner has what its feeder knew to be committed.
-func (c *Core) caughtUp() bool {
-	return c.upstream.started && !c.view.Has(c.self.Replica) && c.synced >= c.upstream.committed
+func (r *Replica) caughtUp() bool {
+	return r.upstream.started && !r.view.Has(r.self.Replica) && r.synced >= r.upstream.committed
 }
 
-func (c *Core) write(operation DiskOperation, synced uint64) {
-	c.lastDisk++
-	operation.ID = c.lastDisk
-	c.out.Disk = append(c.out.Disk, operation)
-	c.disk = append(c.disk, pendingDisk{id: operation.ID, synced: synced, record: operation.Record})
+func (r *Replica) write(operation DiskOperation, synced uint64) {
+	r.lastDisk++
+	operation.ID = r.lastDisk
+	r.out.Disk = append(r.out.Disk, operation)
+	r.disk = append(r.disk, pendingDisk{id: operation.ID, synced: synced, record: operation.Record})
 }
 
 // append adds entries to the log.
-func (c *Core) append(entries []segment.Entry) {
+func (r *Replica) append(entries []segment.Entry) {
 	if len(entries) == 0 {
 		return
 	}
-	c.history.append(entries)
-	c.write(DiskOperation{Append: entries}, c.history.last().Sequence)
+	r.history.append(entries)
+	r.write(DiskOperation{Append: entries}, r.history.last().Sequence)
 }
 
 // truncate drops the entries after a sequence, and what waits to be synced of them.
-func (c *Core) truncate(now time.Duration, sequence uint64) {
-	if sequence >= c.history.last().Sequence {
+func (r *Replica) truncate(now time.Duration, sequence uint64) {
+	if sequence >= r.history.last().Sequence {
 		return
 	}
-	c.history.truncate(sequence)
-	c.synced = min(c.synced, sequence)
-	for i := range c.disk {
-		c.disk[i].synced = min(c.disk[i].synced, sequence)
+	r.history.truncate(sequence)
+	r.synced = min(r.synced, sequence)
+	for i := range r.disk {
+		r.disk[i].synced = min(r.disk[i].synced, sequence)
 	}
-	c.write(DiskOperation{Truncate: &sequence}, 0)
-	c.rewindLinks(now, sequence)
+	r.write(DiskOperation{Truncate: &sequence}, 0)
+	r.rewindLinks(now, sequence)
 }
 
 // reset replaces the log by a snapshot.
-func (c *Core) reset(now time.Duration, snapshot segment.Snapshot) {
-	for i := range c.disk {
-		c.disk[i].synced = 0
+func (r *Replica) reset(now time.Duration, snapshot segment.Snapshot) {
+	for i := range r.disk {
+		r.disk[i].synced = 0
 	}
-	c.history = newHistory(Position{Epoch: snapshot.Epoch, Sequence: snapshot.Sequence}, nil)
-	c.synced = 0
-	c.committed = snapshot.Sequence
-	c.write(DiskOperation{Reset: &snapshot}, snapshot.Sequence)
-	c.out.Apply = append(c.out.Apply, ApplyOperation{Restore: &snapshot})
-	clear(c.learners)
-	c.successor = nil
-	c.connectSuccessor(now)
+	r.history = newHistory(Position{Epoch: snapshot.Epoch, Sequence: snapshot.Sequence}, nil)
+	r.synced = 0
+	r.committed = snapshot.Sequence
+	r.write(DiskOperation{Reset: &snapshot}, snapshot.Sequence)
+	r.out.Apply = append(r.out.Apply, ApplyOperation{Restore: &snapshot})
+	clear(r.learners)
+	r.successor = nil
+	r.connectSuccessor(now)
 }
 
 // commit has the entries up to a sequence applied.
-func (c *Core) commit(sequence uint64) {
-	if sequence <= c.committed {
+func (r *Replica) commit(sequence uint64) {
+	if sequence <= r.committed {
 		return
 	}
-	entries := c.history.between(c.committed, sequence)
-	c.out.Apply = append(c.out.Apply, ApplyOperation{Entries: entries})
+	entries := r.history.between(r.committed, sequence)
+	r.out.Apply = append(r.out.Apply, ApplyOperation{Entries: entries})
 	for _, entry := range entries {
-		delete(c.head.proposals, entry.Sequence)
+		delete(r.head.proposals, entry.Sequence)
 	}
-	c.committed = sequence
+	r.committed = sequence
 }
 
 // trimHistory drops committed entries from memory once they are more than the bound by a quarter. A receiver that lacks
 // one of them is fed with a snapshot.
-func (c *Core) trimHistory() {
-	if c.history.bytes() > c.sizes.retained+c.sizes.retained/4 {
-		c.history.trim(c.trimPoint())
+func (r *Replica) trimHistory() {
+	if r.history.bytes() > r.sizes.retained+r.sizes.retained/4 {
+		r.history.trim(r.trimPoint())
 	}
 }
 
 // trimPoint spares the newest committed entries, and those that a receiver lacks, if that is not too much.
-func (c *Core) trimPoint() uint64 {
-	end := c.history.bytesUpTo(c.committed)
-	point := c.history.firstWithin(c.committed, c.sizes.retained)
+func (r *Replica) trimPoint() uint64 {
+	end := r.history.bytesUpTo(r.committed)
+	point := r.history.firstWithin(r.committed, r.sizes.retained)
 	lowest := point
-	for _, l := range c.links() {
-		lowest = min(lowest, max(l.needed(), c.history.base.Sequence))
+	for _, l := range r.links() {
+		lowest = min(lowest, max(l.needed(), r.history.base.Sequence))
 	}
-	if end-c.history.bytesUpTo(lowest) <= c.sizes.lagging {
+	if end-r.history.bytesUpTo(lowest) <= r.sizes.lagging {
 		return lowest
 	}
 	return point
 }
 
 // Receive takes a message of another replica.
-func (c *Core) Receive(now time.Duration, from netip.AddrPort, e Envelope) {
-	if e.Chain != c.chain {
+func (r *Replica) Receive(now time.Duration, from netip.AddrPort, e Envelope) {
+	if e.Chain != r.chain {
 		return
 	}
 	switch body := e.Body.(type) {
 	case ViewRequest:
-		c.sendView(from)
+		r.sendView(from)
 	case ViewNotice:
-		c.Install(now, body.View)
+		r.Install(now, body.View)
 	default:
-		c.receiveInEpoch(now, from, e)
+		r.receiveInEpoch(now, from, e)
 	}
-	c.finish(now)
+	r.finish(now)
 }
 
 // receiveInEpoch takes nothing from another epoch, but has the side that is behind learn the newer view.
-func (c *Core) receiveInEpoch(now time.Duration, from netip.AddrPort, e Envelope) {
-	if e.Epoch > c.view.Epoch {
-		c.learnOf(e.Epoch, from)
+func (r *Replica) receiveInEpoch(now time.Duration, from netip.AddrPort, e Envelope) {
+	if e.Epoch > r.view.Epoch {
+		r.learnOf(e.Epoch, from)
 		return
 	}
-	if e.Epoch < c.view.Epoch {
-		c.sendView(from)
+	if e.Epoch < r.view.Epoch {
+		r.sendView(from)
 		return
 	}
 	switch body := e.Body.(type) {
 	case Attach:
-		c.receiveAttach(now, from, e.Sender, body)
+		r.receiveAttach(now, from, e.Sender, body)
 	case Connect:
-		c.receiveConnect(now, from, e.Sender, body)
+		r.receiveConnect(now, from, e.Sender, body)
 	case History:
-		c.receiveHistory(now, e.Sender, body)
+		r.receiveHistory(now, e.Sender, body)
 	case Start:
-		c.receiveStart(now, e.Sender, body)
-	case SnapshotPart:
-		c.receiveSnapshotPart(now, e.Sender, body)
+		r.receiveStart(now, e.Sender, body)
+	case SnapshotChunk:
+		r.receiveSnapshotChunk(now, e.Sender, body)
 	case Append:
-		c.receiveAppend(now, e.Sender, body)
+		r.receiveAppend(now, e.Sender, body)
 	case Acknowledge:
-		c.receiveAcknowledge(now, e.Sender, body)
+		r.receiveAcknowledge(now, e.Sender, body)
 	}
 }
 
 // learnOf asks a replica for its view if that is newer than the own one.
-func (c *Core) learnOf(epoch uint64, from netip.AddrPort) {
-	if epoch > c.newestView().Epoch {
-		c.send(from, ViewRequest{})
+func (r *Replica) learnOf(epoch uint64, from netip.AddrPort) {
+	if epoch > r.newestView().Epoch {
+		r.send(from, ViewRequest{})
 	}
 }
 
 // Tick tells the time, for retries.
-func (c *Core) Tick(now time.Duration) { c.finish(now) }
+func (r *Replica) Tick(now time.Duration) { r.finish(now) }
 
 // Deadline gives the time at which Tick should be called, and whether there is one.
-func (c *Core) Deadline() (time.Duration, bool) {
-	earliest := c.upstream.attachAt
-	for _, l := range c.links() {
+func (r *Replica) Deadline() (time.Duration, bool) {
+	earliest := r.upstream.attachAt
+	for _, l := range r.links() {
 		if l.deadline != 0 && (earliest == 0 || l.deadline < earliest) {
 			earliest = l.deadline
 		}
@@ -389,38 +389,38 @@
 }
 
 // finish follows up on what an event changed.
-func (c *Core) finish(now time.Duration) {
-	c.checkComplete()
-	c.advanceReceiver()
-	c.advanceHead()
-	for _, l := range c.links() {
-		c.retry(now, l)
-		c.flush(now, l)
+func (r *Replica) finish(now time.Duration) {
+	r.checkComplete()
+	r.advanceReceiver()
+	r.advanceHead()
+	for _, l := range r.links() {
+		r.retry(now, l)
+		r.flush(now, l)
 	}
-	c.dropLostLearners()
-	c.acknowledge()
-	c.attach(now)
-	c.trimHistory()
+	r.dropLostLearners()
+	r.acknowledge()
+	r.attach(now)
+	r.trimHistory()
 }
 
-func (c *Core) send(to netip.AddrPort, body Body) {
-	envelope := Envelope{Chain: c.chain, Epoch: c.view.Epoch, Sender: c.self.Replica, Body: body}
-	c.out.Messages = append(c.out.Messages, Outgoing{To: to, Envelope: envelope})
+func (r *Replica) send(to netip.AddrPort, body Body) {
+	envelope := Envelope{Chain: r.chain, Epoch: r.view.Epoch, Sender: r.self.Replica, Body: body}
+	r.out.Messages = append(r.out.Messages, Outgoing{To: to, Envelope: envelope})
 }
 
-func (c *Core) sendView(to netip.AddrPort) {
-	if c.view.Epoch > 0 {
-		c.send(to, ViewNotice{View: c.view.Clone()})
+func (r *Replica) sendView(to netip.AddrPort) {
+	if r.view.Epoch > 0 {
+		r.send(to, ViewNotice{View: r.view.Clone()})
 	}
 }
 
 // notifyLearners tells those who were fed here that a view follows.
-func (c *Core) notifyLearners(v view.View) {
-	for _, replica := range c.learnerOrder() {
-		c.send(c.learners[replica].to.Address, ViewNotice{View: v.Clone()})
+func (r *Replica) notifyLearners(v view.View) {
+	for _, replica := range r.learnerOrder() {
+		r.send(r.learners[replica].to.Address, ViewNotice{View: v.Clone()})
 	}
 }
 
-func (c *Core) fault(format string, arguments ...any) {
-	c.out.Faults = append(c.out.Faults, fmt.Sprintf(format, arguments...))
+func (r *Replica) fault(format string, arguments ...any) {
+	r.out.Faults = append(r.out.Faults, fmt.Sprintf(format, arguments...))
 }
--- a/internal/chain/disk.go
+++ b/internal/chain/disk.go
@@ -126,7 +126,7 @@
 		}
 		d.idle()
 		last := operations[len(operations)-1].ID
-		d.node.step(func(now time.Duration) { d.node.core.DiskDone(now, last) })
+		d.node.step(func(now time.Duration) { d.node.replica.DiskDone(now, last) })
 	}
 }
 
--- a/internal/chain/doc.go
+++ b/internal/chain/doc.go
@@ -10,7 +10,7 @@
 //
 // # Parts
 //
-// Core is the protocol as a state machine (core.go; head.go, downstream.go and upstream.go for its roles), Node drives
+// Replica is the protocol as a state machine (core.go; head.go, downstream.go and upstream.go for its roles), Node drives
 // it with a transport, a log on disk and a clock. Views come from outside by Node.Install, or are agreed by the replicas
 // themselves, which a Reconfigurer drives (package view has the agreement and the policy).
 //
--- a/internal/chain/downstream.go
+++ b/internal/chain/downstream.go
@@ -56,38 +56,38 @@
 }
 
 // links gives all links in a fixed order.
-func (c *Core) links() []*link {
-	if c.successor == nil && len(c.learners) == 0 {
+func (r *Replica) links() []*link {
+	if r.successor == nil && len(r.learners) == 0 {
 		return nil
 	}
 	var all []*link
-	if c.successor != nil {
-		all = append(all, c.successor)
+	if r.successor != nil {
+		all = append(all, r.successor)
 	}
-	for _, replica := range c.learnerOrder() {
-		all = append(all, c.learners[replica])
+	for _, replica := range r.learnerOrder() {
+		all = append(all, r.learners[replica])
 	}
 	return all
 }
 
-func (c *Core) learnerOrder() []view.ReplicaID {
-	return slices.Sorted(maps.Keys(c.learners))
+func (r *Replica) learnerOrder() []view.ReplicaID {
+	return slices.Sorted(maps.Keys(r.learners))
 }
 
 // connectSuccessor begins to feed the successor in the view, if this replica is complete.
-func (c *Core) connectSuccessor(now time.Duration) {
-	successor, ok := c.view.Successor(c.self.Replica)
-	if !ok || !c.complete() || c.successor != nil {
+func (r *Replica) connectSuccessor(now time.Duration) {
+	successor, ok := r.view.Successor(r.self.Replica)
+	if !ok || !r.complete() || r.successor != nil {
 		return
 	}
-	c.successor = &link{to: successor}
-	c.connect(now, c.successor)
+	r.successor = &link{to: successor}
+	r.connect(now, r.successor)
 }
 
 // connect begins a new session. What the receiver had acknowledged before no longer counts.
-func (c *Core) connect(now time.Duration, l *link) {
-	c.sessions++
-	l.session = Session{Generation: c.generation, Number: c.sessions}
+func (r *Replica) connect(now time.Duration, l *link) {
+	r.sessions++
+	l.session = Session{Generation: r.generation, Number: r.sessions}
 	l.state = linkConnecting
 	l.ready = false
 	l.stored = 0
@@ -95,30 +95,30 @@
 	l.snapshot = nil
 	l.committedSent = 0
 	l.barrierSent = 0
-	c.send(l.to.Address, Connect{Session: l.session})
+	r.send(l.to.Address, Connect{Session: l.session})
 	l.deadline = now + retryInterval<<min(l.attempts, retryDoublings)
 }
 
 // rewindLinks begins new sessions where entries after a sequence that were dropped may have been sent.
-func (c *Core) rewindLinks(now time.Duration, sequence uint64) {
-	for _, l := range c.links() {
+func (r *Replica) rewindLinks(now time.Duration, sequence uint64) {
+	for _, l := range r.links() {
 		if l.state == linkStreaming && l.next <= sequence+1 {
 			continue
 		}
-		c.connect(now, l)
+		r.connect(now, l)
 	}
 }
 
 // receiveAttach connects to a replica that asks for it, unless it is being fed.
-func (c *Core) receiveAttach(now time.Duration, from netip.AddrPort, sender view.ReplicaID, m Attach) {
-	if !c.complete() {
+func (r *Replica) receiveAttach(now time.Duration, from netip.AddrPort, sender view.ReplicaID, m Attach) {
+	if !r.complete() {
 		return
 	}
-	l := c.linkTo(sender)
-	if l == nil && !c.view.Has(sender) {
+	l := r.linkTo(sender)
+	if l == nil && !r.view.Has(sender) {
 		l = &link{to: view.Member{Replica: sender, Address: from}, learner: true}
-		c.learners[sender] = l
-		c.connect(now, l)
+		r.learners[sender] = l
+		r.connect(now, l)
 		return
 	}
 	if l == nil {
@@ -127,96 +127,96 @@
 	l.to.Address = from
 	broken := m.Broken && m.Session == l.session
 	if broken || (m.Session == Session{}) {
-		c.connect(now, l)
+		r.connect(now, l)
 	}
 }
 
-func (c *Core) linkTo(replica view.ReplicaID) *link {
-	if c.successor != nil && c.successor.to.Replica == replica {
-		return c.successor
+func (r *Replica) linkTo(replica view.ReplicaID) *link {
+	if r.successor != nil && r.successor.to.Replica == replica {
+		return r.successor
 	}
-	return c.learners[replica]
+	return r.learners[replica]
 }
 
 // receiveHistory finds where the receiver's log and the own one part.
-func (c *Core) receiveHistory(now time.Duration, sender view.ReplicaID, m History) {
-	l := c.linkTo(sender)
+func (r *Replica) receiveHistory(now time.Duration, sender view.ReplicaID, m History) {
+	l := r.linkTo(sender)
 	if l == nil || l.session != m.Session || l.state != linkConnecting {
 		return
 	}
 	l.generation = m.Generation
-	common, ok := match(c.history.runs(), m.Runs)
+	common, ok := match(r.history.runs(), m.Runs)
 	if !ok {
 		l.state = linkAwaitingSnapshot
-		c.out.WantSnapshot = true
-		c.progress(now, l)
+		r.out.WantSnapshot = true
+		r.progress(now, l)
 		return
 	}
 	if common.Sequence < m.Committed {
-		c.fault("replica %d has committed %d, and parts at %d", sender, m.Committed, common.Sequence)
+		r.fault("replica %d has committed %d, and parts at %d", sender, m.Committed, common.Sequence)
 		return
 	}
-	c.start(now, l, common)
+	r.start(now, l, common)
 }
 
 // start begins to send the entries after a position.
-func (c *Core) start(now time.Duration, l *link, common Position) {
+func (r *Replica) start(now time.Duration, l *link, common Position) {
 	l.state = linkStreaming
 	l.next = common.Sequence + 1
 	l.snapshot = nil
-	target := c.history.last().Sequence
+	target := r.history.last().Sequence
 	if l.learner {
-		target = c.committed
+		target = r.committed
 	}
-	c.send(l.to.Address, Start{Session: l.session, Generation: l.generation, Match: common, Target: target})
-	c.progress(now, l)
+	r.send(l.to.Address, Start{Session: l.session, Generation: l.generation, Match: common, Target: target})
+	r.progress(now, l)
 }
 
 // SnapshotTaken gives a snapshot of the state at an entry that was committed.
-func (c *Core) SnapshotTaken(now time.Duration, snapshot segment.Snapshot) {
+func (r *Replica) SnapshotTaken(now time.Duration, snapshot segment.Snapshot) {
 	position := Position{Epoch: snapshot.Epoch, Sequence: snapshot.Sequence}
-	if held, ok := c.history.position(snapshot.Sequence); ok && held == position {
-		for _, l := range c.links() {
+	if held, ok := r.history.position(snapshot.Sequence); ok && held == position {
+		for _, l := range r.links() {
 			if l.state == linkAwaitingSnapshot {
 				l.state = linkSendingSnapshot
 				l.snapshot = &snapshot
 				l.snapshotSent = 0
 				l.snapshotAcked = 0
-				c.progress(now, l)
+				r.progress(now, l)
 			}
 		}
 	}
-	c.finish(now)
+	r.finish(now)
 }
 
 // receiveAcknowledge takes the receiver's progress.
-func (c *Core) receiveAcknowledge(now time.Duration, sender view.ReplicaID, m Acknowledge) {
-	l := c.linkTo(sender)
+func (r *Replica) receiveAcknowledge(now time.Duration, sender view.ReplicaID, m Acknowledge) {
+	l := r.linkTo(sender)
 	if l == nil || l.session != m.Session {
 		return
 	}
 	switch l.state {
 	case linkSendingSnapshot:
-		c.acknowledgeSnapshot(now, l, m.SnapshotBytes)
+		r.acknowledgeSnapshot(now, l, m.SnapshotBytes)
 	case linkStreaming:
-		c.acknowledgeEntries(now, l, m)
+		r.acknowledgeEntries(now, l, m)
 	}
 }
 
-func (c *Core) acknowledgeSnapshot(now time.Duration, l *link, received uint64) {
+func (r *Replica) acknowledgeSnapshot(now time.Duration, l *link, received uint64) {
 	if received <= l.snapshotAcked {
 		return
 	}
 	l.snapshotAcked = received
-	c.progress(now, l)
+	r.progress(now, l)
 	if received == l.snapshotTotal() {
-		c.start(now, l, Position{Epoch: l.snapshot.Epoch, Sequence: l.snapshot.Sequence})
+		r.start(now, l, Position{Epoch: l.snapshot.Epoch, Sequence: l.snapshot.Sequence})
 	}
 }
 
-func (c *Core) acknowledgeEntries(now time.Duration, l *link, m Acknowledge) {
+func (r *Replica) acknowledgeEntries(now time.Duration, l *link, m Acknowledge) {
 	if m.Stored > l.stored || m.Synced > l.acked || m.Barrier > l.barrierAcked || m.Ready != l.ready {
-		c.progress(now, l)
+		r.progress(now, l)
 	}
 	l.stored = max(l.stored, min(m.Stored, l.next-1))
 	l.acked = max(l.acked, min(m.Synced, l.next-1))
@@ -239,16 +239,16 @@
 func (l *link) snapshotTotal() uint64 { return max(1, uint64(len(l.snapshot.Data))) }
 
 // progress puts off the retry.
-func (c *Core) progress(now time.Duration, l *link) {
+func (r *Replica) progress(now time.Duration, l *link) {
 	l.attempts = 0
-	c.awaitProgress(now, l)
+	r.awaitProgress(now, l)
 }
 
-func (c *Core) awaitProgress(now time.Duration, l *link) {
+func (r *Replica) awaitProgress(now time.Duration, l *link) {
 	var bytes uint64
 	switch l.state {
 	case linkStreaming:
-		bytes = c.inFlight(l)
+		bytes = r.inFlight(l)
 	case linkSendingSnapshot:
 		bytes = l.snapshotSent - l.snapshotAcked
 	}
@@ -257,44 +257,44 @@
 }
 
 // inFlight gives the bytes of entries that were sent and are not known to be on the receiver's disk.
-func (c *Core) inFlight(l *link) uint64 {
-	return c.history.bytesUpTo(l.next-1) - c.history.bytesUpTo(l.stored)
+func (r *Replica) inFlight(l *link) uint64 {
+	return r.history.bytesUpTo(l.next-1) - r.history.bytesUpTo(l.stored)
 }
 
 // retry begins a new session where no progress came in time.
-func (c *Core) retry(now time.Duration, l *link) {
+func (r *Replica) retry(now time.Duration, l *link) {
 	if l.deadline == 0 || now < l.deadline {
 		return
 	}
 	l.attempts++
 	if l.state == linkAwaitingSnapshot {
-		c.out.WantSnapshot = true
-		c.awaitProgress(now, l)
+		r.out.WantSnapshot = true
+		r.awaitProgress(now, l)
 		return
 	}
-	c.connect(now, l)
+	r.connect(now, l)
 }
 
 // dropLostLearners forgets learners that do not answer. They ask again if they live.
-func (c *Core) dropLostLearners() {
-	maps.DeleteFunc(c.learners, func(_ view.ReplicaID, l *link) bool { return l.attempts > learnerAttempts })
+func (r *Replica) dropLostLearners() {
+	maps.DeleteFunc(r.learners, func(_ view.ReplicaID, l *link) bool { return l.attempts > learnerAttempts })
 }
 
 // flush sends what the window of a link permits.
-func (c *Core) flush(now time.Duration, l *link) {
+func (r *Replica) flush(now time.Duration, l *link) {
 	switch l.state {
 	case linkSendingSnapshot:
-		c.flushSnapshot(now, l)
+		r.flushSnapshot(now, l)
 	case linkStreaming:
-		c.flushEntries(now, l)
+		r.flushEntries(now, l)
 	}
 }
 
-func (c *Core) flushSnapshot(now time.Duration, l *link) {
+func (r *Replica) flushSnapshot(now time.Duration, l *link) {
 	total := l.snapshotTotal()
-	for l.snapshotSent < total && l.snapshotSent-l.snapshotAcked < snapshotWindow*c.sizes.snapshotPart {
-		end := min(l.snapshotSent+c.sizes.snapshotPart, total)
-		c.send(l.to.Address, SnapshotPart{
+	for l.snapshotSent < total && l.snapshotSent-l.snapshotAcked < snapshotWindow*r.sizes.snapshotChunk {
+		end := min(l.snapshotSent+r.sizes.snapshotChunk, total)
+		r.send(l.to.Address, SnapshotChunk{
 			Session:    l.session,
 			Generation: l.generation,
 			Position:   Position{Epoch: l.snapshot.Epoch, Sequence: l.snapshot.Sequence},
@@ -303,55 +303,55 @@
 			Data:       l.snapshot.Data[min(l.snapshotSent, uint64(len(l.snapshot.Data))):min(end, uint64(len(l.snapshot.Data)))],
 		})
 		l.snapshotSent = end
-		c.awaitProgress(now, l)
+		r.awaitProgress(now, l)
 	}
 }
 
 // flushEntries sends entries that are on the own disk, to a learner only committed ones.
-func (c *Core) flushEntries(now time.Duration, l *link) {
-	if l.next <= c.history.base.Sequence {
-		c.connect(now, l)
+func (r *Replica) flushEntries(now time.Duration, l *link) {
+	if l.next <= r.history.base.Sequence {
+		r.connect(now, l)
 		return
 	}
-	limit := c.synced
+	limit := r.synced
 	if l.learner {
-		limit = min(limit, c.committed)
+		limit = min(limit, r.committed)
 	}
-	for l.next <= limit && (l.stored == l.next-1 || c.inFlight(l) < c.sizes.window) {
-		entries := c.history.batch(l.next-1, limit, c.sizes.batch)
-		c.sendAppend(now, l, entries)
+	for l.next <= limit && (l.stored == l.next-1 || r.inFlight(l) < r.sizes.window) {
+		entries := r.history.batch(l.next-1, limit, r.sizes.batch)
+		r.sendAppend(now, l, entries)
 	}
-	if l.committedSent < min(c.committed, l.next-1) || l.barrierSent < c.barrierFor(l) {
-		c.sendAppend(now, l, nil)
+	if l.committedSent < min(r.committed, l.next-1) || l.barrierSent < r.barrierFor(l) {
+		r.sendAppend(now, l, nil)
 	}
 }
 
-func (c *Core) sendAppend(now time.Duration, l *link, entries []segment.Entry) {
-	previous, _ := c.history.position(l.next - 1)
+func (r *Replica) sendAppend(now time.Duration, l *link, entries []segment.Entry) {
+	previous, _ := r.history.position(l.next - 1)
 	idle := !l.outstanding()
-	barrier := c.barrierFor(l)
-	c.send(l.to.Address, Append{
+	barrier := r.barrierFor(l)
+	r.send(l.to.Address, Append{
 		Session:   l.session,
 		Previous:  previous,
 		Entries:   entries,
-		Committed: c.committed,
+		Committed: r.committed,
 		Barrier:   barrier,
 	})
 	l.next += uint64(len(entries))
-	l.committedSent = c.committed
+	l.committedSent = r.committed
 	l.barrierSent = barrier
 	if idle && l.outstanding() {
-		c.awaitProgress(now, l)
+		r.awaitProgress(now, l)
 	}
 }
 
 // barrierFor gives the newest barrier to be passed on.
-func (c *Core) barrierFor(l *link) uint64 {
+func (r *Replica) barrierFor(l *link) uint64 {
 	if l.learner {
 		return 0
 	}
-	if c.isHead() {
-		return c.head.round
+	if r.isHead() {
+		return r.head.round
 	}
-	return c.upstream.barrier
+	return r.upstream.barrier
 }
--- a/internal/chain/golden_test.go
+++ b/internal/chain/golden_test.go
@@ -51,7 +51,7 @@
 			Runs:       []Run{{Epoch: 0x63, First: 0x64, Last: 0x65}, {Epoch: 0x66, First: 0x67, Last: 0x68}},
 		}},
 		{"start", Start{Session: session, Generation: 0x71, Match: position, Target: 0x72}},
-		{"snapshot", SnapshotPart{
+		{"snapshot", SnapshotChunk{
 			Session:    session,
 			Generation: 0x81,
 			Position:   position,
--- a/internal/chain/head.go
+++ b/internal/chain/head.go
@@ -30,142 +30,142 @@
 }
 
 // isHead tells whether the view in force names this replica as head, and it may act as one.
-func (c *Core) isHead() bool {
-	head, ok := c.view.Head()
-	return ok && head.Replica == c.self.Replica && c.complete()
+func (r *Replica) isHead() bool {
+	head, ok := r.view.Head()
+	return ok && head.Replica == r.self.Replica && r.complete()
 }
 
 // enterAsHead keeps what was begun if the replica is head in the new view as well, and gives it up otherwise.
-func (c *Core) enterAsHead(now time.Duration) {
-	if !c.isHead() {
-		c.giveUpHead()
+func (r *Replica) enterAsHead(now time.Duration) {
+	if !r.isHead() {
+		r.giveUpHead()
 		return
 	}
-	c.head.floor = c.history.last().Sequence
-	c.head.waitingBarrier = append(c.head.roundFor, c.head.waitingBarrier...)
-	c.head.roundFor = nil
-	c.head.round = 0
+	r.head.floor = r.history.last().Sequence
+	r.head.waitingBarrier = append(r.head.roundFor, r.head.waitingBarrier...)
+	r.head.roundFor = nil
+	r.head.round = 0
 }
 
-func (c *Core) giveUpHead() {
-	for _, waiting := range c.head.waiting {
-		c.out.Rejected = append(c.out.Rejected, Rejected{Proposal: waiting.id})
+func (r *Replica) giveUpHead() {
+	for _, waiting := range r.head.waiting {
+		r.out.Rejected = append(r.out.Rejected, Rejected{Proposal: waiting.id})
 	}
-	for _, id := range c.head.proposals {
-		c.out.Rejected = append(c.out.Rejected, Rejected{Proposal: id, Unclear: true})
+	for _, id := range r.head.proposals {
+		r.out.Rejected = append(r.out.Rejected, Rejected{Proposal: id, Unclear: true})
 	}
-	for _, id := range slices.Concat(c.head.roundFor, c.head.waitingBarrier) {
-		c.out.Barriers = append(c.out.Barriers, BarrierResult{Barrier: id, Failed: true})
+	for _, id := range slices.Concat(r.head.roundFor, r.head.waitingBarrier) {
+		r.out.Barriers = append(r.out.Barriers, BarrierResult{Barrier: id, Failed: true})
 	}
-	c.head = headState{proposals: make(map[uint64]uint64), rounds: c.head.rounds}
+	r.head = headState{proposals: make(map[uint64]uint64), rounds: r.head.rounds}
 }
 
 // headReady tells whether proposals can be committed: enough members, all connected.
-func (c *Core) headReady() bool {
-	if !c.isHead() || len(c.view.Members) < c.minimumReplicas {
+func (r *Replica) headReady() bool {
+	if !r.isHead() || len(r.view.Members) < r.minimumReplicas {
 		return false
 	}
-	_, ready := c.acknowledgeable()
+	_, ready := r.acknowledgeable()
 	return ready
 }
 
 // Propose takes a command at the head. It is appended once the chain is connected.
-func (c *Core) Propose(now time.Duration, id uint64, command []byte) {
-	if !c.isHead() || c.head.bytes+len(command) > c.sizes.waiting {
-		c.out.Rejected = append(c.out.Rejected, Rejected{Proposal: id})
+func (r *Replica) Propose(now time.Duration, id uint64, command []byte) {
+	if !r.isHead() || r.head.bytes+len(command) > r.sizes.waiting {
+		r.out.Rejected = append(r.out.Rejected, Rejected{Proposal: id})
 		return
 	}
-	c.head.waiting = append(c.head.waiting, proposal{id: id, command: command})
-	c.head.bytes += len(command)
-	c.finish(now)
+	r.head.waiting = append(r.head.waiting, proposal{id: id, command: command})
+	r.head.bytes += len(command)
+	r.finish(now)
 }
 
 // Cancel takes back a proposal. It reports false if that was appended before.
-func (c *Core) Cancel(id uint64) bool {
-	i := slices.IndexFunc(c.head.waiting, func(p proposal) bool { return p.id == id })
+func (r *Replica) Cancel(id uint64) bool {
+	i := slices.IndexFunc(r.head.waiting, func(p proposal) bool { return p.id == id })
 	if i < 0 {
 		return false
 	}
-	c.head.bytes -= len(c.head.waiting[i].command)
-	c.head.waiting = slices.Delete(c.head.waiting, i, i+1)
+	r.head.bytes -= len(r.head.waiting[i].command)
+	r.head.waiting = slices.Delete(r.head.waiting, i, i+1)
 	return true
 }
 
 // Barrier asks at the head for a proof that it still is the head.
-func (c *Core) Barrier(now time.Duration, id uint64) {
-	if !c.isHead() {
-		c.out.Barriers = append(c.out.Barriers, BarrierResult{Barrier: id, Failed: true})
+func (r *Replica) Barrier(now time.Duration, id uint64) {
+	if !r.isHead() {
+		r.out.Barriers = append(r.out.Barriers, BarrierResult{Barrier: id, Failed: true})
 		return
 	}
-	c.head.waitingBarrier = append(c.head.waitingBarrier, id)
-	c.finish(now)
+	r.head.waitingBarrier = append(r.head.waitingBarrier, id)
+	r.finish(now)
 }
 
 // advanceHead commits, appends and answers barriers, as far as the acknowledgements permit.
-func (c *Core) advanceHead() {
-	if !c.isHead() {
+func (r *Replica) advanceHead() {
+	if !r.isHead() {
 		return
 	}
-	c.appendWaiting()
-	if len(c.view.Members) >= c.minimumReplicas {
-		synced, _ := c.acknowledgeable()
-		c.commit(synced)
+	r.appendWaiting()
+	if len(r.view.Members) >= r.minimumReplicas {
+		synced, _ := r.acknowledgeable()
+		r.commit(synced)
 	}
-	c.advanceBarrier()
+	r.advanceBarrier()
 }
 
 // appendWaiting appends proposals in order, if the chain is connected and not too far behind.
-func (c *Core) appendWaiting() {
-	if len(c.head.waiting) == 0 || !c.headReady() {
+func (r *Replica) appendWaiting() {
+	if len(r.head.waiting) == 0 || !r.headReady() {
 		return
 	}
 	var entries []segment.Entry
-	last := c.history.last().Sequence
-	uncommitted := c.history.totalBytes() - c.history.bytesUpTo(c.committed)
+	last := r.history.last().Sequence
+	uncommitted := r.history.totalBytes() - r.history.bytesUpTo(r.committed)
 	taken := 0
-	for _, waiting := range c.head.waiting {
-		if uncommitted > c.sizes.uncommitted {
+	for _, waiting := range r.head.waiting {
+		if uncommitted > r.sizes.uncommitted {
 			break
 		}
 		last++
-		entries = append(entries, segment.Entry{Epoch: c.view.Epoch, Sequence: last, Data: waiting.command})
-		c.head.proposals[last] = waiting.id
-		c.out.Accepted = append(c.out.Accepted, Accepted{Proposal: waiting.id, Sequence: last})
+		entries = append(entries, segment.Entry{Epoch: r.view.Epoch, Sequence: last, Data: waiting.command})
+		r.head.proposals[last] = waiting.id
+		r.out.Accepted = append(r.out.Accepted, Accepted{Proposal: waiting.id, Sequence: last})
 		uncommitted += uint64(len(waiting.command))
-		c.head.bytes -= len(waiting.command)
+		r.head.bytes -= len(waiting.command)
 		taken++
 	}
-	c.head.waiting = slices.Delete(c.head.waiting, 0, taken)
-	c.append(entries)
+	r.head.waiting = slices.Delete(r.head.waiting, 0, taken)
+	r.append(entries)
 }
 
 // advanceBarrier answers the round under way once it has come back, and begins the next one.
-func (c *Core) advanceBarrier() {
-	if c.head.roundFor != nil && c.roundReturned() {
-		for _, id := range c.head.roundFor {
-			c.out.Barriers = append(c.out.Barriers, BarrierResult{Barrier: id, Sequence: c.head.roundSequence})
+func (r *Replica) advanceBarrier() {
+	if r.head.roundFor != nil && r.roundReturned() {
+		for _, id := range r.head.roundFor {
+			r.out.Barriers = append(r.out.Barriers, BarrierResult{Barrier: id, Sequence: r.head.roundSequence})
 		}
-		c.head.roundFor = nil
+		r.head.roundFor = nil
 	}
-	if c.head.roundFor != nil || len(c.head.waitingBarrier) == 0 {
+	if r.head.roundFor != nil || len(r.head.waitingBarrier) == 0 {
 		return
 	}
-	c.head.rounds++
-	c.head.round = c.generation<<generationShift | c.head.rounds
-	c.head.roundFor = c.head.waitingBarrier
-	c.head.waitingBarrier = nil
-	c.head.roundSequence = max(c.committed, c.head.floor)
-	if c.roundReturned() {
-		c.advanceBarrier()
+	r.head.rounds++
+	r.head.round = r.generation<<generationShift | r.head.rounds
+	r.head.roundFor = r.head.waitingBarrier
+	r.head.waitingBarrier = nil
+	r.head.roundSequence = max(r.committed, r.head.floor)
+	if r.roundReturned() {
+		r.advanceBarrier()
 	}
 }
 
-func (c *Core) roundReturned() bool {
-	if c.committed < c.head.roundSequence {
+func (r *Replica) roundReturned() bool {
+	if r.committed < r.head.roundSequence {
 		return false
 	}
-	if len(c.view.Members) == 1 {
+	if len(r.view.Members) == 1 {
 		return true
 	}
-	return c.successor != nil && c.successor.barrierAcked >= c.head.round
+	return r.successor != nil && r.successor.barrierAcked >= r.head.round
 }
--- a/internal/chain/learner.go
+++ b/internal/chain/learner.go
@@ -85,5 +85,5 @@
 
 // follow has the node be fed from an address.
 func (n *Node) follow(from netip.AddrPort) {
-	n.step(func(now time.Duration) { n.core.Follow(now, from) })
+	n.step(func(now time.Duration) { n.replica.Follow(now, from) })
 }
--- a/internal/chain/message.go
+++ b/internal/chain/message.go
@@ -66,8 +66,8 @@
 	Target     uint64
 }
 
-// SnapshotPart is a piece of a snapshot that replaces the receiver's log.
-type SnapshotPart struct {
+// SnapshotChunk is a piece of a snapshot that replaces the receiver's log.
+type SnapshotChunk struct {
 	Session    Session
 	Generation uint64
 	Position   Position
@@ -101,15 +101,15 @@
 // ViewNotice tells a view that was decided.
 type ViewNotice struct{ View view.View }
 
-func (Attach) body()       {}
-func (Connect) body()      {}
-func (History) body()      {}
-func (Start) body()        {}
-func (SnapshotPart) body() {}
-func (Append) body()       {}
-func (Acknowledge) body()  {}
-func (ViewRequest) body()  {}
-func (ViewNotice) body()   {}
+func (Attach) body()        {}
+func (Connect) body()       {}
+func (History) body()       {}
+func (Start) body()         {}
+func (SnapshotChunk) body() {}
+func (Append) body()        {}
+func (Acknowledge) body()   {}
+func (ViewRequest) body()   {}
+func (ViewNotice) body()    {}
 
 // Outgoing is a message with its destination.
 type Outgoing struct {
--- a/internal/chain/node.go
+++ b/internal/chain/node.go
@@ -66,7 +66,7 @@
 	CaughtUp bool
 }
 
-// Node is one replica of one chain: it drives a Core with the messages of a transport, a log on disk and a clock. A
+// Node is one replica of one chain: it drives a Replica with the messages of a transport, a log on disk and a clock. A
 // goroutine writes to the disk, and another one applies entries to the machine.
 type Node struct {
 	options   Options
@@ -77,7 +77,7 @@
 	closing   sync.Once
 
 	mutex     sync.Mutex
-	core      *Core
+	replica   *Replica
 	timer     *time.Timer
 	timerAt   time.Duration // 0: not set
 	failure   error         // why the node takes part in nothing any more
@@ -124,7 +124,7 @@
 		barriers:  make(map[uint64]chan BarrierResult),
 		passed:    make(map[uint64]passedCall),
 	}
-	n.core = NewCore(n.now(), options.Chain, options.Self, options.MinimumReplicas, state)
+	n.replica = NewReplica(n.now(), options.Chain, options.Self, options.MinimumReplicas, state)
 	n.disk = newDiskWriter(n, log, options.OnStall)
 	n.applier = newApplier(n, state, recovered.Snapshot)
 	if err := options.Registry.add(n); err != nil {
@@ -175,7 +175,7 @@
 	}
 	now := n.now()
 	event(now)
-	n.dispatch(n.core.Output())
+	n.dispatch(n.replica.Output())
 	n.setTimer(now)
 	n.wakeWatchers()
 }
@@ -209,9 +209,9 @@
 	n.transport.Send(message.To, peer.Message{Kind: kindEnvelope, Body: body})
 }
 
-// setTimer has Tick called at the core's deadline. A timer that is set to an earlier time is left alone.
+// setTimer has Tick called at the replica's deadline. A timer that is set to an earlier time is left alone.
 func (n *Node) setTimer(now time.Duration) {
-	deadline, ok := n.core.Deadline()
+	deadline, ok := n.replica.Deadline()
 	if !ok || (n.timerAt != 0 && n.timerAt <= deadline) {
 		return
 	}
@@ -227,12 +227,12 @@
 func (n *Node) tick() {
 	n.step(func(now time.Duration) {
 		n.timerAt = 0
-		n.core.Tick(now)
+		n.replica.Tick(now)
 	})
 }
 
 func (n *Node) receive(from netip.AddrPort, e Envelope) {
-	n.step(func(now time.Duration) { n.core.Receive(now, from, e) })
+	n.step(func(now time.Duration) { n.replica.Receive(now, from, e) })
 }
 
 // fail ends the replica's part in everything.
@@ -259,14 +259,14 @@
 // Install gives the replica a view that was decided. One that is not newer than its own is ignored. It comes into force
 // once it is on the disk.
 func (n *Node) Install(v view.View) {
-	n.step(func(now time.Duration) { n.core.Install(now, v) })
+	n.step(func(now time.Duration) { n.replica.Install(now, v) })
 }
 
 // tell sends the own view to a replica that has an older one.
 func (n *Node) tell(to netip.AddrPort, epoch uint64) {
 	n.step(func(time.Duration) {
-		if epoch < n.core.View().Epoch {
-			n.core.sendView(to)
+		if epoch < n.replica.View().Epoch {
+			n.replica.sendView(to)
 		}
 	})
 }
@@ -275,21 +275,21 @@
 func (n *Node) View() view.View {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.core.View().Clone()
+	return n.replica.View().Clone()
 }
 
 // IsHead tells whether the view in force here names this replica as head. Only a Barrier proves that it still is.
 func (n *Node) IsHead() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.failure == nil && n.core.isHead()
+	return n.failure == nil && n.replica.isHead()
 }
 
 // Status gives the replica's progress.
 func (n *Node) Status() Status {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	status := n.core.Status()
+	status := n.replica.Status()
 	status.Applied = n.applier.applied
 	return status
 }
@@ -301,8 +301,8 @@
 // with all that is committed. It returns once the replica has caught up, and keeps following afterwards. Once a view
 // names the replica this ends by itself.
 func (n *Node) Learn(ctx context.Context, from netip.AddrPort) error {
-	n.step(func(now time.Duration) { n.core.Follow(now, from) })
-	return n.wait(ctx, func() bool { return n.core.caughtUp() || n.core.view.Has(n.options.Self.Replica) })
+	n.step(func(now time.Duration) { n.replica.Follow(now, from) })
+	return n.wait(ctx, func() bool { return n.replica.caughtUp() || n.replica.view.Has(n.options.Self.Replica) })
 }
 
 // OnCommit registers a function that is called, after entries have been applied, with the sequence of the last one. It
--- a/internal/chain/node_test.go
+++ b/internal/chain/node_test.go
@@ -209,7 +209,7 @@
 // awaitView waits until a replica is in a view that is as wanted.
 func (c *cluster) awaitView(m *member, wanted func(view.View) bool) {
 	c.t.Helper()
-	if err := m.node.wait(testContext(c.t), func() bool { return wanted(m.node.core.view) }); err != nil {
+	if err := m.node.wait(testContext(c.t), func() bool { return wanted(m.node.replica.view) }); err != nil {
 		c.t.Fatalf("no such view: %v, %+v", err, m.node.View())
 	}
 }
@@ -338,7 +338,7 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
-		if err := m.node.wait(ctx, func() bool { return !m.node.core.headReady() }); err != nil {
+		if err := m.node.wait(ctx, func() bool { return !m.node.replica.headReady() }); err != nil {
 			// Nothing was under way, so that the loss was not noticed: a proposal does.
 			short, stop := context.WithTimeout(context.Background(), time.Second)
 			_, err := m.node.Propose(short, number(1))
--- a/internal/chain/output.go
+++ b/internal/chain/output.go
@@ -5,7 +5,7 @@
 	"nickelline/internal/view"
 )
 
-// Output is what a core asks of its driver after events. Disk operations and apply operations are each carried out in
+// Output is what a Replica asks of its driver after events. Disk operations and apply operations are each carried out in
 // order; a disk operation that is done is told by DiskDone.
 type Output struct {
 	Messages []Outgoing
--- a/internal/chain/propose.go
+++ b/internal/chain/propose.go
@@ -136,7 +136,7 @@
 	n.lastID++
 	call.id = n.lastID
 	n.proposals[call.id] = call
-	n.stepLocked(func(now time.Duration) { n.core.Propose(now, call.id, command) })
+	n.stepLocked(func(now time.Duration) { n.replica.Propose(now, call.id, command) })
 	return nil
 }
 
@@ -151,7 +151,7 @@
 	}
 	_, waiting := n.proposals[call.id]
 	delete(n.proposals, call.id)
-	if waiting && n.core.Cancel(call.id) {
+	if waiting && n.replica.Cancel(call.id) {
 		return nil, fault.New(fault.NotReady, "the chain is not connected: %w", ctx.Err())
 	}
 	return nil, fault.New(fault.Unclear, "not known to be committed: %w", ctx.Err())
--- a/internal/chain/reconfigurer.go
+++ b/internal/chain/reconfigurer.go
@@ -115,7 +115,7 @@
 		return fault.New(fault.NotReady, "too few members would remain")
 	}
 	notify(r.wake)
-	if err := r.node.wait(ctx, func() bool { return !r.node.core.view.Has(r.self().Replica) }); err != nil {
+	if err := r.node.wait(ctx, func() bool { return !r.node.replica.view.Has(r.self().Replica) }); err != nil {
 		return err
 	}
 	return r.awaitSuccessors(ctx)
@@ -125,7 +125,7 @@
 func (r *Reconfigurer) awaitMembership(ctx context.Context, until time.Time) bool {
 	bounded, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
-	_ = r.node.wait(bounded, func() bool { return r.node.core.view.Has(r.self().Replica) })
+	_ = r.node.wait(bounded, func() bool { return r.node.replica.view.Has(r.self().Replica) })
 	return r.node.View().Has(r.self().Replica)
 }
 
--- a/internal/chain/simulation_losses_test.go
+++ b/internal/chain/simulation_losses_test.go
@@ -41,10 +41,10 @@
 	}
 	for _, voter := range s.newest.Electorate() {
 		site := s.siteOf(voter)
-		if site == nil || !s.network.Up(site.address) || site.core.View().Epoch != s.newest.Epoch || s.changing(site) {
+		if site == nil || !s.network.Up(site.address) || site.replica.View().Epoch != s.newest.Epoch || s.changing(site) {
 			return false
 		}
-		if s.newest.Has(voter.Replica) && !site.core.complete() {
+		if s.newest.Has(voter.Replica) && !site.replica.complete() {
 			return false
 		}
 	}
@@ -107,7 +107,7 @@
 // replace has a site hand over and takes it away with its disk as soon as it has; an empty one comes at its address. That is a
 // loss only if the site has a vote yet, or may get one by an agreement that is under way.
 func (s *simulation) replace(site *site, back time.Duration) {
-	if site.core == nil || site.leaving || !s.network.Up(site.address) || s.authority {
+	if site.replica == nil || site.leaving || !s.network.Up(site.address) || s.authority {
 		return
 	}
 	s.note("to be replaced: %d", site.index)
@@ -151,7 +151,7 @@
 // handedOver tells whether a site knows a view of which it is no member to be on the disks of a majority of its other voters
 // (Reconfigurer.HandOver).
 func (s *site) handedOver() bool {
-	v := s.core.View()
+	v := s.replica.View()
 	if !s.simulation.network.Up(s.address) || v.Epoch == 0 || v.Has(s.self.Replica) {
 		return false
 	}
@@ -161,7 +161,7 @@
 	holders := 0
 	for _, voter := range v.Electorate() {
 		other := s.simulation.siteOf(voter)
-		if other != nil && other != s && s.simulation.network.Up(other.address) && other.core.View().Epoch == v.Epoch {
+		if other != nil && other != s && s.simulation.network.Up(other.address) && other.replica.View().Epoch == v.Epoch {
 			holders++
 		}
 	}
--- a/internal/chain/simulation_site_test.go
+++ b/internal/chain/simulation_site_test.go
@@ -40,7 +40,7 @@
 	// Of the life of a process.
 	fileSystem segment.FileSystem
 	self       view.Member
-	core       *Core
+	replica    *Replica
 	acceptor   *view.Acceptor
 	seeds      []netip.AddrPort
 	log        *segment.Log
@@ -83,11 +83,11 @@
 }
 
 func (s *site) String() string {
-	if s.core == nil {
+	if s.replica == nil {
 		return fmt.Sprintf("site %d: not started", s.index)
 	}
 	return fmt.Sprintf("site %d: up %v %+v feeder %v upstream %+v successor %+v learners %v", s.index,
-		s.simulation.network.Up(s.address), s.core.Status(), s.core.feeder, s.core.upstream, s.core.successor, len(s.core.learners))
+		s.simulation.network.Up(s.address), s.replica.Status(), s.replica.feeder, s.replica.upstream, s.replica.successor, len(s.replica.learners))
 }
 
 func (s *site) check(err error) {
@@ -151,8 +151,8 @@
 	s.waits = nil
 	s.proposer = nil
 	s.tickAt = 0
-	s.core = NewCore(s.simulation.network.Now(), 0, s.self, s.simulation.policy.MinimumMembers, state)
-	s.core.sizes = s.simulation.sizes
+	s.replica = NewReplica(s.simulation.network.Now(), 0, s.self, s.simulation.policy.MinimumMembers, state)
+	s.replica.sizes = s.simulation.sizes
 }
 
 func (s *site) openAcceptor(firstStart bool) {
@@ -205,11 +205,11 @@
 	s.durableBase = 0
 }
 
-// step lets an event happen to the core and carries out what follows.
+// step lets an event happen to the replica and carries out what follows.
 func (s *site) step(event func(now time.Duration)) {
 	now := s.simulation.network.Now()
 	event(now)
-	out := s.core.Output()
+	out := s.replica.Output()
 	for _, text := range out.Faults {
 		s.simulation.note("site %d: %s", s.index, text)
 	}
@@ -226,7 +226,7 @@
 	}
 	if out.WantSnapshot {
 		s.after(time.Millisecond, func() {
-			s.step(func(now time.Duration) { s.core.SnapshotTaken(now, s.snapshot()) })
+			s.step(func(now time.Duration) { s.replica.SnapshotTaken(now, s.snapshot()) })
 		})
 	}
 	s.compact()
@@ -242,12 +242,12 @@
 	s.simulation.network.Send(s.address, message.To, func() {
 		envelope, err := decodeEnvelope(body)
 		s.check(err)
-		to.step(func(now time.Duration) { to.core.Receive(now, s.address, envelope) })
+		to.step(func(now time.Duration) { to.replica.Receive(now, s.address, envelope) })
 	})
 }
 
 func (s *site) setTimer() {
-	deadline, ok := s.core.Deadline()
+	deadline, ok := s.replica.Deadline()
 	if !ok || s.tickAt == deadline {
 		return
 	}
@@ -255,7 +255,7 @@
 	s.after(max(deadline-s.simulation.network.Now(), 0), func() {
 		if s.tickAt == deadline {
 			s.tickAt = 0
-			s.step(func(now time.Duration) { s.core.Tick(now) })
+			s.step(func(now time.Duration) { s.replica.Tick(now) })
 		}
 	})
 }
@@ -276,7 +276,7 @@
 	s.check(s.writeOne(operation))
 	s.check(s.log.Sync())
 	s.noteDurable(operation)
-	s.step(func(now time.Duration) { s.core.DiskDone(now, operation.ID) })
+	s.step(func(now time.Duration) { s.replica.DiskDone(now, operation.ID) })
 }
 
 func (s *site) writeOne(operation DiskOperation) error {
@@ -393,9 +393,9 @@
 	s.simulation.lastID++
 	id := s.simulation.lastID
 	s.proposals[id] = reply
-	s.step(func(now time.Duration) { s.core.Propose(now, id, command) })
+	s.step(func(now time.Duration) { s.replica.Propose(now, id, command) })
 	s.after(operationTime, func() {
-		if s.proposals[id] != nil && s.core.Cancel(id) {
+		if s.proposals[id] != nil && s.replica.Cancel(id) {
 			delete(s.proposals, id)
 			reply(false, true, 0, 0)
 		}
@@ -406,7 +406,7 @@
 	s.simulation.lastID++
 	id := s.simulation.lastID
 	s.barriers[id] = reply
-	s.step(func(now time.Duration) { s.core.Barrier(now, id) })
+	s.step(func(now time.Duration) { s.replica.Barrier(now, id) })
 }
 
 func (s *site) settle(out Output) {
--- a/internal/chain/simulation_test.go
+++ b/internal/chain/simulation_test.go
@@ -151,7 +151,7 @@
 			Reordering:   []float64{0, 0, 0.02}[random.IntN(3)],
 		}),
 	}
-	s.sizes = sizes{window: 300, batch: 100, snapshotPart: 64, uncommitted: 1000, waiting: 100_000, retained: 40, lagging: 300}
+	s.sizes = sizes{window: 300, batch: 100, snapshotChunk: 64, uncommitted: 1000, waiting: 100_000, retained: 40, lagging: 300}
 	s.snapshotBytes = []int{120, 400, 1 << 20}[random.IntN(3)]
 	count := []int{3, 3, 4, 5, 6}[random.IntN(5)]
 	s.policy = view.Policy{MinimumMembers: 2, MaximumMembers: 3, Voters: 3}
@@ -275,7 +275,7 @@
 	}
 	for _, member := range s.newest.Members {
 		site := s.siteOf(member)
-		if site == nil || site.applied != s.highest || !site.core.complete() || site.core.View().Epoch != s.newest.Epoch {
+		if site == nil || site.applied != s.highest || !site.replica.complete() || site.replica.View().Epoch != s.newest.Epoch {
 			return false
 		}
 	}
@@ -533,7 +533,7 @@
 		again()
 		return
 	}
-	head, ok := at.core.View().Head()
+	head, ok := at.replica.View().Head()
 	if !ok {
 		again()
 		return
@@ -569,7 +569,7 @@
 	if !s.network.Up(at.address) {
 		return
 	}
-	head, ok := at.core.View().Head()
+	head, ok := at.replica.View().Head()
 	if !ok {
 		return
 	}
--- a/internal/chain/simulation_views_test.go
+++ b/internal/chain/simulation_views_test.go
@@ -16,7 +16,7 @@
 	if simulation.authority {
 		s.hearAuthority()
 	}
-	v := s.core.View()
+	v := s.replica.View()
 	switch {
 	case v.Has(s.self.Replica) && simulation.authority:
 	case v.Has(s.self.Replica):
@@ -35,7 +35,7 @@
 func (s *site) askForView() {
 	other := s.simulation.sites[s.simulation.random.IntN(len(s.simulation.sites))]
 	if other != s {
-		s.step(func(time.Duration) { s.core.send(other.address, ViewRequest{}) })
+		s.step(func(time.Duration) { s.replica.send(other.address, ViewRequest{}) })
 	}
 }
 
@@ -56,14 +56,14 @@
 }
 
 func (s *site) planAsLearner(v view.View) {
-	if s.core.caughtUp() && s.simulation.random.IntN(10) != 0 {
+	if s.replica.caughtUp() && s.simulation.random.IntN(10) != 0 {
 		return
 	}
-	if s.core.feeder.IsValid() && s.simulation.random.IntN(10) != 0 && slices.ContainsFunc(v.Members, func(m view.Member) bool { return m.Address == s.core.feeder }) {
+	if s.replica.feeder.IsValid() && s.simulation.random.IntN(10) != 0 && slices.ContainsFunc(v.Members, func(m view.Member) bool { return m.Address == s.replica.feeder }) {
 		return
 	}
 	feeder := v.Members[s.simulation.random.IntN(len(v.Members))].Address
-	s.step(func(now time.Duration) { s.core.Follow(now, feeder) })
+	s.step(func(now time.Duration) { s.replica.Follow(now, feeder) })
 }
 
 // candidates is what a site holds for true of the others: mostly what is so.
@@ -80,11 +80,11 @@
 		candidates = append(candidates, candidate)
 	}
 	for _, other := range s.simulation.sites {
-		if other.core == nil || v.Has(other.self.Replica) || !s.reaches(other) {
+		if other.replica == nil || v.Has(other.self.Replica) || !s.reaches(other) {
 			continue
 		}
 		candidates = append(candidates, view.Candidate{
-			Member: other.self, Reachable: true, CaughtUp: other.core.caughtUp(), Leaving: other.leaving,
+			Member: other.self, Reachable: true, CaughtUp: other.replica.caughtUp(), Leaving: other.leaving,
 		})
 	}
 	return candidates
@@ -93,7 +93,7 @@
 // knowsDiskLost tells whether failure detection has seen another replica at the address of a member.
 func (s *site) knowsDiskLost(member view.Member) bool {
 	other := s.simulation.siteAt(member.Address)
-	return s.reaches(other) && other.core != nil && other.self.Replica != 0 && other.self.Replica != member.Replica
+	return s.reaches(other) && other.replica != nil && other.self.Replica != 0 && other.self.Replica != member.Replica
 }
 
 // reaches tells whether failure detection has another site for alive.
@@ -182,13 +182,13 @@
 		other := s.simulation.siteAt(address)
 		s.simulation.network.Send(s.address, address, func() {
 			answer := ask(other)
-			known := other.core.View()
+			known := other.replica.View()
 			s.simulation.network.Send(address, s.address, func() {
 				if known.Epoch > 0 {
-					s.step(func(now time.Duration) { s.core.Install(now, known) })
+					s.step(func(now time.Duration) { s.replica.Install(now, known) })
 				}
-				if known.Epoch < s.core.View().Epoch {
-					s.step(func(time.Duration) { s.core.sendView(address) })
+				if known.Epoch < s.replica.View().Epoch {
+					s.step(func(time.Duration) { s.replica.sendView(address) })
 				}
 				if s.proposer == proposer {
 					answer()
@@ -228,9 +228,9 @@
 // spread installs a decided view, and tells it to some.
 func (s *site) spread(v view.View) {
 	s.simulation.note("site %d had view %d decided", s.index, v.Epoch)
-	s.step(func(now time.Duration) { s.core.Install(now, v) })
+	s.step(func(now time.Duration) { s.replica.Install(now, v) })
 	var addresses []netip.AddrPort
-	known := s.core.View()
+	known := s.replica.View()
 	for _, member := range slices.Concat(known.Members, known.Voters, v.Members, v.Voters) {
 		addresses = append(addresses, member.Address)
 	}
@@ -244,7 +244,7 @@
 
 // votes tells whether the site is an acceptor for an epoch.
 func (s *site) votes(epoch uint64) bool {
-	v := s.core.View()
+	v := s.replica.View()
 	if epoch != v.Epoch+1 {
 		return false
 	}
@@ -265,7 +265,7 @@
 	if !s.leaving {
 		s.answered = s.simulation.network.Now()
 	}
-	answer.Complete = s.core.complete() && s.core.View().Epoch+1 == m.Epoch
+	answer.Complete = s.replica.complete() && s.replica.View().Epoch+1 == m.Epoch
 	return answer
 }
 
@@ -284,7 +284,7 @@
 func (s *site) hearAuthority() {
 	decided := s.simulation.decided
 	if decided.Epoch > 0 && (s.simulation.healed || s.simulation.random.IntN(3) != 0) {
-		s.step(func(now time.Duration) { s.core.Install(now, decided) })
+		s.step(func(now time.Duration) { s.replica.Install(now, decided) })
 	}
 }
 
@@ -308,7 +308,7 @@
 func (s *simulation) decideFirst() {
 	first := view.View{Epoch: 1}
 	for _, site := range s.sites {
-		if len(first.Members) < s.policy.MinimumMembers && site.core != nil {
+		if len(first.Members) < s.policy.MinimumMembers && site.replica != nil {
 			member := site.self
 			member.Joined = 1
 			first.Members = append(first.Members, member)
@@ -352,14 +352,14 @@
 	var candidates []view.Candidate
 	for _, member := range s.decided.Members {
 		if site := s.siteOf(member); site != nil {
-			complete := site.core.complete() && site.core.View().Epoch >= member.Joined
+			complete := site.replica.complete() && site.replica.View().Epoch >= member.Joined
 			reachable := s.network.Up(site.address) && !s.network.Frozen(site.address)
 			candidates = append(candidates, view.Candidate{Member: member, Complete: complete, Reachable: reachable})
 		}
 	}
 	for _, site := range s.sites {
-		if site.core != nil && !s.decided.Has(site.self.Replica) && s.network.Up(site.address) {
-			candidates = append(candidates, view.Candidate{Member: site.self, Reachable: true, CaughtUp: site.core.caughtUp()})
+		if site.replica != nil && !s.decided.Has(site.self.Replica) && s.network.Up(site.address) {
+			candidates = append(candidates, view.Candidate{Member: site.self, Reachable: true, CaughtUp: site.replica.caughtUp()})
 		}
 	}
 	return candidates
--- a/internal/chain/timing_test.go
+++ b/internal/chain/timing_test.go
@@ -40,7 +40,7 @@
 func (s *simulation) commitTime() time.Duration {
 	begin := s.network.Now()
 	for _, site := range s.sites {
-		if site.core.isHead() {
+		if site.replica.isHead() {
 			o := s.begin(&operation{value: s.lastID})
 			s.tryPropose(o, site, 100)
 			s.runUntil(func() bool { return o.done })
@@ -49,7 +49,7 @@
 	}
 	s.runUntil(func() bool {
 		for _, site := range s.sites {
-			if site.core.isHead() {
+			if site.replica.isHead() {
 				return true
 			}
 		}
--- a/internal/chain/upstream.go
+++ b/internal/chain/upstream.go
@@ -34,44 +34,44 @@
 }
 
 // resetUpstream forgets the session, at the beginning of an epoch.
-func (c *Core) resetUpstream(now time.Duration) {
-	c.upstream = upstream{}
-	if c.view.Has(c.self.Replica) {
-		c.feeder = netip.AddrPort{}
-		if predecessor, ok := c.view.Predecessor(c.self.Replica); ok {
-			c.upstream.from = predecessor.Address
-			c.upstream.attachAt = now
+func (r *Replica) resetUpstream(now time.Duration) {
+	r.upstream = upstream{}
+	if r.view.Has(r.self.Replica) {
+		r.feeder = netip.AddrPort{}
+		if predecessor, ok := r.view.Predecessor(r.self.Replica); ok {
+			r.upstream.from = predecessor.Address
+			r.upstream.attachAt = now
 		}
 		return
 	}
-	if c.feeder.IsValid() {
-		c.upstream.from = c.feeder
-		c.upstream.attachAt = now
+	if r.feeder.IsValid() {
+		r.upstream.from = r.feeder
+		r.upstream.attachAt = now
 	}
 }
 
 // Follow has a replica that no view names be fed by the member at an address.
-func (c *Core) Follow(now time.Duration, from netip.AddrPort) {
-	if c.newestView().Has(c.self.Replica) || from == c.feeder {
+func (r *Replica) Follow(now time.Duration, from netip.AddrPort) {
+	if r.newestView().Has(r.self.Replica) || from == r.feeder {
 		return
 	}
-	c.feeder = from
-	c.resetUpstream(now)
-	c.finish(now)
+	r.feeder = from
+	r.resetUpstream(now)
+	r.finish(now)
 }
 
 // attach asks for a session when it is time to.
-func (c *Core) attach(now time.Duration) {
-	u := &c.upstream
+func (r *Replica) attach(now time.Duration) {
+	u := &r.upstream
 	if u.attachAt == 0 || now < u.attachAt {
 		return
 	}
-	learner := !c.view.Has(c.self.Replica)
+	learner := !r.view.Has(r.self.Replica)
 	if u.started && !learner {
 		u.attachAt = 0
 		return
 	}
-	c.send(u.from, Attach{Session: u.session})
+	r.send(u.from, Attach{Session: u.session})
 	u.attachAt = now + attachInterval
 	if u.started {
 		u.attachAt = now + learnerInterval
@@ -79,17 +79,17 @@
 }
 
 // expected tells whether a replica is the one to be fed by.
-func (c *Core) expected(from netip.AddrPort, sender view.ReplicaID) bool {
-	if !c.view.Has(c.self.Replica) {
-		return from == c.feeder
+func (r *Replica) expected(from netip.AddrPort, sender view.ReplicaID) bool {
+	if !r.view.Has(r.self.Replica) {
+		return from == r.feeder
 	}
-	predecessor, ok := c.view.Predecessor(c.self.Replica)
+	predecessor, ok := r.view.Predecessor(r.self.Replica)
 	return ok && predecessor.Replica == sender
 }
 
-func (c *Core) receiveConnect(now time.Duration, from netip.AddrPort, sender view.ReplicaID, m Connect) {
-	u := &c.upstream
-	if !c.expected(from, sender) || (sender == u.sender && !m.Session.After(u.session)) {
+func (r *Replica) receiveConnect(now time.Duration, from netip.AddrPort, sender view.ReplicaID, m Connect) {
+	u := &r.upstream
+	if !r.expected(from, sender) || (sender == u.sender && !m.Session.After(u.session)) {
 		return
 	}
 	barrier := u.barrier
@@ -98,44 +98,44 @@
 	if u.attachAt == 0 {
 		u.attachAt = now + attachInterval
 	}
-	c.send(from, History{Session: m.Session, Generation: c.generation, Committed: c.committed, Runs: c.history.runs()})
+	r.send(from, History{Session: m.Session, Generation: r.generation, Committed: r.committed, Runs: r.history.runs()})
 }
 
 // current tells whether a message belongs to the session. The sender of a later one, which was not begun here, has to
 // begin anew.
-func (c *Core) current(sender view.ReplicaID, session Session) bool {
-	u := &c.upstream
+func (r *Replica) current(sender view.ReplicaID, session Session) bool {
+	u := &r.upstream
 	if sender == u.sender && session == u.session {
 		return true
 	}
 	if sender == u.sender && !session.After(u.session) {
 		return false
 	}
-	if predecessor, ok := c.view.Predecessor(c.self.Replica); ok && predecessor.Replica == sender {
-		c.refuse(session)
+	if predecessor, ok := r.view.Predecessor(r.self.Replica); ok && predecessor.Replica == sender {
+		r.refuse(session)
 	}
 	return false
 }
 
 // refuse asks for a new session.
-func (c *Core) refuse(session Session) {
-	c.send(c.upstream.from, Attach{Session: session, Broken: true})
+func (r *Replica) refuse(session Session) {
+	r.send(r.upstream.from, Attach{Session: session, Broken: true})
 }
 
-func (c *Core) receiveStart(now time.Duration, sender view.ReplicaID, m Start) {
-	u := &c.upstream
-	if !c.current(sender, m.Session) || m.Generation != c.generation || u.started {
+func (r *Replica) receiveStart(now time.Duration, sender view.ReplicaID, m Start) {
+	u := &r.upstream
+	if !r.current(sender, m.Session) || m.Generation != r.generation || u.started {
 		return
 	}
-	if held, ok := c.history.position(m.Match.Sequence); !ok || held != m.Match || m.Match.Sequence < c.committed {
-		c.fault("session starts at %v, committed is %d", m.Match, c.committed)
+	if held, ok := r.history.position(m.Match.Sequence); !ok || held != m.Match || m.Match.Sequence < r.committed {
+		r.fault("session starts at %v, committed is %d", m.Match, r.committed)
 		return
 	}
-	c.truncate(now, m.Match.Sequence)
+	r.truncate(now, m.Match.Sequence)
 	u.started = true
 	u.target = m.Target
 	u.committed = m.Target
-	if c.view.Has(c.self.Replica) {
+	if r.view.Has(r.self.Replica) {
 		u.committed = 0
 		u.attachAt = 0
 	} else {
@@ -144,16 +144,16 @@
 	u.due = true
 }
 
-func (c *Core) receiveAppend(now time.Duration, sender view.ReplicaID, m Append) {
-	u := &c.upstream
-	if !c.current(sender, m.Session) {
+func (r *Replica) receiveAppend(now time.Duration, sender view.ReplicaID, m Append) {
+	u := &r.upstream
+	if !r.current(sender, m.Session) {
 		return
 	}
-	if !u.started || m.Previous != c.history.last() {
-		c.refuse(m.Session)
+	if !u.started || m.Previous != r.history.last() {
+		r.refuse(m.Session)
 		return
 	}
-	c.append(m.Entries)
+	r.append(m.Entries)
 	u.committed = max(u.committed, m.Committed)
 	if m.Barrier > u.barrier {
 		u.barrier = m.Barrier
@@ -161,26 +161,26 @@
 }
 
 // advanceReceiver commits what is known to be committed and on the own disk: the machine is never ahead of that.
-func (c *Core) advanceReceiver() {
-	if c.upstream.started {
-		c.commit(min(c.upstream.committed, c.synced))
+func (r *Replica) advanceReceiver() {
+	if r.upstream.started {
+		r.commit(min(r.upstream.committed, r.synced))
 	}
 }
 
-func (c *Core) receiveSnapshotPart(now time.Duration, sender view.ReplicaID, m SnapshotPart) {
-	u := &c.upstream
-	if !c.current(sender, m.Session) || m.Generation != c.generation || u.started {
+func (r *Replica) receiveSnapshotChunk(now time.Duration, sender view.ReplicaID, m SnapshotChunk) {
+	u := &r.upstream
+	if !r.current(sender, m.Session) || m.Generation != r.generation || u.started {
 		return
 	}
-	if m.Position.Sequence < c.committed {
-		c.fault("snapshot at %v, committed is %d", m.Position, c.committed)
+	if m.Position.Sequence < r.committed {
+		r.fault("snapshot at %v, committed is %d", m.Position, r.committed)
 		return
 	}
 	if u.snapshot == nil || u.snapshot.position != m.Position {
 		u.snapshot = &incomingSnapshot{position: m.Position, total: m.Total}
 	}
 	if m.Offset != u.snapshot.received {
-		c.refuse(m.Session)
+		r.refuse(m.Session)
 		return
 	}
 	u.snapshot.data = append(u.snapshot.data, m.Data...)
@@ -189,15 +189,15 @@
 	if u.snapshot.received < u.snapshot.total {
 		return
 	}
-	c.reset(now, segment.Snapshot{Epoch: m.Position.Epoch, Sequence: m.Position.Sequence, Data: u.snapshot.data})
+	r.reset(now, segment.Snapshot{Epoch: m.Position.Epoch, Sequence: m.Position.Sequence, Data: u.snapshot.data})
 	u.snapshot.data = nil
 }
 
 // acknowledge tells the sender of the session about progress. A member that does not know on its disk that it is complete
 // acknowledges nothing to be committed: what is committed in a view is held by all of its members, and each of them may be the
 // head of the next one.
-func (c *Core) acknowledge() {
-	u := &c.upstream
+func (r *Replica) acknowledge() {
+	u := &r.upstream
 	if u.session == (Session{}) || (!u.started && u.snapshot == nil) {
 		return
 	}
@@ -206,41 +206,41 @@
 		m.SnapshotBytes = u.snapshot.received
 	}
 	if u.started {
-		m.Stored = c.synced
+		m.Stored = r.synced
 	}
-	if u.started && c.complete() {
-		m.Synced, m.Ready = c.acknowledgeable()
-		m.Barrier = c.returnedBarrier()
+	if u.started && r.complete() {
+		m.Synced, m.Ready = r.acknowledgeable()
+		m.Barrier = r.returnedBarrier()
 	}
 	if m == u.acknowledged && !u.due {
 		return
 	}
 	u.acknowledged = m
 	u.due = false
-	c.send(u.from, m)
+	r.send(u.from, m)
 }
 
 // acknowledgeable gives what this replica and all after it have on disk, and whether they are connected.
-func (c *Core) acknowledgeable() (synced uint64, ready bool) {
-	if _, ok := c.view.Successor(c.self.Replica); !ok {
-		return c.synced, true
+func (r *Replica) acknowledgeable() (synced uint64, ready bool) {
+	if _, ok := r.view.Successor(r.self.Replica); !ok {
+		return r.synced, true
 	}
-	if c.successor == nil || c.successor.state != linkStreaming {
+	if r.successor == nil || r.successor.state != linkStreaming {
 		return 0, false
 	}
-	return min(c.synced, c.successor.acked), c.successor.ready
+	return min(r.synced, r.successor.acked), r.successor.ready
 }
 
 // returnedBarrier gives the newest barrier that has been at the tail.
-func (c *Core) returnedBarrier() uint64 {
-	if !c.view.Has(c.self.Replica) {
+func (r *Replica) returnedBarrier() uint64 {
+	if !r.view.Has(r.self.Replica) {
 		return 0
 	}
-	if _, ok := c.view.Successor(c.self.Replica); !ok {
-		return c.upstream.barrier
+	if _, ok := r.view.Successor(r.self.Replica); !ok {
+		return r.upstream.barrier
 	}
-	if c.successor == nil {
+	if r.successor == nil {
 		return 0
 	}
-	return c.successor.barrierAcked
+	return r.successor.barrierAcked
 }
--- a/internal/chain/wait.go
+++ b/internal/chain/wait.go
@@ -52,7 +52,7 @@
 func (n *Node) pause(ctx context.Context, epoch uint64) error {
 	bounded, cancel := context.WithTimeout(ctx, callPause)
 	defer cancel()
-	_ = n.wait(bounded, func() bool { return n.core.view.Epoch != epoch })
+	_ = n.wait(bounded, func() bool { return n.replica.view.Epoch != epoch })
 	return ctx.Err()
 }
 
