--- a/internal/chain/agreement.go
+++ b/internal/chain/agreement.go
@@ -39,11 +39,11 @@
 		if err := w.SetSender(sender); err != nil {
 			return err
 		}
-		return q.writeQuestion(w)
+		return q.writeRequest(w)
 	})
 }
 
-func (q agreementRequest) writeQuestion(w chainwire.AgreementRequest) error {
+func (q agreementRequest) writeRequest(w chainwire.AgreementRequest) error {
 	switch {
 	case q.prepare != nil:
 		data, err := view.EncodePrepare(*q.prepare)
@@ -80,10 +80,10 @@
 	if q.sender, err = view.DecodeMember(sender); err != nil {
 		return agreementRequest{}, err
 	}
-	return q, q.readQuestion(r)
+	return q, q.readRequest(r)
 }
 
-func (q *agreementRequest) readQuestion(r chainwire.AgreementRequest) error {
+func (q *agreementRequest) readRequest(r chainwire.AgreementRequest) error {
 	switch r.Which() {
 	case chainwire.AgreementRequest_Which_prepare:
 		data, err := r.Prepare()
@@ -122,11 +122,11 @@
 		if err := w.SetView(known); err != nil {
 			return err
 		}
-		return a.writeAnswer(w)
+		return a.writeResponse(w)
 	})
 }
 
-func (a agreementResponse) writeAnswer(w chainwire.AgreementResponse) error {
+func (a agreementResponse) writeResponse(w chainwire.AgreementResponse) error {
 	switch {
 	case a.promise != nil:
 		data, err := view.EncodePromise(*a.promise)
@@ -161,10 +161,10 @@
 	if a.view, err = view.Decode(known); err != nil {
 		return agreementResponse{}, err
 	}
-	return a, a.readAnswer(r)
+	return a, a.readResponse(r)
 }
 
-func (a *agreementResponse) readAnswer(r chainwire.AgreementResponse) error {
+func (a *agreementResponse) readResponse(r chainwire.AgreementResponse) error {
 	switch r.Which() {
 	case chainwire.AgreementResponse_Which_promise:
 		data, err := r.Promise()
--- a/internal/chain/applier.go
+++ b/internal/chain/applier.go
@@ -68,7 +68,7 @@
 
 // add takes what an output asks for.
 func (a *applier) add(out Output) {
-	if len(out.Apply) == 0 && len(out.Views) == 0 && !out.WantSnapshot {
+	if len(out.Apply) == 0 && len(out.Views) == 0 && !out.SnapshotRequested {
 		return
 	}
 	a.mutex.Lock()
@@ -78,7 +78,7 @@
 	for _, v := range out.Views {
 		a.queue = append(a.queue, applierTask{view: &v})
 	}
-	a.snapshotWanted = a.snapshotWanted || out.WantSnapshot
+	a.snapshotWanted = a.snapshotWanted || out.SnapshotRequested
 	a.mutex.Unlock()
 	notify(a.wake)
 }
@@ -141,7 +141,7 @@
 		result := a.machine.Apply(entry.Sequence, entry.Data)
 		a.bytes += len(entry.Data)
 		if call := calls[entry.Sequence]; call != nil {
-			call.settle(proposalResult{result: result})
+			call.resolve(proposalResult{result: result})
 		}
 	}
 	last := entries[len(entries)-1]
--- a/internal/chain/attempt.go
+++ b/internal/chain/attempt.go
@@ -12,17 +12,17 @@
 	"nickelline/internal/view"
 )
 
-// agreementEvent is an answer to a proposer.
-type agreementEvent struct {
+// agreementResult is an answer to a proposer.
+type agreementResult struct {
 	from     netip.AddrPort
 	response agreementResponse
 	err      error
 }
 
-// proposal describes an attempt to have the next view decided.
-func (r *Reconfigurer) proposal(v view.View) view.ProposerOptions {
-	candidates := r.planned(v)
-	options := r.proposerOptions(v)
+// nextViewOptions describes an attempt to have the next view decided.
+func (r *Reconfigurer) nextViewOptions(v view.View) view.ProposerOptions {
+	candidates := r.nextViewCandidates(v)
+	options := r.epochOptions(v)
 	for _, voter := range v.Electorate() {
 		options.Acceptors = append(options.Acceptors, voter.Address)
 	}
@@ -40,9 +40,9 @@
 	return options
 }
 
-// firstProposal describes an attempt to have the first view decided, with the seeds that promise.
-func (r *Reconfigurer) firstProposal(v view.View) view.ProposerOptions {
-	options := r.proposerOptions(v)
+// firstViewOptions describes an attempt to have the first view decided, with the seeds that promise.
+func (r *Reconfigurer) firstViewOptions(v view.View) view.ProposerOptions {
+	options := r.epochOptions(v)
 	options.Acceptors = r.voter.seeds
 	options.Awaited = r.voter.seeds
 	options.PromiseTimeout = firstViewWait
@@ -52,7 +52,7 @@
 	return options
 }
 
-func (r *Reconfigurer) proposerOptions(v view.View) view.ProposerOptions {
+func (r *Reconfigurer) epochOptions(v view.View) view.ProposerOptions {
 	epoch := v.Epoch + 1
 	round := max(r.voter.nextRound(epoch), r.highestRound+1)
 	return view.ProposerOptions{
@@ -68,9 +68,9 @@
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	proposer := view.NewProposer(options)
-	events := make(chan agreementEvent, 2*len(proposer.Recipients()))
+	events := make(chan agreementResult, 2*len(proposer.Recipients()))
 	prepare := proposer.Prepare()
-	r.askAll(ctx, proposer.Recipients(), agreementRequest{prepare: &prepare}, events)
+	r.callAll(ctx, proposer.Recipients(), agreementRequest{prepare: &prepare}, events)
 	timer := time.NewTimer(attemptTimeout)
 	defer timer.Stop()
 	failed := make(map[netip.AddrPort]bool)
@@ -79,7 +79,7 @@
 		case <-ctx.Done():
 			return false
 		case event := <-events:
-			r.take(proposer, event)
+			r.handleResult(proposer, event)
 			if event.err != nil && slices.Contains(options.Acceptors, event.from) {
 				failed[event.from] = true
 			}
@@ -90,7 +90,7 @@
 			proposer.Tick(r.now())
 		}
 		if v, ok := proposer.Decided(); ok {
-			r.spread(v)
+			r.broadcastView(v)
 			return true
 		}
 		if refused, over := proposer.Abandoned(); over {
@@ -98,7 +98,7 @@
 			return false
 		}
 		if accept, ok := proposer.TakeAccept(); ok {
-			r.askAll(ctx, options.Acceptors, agreementRequest{accept: &accept}, events)
+			r.callAll(ctx, options.Acceptors, agreementRequest{accept: &accept}, events)
 		}
 		if deadline, ok := proposer.Deadline(); ok {
 			timer.Reset(max(0, deadline-r.now()))
@@ -106,13 +106,13 @@
 	}
 }
 
-// askAll puts a question to all acceptors and non-voters, to the own replica first: what it answers is on the disk before others are asked,
+// callAll puts a question to all acceptors and non-voters, to the own replica first: what it answers is on the disk before others are asked,
 // so that no number of this replica is used twice.
-func (r *Reconfigurer) askAll(ctx context.Context, asked []netip.AddrPort, q agreementRequest, events chan<- agreementEvent) {
+func (r *Reconfigurer) callAll(ctx context.Context, asked []netip.AddrPort, q agreementRequest, events chan<- agreementResult) {
 	q.sender = r.self()
 	if slices.Contains(asked, r.self().Address) {
-		response, err := r.answer(q)
-		events <- agreementEvent{from: r.self().Address, response: response, err: err}
+		response, err := r.handle(q)
+		events <- agreementResult{from: r.self().Address, response: response, err: err}
 		if err != nil {
 			return
 		}
@@ -122,13 +122,13 @@
 			continue
 		}
 		go func() {
-			response, err := r.ask(ctx, to, q)
-			events <- agreementEvent{from: to, response: response, err: err}
+			response, err := r.call(ctx, to, q)
+			events <- agreementResult{from: to, response: response, err: err}
 		}()
 	}
 }
 
-func (r *Reconfigurer) take(proposer *view.Proposer, event agreementEvent) {
+func (r *Reconfigurer) handleResult(proposer *view.Proposer, event agreementResult) {
 	switch {
 	case event.err != nil:
 		r.node.options.Log.Debug("agreement", zap.Stringer("from", event.from), zap.Error(event.err))
@@ -139,10 +139,10 @@
 	}
 }
 
-// spread tells a view that was decided to all whom it concerns. Who misses it learns it from any other.
-func (r *Reconfigurer) spread(v view.View) {
+// broadcastView tells a view that was decided to all whom it concerns. Who misses it learns it from any other.
+func (r *Reconfigurer) broadcastView(v view.View) {
 	r.highestRound = 0
-	r.wanted = 0
+	r.changeNeededSince = 0
 	addresses := r.others()
 	known := r.node.View()
 	for _, member := range slices.Concat(known.Members, known.Voters, v.Members, v.Voters) {
--- a/internal/chain/barrier.go
+++ b/internal/chain/barrier.go
@@ -28,7 +28,7 @@
 // Barrier returns once this replica has applied all that was committed anywhere when the call began. Callers that wait
 // at the same time share one round of messages. The error is fault.NotReady.
 func (n *Node) Barrier(ctx context.Context) error {
-	ctx, cancel := limited(ctx)
+	ctx, cancel := withDefaultTimeout(ctx)
 	defer cancel()
 	for {
 		v := n.View()
@@ -36,7 +36,7 @@
 		if err == nil {
 			return n.wait(ctx, func() bool { return n.applier.applied >= sequence })
 		}
-		if n.stopped() || n.pause(ctx, v.Epoch) != nil {
+		if n.stopped() || n.awaitRetry(ctx, v.Epoch) != nil {
 			return fault.Wrap(fault.NotReady, err)
 		}
 	}
@@ -48,7 +48,7 @@
 	case !ok:
 		return 0, fault.New(fault.NotReady, "chain %d has no view", n.options.Chain)
 	case head.Replica == n.options.Self.Replica:
-		return n.barrierHere(ctx)
+		return n.barrierLocally(ctx)
 	}
 	round := n.joinRound()
 	select {
@@ -59,14 +59,14 @@
 	}
 }
 
-// barrierHere asks for a barrier at this replica, as the head.
-func (n *Node) barrierHere(ctx context.Context) (uint64, error) {
-	id, settled, err := n.beginBarrier()
+// barrierLocally asks for a barrier at this replica, as the head.
+func (n *Node) barrierLocally(ctx context.Context) (uint64, error) {
+	id, resolved, err := n.beginBarrier()
 	if err != nil {
 		return 0, err
 	}
 	select {
-	case result := <-settled:
+	case result := <-resolved:
 		if result.Failed {
 			return 0, fault.New(fault.NotReady, "not the head of chain %d", n.options.Chain)
 		}
@@ -87,17 +87,17 @@
 	}
 	n.lastID++
 	id := n.lastID
-	settled := make(chan BarrierResult, 1)
-	n.barriers[id] = settled
+	resolved := make(chan BarrierResult, 1)
+	n.barriers[id] = resolved
 	n.stepLocked(func(now time.Duration) { n.replica.Barrier(now, id) })
-	return id, settled, nil
+	return id, resolved, nil
 }
 
-// settleBarrier answers a barrier. The node's mutex is held.
-func (n *Node) settleBarrier(result BarrierResult) {
-	if settled := n.barriers[result.Barrier]; settled != nil {
+// resolveBarrier answers a barrier. The node's mutex is held.
+func (n *Node) resolveBarrier(result BarrierResult) {
+	if resolved := n.barriers[result.Barrier]; resolved != nil {
 		delete(n.barriers, result.Barrier)
-		settled <- result
+		resolved <- result
 	}
 }
 
@@ -120,7 +120,7 @@
 // runRounds asks the head, and again as long as callers have come meanwhile.
 func (n *Node) runRounds(round *barrierRound) {
 	for round != nil {
-		round.sequence, round.err = n.askHead()
+		round.sequence, round.err = n.barrierAtHead()
 		close(round.done)
 		round = n.nextRound()
 	}
@@ -135,7 +135,7 @@
 	return round
 }
 
-func (n *Node) askHead() (uint64, error) {
+func (n *Node) barrierAtHead() (uint64, error) {
 	head, ok := n.View().Head()
 	if !ok {
 		return 0, fault.New(fault.NotReady, "chain %d has no view", n.options.Chain)
@@ -154,6 +154,6 @@
 	if err != nil {
 		return 0, err
 	}
-	n.step(func(time.Duration) { n.replica.learnOf(epoch, head.Address) })
+	n.step(func(time.Duration) { n.replica.requestNewerView(epoch, head.Address) })
 	return sequence, nil
 }
--- a/internal/chain/candidates.go
+++ b/internal/chain/candidates.go
@@ -28,7 +28,7 @@
 		return 0
 	}
 	rank := 0
-	candidates := r.members(v)
+	candidates := r.memberCandidates(v)
 	for _, member := range v.Members {
 		if member.Replica == r.self().Replica {
 			return rank
@@ -42,40 +42,40 @@
 	return rank
 }
 
-// plan derives the next view, taking it that all members that are reachable are complete.
-func (r *Reconfigurer) plan(v view.View) (view.View, bool) {
-	candidates := r.planned(v)
+// planNextView derives the next view, taking it that all members that are reachable are complete.
+func (r *Reconfigurer) planNextView(v view.View) (view.View, bool) {
+	candidates := r.nextViewCandidates(v)
 	for i := range candidates {
 		candidates[i].Complete = v.Has(candidates[i].Replica)
 	}
 	return view.Next(v, candidates, r.options.Policy)
 }
 
-// planned gives what is known of the members of a view, of learners that may join it, and of its other voters.
-func (r *Reconfigurer) planned(v view.View) []view.Candidate {
-	candidates := append(r.members(v), r.learners(v)...)
+// nextViewCandidates gives what is known of the members of a view, of learners that may join it, and of its other voters.
+func (r *Reconfigurer) nextViewCandidates(v view.View) []view.Candidate {
+	candidates := append(r.memberCandidates(v), r.learnerCandidates(v)...)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, voter := range v.Voters {
 		if !slices.ContainsFunc(candidates, func(c view.Candidate) bool { return c.Replica == voter.Replica }) {
-			candidates = append(candidates, r.memberLocked(voter))
+			candidates = append(candidates, r.memberCandidateLocked(voter))
 		}
 	}
 	return candidates
 }
 
-// members gives what is known of the members of a view, except whether they are complete.
-func (r *Reconfigurer) members(v view.View) []view.Candidate {
+// memberCandidates returns what is known of the members of a view, except whether they are complete.
+func (r *Reconfigurer) memberCandidates(v view.View) []view.Candidate {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	candidates := make([]view.Candidate, 0, len(v.Members))
 	for _, member := range v.Members {
-		candidates = append(candidates, r.memberLocked(member))
+		candidates = append(candidates, r.memberCandidateLocked(member))
 	}
 	return candidates
 }
 
-func (r *Reconfigurer) memberLocked(member view.Member) view.Candidate {
+func (r *Reconfigurer) memberCandidateLocked(member view.Member) view.Candidate {
 	if member.Replica == r.self().Replica {
 		return view.Candidate{Member: member, Reachable: true, Leaving: r.leaving}
 	}
@@ -83,7 +83,7 @@
 	if i >= 0 {
 		delete(r.unlisted, member.Replica)
 		candidate := r.candidates[i]
-		reachable := candidate.Reachable && !r.neighbours.silent(r.now(), member.Replica)
+		reachable := candidate.Reachable && !r.probes.unresponsive(r.now(), member.Replica)
 		return view.Candidate{Member: member, Reachable: reachable, Leaving: candidate.Leaving}
 	}
 	replaced := slices.ContainsFunc(r.candidates, func(c view.Candidate) bool {
@@ -97,13 +97,13 @@
 	return view.Candidate{Member: member, Reachable: !replaced && r.now()-since < unlistedGrace, DiskLost: replaced}
 }
 
-// learners gives the replicas outside of a view that have caught up.
-func (r *Reconfigurer) learners(v view.View) []view.Candidate {
+// learnerCandidates returns the replicas outside of a view that have caught up.
+func (r *Reconfigurer) learnerCandidates(v view.View) []view.Candidate {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var candidates []view.Candidate
 	for _, request := range r.joins {
-		if r.now()-request.at > joinLifetime || v.Has(request.member.Replica) || !r.reachableLocked(request.member.Replica) {
+		if r.now()-request.at > joinRequestTTL || v.Has(request.member.Replica) || !r.reachableLocked(request.member.Replica) {
 			continue
 		}
 		candidates = append(candidates, view.Candidate{Member: request.member, Reachable: true, CaughtUp: true})
@@ -118,10 +118,10 @@
 	return i < 0 || (r.candidates[i].Reachable && !r.candidates[i].Leaving)
 }
 
-func (r *Reconfigurer) noteJoin(member view.Member) {
+func (r *Reconfigurer) recordJoinRequest(member view.Member) {
 	r.mutex.Lock()
 	now := r.now()
-	maps.DeleteFunc(r.joins, func(_ view.ReplicaID, request joinRequest) bool { return now-request.at > joinLifetime })
+	maps.DeleteFunc(r.joins, func(_ view.ReplicaID, request joinRequest) bool { return now-request.at > joinRequestTTL })
 	r.joins[member.Replica] = joinRequest{member: member, at: now}
 	r.mutex.Unlock()
 	notify(r.wake)
--- a/internal/chain/core.go
+++ b/internal/chain/core.go
@@ -22,8 +22,8 @@
 	generationShift = 32                     // barrier numbers are ordered by the generation of the head, then by its count
 )
 
-// sizes are bounds on bytes.
-type sizes struct {
+// limits are bounds on bytes.
+type limits struct {
 	window        uint64 // of entries sent and not on the receiver's disk
 	batch         uint64 // of entries in one message, if there is more than one
 	snapshotChunk uint64 // of a snapshot in one message
@@ -33,8 +33,8 @@
 	lagging       uint64 // the same, for a receiver that lags
 }
 
-func defaultSizes() sizes {
-	return sizes{
+func defaultLimits() limits {
+	return limits{
 		window:        1 << 20,
 		batch:         256 << 10,
 		snapshotChunk: 256 << 10,
@@ -65,7 +65,7 @@
 	self            view.Member
 	minimumReplicas int
 	generation      uint64
-	sizes           sizes
+	limits          limits
 
 	view          view.View
 	installing    *view.View // being written to disk
@@ -77,7 +77,7 @@
 	committed uint64
 
 	upstream  upstream
-	feeder    netip.AddrPort // of a learner
+	source    netip.AddrPort // of a learner
 	successor *link
 	learners  map[view.ReplicaID]*link
 	sessions  uint64
@@ -112,7 +112,7 @@
 		self:            self,
 		minimumReplicas: minimumReplicas,
 		generation:      recovered.Record.Generation + 1,
-		sizes:           defaultSizes(),
+		limits:          defaultLimits(),
 		completeEpoch:   recovered.Record.CompleteEpoch,
 		history:         newHistory(base, recovered.Entries),
 		committed:       base.Sequence,
@@ -175,7 +175,7 @@
 			r.recordWritten(now, operation.record)
 		}
 	}
-	r.finish(now)
+	r.followUp(now)
 }
 
 func (r *Replica) recordWritten(now time.Duration, record *Record) {
@@ -186,12 +186,12 @@
 	if r.installing != nil && r.installing.Epoch == record.View.Epoch {
 		installed := *r.installing
 		r.installing = nil
-		r.enter(now, installed)
+		r.enterView(now, installed)
 	}
 }
 
-// enter brings a view into force, which is on the disk.
-func (r *Replica) enter(now time.Duration, v view.View) {
+// enterView brings a view into force, which is on the disk.
+func (r *Replica) enterView(now time.Duration, v view.View) {
 	r.notifyLearners(v)
 	r.view = v
 	if member, ok := v.Member(r.self.Replica); ok && member.Joined <= 1 {
@@ -201,7 +201,7 @@
 	clear(r.learners)
 	r.resetUpstream(now)
 	r.connectSuccessor(now)
-	r.enterAsHead(now)
+	r.updateHeadRole(now)
 	if v.Epoch > 0 {
 		r.out.Views = append(r.out.Views, v.Clone())
 	}
@@ -238,7 +238,7 @@
 	r.write(DiskOperation{Record: r.record(r.newestView())}, 0)
 }
 
-// caughtUp tells whether a learner has what its feeder knew to be committed.
+// caughtUp tells whether a learner has what its source knew to be committed.
 func (r *Replica) caughtUp() bool {
 	return r.upstream.started && !r.view.Has(r.self.Replica) && r.synced >= r.upstream.committed
 }
@@ -304,7 +304,7 @@
 // trimHistory drops committed entries from memory once they are more than the bound by a quarter. A receiver that lacks
 // one of them is fed with a snapshot.
 func (r *Replica) trimHistory() {
-	if r.history.bytes() > r.sizes.retained+r.sizes.retained/4 {
+	if r.history.bytes() > r.limits.retained+r.limits.retained/4 {
 		r.history.trim(r.trimPoint())
 	}
 }
@@ -312,12 +312,12 @@
 // trimPoint spares the newest committed entries, and those that a receiver lacks, if that is not too much.
 func (r *Replica) trimPoint() uint64 {
 	end := r.history.bytesUpTo(r.committed)
-	point := r.history.firstWithin(r.committed, r.sizes.retained)
+	point := r.history.firstWithin(r.committed, r.limits.retained)
 	lowest := point
 	for _, l := range r.links() {
-		lowest = min(lowest, max(l.needed(), r.history.base.Sequence))
+		lowest = min(lowest, max(l.neededAfter(), r.history.base.Sequence))
 	}
-	if end-r.history.bytesUpTo(lowest) <= r.sizes.lagging {
+	if end-r.history.bytesUpTo(lowest) <= r.limits.lagging {
 		return lowest
 	}
 	return point
@@ -336,13 +336,13 @@
 	default:
 		r.receiveInEpoch(now, from, e)
 	}
-	r.finish(now)
+	r.followUp(now)
 }
 
 // receiveInEpoch takes nothing from another epoch, but has the side that is behind learn the newer view.
 func (r *Replica) receiveInEpoch(now time.Duration, from netip.AddrPort, e Envelope) {
 	if e.Epoch > r.view.Epoch {
-		r.learnOf(e.Epoch, from)
+		r.requestNewerView(e.Epoch, from)
 		return
 	}
 	if e.Epoch < r.view.Epoch {
@@ -367,15 +367,15 @@
 	}
 }
 
-// learnOf asks a replica for its view if that is newer than the own one.
-func (r *Replica) learnOf(epoch uint64, from netip.AddrPort) {
+// requestNewerView asks a replica for its view if that is newer than the own one.
+func (r *Replica) requestNewerView(epoch uint64, from netip.AddrPort) {
 	if epoch > r.newestView().Epoch {
 		r.send(from, ViewRequest{})
 	}
 }
 
 // Tick tells the time, for retries.
-func (r *Replica) Tick(now time.Duration) { r.finish(now) }
+func (r *Replica) Tick(now time.Duration) { r.followUp(now) }
 
 // Deadline gives the time at which Tick should be called, and whether there is one.
 func (r *Replica) Deadline() (time.Duration, bool) {
@@ -388,8 +388,8 @@
 	return earliest, earliest != 0
 }
 
-// finish follows up on what an event changed.
-func (r *Replica) finish(now time.Duration) {
+// followUp follows up on what an event changed.
+func (r *Replica) followUp(now time.Duration) {
 	r.checkComplete()
 	r.advanceReceiver()
 	r.advanceHead()
@@ -397,7 +397,7 @@
 		r.retry(now, l)
 		r.flush(now, l)
 	}
-	r.dropLostLearners()
+	r.dropUnresponsiveLearners()
 	r.acknowledge()
 	r.attach(now)
 	r.trimHistory()
@@ -421,6 +421,6 @@
 	}
 }
 
-func (r *Replica) fault(format string, arguments ...any) {
-	r.out.Faults = append(r.out.Faults, fmt.Sprintf(format, arguments...))
+func (r *Replica) reportViolation(format string, arguments ...any) {
+	r.out.Violations = append(r.out.Violations, fmt.Sprintf(format, arguments...))
 }
--- a/internal/chain/dispatcher.go
+++ b/internal/chain/dispatcher.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		return peer.Message{}, err
 	}
-	result, err := n.proposeHere(ctx, command)
+	result, err := n.proposeLocally(ctx, command)
 	if err != nil {
 		return peer.Message{}, err
 	}
@@ -119,7 +119,7 @@
 	if err != nil {
 		return peer.Message{}, err
 	}
-	sequence, err := n.barrierHere(ctx)
+	sequence, err := n.barrierLocally(ctx)
 	if err != nil {
 		return peer.Message{}, fault.Wrap(fault.NotReady, err)
 	}
@@ -137,7 +137,7 @@
 	if err != nil {
 		return peer.Message{}, err
 	}
-	response, err := reconfigurer.answer(request)
+	response, err := reconfigurer.handle(request)
 	if err != nil {
 		return peer.Message{}, err
 	}
--- a/internal/chain/downstream.go
+++ b/internal/chain/downstream.go
@@ -44,8 +44,8 @@
 	attempts int           // sessions without progress
 }
 
-// needed gives the sequence after which the receiver needs entries.
-func (l *link) needed() uint64 {
+// neededAfter gives the sequence after which the receiver needs entries.
+func (l *link) neededAfter() uint64 {
 	switch {
 	case l.state == linkStreaming:
 		return l.next - 1
@@ -145,15 +145,15 @@
 		return
 	}
 	l.generation = m.Generation
-	common, ok := match(r.history.runs(), m.Runs)
+	common, ok := lastCommonPosition(r.history.runs(), m.Runs)
 	if !ok {
 		l.state = linkAwaitingSnapshot
-		r.out.WantSnapshot = true
-		r.progress(now, l)
+		r.out.SnapshotRequested = true
+		r.noteProgress(now, l)
 		return
 	}
 	if common.Sequence < m.Committed {
-		r.fault("replica %d has committed %d, and parts at %d", sender, m.Committed, common.Sequence)
+		r.reportViolation("replica %d has committed %d, and parts at %d", sender, m.Committed, common.Sequence)
 		return
 	}
 	r.start(now, l, common)
@@ -169,7 +169,7 @@
 		target = r.committed
 	}
 	r.send(l.to.Address, Start{Session: l.session, Generation: l.generation, Match: common, Target: target})
-	r.progress(now, l)
+	r.noteProgress(now, l)
 }
 
 // SnapshotTaken gives a snapshot of the state at an entry that was committed.
@@ -182,11 +182,11 @@
 				l.snapshot = &snapshot
 				l.snapshotSent = 0
 				l.snapshotAcked = 0
-				r.progress(now, l)
+				r.noteProgress(now, l)
 			}
 		}
 	}
-	r.finish(now)
+	r.followUp(now)
 }
 
 // receiveAcknowledge takes the receiver's progress.
@@ -208,7 +208,7 @@
 		return
 	}
 	l.snapshotAcked = received
-	r.progress(now, l)
+	r.noteProgress(now, l)
 	if received == l.snapshotTotal() {
 		r.start(now, l, Position{Epoch: l.snapshot.Epoch, Sequence: l.snapshot.Sequence})
 	}
@@ -216,7 +216,7 @@
 
 func (r *Replica) acknowledgeEntries(now time.Duration, l *link, m Acknowledge) {
 	if m.Stored > l.stored || m.Synced > l.acked || m.Barrier > l.barrierAcked || m.Ready != l.ready {
-		r.progress(now, l)
+		r.noteProgress(now, l)
 	}
 	l.stored = max(l.stored, min(m.Stored, l.next-1))
 	l.acked = max(l.acked, min(m.Synced, l.next-1))
@@ -238,13 +238,13 @@
 // snapshotTotal is the length of the snapshot, at least one byte so that an empty one is acknowledged too.
 func (l *link) snapshotTotal() uint64 { return max(1, uint64(len(l.snapshot.Data))) }
 
-// progress puts off the retry.
-func (r *Replica) progress(now time.Duration, l *link) {
+// noteProgress puts off the retry.
+func (r *Replica) noteProgress(now time.Duration, l *link) {
 	l.attempts = 0
-	r.awaitProgress(now, l)
+	r.setRetryDeadline(now, l)
 }
 
-func (r *Replica) awaitProgress(now time.Duration, l *link) {
+func (r *Replica) setRetryDeadline(now time.Duration, l *link) {
 	var bytes uint64
 	switch l.state {
 	case linkStreaming:
@@ -268,15 +268,15 @@
 	}
 	l.attempts++
 	if l.state == linkAwaitingSnapshot {
-		r.out.WantSnapshot = true
-		r.awaitProgress(now, l)
+		r.out.SnapshotRequested = true
+		r.setRetryDeadline(now, l)
 		return
 	}
 	r.connect(now, l)
 }
 
-// dropLostLearners forgets learners that do not answer. They ask again if they live.
-func (r *Replica) dropLostLearners() {
+// dropUnresponsiveLearners forgets learners that do not answer. They ask again if they live.
+func (r *Replica) dropUnresponsiveLearners() {
 	maps.DeleteFunc(r.learners, func(_ view.ReplicaID, l *link) bool { return l.attempts > learnerAttempts })
 }
 
@@ -292,8 +292,8 @@
 
 func (r *Replica) flushSnapshot(now time.Duration, l *link) {
 	total := l.snapshotTotal()
-	for l.snapshotSent < total && l.snapshotSent-l.snapshotAcked < snapshotWindow*r.sizes.snapshotChunk {
-		end := min(l.snapshotSent+r.sizes.snapshotChunk, total)
+	for l.snapshotSent < total && l.snapshotSent-l.snapshotAcked < snapshotWindow*r.limits.snapshotChunk {
+		end := min(l.snapshotSent+r.limits.snapshotChunk, total)
 		r.send(l.to.Address, SnapshotChunk{
 			Session:    l.session,
 			Generation: l.generation,
@@ -303,7 +303,7 @@
 			Data:       l.snapshot.Data[min(l.snapshotSent, uint64(len(l.snapshot.Data))):min(end, uint64(len(l.snapshot.Data)))],
 		})
 		l.snapshotSent = end
-		r.awaitProgress(now, l)
+		r.setRetryDeadline(now, l)
 	}
 }
 
@@ -317,8 +317,8 @@
 	if l.learner {
 		limit = min(limit, r.committed)
 	}
-	for l.next <= limit && (l.stored == l.next-1 || r.inFlight(l) < r.sizes.window) {
-		entries := r.history.batch(l.next-1, limit, r.sizes.batch)
+	for l.next <= limit && (l.stored == l.next-1 || r.inFlight(l) < r.limits.window) {
+		entries := r.history.batch(l.next-1, limit, r.limits.batch)
 		r.sendAppend(now, l, entries)
 	}
 	if l.committedSent < min(r.committed, l.next-1) || l.barrierSent < r.barrierFor(l) {
@@ -341,7 +341,7 @@
 	l.committedSent = r.committed
 	l.barrierSent = barrier
 	if idle && l.outstanding() {
-		r.awaitProgress(now, l)
+		r.setRetryDeadline(now, l)
 	}
 }
 
--- a/internal/chain/golden_test.go
+++ b/internal/chain/golden_test.go
@@ -276,7 +276,7 @@
 		Accepted: &view.Proposal{Number: view.ProposalNumber{Round: 0xf4, Replica: 0xf5}, View: goldenView()},
 	}
 	seeds := []netip.AddrPort{goldenMember(6).Address, goldenMember(7).Address}
-	written := &voter{node: n, seeds: seeds, machine: view.NewAcceptor(want)}
+	written := &voter{node: n, seeds: seeds, acceptor: view.NewAcceptor(want)}
 	if err := written.save(); err != nil {
 		t.Fatalf("save: %v", err)
 	}
@@ -285,7 +285,7 @@
 	if err != nil {
 		t.Fatalf("open: %v", err)
 	}
-	if got := opened.machine.State(); !reflect.DeepEqual(got, want) {
+	if got := opened.acceptor.State(); !reflect.DeepEqual(got, want) {
 		t.Errorf("state: got %+v, want %+v", got, want)
 	}
 	if !reflect.DeepEqual(opened.seeds, seeds) {
--- a/internal/chain/head.go
+++ b/internal/chain/head.go
@@ -35,10 +35,10 @@
 	return ok && head.Replica == r.self.Replica && r.complete()
 }
 
-// enterAsHead keeps what was begun if the replica is head in the new view as well, and gives it up otherwise.
-func (r *Replica) enterAsHead(now time.Duration) {
+// updateHeadRole keeps what was begun if the replica is head in the new view as well, and gives it up otherwise.
+func (r *Replica) updateHeadRole(now time.Duration) {
 	if !r.isHead() {
-		r.giveUpHead()
+		r.resignAsHead()
 		return
 	}
 	r.head.floor = r.history.last().Sequence
@@ -47,7 +47,7 @@
 	r.head.round = 0
 }
 
-func (r *Replica) giveUpHead() {
+func (r *Replica) resignAsHead() {
 	for _, waiting := range r.head.waiting {
 		r.out.Rejected = append(r.out.Rejected, Rejected{Proposal: waiting.id})
 	}
@@ -71,13 +71,13 @@
 
 // Propose takes a command at the head. It is appended once the chain is connected.
 func (r *Replica) Propose(now time.Duration, id uint64, command []byte) {
-	if !r.isHead() || r.head.bytes+len(command) > r.sizes.waiting {
+	if !r.isHead() || r.head.bytes+len(command) > r.limits.waiting {
 		r.out.Rejected = append(r.out.Rejected, Rejected{Proposal: id})
 		return
 	}
 	r.head.waiting = append(r.head.waiting, proposal{id: id, command: command})
 	r.head.bytes += len(command)
-	r.finish(now)
+	r.followUp(now)
 }
 
 // Cancel takes back a proposal. It reports false if that was appended before.
@@ -98,7 +98,7 @@
 		return
 	}
 	r.head.waitingBarrier = append(r.head.waitingBarrier, id)
-	r.finish(now)
+	r.followUp(now)
 }
 
 // advanceHead commits, appends and answers barriers, as far as the acknowledgements permit.
@@ -124,7 +124,7 @@
 	uncommitted := r.history.totalBytes() - r.history.bytesUpTo(r.committed)
 	taken := 0
 	for _, waiting := range r.head.waiting {
-		if uncommitted > r.sizes.uncommitted {
+		if uncommitted > r.limits.uncommitted {
 			break
 		}
 		last++
--- a/internal/chain/history.go
+++ b/internal/chain/history.go
@@ -128,8 +128,8 @@
 	return runs
 }
 
-// match gives the last position that two outlined logs have in common.
-func match(a, b []Run) (Position, bool) {
+// lastCommonPosition gives the last position that two outlined logs have in common.
+func lastCommonPosition(a, b []Run) (Position, bool) {
 	var best Position
 	found := false
 	for _, mine := range a {
--- a/internal/chain/history_test.go
+++ b/internal/chain/history_test.go
@@ -15,7 +15,7 @@
 	return h
 }
 
-func TestMatch(t *testing.T) {
+func TestLastCommonPosition(t *testing.T) {
 	cases := []struct {
 		name string
 		a, b *history
@@ -34,11 +34,11 @@
 		{"parted before the snapshot", historyOf(Position{2, 3}, 1, 2), historyOf(Position{}, 1, 1, 1, 1, 1), Position{}, false},
 	}
 	for _, c := range cases {
-		got, ok := match(c.a.runs(), c.b.runs())
+		got, ok := lastCommonPosition(c.a.runs(), c.b.runs())
 		if got != c.want || ok != c.ok {
 			t.Errorf("%s: %v, %v; want %v, %v", c.name, got, ok, c.want, c.ok)
 		}
-		back, ok := match(c.b.runs(), c.a.runs())
+		back, ok := lastCommonPosition(c.b.runs(), c.a.runs())
 		if back != c.want || ok != c.ok {
 			t.Errorf("%s, the other way: %v, %v; want %v, %v", c.name, back, ok, c.want, c.ok)
 		}
--- a/internal/chain/learner.go
+++ b/internal/chain/learner.go
@@ -13,37 +13,37 @@
 // up.
 func (r *Reconfigurer) actAsLearner(ctx context.Context, v view.View) time.Duration {
 	now := r.now()
-	r.chooseFeeder(v, now)
+	r.chooseSource(v, now)
 	if !r.node.CaughtUp() {
 		return r.awaitCatchUp(ctx)
 	}
-	r.feederSince = now
+	r.sourceSince = now
 	if r.isLeaving() {
 		return 0
 	}
 	return r.requestJoin(ctx, v)
 }
 
-// chooseFeeder keeps the feeder as long as it is a reachable member that feeds, and takes the next one otherwise, from
+// chooseSource keeps the source as long as it is a reachable member that feeds, and takes the next one otherwise, from
 // the tail on.
-func (r *Reconfigurer) chooseFeeder(v view.View, now time.Duration) {
+func (r *Reconfigurer) chooseSource(v view.View, now time.Duration) {
 	reachable := r.reachableMembers(v)
-	current := slices.Index(reachable, r.feeder)
-	if current >= 0 && now-r.feederSince < learnTimeout {
+	current := slices.Index(reachable, r.source)
+	if current >= 0 && now-r.sourceSince < learnTimeout {
 		return
 	}
 	if len(reachable) == 0 {
 		return
 	}
-	r.feeder = reachable[(current+1)%len(reachable)]
-	r.feederSince = now
-	r.node.follow(r.feeder)
+	r.source = reachable[(current+1)%len(reachable)]
+	r.sourceSince = now
+	r.node.follow(r.source)
 }
 
 // reachableMembers gives the addresses of the members that may be there, the tail first.
 func (r *Reconfigurer) reachableMembers(v view.View) []netip.AddrPort {
 	var addresses []netip.AddrPort
-	for _, candidate := range slices.Backward(r.members(v)) {
+	for _, candidate := range slices.Backward(r.memberCandidates(v)) {
 		if candidate.Reachable {
 			addresses = append(addresses, candidate.Address)
 		}
@@ -55,7 +55,7 @@
 func (r *Reconfigurer) awaitCatchUp(ctx context.Context) time.Duration {
 	bounded, cancel := context.WithTimeout(ctx, joinPeriod)
 	defer cancel()
-	_ = r.node.Learn(bounded, r.feeder)
+	_ = r.node.Learn(bounded, r.source)
 	return retryMinimum
 }
 
@@ -63,12 +63,12 @@
 // unless the tail, which it will be fed by, can be reached.
 func (r *Reconfigurer) requestJoin(ctx context.Context, v view.View) time.Duration {
 	if tail, ok := v.Tail(); ok {
-		if _, err := r.ask(ctx, tail.Address, agreementRequest{}); err != nil {
+		if _, err := r.call(ctx, tail.Address, agreementRequest{}); err != nil {
 			return joinPeriod
 		}
 	}
 	for _, to := range slices.Backward(r.reachableMembers(v)) {
-		response, err := r.ask(ctx, to, agreementRequest{join: true})
+		response, err := r.call(ctx, to, agreementRequest{join: true})
 		if err != nil {
 			continue
 		}
--- a/internal/chain/majority.go
+++ b/internal/chain/majority.go
@@ -36,6 +36,6 @@
 	if voter.Replica == r.self().Replica {
 		return r.voter.confirms(v.Epoch)
 	}
-	response, err := r.ask(ctx, voter.Address, agreementRequest{confirm: v.Epoch})
+	response, err := r.call(ctx, voter.Address, agreementRequest{confirm: v.Epoch})
 	return err == nil && response.confirmed
 }
--- a/internal/chain/neighbours_test.go
+++ b/internal/chain/neighbours_test.go
@@ -15,7 +15,7 @@
 	return v
 }
 
-func TestBesides(t *testing.T) {
+func TestRingNeighbours(t *testing.T) {
 	for _, test := range []struct {
 		members []view.ReplicaID
 		self    view.ReplicaID
@@ -28,7 +28,7 @@
 		{[]view.ReplicaID{1, 2, 3, 4}, 3, []view.ReplicaID{2, 4}},
 		{[]view.ReplicaID{1, 2, 3, 4}, 4, []view.ReplicaID{3, 1}},
 	} {
-		got := besides(ring(1, test.members...), test.self)
+		got := ringNeighbours(ring(1, test.members...), test.self)
 		if len(got) != len(test.want) {
 			t.Fatalf("beside %d of %v: %v", test.self, test.members, got)
 		}
@@ -41,8 +41,8 @@
 }
 
 // run observes a view each period, with answers of the members for which answers is true.
-func (n *neighbours) run(v view.View, from, to time.Duration, answers map[view.ReplicaID]bool) {
-	for now := from; now <= to; now += neighbourPeriod {
+func (n *neighbourProbes) run(v view.View, from, to time.Duration, answers map[view.ReplicaID]bool) {
+	for now := from; now <= to; now += probeInterval {
 		for _, m := range n.observe(now, v, 1) {
 			if answers[m.Replica] {
 				n.answered(now, m.Replica)
@@ -53,44 +53,44 @@
 
 // A member that others still reach, but this one does not, counts as unreachable here after the limit.
 func TestSilentNeighbour(t *testing.T) {
-	var n neighbours
+	var n neighbourProbes
 	v := ring(1, 1, 2, 3)
 	n.run(v, 0, 3*time.Second, map[view.ReplicaID]bool{2: true, 3: true})
 	n.run(v, 3300*time.Millisecond, 4200*time.Millisecond, map[view.ReplicaID]bool{2: true})
-	if n.silent(4200*time.Millisecond, 3) {
+	if n.unresponsive(4200*time.Millisecond, 3) {
 		t.Error("taken for silent before the limit")
 	}
 	n.run(v, 4500*time.Millisecond, 4800*time.Millisecond, map[view.ReplicaID]bool{2: true})
-	if !n.silent(4800*time.Millisecond, 3) {
+	if !n.unresponsive(4800*time.Millisecond, 3) {
 		t.Error("not taken for silent after the limit")
 	}
-	if n.silent(4800*time.Millisecond, 2) {
+	if n.unresponsive(4800*time.Millisecond, 2) {
 		t.Error("a member that answers is taken for silent")
 	}
 	n.answered(4900*time.Millisecond, 3)
-	if n.silent(4900*time.Millisecond, 3) {
+	if n.unresponsive(4900*time.Millisecond, 3) {
 		t.Error("taken for silent after it answered")
 	}
 }
 
 // A replica that was frozen itself must not hold the others for silent, nor must one with a new view.
 func TestSilenceOfOneHeldUp(t *testing.T) {
-	var n neighbours
+	var n neighbourProbes
 	v := ring(1, 1, 2, 3)
 	n.run(v, 0, time.Second, map[view.ReplicaID]bool{2: true, 3: true})
-	if n.silent(5*time.Second, 3) {
+	if n.unresponsive(5*time.Second, 3) {
 		t.Error("silent by the clock alone, before anyone was asked")
 	}
 	n.observe(5*time.Second, v, 1)
-	if n.silent(5*time.Second, 3) {
+	if n.unresponsive(5*time.Second, 3) {
 		t.Error("silent right after a pause of the own process")
 	}
 	n.run(v, 5*time.Second, 7*time.Second, nil)
-	if !n.silent(7*time.Second, 3) {
+	if !n.unresponsive(7*time.Second, 3) {
 		t.Fatal("not silent after two seconds")
 	}
 	n.observe(7*time.Second, ring(2, 1, 3), 1)
-	if n.silent(7*time.Second, 3) {
+	if n.unresponsive(7*time.Second, 3) {
 		t.Error("silent right after a new view")
 	}
 }
@@ -108,12 +108,12 @@
 	for _, m := range v.Members {
 		r.candidates = append(r.candidates, view.Candidate{Member: m, Reachable: true})
 	}
-	if _, needed := r.plan(v); needed {
+	if _, needed := r.planNextView(v); needed {
 		t.Fatal("a change is planned though all can be reached")
 	}
 	now := r.now()
-	r.neighbours.run(v, now-3*time.Second, now, map[view.ReplicaID]bool{2: true})
-	next, needed := r.plan(v)
+	r.probes.run(v, now-3*time.Second, now, map[view.ReplicaID]bool{2: true})
+	next, needed := r.planNextView(v)
 	if !needed || next.Has(3) || !next.Has(2) {
 		t.Errorf("next view %v, want one without replica 3", next)
 	}
--- a/internal/chain/node.go
+++ b/internal/chain/node.go
@@ -62,7 +62,7 @@
 	Complete bool
 	// Ready tells that this replica is the head and connected with all other members.
 	Ready bool
-	// CaughtUp tells that this learner has all that its feeder knew to be committed.
+	// CaughtUp tells that this learner has all that its source knew to be committed.
 	CaughtUp bool
 }
 
@@ -86,7 +86,7 @@
 	accepted  map[uint64]*proposalCall // by sequence
 	barriers  map[uint64]chan BarrierResult
 	remote    remoteBarriers
-	passed    map[uint64]passedCall
+	forwarded map[uint64]forwardedCall
 	watchers  []*watcher
 	onCommit  []func(uint64)
 	onView    []func(view.View)
@@ -122,7 +122,7 @@
 		proposals: make(map[uint64]*proposalCall),
 		accepted:  make(map[uint64]*proposalCall),
 		barriers:  make(map[uint64]chan BarrierResult),
-		passed:    make(map[uint64]passedCall),
+		forwarded: make(map[uint64]forwardedCall),
 	}
 	n.replica = NewReplica(n.now(), options.Chain, options.Self, options.MinimumReplicas, state)
 	n.disk = newDiskWriter(n, log, options.OnStall)
@@ -181,22 +181,22 @@
 }
 
 func (n *Node) dispatch(out Output) {
-	for _, text := range out.Faults {
+	for _, text := range out.Violations {
 		n.options.Log.Error("breach of the chain's protocol", zap.Uint32("chain", n.options.Chain), zap.String("what", text))
 	}
 	n.disk.add(out.Disk)
 	for _, message := range out.Messages {
 		n.send(message)
 	}
-	n.settleProposals(out)
+	n.resolveProposals(out)
 	for _, result := range out.Barriers {
-		n.settleBarrier(result)
+		n.resolveBarrier(result)
 	}
 	n.applier.add(out)
 	for _, v := range out.Views {
 		n.options.Log.Info("view", zap.Uint32("chain", v.Chain), zap.Uint64("epoch", v.Epoch), zap.Int("members", len(v.Members)),
 			zap.Int("position", v.Index(n.options.Self.Replica)))
-		n.cancelPassed(v)
+		n.cancelForwardedCalls(v)
 	}
 }
 
@@ -262,8 +262,8 @@
 	n.step(func(now time.Duration) { n.replica.Install(now, v) })
 }
 
-// tell sends the own view to a replica that has an older one.
-func (n *Node) tell(to netip.AddrPort, epoch uint64) {
+// sendNewerView sends the own view to a replica that has an older one.
+func (n *Node) sendNewerView(to netip.AddrPort, epoch uint64) {
 	n.step(func(time.Duration) {
 		if epoch < n.replica.View().Epoch {
 			n.replica.sendView(to)
@@ -294,7 +294,7 @@
 	return status
 }
 
-// CaughtUp tells that this learner has all that its feeder knew to be committed.
+// CaughtUp tells that this learner has all that its source knew to be committed.
 func (n *Node) CaughtUp() bool { return n.Status().CaughtUp }
 
 // Learn has a replica that no view names follow the chain, fed by the member at an address: with a snapshot first, then
--- a/internal/chain/output.go
+++ b/internal/chain/output.go
@@ -15,10 +15,10 @@
 	Rejected []Rejected
 	Barriers []BarrierResult
 	Views    []view.View // that came into force
-	// WantSnapshot asks for a snapshot of the machine, to be given by SnapshotTaken.
-	WantSnapshot bool
-	// Faults are breaches of the protocol that were noticed; the message behind each was ignored.
-	Faults []string
+	// SnapshotRequested asks for a snapshot of the machine, to be given by SnapshotTaken.
+	SnapshotRequested bool
+	// Violations are breaches of the protocol that were noticed; the message behind each was ignored.
+	Violations []string
 }
 
 // DiskOperation changes what is on the disk. One of its parts is set.
--- a/internal/chain/propose.go
+++ b/internal/chain/propose.go
@@ -10,7 +10,7 @@
 	"nickelline/internal/view"
 )
 
-// proposalCall waits for the fate of a proposal.
+// proposalCall waits for the result of a proposal.
 type proposalCall struct {
 	id     uint64
 	result chan proposalResult // has room for the one result
@@ -21,16 +21,16 @@
 	err    error
 }
 
-// settle gives the result, the first time that it is called.
-func (p *proposalCall) settle(result proposalResult) {
+// resolve gives the result, the first time that it is called.
+func (p *proposalCall) resolve(result proposalResult) {
 	select {
 	case p.result <- result:
 	default:
 	}
 }
 
-// passedCall is a call to the head of a view.
-type passedCall struct {
+// forwardedCall is a call to the head of a view.
+type forwardedCall struct {
 	head   view.ReplicaID
 	cancel context.CancelFunc
 }
@@ -39,7 +39,7 @@
 // head that takes the command until ctx ends. The error is fault.NotReady if the command was certainly not appended and
 // never will be, and fault.Unclear if it may have been. A command over segment.MaximumEntrySize is fault.BodyTooLarge.
 func (n *Node) Propose(ctx context.Context, command []byte) ([]byte, error) {
-	ctx, cancel := limited(ctx)
+	ctx, cancel := withDefaultTimeout(ctx)
 	defer cancel()
 	for {
 		v := n.View()
@@ -47,7 +47,7 @@
 		if err == nil || fault.KindOf(err) != fault.NotReady {
 			return result, err
 		}
-		if n.stopped() || n.pause(ctx, v.Epoch) != nil {
+		if n.stopped() || n.awaitRetry(ctx, v.Epoch) != nil {
 			return nil, err
 		}
 	}
@@ -59,7 +59,7 @@
 	case !ok:
 		return nil, fault.New(fault.NotReady, "chain %d has no view", n.options.Chain)
 	case head.Replica == n.options.Self.Replica:
-		return n.proposeHere(ctx, command)
+		return n.proposeLocally(ctx, command)
 	}
 	body, err := encodeProposeRequest(n.options.Chain, command)
 	if err != nil {
@@ -77,8 +77,8 @@
 func (n *Node) callHead(ctx context.Context, head view.Member, m peer.Message) (peer.Message, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	id := n.register(head.Replica, cancel)
-	defer n.unregister(id)
+	id := n.registerForwarded(head.Replica, cancel)
+	defer n.unregisterForwarded(id)
 	answer, err := n.transport.Call(ctx, head.Address, m)
 	if err != nil && fault.KindOf(err) == fault.Internal {
 		err = fault.Wrap(fault.Unclear, err)
@@ -86,39 +86,39 @@
 	return answer, err
 }
 
-func (n *Node) register(head view.ReplicaID, cancel context.CancelFunc) uint64 {
+func (n *Node) registerForwarded(head view.ReplicaID, cancel context.CancelFunc) uint64 {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.lastID++
-	n.passed[n.lastID] = passedCall{head: head, cancel: cancel}
+	n.forwarded[n.lastID] = forwardedCall{head: head, cancel: cancel}
 	return n.lastID
 }
 
-func (n *Node) unregister(id uint64) {
+func (n *Node) unregisterForwarded(id uint64) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	delete(n.passed, id)
+	delete(n.forwarded, id)
 }
 
-// cancelPassed ends the calls to a head that a new view does not have. The node's mutex is held.
-func (n *Node) cancelPassed(v view.View) {
+// cancelForwardedCalls ends the calls to a head that a new view does not have. The node's mutex is held.
+func (n *Node) cancelForwardedCalls(v view.View) {
 	head, _ := v.Head()
-	for _, call := range n.passed {
+	for _, call := range n.forwarded {
 		if call.head != head.Replica {
 			call.cancel()
 		}
 	}
 }
 
-// proposeHere proposes at this replica, as the head.
-func (n *Node) proposeHere(ctx context.Context, command []byte) ([]byte, error) {
+// proposeLocally proposes at this replica, as the head.
+func (n *Node) proposeLocally(ctx context.Context, command []byte) ([]byte, error) {
 	call := &proposalCall{result: make(chan proposalResult, 1)}
 	if err := n.beginProposal(call, command); err != nil {
 		return nil, err
 	}
 	select {
-	case settled := <-call.result:
-		return settled.result, settled.err
+	case resolved := <-call.result:
+		return resolved.result, resolved.err
 	case <-ctx.Done():
 		return n.abandonProposal(ctx, call)
 	}
@@ -145,8 +145,8 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	select {
-	case settled := <-call.result:
-		return settled.result, settled.err
+	case resolved := <-call.result:
+		return resolved.result, resolved.err
 	default:
 	}
 	_, waiting := n.proposals[call.id]
@@ -157,8 +157,8 @@
 	return nil, fault.New(fault.Unclear, "not known to be committed: %w", ctx.Err())
 }
 
-// settleProposals takes the fates of proposals from an output. The node's mutex is held.
-func (n *Node) settleProposals(out Output) {
+// resolveProposals takes the outcomes of proposals from an output. The node's mutex is held.
+func (n *Node) resolveProposals(out Output) {
 	for _, a := range out.Accepted {
 		if call := n.proposals[a.Proposal]; call != nil {
 			n.accepted[a.Sequence] = call
@@ -173,13 +173,13 @@
 func (n *Node) reject(r Rejected) {
 	if call := n.proposals[r.Proposal]; call != nil {
 		delete(n.proposals, r.Proposal)
-		call.settle(proposalResult{err: fault.New(fault.NotReady, "not the head of a chain that takes commands")})
+		call.resolve(proposalResult{err: fault.New(fault.NotReady, "not the head of a chain that takes commands")})
 		return
 	}
 	for sequence, call := range n.accepted {
 		if call.id == r.Proposal {
 			delete(n.accepted, sequence)
-			call.settle(proposalResult{err: fault.New(fault.Unclear, "no longer the head")})
+			call.resolve(proposalResult{err: fault.New(fault.Unclear, "no longer the head")})
 		}
 	}
 }
@@ -204,15 +204,15 @@
 // failCalls ends all calls that wait. The node's mutex is held.
 func (n *Node) failCalls() {
 	for _, call := range n.proposals {
-		call.settle(proposalResult{err: fault.Wrap(fault.NotReady, n.failure)})
+		call.resolve(proposalResult{err: fault.Wrap(fault.NotReady, n.failure)})
 	}
 	for _, call := range n.accepted {
-		call.settle(proposalResult{err: fault.Wrap(fault.Unclear, n.failure)})
+		call.resolve(proposalResult{err: fault.Wrap(fault.Unclear, n.failure)})
 	}
 	for id := range n.barriers {
-		n.settleBarrier(BarrierResult{Barrier: id, Failed: true})
+		n.resolveBarrier(BarrierResult{Barrier: id, Failed: true})
 	}
-	for _, call := range n.passed {
+	for _, call := range n.forwarded {
 		call.cancel()
 	}
 }
--- a/internal/chain/prover_test.go
+++ b/internal/chain/prover_test.go
@@ -53,7 +53,7 @@
 }
 
 // A member that has accepted the next view, or knows it, does not confirm the one before it: the next one may be decided
-// though the head has not heard of it.
+// though the head has not received it.
 func TestAcceptedViewIsNotOutdone(t *testing.T) {
 	c := newWholeCluster(t)
 	ordered := c.byRank()
--- a/internal/chain/questions.go
+++ b/internal/chain/questions.go
@@ -10,8 +10,8 @@
 	"nickelline/internal/peer"
 )
 
-// answer answers a question of another replica. One that is impaired does not, so that its neighbours miss it.
-func (r *Reconfigurer) answer(q agreementRequest) (agreementResponse, error) {
+// handle answers a question of another replica. One that is impaired does not, so that its neighbours miss it.
+func (r *Reconfigurer) handle(q agreementRequest) (agreementResponse, error) {
 	var a agreementResponse
 	if r.node.Impaired() {
 		return a, fault.New(fault.NotReady, "the disk of this replica does not work")
@@ -30,7 +30,7 @@
 		}
 		a.accepted = &accepted
 	case q.join:
-		r.noteJoin(q.sender)
+		r.recordJoinRequest(q.sender)
 	case q.confirm != 0:
 		a.confirmed = r.voter.confirms(q.confirm)
 	}
@@ -38,8 +38,8 @@
 	return a, nil
 }
 
-// ask puts a question to another replica, and installs its view if that is newer.
-func (r *Reconfigurer) ask(ctx context.Context, to netip.AddrPort, q agreementRequest) (agreementResponse, error) {
+// call puts a question to another replica, and installs its view if that is newer.
+func (r *Reconfigurer) call(ctx context.Context, to netip.AddrPort, q agreementRequest) (agreementResponse, error) {
 	q.chain = r.node.options.Chain
 	q.sender = r.self()
 	body, err := q.encode()
@@ -59,17 +59,17 @@
 	if response.view.Epoch > 0 {
 		r.node.Install(response.view)
 	}
-	r.node.tell(to, response.view.Epoch)
+	r.node.sendNewerView(to, response.view.Epoch)
 	return response, nil
 }
 
 // discover asks for a view where none is known.
 func (r *Reconfigurer) discover(ctx context.Context) time.Duration {
-	to, ok := r.nextAsked()
+	to, ok := r.nextPeer()
 	if !ok {
 		return discoveryPeriod
 	}
-	response, err := r.ask(ctx, to, agreementRequest{})
+	response, err := r.call(ctx, to, agreementRequest{})
 	if err == nil && response.view.Epoch > 0 {
 		return retryMinimum
 	}
@@ -79,23 +79,23 @@
 // checkView has another replica asked for its view now and again: a member that was dropped may have missed that.
 func (r *Reconfigurer) checkView(ctx context.Context) {
 	now := r.now()
-	if now-r.checkedView < viewCheckPeriod/2 {
+	if now-r.viewCheckedAt < viewCheckPeriod/2 {
 		return
 	}
-	r.checkedView = now
-	if to, ok := r.nextAsked(); ok {
-		go func() { _, _ = r.ask(ctx, to, agreementRequest{}) }()
+	r.viewCheckedAt = now
+	if to, ok := r.nextPeer(); ok {
+		go func() { _, _ = r.call(ctx, to, agreementRequest{}) }()
 	}
 }
 
-// nextAsked gives one of the other replicas, each time the next one.
-func (r *Reconfigurer) nextAsked() (netip.AddrPort, bool) {
+// nextPeer gives one of the other replicas, each time the next one.
+func (r *Reconfigurer) nextPeer() (netip.AddrPort, bool) {
 	addresses := r.others()
 	if len(addresses) == 0 {
 		return netip.AddrPort{}, false
 	}
-	r.asked++
-	return addresses[r.asked%len(addresses)], true
+	r.peerIndex++
+	return addresses[r.peerIndex%len(addresses)], true
 }
 
 // others gives the addresses of the other replicas that may be there.
--- a/internal/chain/reconfigurer.go
+++ b/internal/chain/reconfigurer.go
@@ -24,8 +24,8 @@
 	discoveryPeriod = 300 * time.Millisecond // between questions of a replica that knows no view
 	joinPeriod      = time.Second            // between the requests of a learner
 	standbyPeriod   = 2 * time.Second        // the same, where the view has no room
-	joinLifetime    = 5 * time.Second        // of a learner's request
-	learnTimeout    = 3 * time.Second        // until a learner tries another feeder
+	joinRequestTTL  = 5 * time.Second        // of a learner's request
+	learnTimeout    = 3 * time.Second        // until a learner tries another source
 	unlistedGrace   = 2500 * time.Millisecond
 	viewCheckPeriod = 3 * time.Second // between a member's questions for a newer view
 )
@@ -44,12 +44,12 @@
 // Reconfigurer drives the view changes of a chain: it proposes the next view when members became unreachable or learners
 // caught up, and has a replica that no view names learn.
 type Reconfigurer struct {
-	options    ReconfigurerOptions
-	node       *Node
-	voter      *voter
-	began      time.Time
-	wake       chan struct{}
-	neighbours neighbours
+	options ReconfigurerOptions
+	node    *Node
+	voter   *voter
+	began   time.Time
+	wake    chan struct{}
+	probes  neighbourProbes
 
 	mutex      sync.Mutex
 	candidates []view.Candidate
@@ -58,12 +58,12 @@
 	leaving    bool
 
 	// Of the goroutine of Run.
-	highestRound uint64         // that stood in the way of an attempt
-	wanted       time.Duration  // since when the view should be changed, 0: it should not
-	checkedView  time.Duration  // when another replica was asked for its view
-	asked        int            // questions for a view, to ask another replica each time
-	feeder       netip.AddrPort // of this learner
-	feederSince  time.Duration  // since when it has not caught up
+	highestRound      uint64         // that stood in the way of an attempt
+	changeNeededSince time.Duration  // since when the view should be changed, 0: it should not
+	viewCheckedAt     time.Duration  // when another replica was asked for its view
+	peerIndex         int            // of the peer that is asked next for its view
+	source            netip.AddrPort // of this learner
+	sourceSince       time.Duration  // since when it has not caught up
 }
 
 // joinRequest is a learner's word that it has caught up.
@@ -111,7 +111,7 @@
 		return nil
 	}
 	v := r.node.View()
-	if next, ok := r.plan(v); !ok || next.Has(r.self().Replica) {
+	if next, ok := r.planNextView(v); !ok || next.Has(r.self().Replica) {
 		return fault.New(fault.NotReady, "too few members would remain")
 	}
 	notify(r.wake)
@@ -135,7 +135,7 @@
 		v := r.node.View()
 		others := slices.DeleteFunc(slices.Clone(v.Electorate()), func(m view.Member) bool { return m.Replica == r.self().Replica })
 		err := r.confirmByMajority(ctx, v, others)
-		if err == nil || r.node.pause(ctx, v.Epoch) != nil {
+		if err == nil || r.node.awaitRetry(ctx, v.Epoch) != nil {
 			return err
 		}
 	}
@@ -143,7 +143,7 @@
 
 // Run works until ctx ends.
 func (r *Reconfigurer) Run(ctx context.Context) {
-	go r.watchNeighbours(ctx)
+	go r.probeNeighbours(ctx)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -166,10 +166,10 @@
 	case r.node.stopped():
 		return 0
 	case v.Has(r.self().Replica):
-		r.feeder = netip.AddrPort{}
+		r.source = netip.AddrPort{}
 		return r.actAsMember(ctx, v)
 	case v.Epoch > 0:
-		r.wanted = 0
+		r.changeNeededSince = 0
 		return r.actAsLearner(ctx, v)
 	case r.voter.votes(v):
 		return r.actAsSeed(ctx, v)
@@ -179,35 +179,35 @@
 
 // actAsMember proposes the next view if one is needed, after those before it in the chain had time to.
 func (r *Reconfigurer) actAsMember(ctx context.Context, v view.View) time.Duration {
-	_, needed := r.plan(v)
-	if !needed && !r.voter.pending(v.Epoch) {
-		r.wanted = 0
+	_, needed := r.planNextView(v)
+	if !needed && !r.voter.hasAcceptedAfter(v.Epoch) {
+		r.changeNeededSince = 0
 		r.checkView(ctx)
 		return viewCheckPeriod
 	}
 	now := r.now()
-	if r.wanted == 0 {
-		r.wanted = now
+	if r.changeNeededSince == 0 {
+		r.changeNeededSince = now
 	}
-	if due := r.wanted + time.Duration(r.rank(v))*rankDelay; now < due {
+	if due := r.changeNeededSince + time.Duration(r.rank(v))*rankDelay; now < due {
 		return due - now
 	}
-	options := r.proposal(v)
+	options := r.nextViewOptions(v)
 	return r.attempt(ctx, options, majorityOf(options))
 }
 
 // actAsSeed proposes the first view.
 func (r *Reconfigurer) actAsSeed(ctx context.Context, v view.View) time.Duration {
 	now := r.now()
-	if r.wanted == 0 {
-		r.wanted = now
+	if r.changeNeededSince == 0 {
+		r.changeNeededSince = now
 	}
 	rank := max(0, slices.Index(r.voter.seeds, r.self().Address))
-	if due := r.wanted + time.Duration(rank)*rankDelay; now < due {
+	if due := r.changeNeededSince + time.Duration(rank)*rankDelay; now < due {
 		return due - now
 	}
-	options := r.firstProposal(v)
-	if now-r.wanted < firstStartWait {
+	options := r.firstViewOptions(v)
+	if now-r.changeNeededSince < firstStartWait {
 		return r.attempt(ctx, options, len(options.Acceptors))
 	}
 	return r.attempt(ctx, options, majorityOf(options))
--- a/internal/chain/simulation_site_test.go
+++ b/internal/chain/simulation_site_test.go
@@ -86,8 +86,8 @@
 	if s.replica == nil {
 		return fmt.Sprintf("site %d: not started", s.index)
 	}
-	return fmt.Sprintf("site %d: up %v %+v feeder %v upstream %+v successor %+v learners %v", s.index,
-		s.simulation.network.Up(s.address), s.replica.Status(), s.replica.feeder, s.replica.upstream, s.replica.successor, len(s.replica.learners))
+	return fmt.Sprintf("site %d: up %v %+v source %v upstream %+v successor %+v learners %v", s.index,
+		s.simulation.network.Up(s.address), s.replica.Status(), s.replica.source, s.replica.upstream, s.replica.successor, len(s.replica.learners))
 }
 
 func (s *site) check(err error) {
@@ -152,7 +152,7 @@
 	s.proposer = nil
 	s.tickAt = 0
 	s.replica = NewReplica(s.simulation.network.Now(), 0, s.self, s.simulation.policy.MinimumMembers, state)
-	s.replica.sizes = s.simulation.sizes
+	s.replica.limits = s.simulation.limits
 }
 
 func (s *site) openAcceptor(firstStart bool) {
@@ -210,7 +210,7 @@
 	now := s.simulation.network.Now()
 	event(now)
 	out := s.replica.Output()
-	for _, text := range out.Faults {
+	for _, text := range out.Violations {
 		s.simulation.note("site %d: %s", s.index, text)
 	}
 	for _, message := range out.Messages {
@@ -224,7 +224,7 @@
 	for _, operation := range out.Apply {
 		s.apply(operation)
 	}
-	if out.WantSnapshot {
+	if out.SnapshotRequested {
 		s.after(time.Millisecond, func() {
 			s.step(func(now time.Duration) { s.replica.SnapshotTaken(now, s.snapshot()) })
 		})
--- a/internal/chain/simulation_test.go
+++ b/internal/chain/simulation_test.go
@@ -100,7 +100,7 @@
 	sites   []*site
 	seeds   []netip.AddrPort
 	policy  view.Policy
-	sizes   sizes
+	limits  limits
 
 	snapshotBytes int
 
@@ -151,7 +151,7 @@
 			Reordering:   []float64{0, 0, 0.02}[random.IntN(3)],
 		}),
 	}
-	s.sizes = sizes{window: 300, batch: 100, snapshotChunk: 64, uncommitted: 1000, waiting: 100_000, retained: 40, lagging: 300}
+	s.limits = limits{window: 300, batch: 100, snapshotChunk: 64, uncommitted: 1000, waiting: 100_000, retained: 40, lagging: 300}
 	s.snapshotBytes = []int{120, 400, 1 << 20}[random.IntN(3)]
 	count := []int{3, 3, 4, 5, 6}[random.IntN(5)]
 	s.policy = view.Policy{MinimumMembers: 2, MaximumMembers: 3, Voters: 3}
--- a/internal/chain/simulation_views_test.go
+++ b/internal/chain/simulation_views_test.go
@@ -59,11 +59,11 @@
 	if s.replica.caughtUp() && s.simulation.random.IntN(10) != 0 {
 		return
 	}
-	if s.replica.feeder.IsValid() && s.simulation.random.IntN(10) != 0 && slices.ContainsFunc(v.Members, func(m view.Member) bool { return m.Address == s.replica.feeder }) {
+	if s.replica.source.IsValid() && s.simulation.random.IntN(10) != 0 && slices.ContainsFunc(v.Members, func(m view.Member) bool { return m.Address == s.replica.source }) {
 		return
 	}
-	feeder := v.Members[s.simulation.random.IntN(len(v.Members))].Address
-	s.step(func(now time.Duration) { s.replica.Follow(now, feeder) })
+	source := v.Members[s.simulation.random.IntN(len(v.Members))].Address
+	s.step(func(now time.Duration) { s.replica.Follow(now, source) })
 }
 
 // candidates is what a site holds for true of the others: mostly what is so.
--- a/internal/chain/upstream.go
+++ b/internal/chain/upstream.go
@@ -8,7 +8,7 @@
 	"nickelline/internal/view"
 )
 
-// upstream is the session by which this replica is fed: by its predecessor, or, if no view names it, by a feeder.
+// upstream is the session by which this replica is fed: by its predecessor, or, if no view names it, by a source.
 type upstream struct {
 	from      netip.AddrPort // invalid: the replica is fed by nobody
 	session   Session
@@ -20,9 +20,9 @@
 
 	snapshot *incomingSnapshot
 
-	acknowledged Acknowledge // last one that was sent
-	due          bool        // one has to be sent, also if it tells nothing new
-	attachAt     time.Duration
+	lastAck  Acknowledge // last one that was sent
+	ackDue   bool        // one has to be sent, also if it tells nothing new
+	attachAt time.Duration
 }
 
 // incomingSnapshot is a snapshot of which parts have arrived.
@@ -37,27 +37,27 @@
 func (r *Replica) resetUpstream(now time.Duration) {
 	r.upstream = upstream{}
 	if r.view.Has(r.self.Replica) {
-		r.feeder = netip.AddrPort{}
+		r.source = netip.AddrPort{}
 		if predecessor, ok := r.view.Predecessor(r.self.Replica); ok {
 			r.upstream.from = predecessor.Address
 			r.upstream.attachAt = now
 		}
 		return
 	}
-	if r.feeder.IsValid() {
-		r.upstream.from = r.feeder
+	if r.source.IsValid() {
+		r.upstream.from = r.source
 		r.upstream.attachAt = now
 	}
 }
 
 // Follow has a replica that no view names be fed by the member at an address.
 func (r *Replica) Follow(now time.Duration, from netip.AddrPort) {
-	if r.newestView().Has(r.self.Replica) || from == r.feeder {
+	if r.newestView().Has(r.self.Replica) || from == r.source {
 		return
 	}
-	r.feeder = from
+	r.source = from
 	r.resetUpstream(now)
-	r.finish(now)
+	r.followUp(now)
 }
 
 // attach asks for a session when it is time to.
@@ -78,10 +78,10 @@
 	}
 }
 
-// expected tells whether a replica is the one to be fed by.
-func (r *Replica) expected(from netip.AddrPort, sender view.ReplicaID) bool {
+// isUpstream tells whether a replica is the one to be fed by.
+func (r *Replica) isUpstream(from netip.AddrPort, sender view.ReplicaID) bool {
 	if !r.view.Has(r.self.Replica) {
-		return from == r.feeder
+		return from == r.source
 	}
 	predecessor, ok := r.view.Predecessor(r.self.Replica)
 	return ok && predecessor.Replica == sender
@@ -89,7 +89,7 @@
 
 func (r *Replica) receiveConnect(now time.Duration, from netip.AddrPort, sender view.ReplicaID, m Connect) {
 	u := &r.upstream
-	if !r.expected(from, sender) || (sender == u.sender && !m.Session.After(u.session)) {
+	if !r.isUpstream(from, sender) || (sender == u.sender && !m.Session.After(u.session)) {
 		return
 	}
 	barrier := u.barrier
@@ -101,9 +101,9 @@
 	r.send(from, History{Session: m.Session, Generation: r.generation, Committed: r.committed, Runs: r.history.runs()})
 }
 
-// current tells whether a message belongs to the session. The sender of a later one, which was not begun here, has to
+// inSession tells whether a message belongs to the session. The sender of a later one, which was not begun here, has to
 // begin anew.
-func (r *Replica) current(sender view.ReplicaID, session Session) bool {
+func (r *Replica) inSession(sender view.ReplicaID, session Session) bool {
 	u := &r.upstream
 	if sender == u.sender && session == u.session {
 		return true
@@ -112,23 +112,23 @@
 		return false
 	}
 	if predecessor, ok := r.view.Predecessor(r.self.Replica); ok && predecessor.Replica == sender {
-		r.refuse(session)
+		r.requestNewSession(session)
 	}
 	return false
 }
 
-// refuse asks for a new session.
-func (r *Replica) refuse(session Session) {
+// requestNewSession asks for a new session.
+func (r *Replica) requestNewSession(session Session) {
 	r.send(r.upstream.from, Attach{Session: session, Broken: true})
 }
 
 func (r *Replica) receiveStart(now time.Duration, sender view.ReplicaID, m Start) {
 	u := &r.upstream
-	if !r.current(sender, m.Session) || m.Generation != r.generation || u.started {
+	if !r.inSession(sender, m.Session) || m.Generation != r.generation || u.started {
 		return
 	}
 	if held, ok := r.history.position(m.Match.Sequence); !ok || held != m.Match || m.Match.Sequence < r.committed {
-		r.fault("session starts at %v, committed is %d", m.Match, r.committed)
+		r.reportViolation("session starts at %v, committed is %d", m.Match, r.committed)
 		return
 	}
 	r.truncate(now, m.Match.Sequence)
@@ -141,16 +141,16 @@
 	} else {
 		u.attachAt = now + learnerInterval
 	}
-	u.due = true
+	u.ackDue = true
 }
 
 func (r *Replica) receiveAppend(now time.Duration, sender view.ReplicaID, m Append) {
 	u := &r.upstream
-	if !r.current(sender, m.Session) {
+	if !r.inSession(sender, m.Session) {
 		return
 	}
 	if !u.started || m.Previous != r.history.last() {
-		r.refuse(m.Session)
+		r.requestNewSession(m.Session)
 		return
 	}
 	r.append(m.Entries)
@@ -169,23 +169,23 @@
 
 func (r *Replica) receiveSnapshotChunk(now time.Duration, sender view.ReplicaID, m SnapshotChunk) {
 	u := &r.upstream
-	if !r.current(sender, m.Session) || m.Generation != r.generation || u.started {
+	if !r.inSession(sender, m.Session) || m.Generation != r.generation || u.started {
 		return
 	}
 	if m.Position.Sequence < r.committed {
-		r.fault("snapshot at %v, committed is %d", m.Position, r.committed)
+		r.reportViolation("snapshot at %v, committed is %d", m.Position, r.committed)
 		return
 	}
 	if u.snapshot == nil || u.snapshot.position != m.Position {
 		u.snapshot = &incomingSnapshot{position: m.Position, total: m.Total}
 	}
 	if m.Offset != u.snapshot.received {
-		r.refuse(m.Session)
+		r.requestNewSession(m.Session)
 		return
 	}
 	u.snapshot.data = append(u.snapshot.data, m.Data...)
 	u.snapshot.received += max(1, uint64(len(m.Data)))
-	u.due = true
+	u.ackDue = true
 	if u.snapshot.received < u.snapshot.total {
 		return
 	}
@@ -212,11 +212,11 @@
 		m.Synced, m.Ready = r.acknowledgeable()
 		m.Barrier = r.returnedBarrier()
 	}
-	if m == u.acknowledged && !u.due {
+	if m == u.lastAck && !u.ackDue {
 		return
 	}
-	u.acknowledged = m
-	u.due = false
+	u.lastAck = m
+	u.ackDue = false
 	r.send(u.from, m)
 }
 
--- a/internal/chain/voter.go
+++ b/internal/chain/voter.go
@@ -26,9 +26,9 @@
 	// seeds agree on the first view; empty if this replica was not there at the first start of the system.
 	seeds []netip.AddrPort
 
-	mutex   sync.Mutex
-	machine *view.Acceptor
-	leaving bool
+	mutex    sync.Mutex
+	acceptor *view.Acceptor
+	leaving  bool
 	// answered is when a proposer was told last that this replica stays: a view that names it may be decided for some time.
 	answered time.Time
 }
@@ -38,7 +38,7 @@
 	vt := &voter{node: n, seeds: seeds}
 	data, err := segment.LoadRecord(n.options.FileSystem, vt.path())
 	if errors.Is(err, fs.ErrNotExist) {
-		vt.machine = view.NewAcceptor(view.AcceptorState{})
+		vt.acceptor = view.NewAcceptor(view.AcceptorState{})
 		return vt, vt.save()
 	}
 	if err != nil {
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, merry.Prepend(err, "acceptor")
 	}
-	vt.machine = view.NewAcceptor(state)
+	vt.acceptor = view.NewAcceptor(state)
 	vt.seeds = seeds
 	return vt, nil
 }
@@ -56,7 +56,7 @@
 func (vt *voter) path() string { return path.Join(vt.node.options.Directory, acceptorName) }
 
 func (vt *voter) save() error {
-	data, err := view.EncodeAcceptorState(vt.machine.State(), vt.seeds)
+	data, err := view.EncodeAcceptorState(vt.acceptor.State(), vt.seeds)
 	if err != nil {
 		return err
 	}
@@ -77,8 +77,8 @@
 	defer vt.mutex.Unlock()
 	answer := view.Promise{Epoch: m.Epoch, Number: m.Number}
 	if v := vt.node.View(); m.Epoch == v.Epoch+1 && vt.votes(v) {
-		before := vt.machine.State()
-		answer = vt.machine.Prepare(m)
+		before := vt.acceptor.State()
+		answer = vt.acceptor.Prepare(m)
 		if err := vt.saveIfChanged(before); err != nil {
 			return view.Promise{}, err
 		}
@@ -100,8 +100,8 @@
 	if v := vt.node.View(); m.Epoch != v.Epoch+1 || !vt.votes(v) {
 		return view.Accepted{}, fault.New(fault.NotReady, "no vote on epoch %d", m.Epoch)
 	}
-	before := vt.machine.State()
-	answer := vt.machine.Accept(m)
+	before := vt.acceptor.State()
+	answer := vt.acceptor.Accept(m)
 	return answer, vt.saveIfChanged(before)
 }
 
@@ -117,8 +117,8 @@
 	return !vt.acceptedAfter(epoch)
 }
 
-// pending tells whether this replica has accepted a view for the epoch after another one that is not known to be decided.
-func (vt *voter) pending(epoch uint64) bool {
+// hasAcceptedAfter tells whether this replica has accepted a view for the epoch after another one that is not known to be decided.
+func (vt *voter) hasAcceptedAfter(epoch uint64) bool {
 	vt.mutex.Lock()
 	defer vt.mutex.Unlock()
 	return vt.acceptedAfter(epoch)
@@ -126,7 +126,7 @@
 
 // acceptedAfter tells whether a view of a later epoch has been accepted. The mutex is held.
 func (vt *voter) acceptedAfter(epoch uint64) bool {
-	state := vt.machine.State()
+	state := vt.acceptor.State()
 	return state.Epoch > epoch && state.Accepted != nil
 }
 
@@ -135,7 +135,7 @@
 	if vt.node.stopped() {
 		return fault.New(fault.NotReady, "the replica has failed")
 	}
-	if vt.machine.State() == before {
+	if vt.acceptor.State() == before {
 		return nil
 	}
 	err := vt.save()
@@ -158,7 +158,7 @@
 func (vt *voter) nextRound(epoch uint64) uint64 {
 	vt.mutex.Lock()
 	defer vt.mutex.Unlock()
-	state := vt.machine.State()
+	state := vt.acceptor.State()
 	if state.Epoch != epoch {
 		return 1
 	}
--- a/internal/chain/wait.go
+++ b/internal/chain/wait.go
@@ -48,23 +48,23 @@
 	})
 }
 
-// pause waits a little, or until another view is in force, before a call is tried again.
-func (n *Node) pause(ctx context.Context, epoch uint64) error {
-	bounded, cancel := context.WithTimeout(ctx, callPause)
+// awaitRetry waits a little, or until another view is in force, before a call is tried again.
+func (n *Node) awaitRetry(ctx context.Context, epoch uint64) error {
+	bounded, cancel := context.WithTimeout(ctx, retryPause)
 	defer cancel()
 	_ = n.wait(bounded, func() bool { return n.replica.view.Epoch != epoch })
 	return ctx.Err()
 }
 
 const (
-	callPause      = 100 * time.Millisecond
-	defaultTimeout = 5 * time.Second // of a call without a deadline
+	retryPause         = 100 * time.Millisecond
+	defaultCallTimeout = 5 * time.Second // of a call without a deadline
 )
 
-// limited gives a context with a deadline.
-func limited(ctx context.Context) (context.Context, context.CancelFunc) {
+// withDefaultTimeout gives a context with a deadline.
+func withDefaultTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, defaultTimeout)
+	return context.WithTimeout(ctx, defaultCallTimeout)
 }
