--- a/internal/chain/questions.go
+++ b/internal/chain/agreement_calls.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"net/netip"
-	"slices"
-	"time"
 
 	"nickelline/internal/fault"
 	"nickelline/internal/peer"
@@ -62,54 +60,3 @@
 	r.node.sendNewerView(to, response.view.Epoch)
 	return response, nil
 }
-
-// discover asks for a view where none is known.
-func (r *Reconfigurer) discover(ctx context.Context) time.Duration {
-	to, ok := r.nextPeer()
-	if !ok {
-		return discoveryPeriod
-	}
-	response, err := r.call(ctx, to, agreementRequest{})
-	if err == nil && response.view.Epoch > 0 {
-		return retryMinimum
-	}
-	return discoveryPeriod
-}
-
-// checkView has another replica asked for its view now and again: a member that was dropped may have missed that.
-func (r *Reconfigurer) checkView(ctx context.Context) {
-	now := r.now()
-	if now-r.viewCheckedAt < viewCheckPeriod/2 {
-		return
-	}
-	r.viewCheckedAt = now
-	if to, ok := r.nextPeer(); ok {
-		go func() { _, _ = r.call(ctx, to, agreementRequest{}) }()
-	}
-}
-
-// nextPeer gives one of the other replicas, each time the next one.
-func (r *Reconfigurer) nextPeer() (netip.AddrPort, bool) {
-	addresses := r.others()
-	if len(addresses) == 0 {
-		return netip.AddrPort{}, false
-	}
-	r.peerIndex++
-	return addresses[r.peerIndex%len(addresses)], true
-}
-
-// others gives the addresses of the other replicas that may be there.
-func (r *Reconfigurer) others() []netip.AddrPort {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	var addresses []netip.AddrPort
-	for _, candidate := range r.candidates {
-		if candidate.Reachable {
-			addresses = append(addresses, candidate.Address)
-		}
-	}
-	addresses = append(addresses, r.options.Seeds...)
-	slices.SortFunc(addresses, netip.AddrPort.Compare)
-	addresses = slices.Compact(addresses)
-	return slices.DeleteFunc(addresses, func(a netip.AddrPort) bool { return a == r.self().Address })
-}
--- a/internal/chain/applier.go
+++ b/internal/chain/applier.go
@@ -206,13 +206,3 @@
 		a.node.options.Log.Warn("snapshot not saved", zap.Error(err))
 	}
 }
-
-// notifyView tells a view that came into force.
-func (n *Node) notifyView(v view.View) {
-	n.mutex.Lock()
-	notified := n.onView
-	n.mutex.Unlock()
-	for _, f := range notified {
-		f(v)
-	}
-}
--- a/internal/chain/barrier.go
+++ b/internal/chain/barrier.go
@@ -5,26 +5,9 @@
 	"time"
 
 	"nickelline/internal/fault"
-	"nickelline/internal/peer"
 	"nickelline/internal/view"
 )
 
-// remoteTimeout bounds a round of barriers that is asked for at the head, which several callers share.
-const remoteTimeout = 2 * time.Second
-
-// remoteBarriers shares rounds of barriers among the callers at a replica that is not the head.
-type remoteBarriers struct {
-	running bool
-	next    *barrierRound // begins once the running one is over
-}
-
-// barrierRound is one question to the head.
-type barrierRound struct {
-	done     chan struct{}
-	sequence uint64
-	err      error
-}
-
 // Barrier returns once this replica has applied all that was committed anywhere when the call began. Callers that wait
 // at the same time share one round of messages. The error is fault.NotReady.
 func (n *Node) Barrier(ctx context.Context) error {
@@ -100,60 +83,3 @@
 		resolved <- result
 	}
 }
-
-// joinRound gives a round that has not begun yet.
-func (n *Node) joinRound() *barrierRound {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	if n.remote.next == nil {
-		n.remote.next = &barrierRound{done: make(chan struct{})}
-	}
-	round := n.remote.next
-	if !n.remote.running {
-		n.remote.running = true
-		n.remote.next = nil
-		go n.runRounds(round)
-	}
-	return round
-}
-
-// runRounds asks the head, and again as long as callers have come meanwhile.
-func (n *Node) runRounds(round *barrierRound) {
-	for round != nil {
-		round.sequence, round.err = n.barrierAtHead()
-		close(round.done)
-		round = n.nextRound()
-	}
-}
-
-func (n *Node) nextRound() *barrierRound {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	round := n.remote.next
-	n.remote.next = nil
-	n.remote.running = round != nil
-	return round
-}
-
-func (n *Node) barrierAtHead() (uint64, error) {
-	head, ok := n.View().Head()
-	if !ok {
-		return 0, fault.New(fault.NotReady, "chain %d has no view", n.options.Chain)
-	}
-	body, err := encodeBarrierRequest(n.options.Chain)
-	if err != nil {
-		return 0, err
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
-	defer cancel()
-	answer, err := n.callHead(ctx, head, peer.Message{Kind: kindBarrier, Body: body})
-	if err != nil {
-		return 0, err
-	}
-	sequence, epoch, err := decodeBarrierResponse(answer.Body)
-	if err != nil {
-		return 0, err
-	}
-	n.step(func(time.Duration) { n.replica.requestNewerView(epoch, head.Address) })
-	return sequence, nil
-}
--- a/internal/chain/calls.go
+++ b/internal/chain/call_codec.go
@@ -3,15 +3,6 @@
 import (
 	"nickelline/internal/capnpcodec"
 	"nickelline/internal/chain/chainwire"
-	"nickelline/internal/peer"
-)
-
-// Kinds of messages.
-const (
-	kindEnvelope  = peer.ChainKinds + iota // one-way, between replicas of a chain
-	kindPropose                            // to the head
-	kindBarrier                            // to the head
-	kindAgreement                          // to whoever takes part in the agreement on a view
 )
 
 func encodeProposeRequest(chain uint32, command []byte) ([]byte, error) {
--- a/internal/chain/candidates.go
+++ b/internal/chain/candidates.go
@@ -16,41 +16,6 @@
 	notify(r.wake)
 }
 
-func (r *Reconfigurer) isLeaving() bool {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	return r.leaving
-}
-
-// rank gives the number of members that should propose before this one.
-func (r *Reconfigurer) rank(v view.View) int {
-	if r.isLeaving() {
-		return 0
-	}
-	rank := 0
-	candidates := r.memberCandidates(v)
-	for _, member := range v.Members {
-		if member.Replica == r.self().Replica {
-			return rank
-		}
-		if i := slices.IndexFunc(candidates, func(c view.Candidate) bool { return c.Replica == member.Replica }); i >= 0 {
-			if candidates[i].Reachable && !candidates[i].Leaving {
-				rank++
-			}
-		}
-	}
-	return rank
-}
-
-// planNextView derives the next view, taking it that all members that are reachable are complete.
-func (r *Reconfigurer) planNextView(v view.View) (view.View, bool) {
-	candidates := r.nextViewCandidates(v)
-	for i := range candidates {
-		candidates[i].Complete = v.Has(candidates[i].Replica)
-	}
-	return view.Next(v, candidates, r.options.Policy)
-}
-
 // nextViewCandidates gives what is known of the members of a view, of learners that may join it, and of its other voters.
 func (r *Reconfigurer) nextViewCandidates(v view.View) []view.Candidate {
 	candidates := append(r.memberCandidates(v), r.learnerCandidates(v)...)
--- a/internal/chain/disk.go
+++ b/internal/chain/disk_writer.go
@@ -1,7 +1,6 @@
 package chain
 
 import (
-	"path"
 	"sync"
 	"time"
 
@@ -60,9 +59,6 @@
 	notify(d.wake)
 }
 
-// Impaired tells that the replica's disk has failed or is stalled: the chain should go on without it.
-func (n *Node) Impaired() bool { return n.stopped() || n.disk.stalled(time.Now()) }
-
 // notify wakes the receiver of a channel with room for one.
 func notify(wake chan struct{}) {
 	select {
@@ -155,12 +151,3 @@
 	}
 	return d.saveRecord(*operation.Record)
 }
-
-func (d *diskWriter) saveRecord(record Record) error {
-	data, err := encodeRecord(record)
-	if err != nil {
-		return err
-	}
-	options := d.node.options
-	return segment.SaveRecord(options.FileSystem, path.Join(options.Directory, recordName), data)
-}
--- /dev/null
+++ b/internal/chain/downstream_entries.go
@@ -0,0 +1,74 @@
+package chain
+
+import (
+	"time"
+
+	"nickelline/internal/segment"
+)
+
+// flushEntries sends entries that are on the own disk, to a learner only committed ones.
+func (r *Replica) flushEntries(now time.Duration, l *link) {
+	if l.next <= r.history.base.Sequence {
+		r.connect(now, l)
+		return
+	}
+	limit := r.synced
+	if l.learner {
+		limit = min(limit, r.committed)
+	}
+	for l.next <= limit && (l.stored == l.next-1 || r.inFlight(l) < r.limits.window) {
+		entries := r.history.batch(l.next-1, limit, r.limits.batch)
+		r.sendAppend(now, l, entries)
+	}
+	if l.committedSent < min(r.committed, l.next-1) || l.barrierSent < r.barrierFor(l) {
+		r.sendAppend(now, l, nil)
+	}
+}
+
+func (r *Replica) sendAppend(now time.Duration, l *link, entries []segment.Entry) {
+	previous, _ := r.history.position(l.next - 1)
+	idle := !l.outstanding()
+	barrier := r.barrierFor(l)
+	r.send(l.to.Address, Append{
+		Session:   l.session,
+		Previous:  previous,
+		Entries:   entries,
+		Committed: r.committed,
+		Barrier:   barrier,
+	})
+	l.next += uint64(len(entries))
+	l.committedSent = r.committed
+	l.barrierSent = barrier
+	if idle && l.outstanding() {
+		r.setRetryDeadline(now, l)
+	}
+}
+
+// barrierFor gives the newest barrier to be passed on.
+func (r *Replica) barrierFor(l *link) uint64 {
+	if l.learner {
+		return 0
+	}
+	if r.isHead() {
+		return r.head.round
+	}
+	return r.upstream.barrier
+}
+
+func (r *Replica) acknowledgeEntries(now time.Duration, l *link, m Acknowledge) {
+	if m.Stored > l.stored || m.Synced > l.acked || m.Barrier > l.barrierAcked || m.Ready != l.ready {
+		r.noteProgress(now, l)
+	}
+	l.stored = max(l.stored, min(m.Stored, l.next-1))
+	l.acked = max(l.acked, min(m.Synced, l.next-1))
+	l.barrierAcked = max(l.barrierAcked, m.Barrier)
+	l.ready = m.Ready
+	if !l.outstanding() {
+		l.deadline = 0
+	}
+}
+
+// inFlight gives the bytes of entries that were sent and are not known to be on the receiver's disk.
+func (r *Replica) inFlight(l *link) uint64 {
+	return r.history.bytesUpTo(l.next-1) - r.history.bytesUpTo(l.stored)
+}
--- /dev/null
+++ b/internal/chain/downstream_session.go
@@ -0,0 +1,123 @@
+package chain
+
+import (
+	"net/netip"
+	"time"
+
+	"nickelline/internal/view"
+)
+
+// connectSuccessor begins to feed the successor in the view, if this replica is complete.
+func (r *Replica) connectSuccessor(now time.Duration) {
+	successor, ok := r.view.Successor(r.self.Replica)
+	if !ok || !r.complete() || r.successor != nil {
+		return
+	}
+	r.successor = &link{to: successor}
+	r.connect(now, r.successor)
+}
+
+// connect begins a new session. What the receiver had acknowledged before no longer counts.
+func (r *Replica) connect(now time.Duration, l *link) {
+	r.sessions++
+	l.session = Session{Generation: r.generation, Number: r.sessions}
+	l.state = linkConnecting
+	l.ready = false
+	l.stored = 0
+	l.acked = 0
+	l.snapshot = nil
+	l.committedSent = 0
+	l.barrierSent = 0
+	r.send(l.to.Address, Connect{Session: l.session})
+	l.deadline = now + retryInterval<<min(l.attempts, retryDoublings)
+}
+
+// rewindLinks begins new sessions where entries after a sequence that were dropped may have been sent.
+func (r *Replica) rewindLinks(now time.Duration, sequence uint64) {
+	for _, l := range r.links() {
+		if l.state == linkStreaming && l.next <= sequence+1 {
+			continue
+		}
+		r.connect(now, l)
+	}
+}
+
+// receiveAttach connects to a replica that asks for it, unless it is being fed.
+func (r *Replica) receiveAttach(now time.Duration, from netip.AddrPort, sender view.ReplicaID, m Attach) {
+	if !r.complete() {
+		return
+	}
+	l := r.linkTo(sender)
+	if l == nil && !r.view.Has(sender) {
+		l = &link{to: view.Member{Replica: sender, Address: from}, learner: true}
+		r.learners[sender] = l
+		r.connect(now, l)
+		return
+	}
+	if l == nil {
+		return
+	}
+	l.to.Address = from
+	broken := m.Broken && m.Session == l.session
+	if broken || (m.Session == Session{}) {
+		r.connect(now, l)
+	}
+}
+
+// receiveHistory finds where the receiver's log and the own one part.
+func (r *Replica) receiveHistory(now time.Duration, sender view.ReplicaID, m History) {
+	l := r.linkTo(sender)
+	if l == nil || l.session != m.Session || l.state != linkConnecting {
+		return
+	}
+	l.generation = m.Generation
+	common, ok := lastCommonPosition(r.history.runs(), m.Runs)
+	if !ok {
+		l.state = linkAwaitingSnapshot
+		r.out.SnapshotRequested = true
+		r.noteProgress(now, l)
+		return
+	}
+	if common.Sequence < m.Committed {
+		r.reportViolation("replica %d has committed %d, and parts at %d", sender, m.Committed, common.Sequence)
+		return
+	}
+	r.start(now, l, common)
+}
+
+// start begins to send the entries after a position.
+func (r *Replica) start(now time.Duration, l *link, common Position) {
+	l.state = linkStreaming
+	l.next = common.Sequence + 1
+	l.snapshot = nil
+	target := r.history.last().Sequence
+	if l.learner {
+		target = r.committed
+	}
+	r.send(l.to.Address, Start{Session: l.session, Generation: l.generation, Match: common, Target: target})
+	r.noteProgress(now, l)
+}
+
+// receiveAcknowledge takes the receiver's progress.
+func (r *Replica) receiveAcknowledge(now time.Duration, sender view.ReplicaID, m Acknowledge) {
+	l := r.linkTo(sender)
+	if l == nil || l.session != m.Session {
+		return
+	}
+	switch l.state {
+	case linkSendingSnapshot:
+		r.acknowledgeSnapshot(now, l, m.SnapshotBytes)
+	case linkStreaming:
+		r.acknowledgeEntries(now, l, m)
+	}
+}
+
+// flush sends what the window of a link permits.
+func (r *Replica) flush(now time.Duration, l *link) {
+	switch l.state {
+	case linkSendingSnapshot:
+		r.flushSnapshot(now, l)
+	case linkStreaming:
+		r.flushEntries(now, l)
+	}
+}
--- /dev/null
+++ b/internal/chain/forward.go
@@ -0,0 +1,52 @@
+package chain
+
+import (
+	"context"
+
+	"nickelline/internal/fault"
+	"nickelline/internal/peer"
+	"nickelline/internal/view"
+)
+
+// forwardedCall is a call to the head of a view.
+type forwardedCall struct {
+	head   view.ReplicaID
+	cancel context.CancelFunc
+}
+
+// callHead calls the head, and gives up once a view names another one. An error of no kind is taken as unclear.
+func (n *Node) callHead(ctx context.Context, head view.Member, m peer.Message) (peer.Message, error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	id := n.registerForwarded(head.Replica, cancel)
+	defer n.unregisterForwarded(id)
+	answer, err := n.transport.Call(ctx, head.Address, m)
+	if err != nil && fault.KindOf(err) == fault.Internal {
+		err = fault.Wrap(fault.Unclear, err)
+	}
+	return answer, err
+}
+
+func (n *Node) registerForwarded(head view.ReplicaID, cancel context.CancelFunc) uint64 {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	n.lastID++
+	n.forwarded[n.lastID] = forwardedCall{head: head, cancel: cancel}
+	return n.lastID
+}
+
+func (n *Node) unregisterForwarded(id uint64) {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	delete(n.forwarded, id)
+}
+
+// cancelForwardedCalls ends the calls to a head that a new view does not have. The node's mutex is held.
+func (n *Node) cancelForwardedCalls(v view.View) {
+	head, _ := v.Head()
+	for _, call := range n.forwarded {
+		if call.head != head.Replica {
+			call.cancel()
+		}
+	}
+}
--- a/internal/chain/learner.go
+++ b/internal/chain/learner.go
@@ -82,8 +82,3 @@
 	}
 	return joinPeriod
 }
-
-// follow has the node be fed from an address.
-func (n *Node) follow(from netip.AddrPort) {
-	n.step(func(now time.Duration) { n.replica.Follow(now, from) })
-}
--- /dev/null
+++ b/internal/chain/limits.go
@@ -0,0 +1,39 @@
+package chain
+
+import "time"
+
+// Timing and sizes of the protocol.
+const (
+	retryInterval   = 250 * time.Millisecond // until a session without progress is replaced, doubled twice
+	retryDoublings  = 2
+	slowestLink     = 500 << 10              // bytes a second that are waited for before a retry
+	attachInterval  = 500 * time.Millisecond // between requests for a session
+	learnerInterval = time.Second            // between a learner's requests, also while it has a session
+	learnerAttempts = 8                      // sessions without progress until a learner is given up
+	snapshotWindow  = 2                      // pieces of a snapshot that are sent and not acknowledged
+	batchEntries    = 4096                   // entries in one message
+	generationShift = 32                     // barrier numbers are ordered by the generation of the head, then by its count
+)
+
+// limits are bounds on bytes.
+type limits struct {
+	window        uint64 // of entries sent and not on the receiver's disk
+	batch         uint64 // of entries in one message, if there is more than one
+	snapshotChunk uint64 // of a snapshot in one message
+	uncommitted   uint64 // appended at the head and not committed; further proposals wait
+	waiting       int    // of proposals that wait; further ones are refused
+	retained      uint64 // of committed entries kept for receivers to come
+	lagging       uint64 // the same, for a receiver that lags
+}
+
+func defaultLimits() limits {
+	return limits{
+		window:        1 << 20,
+		batch:         256 << 10,
+		snapshotChunk: 256 << 10,
+		uncommitted:   8 << 20,
+		waiting:       16 << 20,
+		retained:      1 << 20,
+		lagging:       4 << 20,
+	}
+}
--- /dev/null
+++ b/internal/chain/link.go
@@ -0,0 +1,92 @@
+package chain
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"nickelline/internal/segment"
+	"nickelline/internal/view"
+)
+
+type linkState uint8
+
+const (
+	linkConnecting linkState = iota // the receiver's history is awaited
+	linkAwaitingSnapshot
+	linkSendingSnapshot
+	linkStreaming
+)
+
+// link feeds a successor or a learner.
+type link struct {
+	to      view.Member
+	learner bool
+
+	session    Session
+	state      linkState
+	generation uint64 // of the receiver
+	next       uint64 // sequence of the next entry to send
+	stored     uint64 // on the receiver's disk
+	acked      uint64 // on the disks of the receiver and of all after it
+	ready      bool
+
+	committedSent uint64
+	barrierSent   uint64
+	barrierAcked  uint64
+
+	snapshot      *segment.Snapshot
+	snapshotSent  uint64
+	snapshotAcked uint64
+
+	deadline time.Duration // of the next sign of progress, 0: none is awaited
+	attempts int           // sessions without progress
+}
+
+// neededAfter gives the sequence after which the receiver needs entries.
+func (l *link) neededAfter() uint64 {
+	switch {
+	case l.state == linkStreaming:
+		return l.next - 1
+	case l.snapshot != nil:
+		return l.snapshot.Sequence
+	}
+	return ^uint64(0)
+}
+
+// outstanding tells whether something is to be acknowledged yet.
+func (l *link) outstanding() bool {
+	if l.state != linkStreaming || l.stored < l.next-1 {
+		return true
+	}
+	return !l.learner && (!l.ready || l.acked < l.next-1 || l.barrierAcked < l.barrierSent)
+}
+
+// snapshotTotal is the length of the snapshot, at least one byte so that an empty one is acknowledged too.
+func (l *link) snapshotTotal() uint64 { return max(1, uint64(len(l.snapshot.Data))) }
+
+// links gives all links in a fixed order.
+func (r *Replica) links() []*link {
+	if r.successor == nil && len(r.learners) == 0 {
+		return nil
+	}
+	var all []*link
+	if r.successor != nil {
+		all = append(all, r.successor)
+	}
+	for _, replica := range r.learnerOrder() {
+		all = append(all, r.learners[replica])
+	}
+	return all
+}
+
+func (r *Replica) learnerOrder() []view.ReplicaID {
+	return slices.Sorted(maps.Keys(r.learners))
+}
+
+func (r *Replica) linkTo(replica view.ReplicaID) *link {
+	if r.successor != nil && r.successor.to.Replica == replica {
+		return r.successor
+	}
+	return r.learners[replica]
+}
--- a/internal/chain/message.go
+++ b/internal/chain/message.go
@@ -101,15 +101,23 @@
 // ViewNotice tells a view that was decided.
 type ViewNotice struct{ View view.View }
 
-func (Attach) body()        {}
-func (Connect) body()       {}
-func (History) body()       {}
-func (Start) body()         {}
+func (Attach) body() {}
+
+func (Connect) body() {}
+
+func (History) body() {}
+
+func (Start) body() {}
+
 func (SnapshotChunk) body() {}
-func (Append) body()        {}
-func (Acknowledge) body()   {}
-func (ViewRequest) body()   {}
-func (ViewNotice) body()    {}
+
+func (Append) body() {}
+
+func (Acknowledge) body() {}
+
+func (ViewRequest) body() {}
+
+func (ViewNotice) body() {}
 
 // Outgoing is a message with its destination.
 type Outgoing struct {
--- /dev/null
+++ b/internal/chain/message_kinds.go
@@ -0,0 +1,11 @@
+package chain
+
+import "nickelline/internal/peer"
+
+// Kinds of messages.
+const (
+	kindEnvelope  = peer.ChainKinds + iota // one-way, between replicas of a chain
+	kindPropose                            // to the head
+	kindBarrier                            // to the head
+	kindAgreement                          // to whoever takes part in the agreement on a view
+)
--- a/internal/chain/node.go
+++ b/internal/chain/node.go
@@ -1,9 +1,6 @@
 package chain
 
 import (
-	"context"
-	"errors"
-	"io/fs"
 	"net/netip"
 	"path"
 	"sync"
@@ -26,46 +23,6 @@
 	minimumTimer = 20 * time.Millisecond
 )
 
-// Options describe a replica of a chain.
-type Options struct {
-	// Chain is the number of the chain, the same at all of its replicas.
-	Chain uint32
-	// Self tells who the replica is and where its peers find it.
-	Self view.Member
-	// Registry dispatches the messages of its transport to the chains of this process.
-	Registry *Registry
-	// FileSystem and Directory tell where the replica keeps its log. No other chain uses the directory.
-	FileSystem segment.FileSystem
-	Directory  string
-	// Machine is the replicated state. It is called from one goroutine.
-	Machine Machine
-	// MinimumReplicas is the number of disks that an entry is on before it is committed.
-	MinimumReplicas int
-	// SnapshotBytes is how many bytes of entries are kept before a snapshot replaces them. 0: the default.
-	SnapshotBytes int
-	// OnFailure is called once if the disk fails: the replica takes part in nothing from then on.
-	OnFailure func(error)
-	// OnStall, if there is one, is called when the disk has not answered for some time: Impaired tells the same. It is
-	// called once for each stall.
-	OnStall func()
-	Log     *zap.Logger
-}
-
-// Status is the replica's progress.
-type Status struct {
-	Epoch        uint64 // of the view in force here
-	LastAppended uint64 // sequence of the last entry in the log
-	Synced       uint64 // sequence up to which the log is on the disk
-	Committed    uint64 // sequence up to which entries are known to be committed
-	Applied      uint64 // sequence up to which the machine has applied them
-	// Complete tells that this replica has all that was ever committed: it may be the head of the next view.
-	Complete bool
-	// Ready tells that this replica is the head and connected with all other members.
-	Ready bool
-	// CaughtUp tells that this learner has all that its source knew to be committed.
-	CaughtUp bool
-}
-
 // Node is one replica of one chain: it drives a Replica with the messages of a transport, a log on disk and a clock. A
 // goroutine writes to the disk, and another one applies entries to the machine.
 type Node struct {
@@ -136,20 +93,6 @@
 	return n, nil
 }
 
-func loadRecord(options Options) (Record, error) {
-	if err := options.FileSystem.MakeDirectory(options.Directory); err != nil {
-		return Record{}, merry.Prepend(err, "directory")
-	}
-	data, err := segment.LoadRecord(options.FileSystem, path.Join(options.Directory, recordName))
-	if errors.Is(err, fs.ErrNotExist) {
-		return Record{}, nil
-	}
-	if err != nil {
-		return Record{}, merry.Prependf(err, "record of chain %d", options.Chain)
-	}
-	return decodeRecord(data)
-}
-
 // Close stops the replica. Calls that wait end with an error.
 func (n *Node) Close() {
 	n.fail(fault.New(fault.NotReady, "chain %d is closed", n.options.Chain), false)
@@ -255,68 +198,3 @@
 		}
 	}
 }
-
-// Install gives the replica a view that was decided. One that is not newer than its own is ignored. It comes into force
-// once it is on the disk.
-func (n *Node) Install(v view.View) {
-	n.step(func(now time.Duration) { n.replica.Install(now, v) })
-}
-
-// sendNewerView sends the own view to a replica that has an older one.
-func (n *Node) sendNewerView(to netip.AddrPort, epoch uint64) {
-	n.step(func(time.Duration) {
-		if epoch < n.replica.View().Epoch {
-			n.replica.sendView(to)
-		}
-	})
-}
-
-// View gives the view that is in force at this replica; its epoch is 0 if there is none.
-func (n *Node) View() view.View {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	return n.replica.View().Clone()
-}
-
-// IsHead tells whether the view in force here names this replica as head. Only a Barrier proves that it still is.
-func (n *Node) IsHead() bool {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	return n.failure == nil && n.replica.isHead()
-}
-
-// Status gives the replica's progress.
-func (n *Node) Status() Status {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	status := n.replica.Status()
-	status.Applied = n.applier.applied
-	return status
-}
-
-// CaughtUp tells that this learner has all that its source knew to be committed.
-func (n *Node) CaughtUp() bool { return n.Status().CaughtUp }
-
-// Learn has a replica that no view names follow the chain, fed by the member at an address: with a snapshot first, then
-// with all that is committed. It returns once the replica has caught up, and keeps following afterwards. Once a view
-// names the replica this ends by itself.
-func (n *Node) Learn(ctx context.Context, from netip.AddrPort) error {
-	n.step(func(now time.Duration) { n.replica.Follow(now, from) })
-	return n.wait(ctx, func() bool { return n.replica.caughtUp() || n.replica.view.Has(n.options.Self.Replica) })
-}
-
-// OnCommit registers a function that is called, after entries have been applied, with the sequence of the last one. It
-// is called from the goroutine that applies entries and must not block.
-func (n *Node) OnCommit(notify func(sequence uint64)) {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	n.onCommit = append(n.onCommit, notify)
-}
-
-// OnView registers a function that is called with each view that comes into force. It is called from the goroutine that
-// applies entries and must not block.
-func (n *Node) OnView(notify func(view.View)) {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	n.onView = append(n.onView, notify)
-}
--- a/internal/chain/propose.go
+++ b/internal/chain/propose.go
@@ -29,12 +29,6 @@
 	}
 }
 
-// forwardedCall is a call to the head of a view.
-type forwardedCall struct {
-	head   view.ReplicaID
-	cancel context.CancelFunc
-}
-
 // Propose has a command committed and gives the result of applying it. It may be called at any replica, and waits for a
 // head that takes the command until ctx ends. The error is fault.NotReady if the command was certainly not appended and
 // never will be, and fault.Unclear if it may have been. A command over segment.MaximumEntrySize is fault.BodyTooLarge.
@@ -73,43 +67,6 @@
 	return result, fault.Wrap(fault.Unclear, err)
 }
 
-// callHead calls the head, and gives up once a view names another one. An error of no kind is taken as unclear.
-func (n *Node) callHead(ctx context.Context, head view.Member, m peer.Message) (peer.Message, error) {
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	id := n.registerForwarded(head.Replica, cancel)
-	defer n.unregisterForwarded(id)
-	answer, err := n.transport.Call(ctx, head.Address, m)
-	if err != nil && fault.KindOf(err) == fault.Internal {
-		err = fault.Wrap(fault.Unclear, err)
-	}
-	return answer, err
-}
-
-func (n *Node) registerForwarded(head view.ReplicaID, cancel context.CancelFunc) uint64 {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	n.lastID++
-	n.forwarded[n.lastID] = forwardedCall{head: head, cancel: cancel}
-	return n.lastID
-}
-
-func (n *Node) unregisterForwarded(id uint64) {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	delete(n.forwarded, id)
-}
-
-// cancelForwardedCalls ends the calls to a head that a new view does not have. The node's mutex is held.
-func (n *Node) cancelForwardedCalls(v view.View) {
-	head, _ := v.Head()
-	for _, call := range n.forwarded {
-		if call.head != head.Replica {
-			call.cancel()
-		}
-	}
-}
-
 // proposeLocally proposes at this replica, as the head.
 func (n *Node) proposeLocally(ctx context.Context, command []byte) ([]byte, error) {
 	call := &proposalCall{result: make(chan proposalResult, 1)}
--- /dev/null
+++ b/internal/chain/retry.go
@@ -0,0 +1,27 @@
+package chain
+
+import (
+	"context"
+	"time"
+)
+
+const (
+	retryPause         = 100 * time.Millisecond
+	defaultCallTimeout = 5 * time.Second // of a call without a deadline
+)
+
+// awaitRetry waits a little, or until another view is in force, before a call is tried again.
+func (n *Node) awaitRetry(ctx context.Context, epoch uint64) error {
+	bounded, cancel := context.WithTimeout(ctx, retryPause)
+	defer cancel()
+	_ = n.wait(bounded, func() bool { return n.replica.view.Epoch != epoch })
+	return ctx.Err()
+}
+
+// withDefaultTimeout gives a context with a deadline.
+func withDefaultTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
+	if _, ok := ctx.Deadline(); ok {
+		return context.WithCancel(ctx)
+	}
+	return context.WithTimeout(ctx, defaultCallTimeout)
+}
--- /dev/null
+++ b/internal/chain/upstream_entries.go
@@ -0,0 +1,52 @@
+package chain
+
+import (
+	"time"
+
+	"nickelline/internal/view"
+)
+
+func (r *Replica) receiveStart(now time.Duration, sender view.ReplicaID, m Start) {
+	u := &r.upstream
+	if !r.inSession(sender, m.Session) || m.Generation != r.generation || u.started {
+		return
+	}
+	if held, ok := r.history.position(m.Match.Sequence); !ok || held != m.Match || m.Match.Sequence < r.committed {
+		r.reportViolation("session starts at %v, committed is %d", m.Match, r.committed)
+		return
+	}
+	r.truncate(now, m.Match.Sequence)
+	u.started = true
+	u.target = m.Target
+	u.committed = m.Target
+	if r.view.Has(r.self.Replica) {
+		u.committed = 0
+		u.attachAt = 0
+	} else {
+		u.attachAt = now + learnerInterval
+	}
+	u.ackDue = true
+}
+
+func (r *Replica) receiveAppend(now time.Duration, sender view.ReplicaID, m Append) {
+	u := &r.upstream
+	if !r.inSession(sender, m.Session) {
+		return
+	}
+	if !u.started || m.Previous != r.history.last() {
+		r.requestNewSession(m.Session)
+		return
+	}
+	r.append(m.Entries)
+	u.committed = max(u.committed, m.Committed)
+	if m.Barrier > u.barrier {
+		u.barrier = m.Barrier
+	}
+}
+
+// advanceReceiver commits what is known to be committed and on the own disk: the machine is never ahead of that.
+func (r *Replica) advanceReceiver() {
+	if r.upstream.started {
+		r.commit(min(r.upstream.committed, r.synced))
+	}
+}
--- /dev/null
+++ b/internal/chain/upstream_session.go
@@ -0,0 +1,122 @@
+package chain
+
+import (
+	"net/netip"
+	"time"
+
+	"nickelline/internal/view"
+)
+
+// upstream is the session by which this replica is fed: by its predecessor, or, if no view names it, by a source.
+type upstream struct {
+	from      netip.AddrPort // invalid: the replica is fed by nobody
+	session   Session
+	sender    view.ReplicaID
+	started   bool
+	target    uint64 // on disk here, it makes a member complete
+	committed uint64 // as the sender knows it
+	barrier   uint64 // newest one that came from the head
+
+	snapshot *incomingSnapshot
+
+	lastAck  Acknowledge // last one that was sent
+	ackDue   bool        // one has to be sent, also if it tells nothing new
+	attachAt time.Duration
+}
+
+// incomingSnapshot is a snapshot of which parts have arrived.
+type incomingSnapshot struct {
+	position Position
+	total    uint64
+	received uint64
+	data     []byte
+}
+
+// resetUpstream forgets the session, at the beginning of an epoch.
+func (r *Replica) resetUpstream(now time.Duration) {
+	r.upstream = upstream{}
+	if r.view.Has(r.self.Replica) {
+		r.source = netip.AddrPort{}
+		if predecessor, ok := r.view.Predecessor(r.self.Replica); ok {
+			r.upstream.from = predecessor.Address
+			r.upstream.attachAt = now
+		}
+		return
+	}
+	if r.source.IsValid() {
+		r.upstream.from = r.source
+		r.upstream.attachAt = now
+	}
+}
+
+// Follow has a replica that no view names be fed by the member at an address.
+func (r *Replica) Follow(now time.Duration, from netip.AddrPort) {
+	if r.newestView().Has(r.self.Replica) || from == r.source {
+		return
+	}
+	r.source = from
+	r.resetUpstream(now)
+	r.followUp(now)
+}
+
+// attach asks for a session when it is time to.
+func (r *Replica) attach(now time.Duration) {
+	u := &r.upstream
+	if u.attachAt == 0 || now < u.attachAt {
+		return
+	}
+	learner := !r.view.Has(r.self.Replica)
+	if u.started && !learner {
+		u.attachAt = 0
+		return
+	}
+	r.send(u.from, Attach{Session: u.session})
+	u.attachAt = now + attachInterval
+	if u.started {
+		u.attachAt = now + learnerInterval
+	}
+}
+
+// isUpstream tells whether a replica is the one to be fed by.
+func (r *Replica) isUpstream(from netip.AddrPort, sender view.ReplicaID) bool {
+	if !r.view.Has(r.self.Replica) {
+		return from == r.source
+	}
+	predecessor, ok := r.view.Predecessor(r.self.Replica)
+	return ok && predecessor.Replica == sender
+}
+
+func (r *Replica) receiveConnect(now time.Duration, from netip.AddrPort, sender view.ReplicaID, m Connect) {
+	u := &r.upstream
+	if !r.isUpstream(from, sender) || (sender == u.sender && !m.Session.After(u.session)) {
+		return
+	}
+	barrier := u.barrier
+	attachAt := u.attachAt
+	*u = upstream{from: from, session: m.Session, sender: sender, barrier: barrier, attachAt: attachAt}
+	if u.attachAt == 0 {
+		u.attachAt = now + attachInterval
+	}
+	r.send(from, History{Session: m.Session, Generation: r.generation, Committed: r.committed, Runs: r.history.runs()})
+}
+
+// inSession tells whether a message belongs to the session. The sender of a later one, which was not begun here, has to
+// begin anew.
+func (r *Replica) inSession(sender view.ReplicaID, session Session) bool {
+	u := &r.upstream
+	if sender == u.sender && session == u.session {
+		return true
+	}
+	if sender == u.sender && !session.After(u.session) {
+		return false
+	}
+	if predecessor, ok := r.view.Predecessor(r.self.Replica); ok && predecessor.Replica == sender {
+		r.requestNewSession(session)
+	}
+	return false
+}
+
+// requestNewSession asks for a new session.
+func (r *Replica) requestNewSession(session Session) {
+	r.send(r.upstream.from, Attach{Session: session, Broken: true})
+}
--- a/internal/chain/wait.go
+++ b/internal/chain/wait.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"slices"
-	"time"
 
 	"nickelline/internal/fault"
 )
@@ -47,24 +46,3 @@
 		return over
 	})
 }
-
-// awaitRetry waits a little, or until another view is in force, before a call is tried again.
-func (n *Node) awaitRetry(ctx context.Context, epoch uint64) error {
-	bounded, cancel := context.WithTimeout(ctx, retryPause)
-	defer cancel()
-	_ = n.wait(bounded, func() bool { return n.replica.view.Epoch != epoch })
-	return ctx.Err()
-}
-
-const (
-	retryPause         = 100 * time.Millisecond
-	defaultCallTimeout = 5 * time.Second // of a call without a deadline
-)
-
-// withDefaultTimeout gives a context with a deadline.
-func withDefaultTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
-	if _, ok := ctx.Deadline(); ok {
-		return context.WithCancel(ctx)
-	}
-	return context.WithTimeout(ctx, defaultCallTimeout)
-}
