--- a/internal/chain/acknowledge.go
+++ b/internal/chain/acknowledge.go
@@ -1,8 +1,8 @@
 package chain
 
-// acknowledge tells the sender of the session about progress. A member that does not know on its disk that it is complete
-// acknowledges nothing to be committed: what is committed in a view is held by all of its members, and each of them may be the
-// head of the next one.
+// acknowledge sends the upstream replica what has changed in the progress from here to the tail. A member that does not
+// know on its disk that it is complete acknowledges no entries as synced: what is committed in a view is on the disks
+// of all its members, and each of them may become the head of the next view.
 func (r *Replica) acknowledge() {
 	u := &r.upstream
 	if u.session == (Session{}) || (!u.started && u.snapshot == nil) {
@@ -27,7 +27,8 @@
 	r.send(u.from, m)
 }
 
-// acknowledgeable gives what this replica and all after it have on disk, and whether they are connected.
+// acknowledgeable returns the sequence up to which this replica and all after it have the log on disk, and whether they
+// are connected. At the head this decides what is committed.
 func (r *Replica) acknowledgeable() (synced uint64, ready bool) {
 	if _, ok := r.view.Successor(r.self.Replica); !ok {
 		return r.synced, true
@@ -38,7 +39,7 @@
 	return min(r.synced, r.successor.acked), r.successor.ready
 }
 
-// returnedBarrier gives the newest barrier that has been at the tail.
+// returnedBarrier returns the newest barrier that has reached the tail and come back to this replica.
 func (r *Replica) returnedBarrier() uint64 {
 	if !r.view.Has(r.self.Replica) {
 		return 0
--- a/internal/chain/agreement_calls.go
+++ b/internal/chain/agreement_calls.go
@@ -8,7 +8,8 @@
 	"nickelline/internal/peer"
 )
 
-// handle answers a question of another replica. One that is impaired does not, so that its neighbours miss it.
+// handle answers a request of another replica. A replica whose disk is impaired does not answer, so that its neighbours
+// find it unresponsive.
 func (r *Reconfigurer) handle(q agreementRequest) (agreementResponse, error) {
 	var a agreementResponse
 	if r.node.Impaired() {
@@ -36,7 +37,7 @@
 	return a, nil
 }
 
-// call puts a question to another replica, and installs its view if that is newer.
+// call sends a request to another replica, and installs the view in its answer if that is newer.
 func (r *Reconfigurer) call(ctx context.Context, to netip.AddrPort, q agreementRequest) (agreementResponse, error) {
 	q.chain = r.node.options.Chain
 	q.sender = r.self()
--- a/internal/chain/agreement_message.go
+++ b/internal/chain/agreement_message.go
@@ -8,24 +8,24 @@
 	"nickelline/internal/view"
 )
 
-// agreementRequest is a call to a replica that agrees on views. One of its questions is set; with none it only asks for
-// the replica's view.
+// agreementRequest is a request to a replica that takes part in the agreement on views. At most one of prepare, accept,
+// join and confirm is set; without one it asks for the replica's view only.
 type agreementRequest struct {
 	chain   uint32
 	sender  view.Member
 	prepare *view.Prepare
 	accept  *view.Accept
 	join    bool // the sender is a learner that has caught up
-	// confirm asks whether the view of an epoch is the newest one that the replica knows or has accepted, 0: no question.
+	// confirm asks whether the view of this epoch is the newest that the replica knows or has accepted; 0 if it is not set.
 	confirm uint64
 }
 
-// agreementResponse tells the view of the replica that answers, and what it says to the question.
+// agreementResponse carries the view of the replica that answers, and its answer to the request.
 type agreementResponse struct {
 	view     view.View
 	promise  *view.Promise
 	accepted *view.Accepted
-	// confirmed answers a question to confirm.
+	// confirmed is the answer to confirm.
 	confirmed bool
 }
 
--- a/internal/chain/applier.go
+++ b/internal/chain/applier.go
@@ -12,45 +12,47 @@
 	"nickelline/internal/view"
 )
 
+// defaultSnapshotBytes is Options.SnapshotBytes if that is not set.
 const defaultSnapshotBytes = 4 << 20
 
-// applier applies committed entries to the machine of a node, in order, and takes its snapshots.
+// applier applies committed entries to the state machine of a node, in order, and takes its snapshots.
 type applier struct {
-	node    *Node
-	machine Machine
-	wake    chan struct{}
-	quit    chan struct{}
-	done    chan struct{}
-	saving  sync.WaitGroup
-
-	// Of the goroutine that applies.
+	node         *Node
+	stateMachine Machine
+	wake         chan struct{}
+	quit         chan struct{}
+	done         chan struct{}
+	saving       sync.WaitGroup
+
+	// Used by the goroutine of run only.
 	position      Position
 	bytes         int // of the entries applied since the last snapshot
 	snapshotBytes int // size of the last snapshot
 
 	applied uint64 // guarded by the mutex of the node
 
-	mutex          sync.Mutex
-	queue          []applierTask
-	snapshotWanted bool
-	savingSnapshot bool
+	mutex             sync.Mutex // guards what follows
+	queue             []applierTask
+	snapshotRequested bool
+	savingSnapshot    bool
 }
 
-// applierTask is an operation on the machine, or a view to tell.
+// applierTask is an operation on the state machine, or a view that came into force if that is set.
 type applierTask struct {
 	operation ApplyOperation
 	view      *view.View
 }
 
+// newApplier returns an applier for a node whose state machine holds what was recovered.
 func newApplier(n *Node, state Recovered, snapshot *segment.Snapshot) *applier {
 	a := &applier{
-		node:     n,
-		machine:  n.options.Machine,
-		wake:     make(chan struct{}, 1),
-		quit:     make(chan struct{}),
-		done:     make(chan struct{}),
-		position: Position{Epoch: state.Snapshot.Epoch, Sequence: state.Snapshot.Sequence},
-		applied:  state.Snapshot.Sequence,
+		node:         n,
+		stateMachine: n.options.Machine,
+		wake:         make(chan struct{}, 1),
+		quit:         make(chan struct{}),
+		done:         make(chan struct{}),
+		position:     Position{Epoch: state.Snapshot.Epoch, Sequence: state.Snapshot.Sequence},
+		applied:      state.Snapshot.Sequence,
 	}
 	if snapshot != nil {
 		a.snapshotBytes = len(snapshot.Data)
@@ -60,13 +62,14 @@
 
 func (a *applier) start() { go a.run() }
 
+// stop ends the goroutines of the applier and waits for them.
 func (a *applier) stop() {
 	close(a.quit)
 	<-a.done
 	a.saving.Wait()
 }
 
-// add takes what an output asks for.
+// add queues what an output asks for.
 func (a *applier) add(out Output) {
 	if len(out.Apply) == 0 && len(out.Views) == 0 && !out.SnapshotRequested {
 		return
@@ -78,19 +81,21 @@
 	for _, v := range out.Views {
 		a.queue = append(a.queue, applierTask{view: &v})
 	}
-	a.snapshotWanted = a.snapshotWanted || out.SnapshotRequested
+	a.snapshotRequested = a.snapshotRequested || out.SnapshotRequested
 	a.mutex.Unlock()
 	notify(a.wake)
 }
 
-func (a *applier) take() (tasks []applierTask, snapshotWanted bool) {
+// take removes what is queued.
+func (a *applier) take() (tasks []applierTask, snapshotRequested bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	tasks, snapshotWanted = a.queue, a.snapshotWanted
-	a.queue, a.snapshotWanted = nil, false
-	return tasks, snapshotWanted
+	tasks, snapshotRequested = a.queue, a.snapshotRequested
+	a.queue, a.snapshotRequested = nil, false
+	return tasks, snapshotRequested
 }
 
+// run applies what is queued until the applier is stopped or the state machine fails.
 func (a *applier) run() {
 	defer close(a.done)
 	for {
@@ -99,15 +104,15 @@
 			return
 		case <-a.wake:
 		}
-		tasks, snapshotWanted := a.take()
+		tasks, snapshotRequested := a.take()
 		for _, task := range tasks {
 			if err := a.perform(task); err != nil {
 				a.node.fail(err, true)
 				return
 			}
 		}
-		if snapshotWanted {
-			a.giveSnapshot()
+		if snapshotRequested {
+			a.passSnapshot()
 		}
 		a.compact()
 	}
@@ -125,8 +130,9 @@
 	return nil
 }
 
+// restore replaces the state by a snapshot of another replica.
 func (a *applier) restore(snapshot segment.Snapshot) error {
-	if err := a.machine.Restore(snapshot.Data); err != nil {
+	if err := a.stateMachine.Restore(snapshot.Data); err != nil {
 		return merry.Prepend(err, "snapshot of another replica")
 	}
 	a.bytes = 0
@@ -135,10 +141,11 @@
 	return nil
 }
 
+// apply applies entries, and passes their results to the callers that wait here.
 func (a *applier) apply(entries []segment.Entry) {
 	calls := a.node.takeAccepted(entries)
 	for _, entry := range entries {
-		result := a.machine.Apply(entry.Sequence, entry.Data)
+		result := a.stateMachine.Apply(entry.Sequence, entry.Data)
 		a.bytes += len(entry.Data)
 		if call := calls[entry.Sequence]; call != nil {
 			call.resolve(proposalResult{result: result})
@@ -148,7 +155,7 @@
 	a.advance(Position{Epoch: last.Epoch, Sequence: last.Sequence})
 }
 
-// advance makes known how far entries have been applied.
+// advance records and announces how far entries have been applied.
 func (a *applier) advance(position Position) {
 	a.position = position
 	a.node.mutex.Lock()
@@ -161,17 +168,17 @@
 	}
 }
 
-// giveSnapshot hands a snapshot to the replica, for a replica that is to be fed.
-func (a *applier) giveSnapshot() {
+// passSnapshot passes a snapshot to the Replica, which sends it to a receiver that lacks too much.
+func (a *applier) passSnapshot() {
 	snapshot := a.snapshot()
 	a.node.step(func(now time.Duration) { a.node.replica.SnapshotTaken(now, snapshot) })
 }
 
 func (a *applier) snapshot() segment.Snapshot {
-	return segment.Snapshot{Epoch: a.position.Epoch, Sequence: a.position.Sequence, Data: a.machine.Snapshot()}
+	return segment.Snapshot{Epoch: a.position.Epoch, Sequence: a.position.Sequence, Data: a.stateMachine.Snapshot()}
 }
 
-// compact has a snapshot written once the entries that it replaces are larger than a bound and than the last snapshot.
+// compact has a snapshot written once the entries that it replaces are larger than a limit and than the last snapshot.
 func (a *applier) compact() {
 	bound := a.node.options.SnapshotBytes
 	if bound == 0 {
@@ -186,6 +193,7 @@
 	a.saving.Go(func() { a.save(snapshot) })
 }
 
+// beginSaving reports whether no snapshot is being saved, and marks that one is from now on.
 func (a *applier) beginSaving() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -196,6 +204,7 @@
 	return true
 }
 
+// save writes a snapshot, beside which entries are applied further.
 func (a *applier) save(snapshot segment.Snapshot) {
 	err := a.node.disk.log.SaveSnapshot(snapshot)
 	a.mutex.Lock()
--- a/internal/chain/barrier.go
+++ b/internal/chain/barrier.go
@@ -25,6 +25,7 @@
 	}
 }
 
+// barrierOnce asks the head of a view for a barrier, and returns the sequence that has to be applied.
 func (n *Node) barrierOnce(ctx context.Context, v view.View) (uint64, error) {
 	head, ok := v.Head()
 	switch {
@@ -62,6 +63,7 @@
 	}
 }
 
+// beginBarrier passes a barrier to the state machine and registers its caller.
 func (n *Node) beginBarrier() (uint64, chan BarrierResult, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -76,7 +78,7 @@
 	return id, resolved, nil
 }
 
-// resolveBarrier answers a barrier. The node's mutex is held.
+// resolveBarrier passes the result of a barrier to its caller. The mutex is held.
 func (n *Node) resolveBarrier(result BarrierResult) {
 	if resolved := n.barriers[result.Barrier]; resolved != nil {
 		delete(n.barriers, result.Barrier)
--- a/internal/chain/barrier_rounds.go
+++ b/internal/chain/barrier_rounds.go
@@ -17,14 +17,14 @@
 	next    *barrierRound // begins once the running one is over
 }
 
-// barrierRound is one question to the head.
+// barrierRound is one barrier request to the head, with the callers that share its answer.
 type barrierRound struct {
 	done     chan struct{}
 	sequence uint64
 	err      error
 }
 
-// joinRound gives a round that has not begun yet.
+// joinRound returns a round that has not begun yet, so that it covers all that was committed before the call.
 func (n *Node) joinRound() *barrierRound {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -40,7 +40,7 @@
 	return round
 }
 
-// runRounds asks the head, and again as long as callers have come meanwhile.
+// runRounds calls the head, and again as long as callers have joined meanwhile.
 func (n *Node) runRounds(round *barrierRound) {
 	for round != nil {
 		round.sequence, round.err = n.barrierAtHead()
@@ -49,6 +49,7 @@
 	}
 }
 
+// nextRound returns the round to run after one is over, nil if nobody waits.
 func (n *Node) nextRound() *barrierRound {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -58,6 +59,7 @@
 	return round
 }
 
+// barrierAtHead asks the head of the view in force for a barrier.
 func (n *Node) barrierAtHead() (uint64, error) {
 	head, ok := n.View().Head()
 	if !ok {
--- a/internal/chain/candidates.go
+++ b/internal/chain/candidates.go
@@ -7,8 +7,9 @@
 	"nickelline/internal/view"
 )
 
-// SetCandidates tells who is there, from the table of members: to be called whenever that changes. Of a candidate only
-// Member, Reachable and Leaving are read. A member of the view that is not named counts as reachable for a while.
+// SetCandidates replaces what is known of the replicas. It is to be called whenever the table of members changes. Of a
+// candidate only Member, Reachable and Leaving are read. A member of the view that is not listed counts as reachable
+// for unlistedGrace.
 func (r *Reconfigurer) SetCandidates(candidates []view.Candidate) {
 	r.mutex.Lock()
 	r.candidates = slices.Clone(candidates)
@@ -16,7 +17,7 @@
 	notify(r.wake)
 }
 
-// nextViewCandidates gives what is known of the members of a view, of learners that may join it, and of its other voters.
+// nextViewCandidates returns the members of a view, the learners that may join it, and its other voters.
 func (r *Reconfigurer) nextViewCandidates(v view.View) []view.Candidate {
 	candidates := append(r.memberCandidates(v), r.learnerCandidates(v)...)
 	r.mutex.Lock()
@@ -40,6 +41,7 @@
 	return candidates
 }
 
+// memberCandidateLocked returns what is known of one member. The mutex is held.
 func (r *Reconfigurer) memberCandidateLocked(member view.Member) view.Candidate {
 	if member.Replica == r.self().Replica {
 		return view.Candidate{Member: member, Reachable: true, Leaving: r.leaving}
@@ -77,12 +79,13 @@
 	return candidates
 }
 
-// reachableLocked tells whether a replica that asks to join is not known to be gone or leaving.
+// reachableLocked reports whether a learner is neither known to be unreachable nor leaving. The mutex is held.
 func (r *Reconfigurer) reachableLocked(replica view.ReplicaID) bool {
 	i := slices.IndexFunc(r.candidates, func(c view.Candidate) bool { return c.Replica == replica })
 	return i < 0 || (r.candidates[i].Reachable && !r.candidates[i].Leaving)
 }
 
+// recordJoinRequest keeps the notice of a learner for joinRequestTTL.
 func (r *Reconfigurer) recordJoinRequest(member view.Member) {
 	r.mutex.Lock()
 	now := r.now()
--- a/internal/chain/commit.go
+++ b/internal/chain/commit.go
@@ -1,6 +1,7 @@
 package chain
 
-// commit has the entries up to a sequence applied.
+// commit has the entries up to a sequence applied. Its callers decide what is committed: advanceHead at the head,
+// advanceReceiver elsewhere.
 func (r *Replica) commit(sequence uint64) {
 	if sequence <= r.committed {
 		return
@@ -8,20 +9,21 @@
 	entries := r.history.between(r.committed, sequence)
 	r.out.Apply = append(r.out.Apply, ApplyOperation{Entries: entries})
 	for _, entry := range entries {
-		delete(r.head.proposals, entry.Sequence)
+		delete(r.head.appended, entry.Sequence)
 	}
 	r.committed = sequence
 }
 
-// trimHistory drops committed entries from memory once they are more than the bound by a quarter. A receiver that lacks
-// one of them is fed with a snapshot.
+// trimHistory drops committed entries from memory once they exceed the limit by a quarter. A receiver that lacks one of
+// them is sent a snapshot.
 func (r *Replica) trimHistory() {
 	if r.history.bytes() > r.limits.retained+r.limits.retained/4 {
 		r.history.trim(r.trimPoint())
 	}
 }
 
-// trimPoint spares the newest committed entries, and those that a receiver lacks, if that is not too much.
+// trimPoint returns the sequence up to which entries may be dropped. It spares the newest committed entries, and those
+// that a receiver lacks unless these are too many.
 func (r *Replica) trimPoint() uint64 {
 	end := r.history.bytesUpTo(r.committed)
 	point := r.history.firstWithin(r.committed, r.limits.retained)
--- a/internal/chain/completeness.go
+++ b/internal/chain/completeness.go
@@ -1,12 +1,14 @@
 package chain
 
-// complete tells whether the replica has all that was ever committed.
+// complete reports whether the replica has every entry that was ever committed. Only a complete replica may be head or
+// send to others.
 func (r *Replica) complete() bool {
 	member, ok := r.view.Member(r.self.Replica)
 	return ok && r.completeEpoch >= member.Joined
 }
 
-// checkComplete notices that the replica became complete, and has that written to disk first.
+// checkComplete notices that the replica has synced what its predecessor had when their session began, and has that
+// written to disk. The replica is complete once the record is written.
 func (r *Replica) checkComplete() {
 	if r.complete() || r.completing == r.view.Epoch || !r.view.Has(r.self.Replica) {
 		return
@@ -18,7 +20,7 @@
 	r.write(DiskOperation{Record: r.record(r.newestView())}, 0)
 }
 
-// caughtUp tells whether a learner has what its source knew to be committed.
+// caughtUp reports whether a learner has what its source was last known to have committed.
 func (r *Replica) caughtUp() bool {
 	return r.upstream.started && !r.view.Has(r.self.Replica) && r.synced >= r.upstream.committed
 }
--- a/internal/chain/confirm_majority.go
+++ b/internal/chain/confirm_majority.go
@@ -11,8 +11,8 @@
 // confirmTimeout bounds how long the voters are waited for in confirmByMajority.
 const confirmTimeout = 500 * time.Millisecond
 
-// confirmByMajority succeeds once so many of some voters as are a majority of all have a view on their disks, and have
-// accepted no later one.
+// confirmByMajority succeeds once so many of the given voters as are a majority of all have a view on their disks, and
+// have accepted no later one.
 func (r *Reconfigurer) confirmByMajority(ctx context.Context, v view.View, voters []view.Member) error {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
@@ -32,6 +32,7 @@
 	return fault.New(fault.NotReady, "%d of %d voters confirm view %d", confirmed, len(voters), v.Epoch)
 }
 
+// confirms reports whether a voter confirms that a view is the newest.
 func (r *Reconfigurer) confirms(ctx context.Context, v view.View, voter view.Member) bool {
 	if voter.Replica == r.self().Replica {
 		return r.voter.confirms(v.Epoch)
--- a/internal/chain/discovery.go
+++ b/internal/chain/discovery.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// discover asks for a view where none is known.
+// discover asks another replica for a view where none is known.
 func (r *Reconfigurer) discover(ctx context.Context) time.Duration {
 	to, ok := r.nextPeer()
 	if !ok {
@@ -20,7 +20,7 @@
 	return discoveryPeriod
 }
 
-// checkView has another replica asked for its view now and again: a member that was dropped may have missed that.
+// checkView asks another replica for its view every few seconds: a member that was dropped may have missed that.
 func (r *Reconfigurer) checkView(ctx context.Context) {
 	now := r.now()
 	if now-r.viewCheckedAt < viewCheckPeriod/2 {
@@ -32,7 +32,7 @@
 	}
 }
 
-// nextPeer gives one of the other replicas, each time the next one.
+// nextPeer returns the other replicas in turn, one with each call.
 func (r *Reconfigurer) nextPeer() (netip.AddrPort, bool) {
 	addresses := r.others()
 	if len(addresses) == 0 {
@@ -42,7 +42,7 @@
 	return addresses[r.peerIndex%len(addresses)], true
 }
 
-// others gives the addresses of the other replicas that may be there.
+// others returns the addresses of the other replicas that may be up.
 func (r *Reconfigurer) others() []netip.AddrPort {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/chain/disk_writer.go
+++ b/internal/chain/disk_writer.go
@@ -7,7 +7,7 @@
 	"nickelline/internal/segment"
 )
 
-// diskWriter carries out the disk operations of a node in order. All that waits is synced together.
+// diskWriter carries out the disk operations of a node in order. Operations that wait are synced together.
 type diskWriter struct {
 	node *Node
 	log  *segment.Log
@@ -18,14 +18,15 @@
 	mutex sync.Mutex
 	queue []DiskOperation
 	busy  time.Time // since when operations have been under way, zero if none are
-	// watchdog tells of operations that take too long.
+	// watchdog calls onStall when operations take too long; nil without onStall.
 	watchdog *time.Timer
 }
 
-// stallLimit is how long operations may take before the disk counts as stalled: a chain waits for each of its replicas.
+// stallLimit is how long disk operations may take before the disk counts as stalled. A chain commits nothing while one of
+// its members is stalled.
 const stallLimit = 600 * time.Millisecond
 
-// newDiskWriter makes a writer that calls onStall, if there is one, whenever operations have taken too long.
+// newDiskWriter returns a writer that calls onStall, if it is set, whenever operations have taken too long.
 func newDiskWriter(n *Node, log *segment.Log, onStall func()) *diskWriter {
 	d := &diskWriter{
 		node: n,
@@ -43,12 +44,14 @@
 
 func (d *diskWriter) start() { go d.run() }
 
+// stop ends the goroutine of the writer, waits for it and closes the log.
 func (d *diskWriter) stop() {
 	close(d.quit)
 	<-d.done
 	_ = d.log.Close()
 }
 
+// add queues operations.
 func (d *diskWriter) add(operations []DiskOperation) {
 	if len(operations) == 0 {
 		return
@@ -67,6 +70,7 @@
 	}
 }
 
+// take removes what is queued, and starts the clock of the stall limit if there is anything.
 func (d *diskWriter) take() []DiskOperation {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -80,6 +84,7 @@
 	return operations
 }
 
+// idle stops the clock of the stall limit.
 func (d *diskWriter) idle() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -89,20 +94,21 @@
 	}
 }
 
-// watch has the watchdog tell if what begins now takes too long.
+// watch has the watchdog call onStall if the operations that begin now take too long. The mutex is held.
 func (d *diskWriter) watch() {
 	if d.watchdog != nil {
 		d.watchdog.Reset(stallLimit + time.Millisecond)
 	}
 }
 
-// stalled tells whether the operations under way have taken too long.
+// stalled reports whether the operations under way have taken too long.
 func (d *diskWriter) stalled(now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return !d.busy.IsZero() && now.Sub(d.busy) > stallLimit
 }
 
+// run writes what is queued until the writer is stopped or the disk fails.
 func (d *diskWriter) run() {
 	defer close(d.done)
 	for {
@@ -126,6 +132,7 @@
 	}
 }
 
+// write carries out operations, and returns once they are on disk.
 func (d *diskWriter) write(operations []DiskOperation) error {
 	unsynced := false
 	for _, operation := range operations {
@@ -140,6 +147,7 @@
 	return d.log.Sync()
 }
 
+// writeOne carries out an operation. Append and Truncate still need a sync of the log.
 func (d *diskWriter) writeOne(operation DiskOperation) error {
 	switch {
 	case operation.Append != nil:
--- a/internal/chain/dispatcher.go
+++ b/internal/chain/dispatcher.go
@@ -12,7 +12,7 @@
 	"nickelline/internal/peer"
 )
 
-// Registry dispatches the messages of one transport to the chains of the process.
+// Registry passes the messages of one transport to the chains of the process.
 type Registry struct {
 	transport *peer.Transport
 	log       *zap.Logger
@@ -22,7 +22,7 @@
 	reconfigurers map[uint32]*Reconfigurer
 }
 
-// NewRegistry sets its handlers on a transport that has not been started.
+// NewRegistry returns a dispatcher and sets its handlers on a transport that has not been started.
 func NewRegistry(transport *peer.Transport, log *zap.Logger) *Registry {
 	d := &Registry{
 		transport:     transport,
@@ -37,6 +37,7 @@
 	return d
 }
 
+// add registers a node. A chain can be open once only.
 func (d *Registry) add(n *Node) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -62,6 +63,7 @@
 	d.reconfigurers[chain] = reconfigurer
 }
 
+// node returns the node of a chain, or fault.NotReady if the chain is not open here.
 func (d *Registry) node(chain uint32) (*Node, error) {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
@@ -71,6 +73,7 @@
 	return nil, fault.New(fault.NotReady, "chain %d is not here", chain)
 }
 
+// reconfigurer returns the reconfigurer of a chain, or fault.NotReady if there is none here.
 func (d *Registry) reconfigurer(chain uint32) (*Reconfigurer, error) {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
@@ -80,6 +83,7 @@
 	return nil, fault.New(fault.NotReady, "chain %d does not agree on its views here", chain)
 }
 
+// receive handles a one-way message between replicas. One for a chain that is not open here is dropped.
 func (d *Registry) receive(from netip.AddrPort, m peer.Message) {
 	e, err := decodeEnvelope(m.Body)
 	if err != nil {
@@ -91,7 +95,7 @@
 	}
 }
 
-// propose answers a proposal that another replica passed on.
+// propose handles a proposal that another replica forwarded to the head.
 func (d *Registry) propose(ctx context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
 	chain, command, err := decodeProposeRequest(m.Body)
 	if err != nil {
@@ -109,7 +113,7 @@
 	return peer.Message{Kind: kindPropose, Body: body}, fault.Wrap(fault.Unclear, err)
 }
 
-// barrier answers a replica that asks for a barrier.
+// barrier handles a barrier request of another replica to the head.
 func (d *Registry) barrier(ctx context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
 	chain, err := decodeBarrierRequest(m.Body)
 	if err != nil {
@@ -127,7 +131,7 @@
 	return peer.Message{Kind: kindBarrier, Body: body}, fault.Wrap(fault.NotReady, err)
 }
 
-// agreement answers a question of the agreement on views.
+// agreement handles a request of the agreement on views.
 func (d *Registry) agreement(_ context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
 	request, err := decodeAgreementRequest(m.Body)
 	if err != nil {
--- a/internal/chain/downstream_entries.go
+++ b/internal/chain/downstream_entries.go
@@ -6,7 +6,8 @@
 	"nickelline/internal/segment"
 )
 
-// flushEntries sends entries that are on the own disk, to a learner only committed ones.
+// flushEntries sends entries that are on the own disk, to a learner only committed ones. What a receiver lacks and the
+// history no longer has calls for a new session.
 func (r *Replica) flushEntries(now time.Duration, l *link) {
 	if l.next <= r.history.base.Sequence {
 		r.connect(now, l)
@@ -25,6 +26,7 @@
 	}
 }
 
+// sendAppend sends entries, which may be none, with the newest commit and barrier.
 func (r *Replica) sendAppend(now time.Duration, l *link, entries []segment.Entry) {
 	previous, _ := r.history.position(l.next - 1)
 	idle := !l.outstanding()
@@ -44,17 +46,18 @@
 	}
 }
 
-// barrierFor gives the newest barrier to be passed on.
+// barrierFor returns the newest barrier to be passed on by a link.
 func (r *Replica) barrierFor(l *link) uint64 {
 	if l.learner {
 		return 0
 	}
 	if r.isHead() {
-		return r.head.round
+		return r.head.barriers.round
 	}
 	return r.upstream.barrier
 }
 
+// acknowledgeEntries handles what a receiver, and all replicas after it, have on disk.
 func (r *Replica) acknowledgeEntries(now time.Duration, l *link, m Acknowledge) {
 	if m.Stored > l.stored || m.Synced > l.acked || m.Barrier > l.barrierAcked || m.Ready != l.ready {
 		r.noteProgress(now, l)
@@ -68,7 +71,7 @@
 	}
 }
 
-// inFlight gives the bytes of entries that were sent and are not known to be on the receiver's disk.
+// inFlight returns the bytes of entries that were sent and are not known to be on the receiver's disk.
 func (r *Replica) inFlight(l *link) uint64 {
 	return r.history.bytesUpTo(l.next-1) - r.history.bytesUpTo(l.stored)
 }
--- a/internal/chain/downstream_retry.go
+++ b/internal/chain/downstream_retry.go
@@ -7,12 +7,13 @@
 	"nickelline/internal/view"
 )
 
-// noteProgress puts off the retry.
+// noteProgress handles a sign of progress: the retry is put off.
 func (r *Replica) noteProgress(now time.Duration, l *link) {
 	l.attempts = 0
 	r.setRetryDeadline(now, l)
 }
 
+// setRetryDeadline allows for the bytes in flight on a slow link, and longer after each attempt without progress.
 func (r *Replica) setRetryDeadline(now time.Duration, l *link) {
 	var bytes uint64
 	switch l.state {
@@ -39,7 +40,7 @@
 	r.connect(now, l)
 }
 
-// dropUnresponsiveLearners forgets learners that do not answer. They ask again if they live.
+// dropUnresponsiveLearners forgets learners that do not answer. Those that are alive ask for a session again.
 func (r *Replica) dropUnresponsiveLearners() {
 	maps.DeleteFunc(r.learners, func(_ view.ReplicaID, l *link) bool { return l.attempts > learnerAttempts })
 }
--- a/internal/chain/downstream_session.go
+++ b/internal/chain/downstream_session.go
@@ -7,7 +7,7 @@
 	"nickelline/internal/view"
 )
 
-// connectSuccessor begins to feed the successor in the view, if this replica is complete.
+// connectSuccessor begins a session with the successor in the view, if this replica is complete.
 func (r *Replica) connectSuccessor(now time.Duration) {
 	successor, ok := r.view.Successor(r.self.Replica)
 	if !ok || !r.complete() || r.successor != nil {
@@ -17,7 +17,7 @@
 	r.connect(now, r.successor)
 }
 
-// connect begins a new session. What the receiver had acknowledged before no longer counts.
+// connect begins a new session. What the receiver acknowledged in an earlier one no longer counts.
 func (r *Replica) connect(now time.Duration, l *link) {
 	r.sessions++
 	l.session = Session{Generation: r.generation, Number: r.sessions}
@@ -32,7 +32,7 @@
 	l.deadline = now + retryInterval<<min(l.attempts, retryDoublings)
 }
 
-// rewindLinks begins new sessions where entries after a sequence that were dropped may have been sent.
+// rewindLinks begins new sessions on links by which entries after a truncated sequence may have been sent.
 func (r *Replica) rewindLinks(now time.Duration, sequence uint64) {
 	for _, l := range r.links() {
 		if l.state == linkStreaming && l.next <= sequence+1 {
@@ -42,7 +42,8 @@
 	}
 }
 
-// receiveAttach connects to a replica that asks for it, unless it is being fed.
+// receiveAttach connects to a replica that asks for a session, unless it has one already. A replica that the view does
+// not name becomes a learner.
 func (r *Replica) receiveAttach(now time.Duration, from netip.AddrPort, sender view.ReplicaID, m Attach) {
 	if !r.complete() {
 		return
@@ -64,7 +65,8 @@
 	}
 }
 
-// receiveHistory finds where the receiver's log and the own one part.
+// receiveHistory finds the last position that the receiver's log shares with the own one, and streams from there.
+// Without one the receiver needs a snapshot.
 func (r *Replica) receiveHistory(now time.Duration, sender view.ReplicaID, m History) {
 	l := r.linkTo(sender)
 	if l == nil || l.session != m.Session || l.state != linkConnecting {
@@ -85,7 +87,7 @@
 	r.start(now, l, common)
 }
 
-// start begins to send the entries after a position.
+// start tells the receiver from which position entries follow, and begins to stream them.
 func (r *Replica) start(now time.Duration, l *link, common Position) {
 	l.state = linkStreaming
 	l.next = common.Sequence + 1
@@ -98,7 +100,7 @@
 	r.noteProgress(now, l)
 }
 
-// receiveAcknowledge takes the receiver's progress.
+// receiveAcknowledge handles a receiver's progress.
 func (r *Replica) receiveAcknowledge(now time.Duration, sender view.ReplicaID, m Acknowledge) {
 	l := r.linkTo(sender)
 	if l == nil || l.session != m.Session {
--- a/internal/chain/downstream_snapshot.go
+++ b/internal/chain/downstream_snapshot.go
@@ -6,7 +6,8 @@
 	"nickelline/internal/segment"
 )
 
-// SnapshotTaken gives a snapshot of the state at an entry that was committed.
+// SnapshotTaken handles a snapshot of the state at a committed entry, which the output asked for. It is sent to all
+// receivers that wait for one.
 func (r *Replica) SnapshotTaken(now time.Duration, snapshot segment.Snapshot) {
 	position := Position{Epoch: snapshot.Epoch, Sequence: snapshot.Sequence}
 	if held, ok := r.history.position(snapshot.Sequence); ok && held == position {
@@ -23,6 +24,7 @@
 	r.followUp(now)
 }
 
+// acknowledgeSnapshot handles how many bytes of the snapshot have been received. Entries follow once it is whole.
 func (r *Replica) acknowledgeSnapshot(now time.Duration, l *link, received uint64) {
 	if received <= l.snapshotAcked {
 		return
@@ -34,6 +36,7 @@
 	}
 }
 
+// flushSnapshot sends chunks of the snapshot up to the window.
 func (r *Replica) flushSnapshot(now time.Duration, l *link) {
 	total := l.snapshotTotal()
 	for l.snapshotSent < total && l.snapshotSent-l.snapshotAcked < snapshotWindow*r.limits.snapshotChunk {
--- a/internal/chain/durable_log.go
+++ b/internal/chain/durable_log.go
@@ -13,6 +13,7 @@
 	record *Record
 }
 
+// write queues a disk operation. Once it is done the log is on disk up to synced; 0 if the operation appends nothing.
 func (r *Replica) write(operation DiskOperation, synced uint64) {
 	r.lastDisk++
 	operation.ID = r.lastDisk
@@ -20,7 +21,7 @@
 	r.disk = append(r.disk, pendingDisk{id: operation.ID, synced: synced, record: operation.Record})
 }
 
-// DiskDone tells that a disk operation, and those before it, are on the disk.
+// DiskDone handles that a disk operation, and all those before it, are on disk.
 func (r *Replica) DiskDone(now time.Duration, id uint64) {
 	for len(r.disk) > 0 && r.disk[0].id <= id {
 		operation := r.disk[0]
@@ -33,7 +34,7 @@
 	r.followUp(now)
 }
 
-// append adds entries to the log.
+// append adds entries to the end of the log.
 func (r *Replica) append(entries []segment.Entry) {
 	if len(entries) == 0 {
 		return
@@ -42,7 +43,8 @@
 	r.write(DiskOperation{Append: entries}, r.history.last().Sequence)
 }
 
-// truncate drops the entries after a sequence, and what waits to be synced of them.
+// truncate drops the entries after a sequence, and forgets that the disk may yet sync them. Links by which they may
+// have been sent begin new sessions.
 func (r *Replica) truncate(now time.Duration, sequence uint64) {
 	if sequence >= r.history.last().Sequence {
 		return
@@ -56,7 +58,7 @@
 	r.rewindLinks(now, sequence)
 }
 
-// reset replaces the log by a snapshot.
+// reset replaces the log and the applied state by a snapshot.
 func (r *Replica) reset(now time.Duration, snapshot segment.Snapshot) {
 	for i := range r.disk {
 		r.disk[i].synced = 0
--- a/internal/chain/envelope_decode.go
+++ b/internal/chain/envelope_decode.go
@@ -9,7 +9,7 @@
 	"nickelline/internal/view"
 )
 
-// decodeEnvelope reads what encodeEnvelope gave. Entries and snapshot data share its memory.
+// decodeEnvelope reverses encodeEnvelope. Entries and snapshot data share the memory of data.
 func decodeEnvelope(data []byte) (Envelope, error) {
 	r, err := capnpcodec.Unmarshal(data, chainwire.ReadRootEnvelope)
 	if err != nil {
--- a/internal/chain/envelope_encode.go
+++ b/internal/chain/envelope_encode.go
@@ -15,7 +15,7 @@
 	wordBytes       = 8
 )
 
-// encodeEnvelope gives a message as a Cap'n Proto message.
+// encodeEnvelope returns the Cap'n Proto form of a message (chainwire/chain.capnp).
 func encodeEnvelope(e Envelope) ([]byte, error) {
 	return capnpcodec.Marshal(envelopeSize(e.Body), chainwire.NewRootEnvelope, func(w chainwire.Envelope) error {
 		w.SetChain(e.Chain)
--- a/internal/chain/forward.go
+++ b/internal/chain/forward.go
@@ -8,13 +8,13 @@
 	"nickelline/internal/view"
 )
 
-// forwardedCall is a call to the head of a view.
+// forwardedCall is a call that was forwarded to the head of a view.
 type forwardedCall struct {
 	head   view.ReplicaID
 	cancel context.CancelFunc
 }
 
-// callHead calls the head, and gives up once a view names another one. An error of no kind is taken as unclear.
+// callHead calls the head, and gives up once a view names another one. An error of no kind counts as unclear.
 func (n *Node) callHead(ctx context.Context, head view.Member, m peer.Message) (peer.Message, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -27,6 +27,7 @@
 	return answer, err
 }
 
+// registerForwarded has a call cancelled once another replica is head.
 func (n *Node) registerForwarded(head view.ReplicaID, cancel context.CancelFunc) uint64 {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -41,7 +42,7 @@
 	delete(n.forwarded, id)
 }
 
-// cancelForwardedCalls ends the calls to a head that a new view does not have. The node's mutex is held.
+// cancelForwardedCalls ends the calls to a head that a new view no longer has as head. The mutex is held.
 func (n *Node) cancelForwardedCalls(v view.View) {
 	head, _ := v.Head()
 	for _, call := range n.forwarded {
--- a/internal/chain/handover.go
+++ b/internal/chain/handover.go
@@ -9,9 +9,9 @@
 	"nickelline/internal/view"
 )
 
-// HandOver has the voters agree on a view without this replica. It returns once that view, or a later one, is on the disks of
-// a majority of its voters without this one, so that the disk of this replica is needed for nothing, and with fault.NotReady if
-// too few members would remain. The replica does not join again. Run has to be working.
+// HandOver has the voters agree on a view without this replica. It returns once that view, or a later one, is on the
+// disks of a majority of its voters without this one, so that the disk of this replica is no longer needed, and with
+// fault.NotReady if too few members would remain. The replica does not join again. Run has to be running.
 func (r *Reconfigurer) HandOver(ctx context.Context) error {
 	r.mutex.Lock()
 	r.leaving = true
@@ -30,7 +30,7 @@
 	return r.awaitSuccessors(ctx)
 }
 
-// awaitMembership tells whether this replica is a member, or becomes one up to a time.
+// awaitMembership reports whether this replica is a member, or becomes one before the given time.
 func (r *Reconfigurer) awaitMembership(ctx context.Context, until time.Time) bool {
 	bounded, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
@@ -50,6 +50,7 @@
 	}
 }
 
+// isLeaving reports whether this replica is handing over.
 func (r *Reconfigurer) isLeaving() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/chain/head.go
+++ b/internal/chain/head.go
@@ -1,24 +1,28 @@
 package chain
 
-import (
-	"slices"
-	"time"
-)
+import "slices"
 
 // headState is what a replica keeps while it is the head.
 type headState struct {
-	// floor is the last entry at the time when the replica became head, or was started: what was committed before has
-	// at most this sequence.
-	floor     uint64
-	waiting   []proposal        // not appended yet
-	bytes     int               // of the commands that wait
-	proposals map[uint64]uint64 // proposal by sequence, appended and not committed
+	// priorCommitBound is the last entry at the time when the replica became head, or was started. Entries that were
+	// committed before have at most this sequence.
+	priorCommitBound uint64
 
-	round          uint64   // newest barrier that was sent, 0: none in this epoch
-	roundFor       []uint64 // barriers that it answers; nil: none is under way
-	roundSequence  uint64   // what was committed when it was sent has at most this sequence
-	waitingBarrier []uint64 // barriers that came since
-	rounds         uint64
+	waiting      []proposal        // not appended yet, in order
+	waitingBytes int               // of the commands in waiting
+	appended     map[uint64]uint64 // proposals that are appended and not committed, by sequence
+
+	barriers headBarriers
+}
+
+// headBarriers collects barriers into rounds. One round is under way at a time; barriers that come meanwhile share the
+// next one.
+type headBarriers struct {
+	round    uint64   // number of the newest round, which messages carry; 0: none in this epoch
+	callers  []uint64 // barriers that the round under way answers; nil: none is under way
+	sequence uint64   // what was committed when the round began has at most this sequence
+	waiting  []uint64 // barriers for the next round
+	rounds   uint64   // rounds that were ever begun
 }
 
 // proposal is a command that waits to be appended.
@@ -27,13 +31,13 @@
 	command []byte
 }
 
-// isHead tells whether the view in force names this replica as head, and it may act as one.
+// isHead reports whether the view in force names this replica as head and it is complete, so that it may act as head.
 func (r *Replica) isHead() bool {
 	head, ok := r.view.Head()
 	return ok && head.Replica == r.self.Replica && r.complete()
 }
 
-// headReady tells whether proposals can be committed: enough members, all connected.
+// headReady reports whether proposals can be committed: the view has enough members, and all are connected.
 func (r *Replica) headReady() bool {
 	if !r.isHead() || len(r.view.Members) < r.minimumReplicas {
 		return false
@@ -42,32 +46,35 @@
 	return ready
 }
 
-// updateHeadRole keeps what was begun if the replica is head in the new view as well, and gives it up otherwise.
-func (r *Replica) updateHeadRole(now time.Duration) {
+// updateHeadRole keeps what was begun if the replica is also head of the new view, and resigns otherwise.
+func (r *Replica) updateHeadRole() {
 	if !r.isHead() {
 		r.resignAsHead()
 		return
 	}
-	r.head.floor = r.history.last().Sequence
-	r.head.waitingBarrier = append(r.head.roundFor, r.head.waitingBarrier...)
-	r.head.roundFor = nil
-	r.head.round = 0
+	r.head.priorCommitBound = r.history.last().Sequence
+	r.head.barriers.waiting = append(r.head.barriers.callers, r.head.barriers.waiting...)
+	r.head.barriers.callers = nil
+	r.head.barriers.round = 0
 }
 
+// resignAsHead rejects all proposals and barriers that have no result yet. Those appended may be committed by a later
+// head.
 func (r *Replica) resignAsHead() {
 	for _, waiting := range r.head.waiting {
 		r.out.Rejected = append(r.out.Rejected, Rejected{Proposal: waiting.id})
 	}
-	for _, id := range r.head.proposals {
+	for _, id := range r.head.appended {
 		r.out.Rejected = append(r.out.Rejected, Rejected{Proposal: id, Unclear: true})
 	}
-	for _, id := range slices.Concat(r.head.roundFor, r.head.waitingBarrier) {
+	for _, id := range slices.Concat(r.head.barriers.callers, r.head.barriers.waiting) {
 		r.out.Barriers = append(r.out.Barriers, BarrierResult{Barrier: id, Failed: true})
 	}
-	r.head = headState{proposals: make(map[uint64]uint64), rounds: r.head.rounds}
+	r.head = headState{appended: make(map[uint64]uint64), barriers: headBarriers{rounds: r.head.barriers.rounds}}
 }
 
-// advanceHead commits, appends and answers barriers, as far as the acknowledgements permit.
+// advanceHead appends waiting proposals, commits what the disks of all members hold, and answers barriers. A command is
+// acknowledged to its caller only after it was committed here.
 func (r *Replica) advanceHead() {
 	if !r.isHead() {
 		return
--- a/internal/chain/head_proposals.go
+++ b/internal/chain/head_proposals.go
@@ -7,29 +7,30 @@
 	"nickelline/internal/segment"
 )
 
-// Propose takes a command at the head. It is appended once the chain is connected.
+// Propose handles a command at the head. It is appended once all members are connected; the output tells its sequence
+// by Accepted, or that it has none by Rejected.
 func (r *Replica) Propose(now time.Duration, id uint64, command []byte) {
-	if !r.isHead() || r.head.bytes+len(command) > r.limits.waiting {
+	if !r.isHead() || r.head.waitingBytes+len(command) > r.limits.waiting {
 		r.out.Rejected = append(r.out.Rejected, Rejected{Proposal: id})
 		return
 	}
 	r.head.waiting = append(r.head.waiting, proposal{id: id, command: command})
-	r.head.bytes += len(command)
+	r.head.waitingBytes += len(command)
 	r.followUp(now)
 }
 
-// Cancel takes back a proposal. It reports false if that was appended before.
+// Cancel withdraws a proposal. It reports false if the proposal was appended before.
 func (r *Replica) Cancel(id uint64) bool {
 	i := slices.IndexFunc(r.head.waiting, func(p proposal) bool { return p.id == id })
 	if i < 0 {
 		return false
 	}
-	r.head.bytes -= len(r.head.waiting[i].command)
+	r.head.waitingBytes -= len(r.head.waiting[i].command)
 	r.head.waiting = slices.Delete(r.head.waiting, i, i+1)
 	return true
 }
 
-// appendWaiting appends proposals in order, if the chain is connected and not too far behind.
+// appendWaiting appends proposals in order, if all members are connected and not too much is uncommitted.
 func (r *Replica) appendWaiting() {
 	if len(r.head.waiting) == 0 || !r.headReady() {
 		return
@@ -44,10 +45,10 @@
 		}
 		last++
 		entries = append(entries, segment.Entry{Epoch: r.view.Epoch, Sequence: last, Data: waiting.command})
-		r.head.proposals[last] = waiting.id
+		r.head.appended[last] = waiting.id
 		r.out.Accepted = append(r.out.Accepted, Accepted{Proposal: waiting.id, Sequence: last})
 		uncommitted += uint64(len(waiting.command))
-		r.head.bytes -= len(waiting.command)
+		r.head.waitingBytes -= len(waiting.command)
 		taken++
 	}
 	r.head.waiting = slices.Delete(r.head.waiting, 0, taken)
--- a/internal/chain/history.go
+++ b/internal/chain/history.go
@@ -7,7 +7,7 @@
 	"nickelline/internal/segment"
 )
 
-// history is the part of the log that is kept in memory: all entries after a position that is committed.
+// history is the end of the log that is kept in memory: all entries after a position that is committed.
 type history struct {
 	base    Position
 	entries []segment.Entry
@@ -22,6 +22,7 @@
 	return h
 }
 
+// last returns the position of the last entry.
 func (h *history) last() Position {
 	if len(h.entries) == 0 {
 		return h.base
@@ -30,6 +31,7 @@
 	return Position{Epoch: entry.Epoch, Sequence: entry.Sequence}
 }
 
+// append adds entries that follow the last one.
 func (h *history) append(entries []segment.Entry) {
 	total := h.totalBytes()
 	for _, entry := range entries {
@@ -39,6 +41,7 @@
 	}
 }
 
+// totalBytes returns the bytes of all entries ever held.
 func (h *history) totalBytes() uint64 {
 	if len(h.ends) == 0 {
 		return h.baseBytes
@@ -46,10 +49,10 @@
 	return h.ends[len(h.ends)-1]
 }
 
-// bytes gives the bytes of the entries.
+// bytes returns the bytes of the entries that are held.
 func (h *history) bytes() uint64 { return h.totalBytes() - h.baseBytes }
 
-// firstWithin gives the lowest sequence after which the entries up to another one have at most a number of bytes.
+// firstWithin returns the lowest sequence after which the entries up to upTo have at most the given number of bytes.
 func (h *history) firstWithin(upTo, bytes uint64) uint64 {
 	end := h.bytesUpTo(upTo)
 	count := sort.Search(int(upTo-h.base.Sequence), func(i int) bool {
@@ -58,7 +61,7 @@
 	return h.base.Sequence + uint64(count)
 }
 
-// bytesUpTo gives the bytes of all entries ever held up to a sequence.
+// bytesUpTo returns the bytes of all entries ever held up to a sequence.
 func (h *history) bytesUpTo(sequence uint64) uint64 {
 	if sequence <= h.base.Sequence || len(h.entries) == 0 {
 		return h.baseBytes
@@ -66,7 +69,7 @@
 	return h.ends[min(sequence-h.base.Sequence, uint64(len(h.ends)))-1]
 }
 
-// position gives the position with a sequence, if the history reaches back to it.
+// position returns the position with a sequence, and whether the history reaches back to it.
 func (h *history) position(sequence uint64) (Position, bool) {
 	if sequence == h.base.Sequence {
 		return h.base, true
@@ -77,7 +80,7 @@
 	return Position{Epoch: h.entries[sequence-h.base.Sequence-1].Epoch, Sequence: sequence}, true
 }
 
-// between gives the entries after one sequence up to another. Both must be in the history.
+// between returns the entries after one sequence up to another. Both must be in the history.
 func (h *history) between(after, upTo uint64) []segment.Entry {
 	if upTo <= after {
 		return nil
@@ -85,7 +88,7 @@
 	return h.entries[after-h.base.Sequence : upTo-h.base.Sequence : upTo-h.base.Sequence]
 }
 
-// batch gives entries after a sequence up to a limit, at least one and then as many as fit into a number of bytes.
+// batch returns entries after a sequence up to a limit, at least one and then as many as fit into a number of bytes.
 func (h *history) batch(after, limit uint64, bytes uint64) []segment.Entry {
 	start := h.bytesUpTo(after)
 	offset := int(after - h.base.Sequence)
--- a/internal/chain/install_view.go
+++ b/internal/chain/install_view.go
@@ -6,8 +6,9 @@
 	"nickelline/internal/view"
 )
 
-// Install takes a view that was decided. It comes into force once it is on the disk.
-func (r *Replica) Install(now time.Duration, v view.View) {
+// Install handles a view that was decided. It comes into force once it is on disk. A view that is not newer than the
+// newest known one, or is of another chain, is ignored.
+func (r *Replica) Install(v view.View) {
 	newest := r.view.Epoch
 	if r.installing != nil {
 		newest = r.installing.Epoch
@@ -20,6 +21,7 @@
 	r.write(DiskOperation{Record: r.record(v)}, 0)
 }
 
+// recordWritten brings into force what a record says, now that it is on disk.
 func (r *Replica) recordWritten(now time.Duration, record *Record) {
 	if record.CompleteEpoch > r.completeEpoch {
 		r.completeEpoch = record.CompleteEpoch
@@ -32,7 +34,7 @@
 	}
 }
 
-// enterView brings a view into force, which is on the disk.
+// enterView brings a view into force that is on disk: all sessions of the epoch before end.
 func (r *Replica) enterView(now time.Duration, v view.View) {
 	r.notifyLearners(v)
 	r.view = v
@@ -43,18 +45,19 @@
 	clear(r.learners)
 	r.resetUpstream(now)
 	r.connectSuccessor(now)
-	r.updateHeadRole(now)
+	r.updateHeadRole()
 	if v.Epoch > 0 {
 		r.out.Views = append(r.out.Views, v.Clone())
 	}
 }
 
-// record is what should be on the disk with a view. While one is being installed a later record keeps it.
+// record returns the record to be stored with a view. A record that is written while a view is being installed keeps
+// that view.
 func (r *Replica) record(v view.View) *Record {
 	return &Record{View: v.Clone(), CompleteEpoch: max(r.completeEpoch, r.completing), Generation: r.generation}
 }
 
-// newestView is the one that the record on disk holds, or will.
+// newestView returns the view that the record on disk holds, or will hold once it is written.
 func (r *Replica) newestView() view.View {
 	if r.installing != nil {
 		return *r.installing
--- a/internal/chain/learner.go
+++ b/internal/chain/learner.go
@@ -9,8 +9,8 @@
 	"nickelline/internal/view"
 )
 
-// actAsLearner has this replica, which the view does not name, be fed by a member, and asks to join once it has caught
-// up.
+// actAsLearner has this replica, which the view does not name, receive from a member, and asks to join once it has
+// caught up.
 func (r *Reconfigurer) actAsLearner(ctx context.Context, v view.View) time.Duration {
 	now := r.now()
 	r.chooseSource(v, now)
@@ -24,8 +24,8 @@
 	return r.requestJoin(ctx, v)
 }
 
-// chooseSource keeps the source as long as it is a reachable member that feeds, and takes the next one otherwise, from
-// the tail on.
+// chooseSource keeps the source of a learner as long as that is reachable and makes progress, and takes the next member
+// otherwise, beginning with the tail.
 func (r *Reconfigurer) chooseSource(v view.View, now time.Duration) {
 	reachable := r.reachableMembers(v)
 	current := slices.Index(reachable, r.source)
@@ -40,7 +40,7 @@
 	r.node.follow(r.source)
 }
 
-// reachableMembers gives the addresses of the members that may be there, the tail first.
+// reachableMembers returns the addresses of the members that may be up, the tail first.
 func (r *Reconfigurer) reachableMembers(v view.View) []netip.AddrPort {
 	var addresses []netip.AddrPort
 	for _, candidate := range slices.Backward(r.memberCandidates(v)) {
@@ -51,7 +51,8 @@
 	return addresses
 }
 
-// awaitCatchUp waits a little, or until this replica has caught up or is a member.
+// awaitCatchUp waits for joinPeriod, or until this replica has caught up or is a member. It returns the time until the
+// next look.
 func (r *Reconfigurer) awaitCatchUp(ctx context.Context) time.Duration {
 	bounded, cancel := context.WithTimeout(ctx, joinPeriod)
 	defer cancel()
@@ -59,8 +60,8 @@
 	return retryMinimum
 }
 
-// requestJoin tells the members that this replica has caught up: the head proposes views first. It asks for nothing
-// unless the tail, which it will be fed by, can be reached.
+// requestJoin notifies the members, the tail first, that this replica has caught up. It asks for nothing unless the
+// tail, which would be its predecessor, can be reached. It returns the time until the next request.
 func (r *Reconfigurer) requestJoin(ctx context.Context, v view.View) time.Duration {
 	if tail, ok := v.Tail(); ok {
 		if _, err := r.call(ctx, tail.Address, agreementRequest{}); err != nil {
--- a/internal/chain/link.go
+++ b/internal/chain/link.go
@@ -9,6 +9,7 @@
 	"nickelline/internal/view"
 )
 
+// linkState is the phase of a session, as its sender sees it.
 type linkState uint8
 
 const (
@@ -18,14 +19,14 @@
 	linkStreaming
 )
 
-// link feeds a successor or a learner.
+// link is the sending side of a session, to the successor or to a learner.
 type link struct {
 	to      view.Member
 	learner bool
 
 	session    Session
 	state      linkState
-	generation uint64 // of the receiver
+	generation uint64 // of the receiver, as it answered
 	next       uint64 // sequence of the next entry to send
 	stored     uint64 // on the receiver's disk
 	acked      uint64 // on the disks of the receiver and of all after it
@@ -43,7 +44,7 @@
 	attempts int           // sessions without progress
 }
 
-// neededAfter gives the sequence after which the receiver needs entries.
+// neededAfter returns the sequence after which the receiver needs entries, the highest number if that is not known.
 func (l *link) neededAfter() uint64 {
 	switch {
 	case l.state == linkStreaming:
@@ -54,7 +55,7 @@
 	return ^uint64(0)
 }
 
-// outstanding tells whether something is to be acknowledged yet.
+// outstanding reports whether the receiver still has to acknowledge something.
 func (l *link) outstanding() bool {
 	if l.state != linkStreaming || l.stored < l.next-1 {
 		return true
@@ -62,10 +63,10 @@
 	return !l.learner && (!l.ready || l.acked < l.next-1 || l.barrierAcked < l.barrierSent)
 }
 
-// snapshotTotal is the length of the snapshot, at least one byte so that an empty one is acknowledged too.
+// snapshotTotal returns the length of the snapshot in bytes, at least one so that an empty one is acknowledged too.
 func (l *link) snapshotTotal() uint64 { return max(1, uint64(len(l.snapshot.Data))) }
 
-// links gives all links in a fixed order.
+// links returns all links in a fixed order.
 func (r *Replica) links() []*link {
 	if r.successor == nil && len(r.learners) == 0 {
 		return nil
@@ -80,10 +81,12 @@
 	return all
 }
 
+// learnerOrder returns the learners in a fixed order.
 func (r *Replica) learnerOrder() []view.ReplicaID {
 	return slices.Sorted(maps.Keys(r.learners))
 }
 
+// linkTo returns the link to a replica, nil if there is none.
 func (r *Replica) linkTo(replica view.ReplicaID) *link {
 	if r.successor != nil && r.successor.to.Replica == replica {
 		return r.successor
--- a/internal/chain/long_cut_test.go
+++ b/internal/chain/long_cut_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// longestPause gives the longest time, within the cut, between two commands that were taken one after the other.
+// longestPause returns the longest time, within the cut, between two commands that were taken one after the other.
 func (c *longCut) longestPause(t *testing.T) time.Duration {
 	t.Helper()
 	last, longest := c.began, time.Duration(0)
--- a/internal/chain/message.go
+++ b/internal/chain/message.go
@@ -7,17 +7,17 @@
 	"nickelline/internal/view"
 )
 
-// Position names an entry of a log. Logs that hold the same position hold the same entries up to it.
+// Position identifies an entry of a log. Logs that hold the same position hold the same entries up to it.
 type Position struct{ Epoch, Sequence uint64 }
 
-// Session names one connection from a replica to the one that it feeds. Sessions of a sender are ordered: a later one
-// replaces an earlier one.
+// Session identifies one connection from a replica to the one that receives from it. Sessions of a sender are ordered:
+// a later one replaces an earlier one.
 type Session struct {
 	Generation uint64 // of the sender: how often it was started
 	Number     uint64
 }
 
-// After tells whether s is later than other, given that both are of one sender.
+// After reports whether s is later than other, given that both are of one sender.
 func (s Session) After(other Session) bool {
 	if s.Generation != other.Generation {
 		return s.Generation > other.Generation
@@ -33,11 +33,11 @@
 	Body   Body
 }
 
-// Body is one of the types of messages.
+// Body is the content of an envelope: one of the message types in this file.
 type Body interface{ body() }
 
-// Attach asks the receiver to connect to the sender. Session is the one that the sender has, or the one that it cannot
-// make use of; zero if it has none.
+// Attach asks the receiver to begin a session with the sender. Session is the one that the sender has, or the one that
+// it cannot use if Broken is set; zero if it has none.
 type Attach struct {
 	Session Session
 	Broken  bool
@@ -46,7 +46,7 @@
 // Connect begins a session from a replica to its successor, or to a learner.
 type Connect struct{ Session Session }
 
-// Run is a part of a log whose entries are of one epoch.
+// Run is a range of sequences, both ends included, whose entries are of one epoch.
 type Run struct{ Epoch, First, Last uint64 }
 
 // History answers Connect with an outline of the receiver's log.
@@ -57,26 +57,27 @@
 	Runs       []Run
 }
 
-// Start tells the receiver to cut its log after Match: entries follow from there. A member of the view that has synced
+// Start has the receiver truncate its log after Match: entries follow from there. A member of the view that has synced
 // Target is complete.
 type Start struct {
 	Session    Session
-	Generation uint64
+	Generation uint64 // of the receiver, which ignores the message after a restart
 	Match      Position
 	Target     uint64
 }
 
-// SnapshotChunk is a piece of a snapshot that replaces the receiver's log.
+// SnapshotChunk carries a range of bytes of a snapshot that replaces the receiver's log.
 type SnapshotChunk struct {
 	Session    Session
-	Generation uint64
-	Position   Position
-	Total      uint64
-	Offset     uint64
+	Generation uint64   // of the receiver, which ignores the message after a restart
+	Position   Position // of the last entry that the snapshot replaces
+	Total      uint64   // bytes of the snapshot
+	Offset     uint64   // of Data, in bytes
 	Data       []byte
 }
 
-// Append carries entries that follow Previous, what is committed, and the newest barrier. Each part may be empty.
+// Append carries entries that follow Previous, the commit that the sender knows, and the newest barrier. Entries may be
+// empty.
 type Append struct {
 	Session   Session
 	Previous  Position
@@ -85,7 +86,8 @@
 	Barrier   uint64
 }
 
-// Acknowledge tells what the receiver of a session and all replicas after it have on disk.
+// Acknowledge carries what the receiver of a session and all replicas after it have on disk. Fields are sequences
+// unless noted.
 type Acknowledge struct {
 	Session       Session
 	Synced        uint64
@@ -98,26 +100,18 @@
 // ViewRequest asks for the view that the receiver has.
 type ViewRequest struct{}
 
-// ViewNotice tells a view that was decided.
+// ViewNotice carries a view that was decided.
 type ViewNotice struct{ View view.View }
 
-func (Attach) body() {}
-
-func (Connect) body() {}
-
-func (History) body() {}
-
-func (Start) body() {}
-
+func (Attach) body()        {}
+func (Connect) body()       {}
+func (History) body()       {}
+func (Start) body()         {}
 func (SnapshotChunk) body() {}
-
-func (Append) body() {}
-
-func (Acknowledge) body() {}
-
-func (ViewRequest) body() {}
-
-func (ViewNotice) body() {}
+func (Append) body()        {}
+func (Acknowledge) body()   {}
+func (ViewRequest) body()   {}
+func (ViewNotice) body()    {}
 
 // Outgoing is a message with its destination.
 type Outgoing struct {
--- a/internal/chain/neighbour_probes.go
+++ b/internal/chain/neighbour_probes.go
@@ -8,24 +8,24 @@
 	"nickelline/internal/view"
 )
 
-// Timing of the checks of neighbours. A chain stands still while a member cannot reach its neighbour, and the table of
+// Timing of the probes of neighbours. A chain commits nothing while a member cannot reach its neighbour, and the table of
 // members does not show that as long as others can reach both.
 const (
 	probeInterval       = 300 * time.Millisecond
-	unresponsiveTimeout = 1200 * time.Millisecond // of silence, after which a neighbour counts as unreachable
-	probeTimeout        = 600 * time.Millisecond  // for one question
+	unresponsiveTimeout = 1200 * time.Millisecond // without an answer, after which a neighbour counts as unreachable
+	probeTimeout        = 600 * time.Millisecond  // of one probe
 )
 
-// neighbourProbes tells which of the members beside this replica can be reached from here. The members are taken as a ring: the
-// tail is beside the head, as what is committed has to be read at both.
+// neighbourProbes records which of the members next to this replica answer its probes. The members are taken as a ring:
+// the tail is next to the head, as what is committed has to be read at both.
 type neighbourProbes struct {
 	mutex      sync.Mutex
-	lastAnswer map[view.ReplicaID]time.Duration // when the members beside this one answered last
-	epoch      uint64
-	lastProbe  time.Duration // when they were asked last
+	lastAnswer map[view.ReplicaID]time.Duration // when each neighbour answered last
+	epoch      uint64                           // of the view that the neighbours are of
+	lastProbe  time.Duration                    // when the neighbours were probed last
 }
 
-// ringNeighbours gives the members before and after a replica in the ring of a view.
+// ringNeighbours returns the members before and after a replica in the ring of a view.
 func ringNeighbours(v view.View, self view.ReplicaID) []view.Member {
 	count := len(v.Members)
 	index := v.Index(self)
@@ -40,13 +40,14 @@
 	return []view.Member{before, after}
 }
 
-// observe begins anew with each view, and after this replica itself was held up: silence tells nothing then.
+// observe returns the members to probe now. It starts anew with each view, and after this process was paused itself: a
+// missing answer means nothing then.
 func (n *neighbourProbes) observe(now time.Duration, v view.View, self view.ReplicaID) []view.Member {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	members := ringNeighbours(v, self)
-	heldUp := now-n.lastProbe > 2*probeInterval
-	if v.Epoch != n.epoch || heldUp {
+	paused := now-n.lastProbe > 2*probeInterval
+	if v.Epoch != n.epoch || paused {
 		n.epoch = v.Epoch
 		n.lastAnswer = make(map[view.ReplicaID]time.Duration, len(members))
 		for _, m := range members {
@@ -57,7 +58,7 @@
 	return members
 }
 
-// answered notes that a member answered.
+// answered records that a member answered.
 func (n *neighbourProbes) answered(now time.Duration, replica view.ReplicaID) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -66,7 +67,7 @@
 	}
 }
 
-// unresponsive tells whether a member beside this replica has not answered for too long.
+// unresponsive reports whether a neighbour has not answered for unresponsiveTimeout although it was probed.
 func (n *neighbourProbes) unresponsive(now time.Duration, replica view.ReplicaID) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -74,7 +75,7 @@
 	return watched && now-lastAnswer > unresponsiveTimeout && now-n.lastProbe <= 2*probeInterval
 }
 
-// probeNeighbours asks the members beside this replica again and again until ctx ends.
+// probeNeighbours probes the neighbours of this replica every probeInterval until ctx ends.
 func (r *Reconfigurer) probeNeighbours(ctx context.Context) {
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
@@ -85,17 +86,18 @@
 		case <-ticker.C:
 		}
 		v := r.node.View()
-		silent := false
+		unresponsive := false
 		for _, m := range r.probes.observe(r.now(), v, r.self().Replica) {
 			go r.probeNeighbour(ctx, m)
-			silent = silent || r.probes.unresponsive(r.now(), m.Replica)
+			unresponsive = unresponsive || r.probes.unresponsive(r.now(), m.Replica)
 		}
-		if silent {
+		if unresponsive {
 			notify(r.wake)
 		}
 	}
 }
 
+// probeNeighbour sends one probe.
 func (r *Reconfigurer) probeNeighbour(ctx context.Context, m view.Member) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/chain/node.go
+++ b/internal/chain/node.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	recordName = "record"
-	// LogDirectory is where a chain keeps its log, within its directory.
+	// LogDirectory is the name of the directory of the log within the directory of a chain.
 	LogDirectory = "log"
 	// minimumTimer bounds how often the node wakes by itself.
 	minimumTimer = 20 * time.Millisecond
 )
 
-// Node is one replica of one chain: it drives a Replica with the messages of a transport, a log on disk and a clock. A
-// goroutine writes to the disk, and another one applies entries to the machine.
+// Node is the driver of one replica of one chain: it connects a Replica with a transport, a log on disk and a clock.
+// One goroutine writes to disk and another one applies entries; both are started by Open and awaited by Close. Its
+// methods are safe for concurrent use.
 type Node struct {
 	options   Options
 	transport *peer.Transport
@@ -36,22 +36,22 @@
 	mutex     sync.Mutex
 	replica   *Replica
 	timer     *time.Timer
-	timerAt   time.Duration // 0: not set
-	failure   error         // why the node takes part in nothing any more
-	lastID    uint64
-	proposals map[uint64]*proposalCall // by identity
-	accepted  map[uint64]*proposalCall // by sequence
-	barriers  map[uint64]chan BarrierResult
+	timerAt   time.Duration                 // 0: not set
+	failure   error                         // why the node takes no part in the protocol any more
+	lastID    uint64                        // of a proposal, a barrier or a forwarded call
+	proposals map[uint64]*proposalCall      // not appended yet, by identifier
+	accepted  map[uint64]*proposalCall      // appended and not applied yet, by sequence
+	barriers  map[uint64]chan BarrierResult // by identifier
 	remote    remoteBarriers
-	forwarded map[uint64]forwardedCall
+	forwarded map[uint64]forwardedCall // calls to the head, by identifier
 	watchers  []*watcher
 	onCommit  []func(uint64)
 	onView    []func(view.View)
 }
 
-// Open restores a replica from its directory, or makes an empty one. It takes part in the view that it has on disk. An
-// error that matches segment.ErrDamaged means that the replica is lost: its directory has to be emptied, and with it the
-// identity.
+// Open restores a replica from its directory, or makes an empty one, and takes part in the view that it has on disk. An
+// error that matches segment.ErrDamaged means that the replica is lost: its directory has to be emptied, and its
+// identity with it. The caller must call Close.
 func Open(options Options) (*Node, error) {
 	if options.Log == nil {
 		options.Log = zap.NewNop()
@@ -81,7 +81,7 @@
 		barriers:  make(map[uint64]chan BarrierResult),
 		forwarded: make(map[uint64]forwardedCall),
 	}
-	n.replica = NewReplica(n.now(), options.Chain, options.Self, options.MinimumReplicas, state)
+	n.replica = NewReplica(options.Chain, options.Self, options.MinimumReplicas, state)
 	n.disk = newDiskWriter(n, log, options.OnStall)
 	n.applier = newApplier(n, state, recovered.Snapshot)
 	if err := options.Registry.add(n); err != nil {
@@ -93,7 +93,7 @@
 	return n, nil
 }
 
-// Close stops the replica. Calls that wait end with an error.
+// Close stops the replica and waits for its goroutines. Calls that wait end with an error.
 func (n *Node) Close() {
 	n.fail(fault.New(fault.NotReady, "chain %d is closed", n.options.Chain), false)
 	n.closing.Do(func() {
@@ -103,15 +103,17 @@
 	})
 }
 
+// now returns the time on the monotonic clock that events carry.
 func (n *Node) now() time.Duration { return time.Since(n.began) }
 
-// step lets an event happen and carries out what follows.
+// step passes an event to the state machine and carries out what it asks for.
 func (n *Node) step(event func(now time.Duration)) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.stepLocked(event)
 }
 
+// stepLocked is step with the mutex held.
 func (n *Node) stepLocked(event func(now time.Duration)) {
 	if n.failure != nil {
 		return
@@ -123,9 +125,10 @@
 	n.wakeWatchers()
 }
 
+// dispatch hands an output to those who carry it out. The mutex is held.
 func (n *Node) dispatch(out Output) {
-	for _, text := range out.Violations {
-		n.options.Log.Error("breach of the chain's protocol", zap.Uint32("chain", n.options.Chain), zap.String("what", text))
+	for _, violation := range out.Violations {
+		n.options.Log.Error("breach of the chain's protocol", zap.Uint32("chain", n.options.Chain), zap.String("what", violation))
 	}
 	n.disk.add(out.Disk)
 	for _, message := range out.Messages {
@@ -143,16 +146,17 @@
 	}
 }
 
+// send sends a message without waiting; the protocol retries what is lost.
 func (n *Node) send(message Outgoing) {
 	body, err := encodeEnvelope(message.Envelope)
 	if err != nil {
-		n.options.Log.Error("encode", zap.Error(err))
+		n.options.Log.Error("encode chain message failed", zap.Stringer("to", message.To), zap.Error(err))
 		return
 	}
 	n.transport.Send(message.To, peer.Message{Kind: kindEnvelope, Body: body})
 }
 
-// setTimer has Tick called at the replica's deadline. A timer that is set to an earlier time is left alone.
+// setTimer has Tick called at the state machine's deadline. A timer that is set to an earlier time is left alone.
 func (n *Node) setTimer(now time.Duration) {
 	deadline, ok := n.replica.Deadline()
 	if !ok || (n.timerAt != 0 && n.timerAt <= deadline) {
@@ -167,6 +171,7 @@
 	n.timer.Reset(wait)
 }
 
+// tick runs when the timer fires.
 func (n *Node) tick() {
 	n.step(func(now time.Duration) {
 		n.timerAt = 0
@@ -174,11 +179,12 @@
 	})
 }
 
+// receive passes a message of another replica to the state machine.
 func (n *Node) receive(from netip.AddrPort, e Envelope) {
 	n.step(func(now time.Duration) { n.replica.Receive(now, from, e) })
 }
 
-// fail ends the replica's part in everything.
+// fail ends the part of this replica in the protocol for good. With report set it is logged and passed to OnFailure.
 func (n *Node) fail(err error, report bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/chain/node_test.go
+++ b/internal/chain/node_test.go
@@ -183,7 +183,7 @@
 	return binary.LittleEndian.Uint64(result)
 }
 
-// head gives the node that is head of the chain.
+// head returns the node that is head of the chain.
 func (c *cluster) head() *Node {
 	c.t.Helper()
 	for _, m := range c.members {
--- a/internal/chain/node_views.go
+++ b/internal/chain/node_views.go
@@ -9,12 +9,12 @@
 )
 
 // Install gives the replica a view that was decided. One that is not newer than its own is ignored. It comes into force
-// once it is on the disk.
+// once it is on disk.
 func (n *Node) Install(v view.View) {
-	n.step(func(now time.Duration) { n.replica.Install(now, v) })
+	n.step(func(time.Duration) { n.replica.Install(v) })
 }
 
-// sendNewerView sends the own view to a replica that has an older one.
+// sendNewerView sends the own view to a replica whose epoch is older.
 func (n *Node) sendNewerView(to netip.AddrPort, epoch uint64) {
 	n.step(func(time.Duration) {
 		if epoch < n.replica.View().Epoch {
@@ -23,22 +23,22 @@
 	})
 }
 
-// View gives the view that is in force at this replica; its epoch is 0 if there is none.
+// View returns the view that is in force at this replica. Its epoch is 0 if there is none.
 func (n *Node) View() view.View {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.replica.View().Clone()
 }
 
-// Learn has a replica that no view names follow the chain, fed by the member at an address: with a snapshot first, then
-// with all that is committed. It returns once the replica has caught up, and keeps following afterwards. Once a view
-// names the replica this ends by itself.
+// Learn has a replica that no view names receive from the member at an address: a snapshot if it lacks too much, then
+// all that is committed. It returns once the replica has caught up, and receiving goes on afterwards until a view names
+// the replica.
 func (n *Node) Learn(ctx context.Context, from netip.AddrPort) error {
 	n.step(func(now time.Duration) { n.replica.Follow(now, from) })
 	return n.wait(ctx, func() bool { return n.replica.caughtUp() || n.replica.view.Has(n.options.Self.Replica) })
 }
 
-// follow has the node be fed from an address.
+// follow has a learner receive from an address.
 func (n *Node) follow(from netip.AddrPort) {
 	n.step(func(now time.Duration) { n.replica.Follow(now, from) })
 }
--- a/internal/chain/notifications.go
+++ b/internal/chain/notifications.go
@@ -18,7 +18,7 @@
 	n.onView = append(n.onView, notify)
 }
 
-// notifyView tells a view that came into force.
+// notifyView calls the functions registered by OnView.
 func (n *Node) notifyView(v view.View) {
 	n.mutex.Lock()
 	notified := n.onView
--- a/internal/chain/options.go
+++ b/internal/chain/options.go
@@ -11,23 +11,26 @@
 type Options struct {
 	// Chain is the number of the chain, the same at all of its replicas.
 	Chain uint32
-	// Self tells who the replica is and where its peers find it.
+	// Self identifies the replica and gives the address at which its peers reach it.
 	Self view.Member
-	// Registry dispatches the messages of its transport to the chains of this process.
+	// Registry passes the messages of its transport to the chains of this process.
 	Registry *Registry
-	// FileSystem and Directory tell where the replica keeps its log. No other chain uses the directory.
+	// FileSystem and Directory locate the files of the replica. No other chain uses the directory.
 	FileSystem segment.FileSystem
 	Directory  string
 	// Machine is the replicated state. It is called from one goroutine.
 	Machine Machine
-	// MinimumReplicas is the number of disks that an entry is on before it is committed.
+	// MinimumReplicas is the least number of disks that an entry is on before it is committed. A view with fewer members
+	// commits nothing.
 	MinimumReplicas int
-	// SnapshotBytes is how many bytes of entries are kept before a snapshot replaces them. 0: the default.
+	// SnapshotBytes is how many bytes of entries are kept before a snapshot replaces them; defaultSnapshotBytes if it is 0.
+	// A larger value writes snapshots less often, and recovers more slowly.
 	SnapshotBytes int
-	// OnFailure is called once if the disk fails: the replica takes part in nothing from then on.
+	// OnFailure, if set, is called once if the disk fails: the replica takes no part in the protocol from then on.
 	OnFailure func(error)
-	// OnStall, if there is one, is called when the disk has not answered for some time: Impaired tells the same. It is
-	// called once for each stall.
+	// OnStall, if set, is called when disk operations have taken longer than stallLimit, once for each stall. Impaired
+	// reports the same.
 	OnStall func()
-	Log     *zap.Logger
+	// Log receives the events of the replica; nil discards them.
+	Log *zap.Logger
 }
--- a/internal/chain/outline.go
+++ b/internal/chain/outline.go
@@ -1,6 +1,6 @@
 package chain
 
-// runs outlines the history. The base counts as its first entry.
+// runs outlines the history for a Connect. The base counts as its first entry.
 func (h *history) runs() []Run {
 	runs := []Run{{Epoch: h.base.Epoch, First: h.base.Sequence, Last: h.base.Sequence}}
 	for _, entry := range h.entries {
@@ -14,7 +14,7 @@
 	return runs
 }
 
-// lastCommonPosition gives the last position that two outlined logs have in common.
+// lastCommonPosition returns the last position that two logs share, given their outlines, and whether there is one.
 func lastCommonPosition(a, b []Run) (Position, bool) {
 	var best Position
 	found := false
--- a/internal/chain/output.go
+++ b/internal/chain/output.go
@@ -5,8 +5,9 @@
 	"nickelline/internal/view"
 )
 
-// Output is what a Replica asks of its driver after events. Disk operations and apply operations are each carried out in
-// order; a disk operation that is done is told by DiskDone.
+// Output is what a Replica asks of its driver. Disk operations and apply operations are each carried out in order; when
+// a disk operation is durable the driver calls DiskDone. Messages may be sent at once: what they promise to be on disk
+// is on disk already.
 type Output struct {
 	Messages []Outgoing
 	Disk     []DiskOperation
@@ -14,14 +15,14 @@
 	Accepted []Accepted
 	Rejected []Rejected
 	Barriers []BarrierResult
-	Views    []view.View // that came into force
-	// SnapshotRequested asks for a snapshot of the machine, to be given by SnapshotTaken.
+	Views    []view.View // that came into force, in order
+	// SnapshotRequested asks for a snapshot of the applied state, to be passed to SnapshotTaken.
 	SnapshotRequested bool
-	// Violations are breaches of the protocol that were noticed; the message behind each was ignored.
+	// Violations describe breaches of the protocol by other replicas, for the log. The messages were ignored.
 	Violations []string
 }
 
-// DiskOperation changes what is on the disk. One of its parts is set.
+// DiskOperation changes what is on disk. Exactly one of the fields after ID is set.
 type DiskOperation struct {
 	ID       uint64
 	Append   []segment.Entry
@@ -30,32 +31,32 @@
 	Record   *Record
 }
 
-// Record is what a replica keeps beside its log.
+// Record is what a replica stores beside its log. It is replaced as a whole.
 type Record struct {
-	View          view.View
-	CompleteEpoch uint64
+	View          view.View // newest one that was installed
+	CompleteEpoch uint64    // latest epoch in which the replica was complete
 	Generation    uint64
 }
 
-// ApplyOperation changes the machine. One of its parts is set.
+// ApplyOperation changes the replicated state. Exactly one of its fields is set.
 type ApplyOperation struct {
 	Entries []segment.Entry
 	Restore *segment.Snapshot
 }
 
-// Accepted tells that a proposal was appended under a sequence.
+// Accepted reports the sequence under which a proposal was appended. It is not committed yet.
 type Accepted struct{ Proposal, Sequence uint64 }
 
-// Rejected tells that a proposal will get no result.
+// Rejected reports that a proposal will get no result from this replica.
 type Rejected struct {
 	Proposal uint64
-	// Unclear tells that it was appended and may be committed yet.
+	// Unclear is set if the proposal was appended: a later head may still commit it.
 	Unclear bool
 }
 
-// BarrierResult answers a barrier: all that was committed when it was asked for has at most this sequence.
+// BarrierResult answers a barrier: everything committed when it was asked for has at most this sequence.
 type BarrierResult struct {
 	Barrier  uint64
 	Sequence uint64
-	Failed   bool // this replica is not the head, or no longer
+	Failed   bool // this replica is not, or no longer, the head
 }
--- a/internal/chain/plan.go
+++ b/internal/chain/plan.go
@@ -6,7 +6,8 @@
 	"nickelline/internal/view"
 )
 
-// planNextView derives the next view, taking it that all members that are reachable are complete.
+// planNextView derives the next view under the assumption that all reachable members are complete, and reports whether
+// one is needed.
 func (r *Reconfigurer) planNextView(v view.View) (view.View, bool) {
 	candidates := r.nextViewCandidates(v)
 	for i := range candidates {
@@ -15,7 +16,7 @@
 	return view.Next(v, candidates, r.options.Policy)
 }
 
-// rank gives the number of members that should propose before this one.
+// rank returns the number of members that should propose before this one.
 func (r *Reconfigurer) rank(v view.View) int {
 	if r.isLeaving() {
 		return 0
--- a/internal/chain/propose.go
+++ b/internal/chain/propose.go
@@ -10,18 +10,19 @@
 	"nickelline/internal/view"
 )
 
-// proposalCall waits for the result of a proposal.
+// proposalCall is a caller that waits for the result of a proposal.
 type proposalCall struct {
 	id     uint64
 	result chan proposalResult // has room for the one result
 }
 
+// proposalResult is the result of applying a command, or why there is none.
 type proposalResult struct {
 	result []byte
 	err    error
 }
 
-// resolve gives the result, the first time that it is called.
+// resolve gives the caller its result. Calls after the first one have no effect.
 func (p *proposalCall) resolve(result proposalResult) {
 	select {
 	case p.result <- result:
@@ -29,9 +30,10 @@
 	}
 }
 
-// Propose has a command committed and gives the result of applying it. It may be called at any replica, and waits for a
-// head that takes the command until ctx ends. The error is fault.NotReady if the command was certainly not appended and
-// never will be, and fault.Unclear if it may have been. A command over segment.MaximumEntrySize is fault.BodyTooLarge.
+// Propose has a command committed and returns the result of applying it. It may be called at any replica, and waits for
+// a head that takes the command until ctx ends. The error is fault.NotReady if the command was certainly not appended
+// and never will be, and fault.Unclear if it may have been. A command over segment.MaximumEntrySize is
+// fault.BodyTooLarge.
 func (n *Node) Propose(ctx context.Context, command []byte) ([]byte, error) {
 	ctx, cancel := withDefaultTimeout(ctx)
 	defer cancel()
@@ -47,6 +49,7 @@
 	}
 }
 
+// proposeOnce proposes at the head of a view: here, or by a forwarded call.
 func (n *Node) proposeOnce(ctx context.Context, v view.View, command []byte) ([]byte, error) {
 	head, ok := v.Head()
 	switch {
@@ -81,6 +84,7 @@
 	}
 }
 
+// beginProposal passes a command to the state machine and registers its caller.
 func (n *Node) beginProposal(call *proposalCall, command []byte) error {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -97,7 +101,7 @@
 	return nil
 }
 
-// abandonProposal gives up waiting, and tells whether the command may have been appended.
+// abandonProposal gives up waiting, and reports by the kind of its error whether the command may have been appended.
 func (n *Node) abandonProposal(ctx context.Context, call *proposalCall) ([]byte, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -114,7 +118,7 @@
 	return nil, fault.New(fault.Unclear, "not known to be committed: %w", ctx.Err())
 }
 
-// resolveProposals takes the outcomes of proposals from an output. The node's mutex is held.
+// resolveProposals passes the results of proposals in an output to their callers. The mutex is held.
 func (n *Node) resolveProposals(out Output) {
 	for _, a := range out.Accepted {
 		if call := n.proposals[a.Proposal]; call != nil {
@@ -127,6 +131,7 @@
 	}
 }
 
+// reject ends the call of a proposal that will get no result. The mutex is held.
 func (n *Node) reject(r Rejected) {
 	if call := n.proposals[r.Proposal]; call != nil {
 		delete(n.proposals, r.Proposal)
@@ -141,7 +146,7 @@
 	}
 }
 
-// takeAccepted gives the calls that wait for the results of entries.
+// takeAccepted returns, by sequence, the calls that wait for the results of entries.
 func (n *Node) takeAccepted(entries []segment.Entry) map[uint64]*proposalCall {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -158,7 +163,7 @@
 	return calls
 }
 
-// failCalls ends all calls that wait. The node's mutex is held.
+// failCalls ends all calls that wait. The mutex is held.
 func (n *Node) failCalls() {
 	for _, call := range n.proposals {
 		call.resolve(proposalResult{err: fault.Wrap(fault.NotReady, n.failure)})
@@ -174,6 +179,7 @@
 	}
 }
 
+// stopped reports whether the node has failed or was closed.
 func (n *Node) stopped() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/chain/propose_view.go
+++ b/internal/chain/propose_view.go
@@ -12,7 +12,7 @@
 	"nickelline/internal/view"
 )
 
-// agreementResult is an answer to a proposer.
+// agreementResult is the outcome of one call of a proposer.
 type agreementResult struct {
 	from     netip.AddrPort
 	response agreementResponse
@@ -25,9 +25,9 @@
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	proposer := view.NewProposer(options)
-	events := make(chan agreementResult, 2*len(proposer.Recipients()))
+	results := make(chan agreementResult, 2*len(proposer.Recipients()))
 	prepare := proposer.Prepare()
-	r.callAll(ctx, proposer.Recipients(), agreementRequest{prepare: &prepare}, events)
+	r.callAll(ctx, proposer.Recipients(), agreementRequest{prepare: &prepare}, results)
 	timer := time.NewTimer(attemptTimeout)
 	defer timer.Stop()
 	failed := make(map[netip.AddrPort]bool)
@@ -35,12 +35,12 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case event := <-events:
-			r.handleResult(proposer, event)
-			if event.err != nil && slices.Contains(options.Acceptors, event.from) {
-				failed[event.from] = true
+		case result := <-results:
+			r.handleResult(proposer, result)
+			if result.err != nil && slices.Contains(options.Acceptors, result.from) {
+				failed[result.from] = true
 			}
-			if event.response.view.Epoch >= options.Epoch || len(options.Acceptors)-len(failed) < needed {
+			if result.response.view.Epoch >= options.Epoch || len(options.Acceptors)-len(failed) < needed {
 				return false
 			}
 		case <-timer.C:
@@ -55,7 +55,7 @@
 			return false
 		}
 		if accept, ok := proposer.TakeAccept(); ok {
-			r.callAll(ctx, options.Acceptors, agreementRequest{accept: &accept}, events)
+			r.callAll(ctx, options.Acceptors, agreementRequest{accept: &accept}, results)
 		}
 		if deadline, ok := proposer.Deadline(); ok {
 			timer.Reset(max(0, deadline-r.now()))
@@ -63,13 +63,13 @@
 	}
 }
 
-// callAll puts a question to all acceptors and non-voters, to the own replica first: what it answers is on the disk before others are asked,
-// so that no number of this replica is used twice.
-func (r *Reconfigurer) callAll(ctx context.Context, asked []netip.AddrPort, q agreementRequest, events chan<- agreementResult) {
+// callAll sends a request to acceptors and non-voters. The own replica answers first: what it answers is on disk before
+// others are asked, so that this replica uses no proposal number twice.
+func (r *Reconfigurer) callAll(ctx context.Context, asked []netip.AddrPort, q agreementRequest, results chan<- agreementResult) {
 	q.sender = r.self()
 	if slices.Contains(asked, r.self().Address) {
 		response, err := r.handle(q)
-		events <- agreementResult{from: r.self().Address, response: response, err: err}
+		results <- agreementResult{from: r.self().Address, response: response, err: err}
 		if err != nil {
 			return
 		}
@@ -80,23 +80,25 @@
 		}
 		go func() {
 			response, err := r.call(ctx, to, q)
-			events <- agreementResult{from: to, response: response, err: err}
+			results <- agreementResult{from: to, response: response, err: err}
 		}()
 	}
 }
 
-func (r *Reconfigurer) handleResult(proposer *view.Proposer, event agreementResult) {
+// handleResult passes the answer of an acceptor to the proposer.
+func (r *Reconfigurer) handleResult(proposer *view.Proposer, result agreementResult) {
 	switch {
-	case event.err != nil:
-		r.node.options.Log.Debug("agreement", zap.Stringer("from", event.from), zap.Error(event.err))
-	case event.response.promise != nil:
-		proposer.HandlePromise(r.now(), event.from, *event.response.promise)
-	case event.response.accepted != nil:
-		proposer.HandleAccepted(event.from, *event.response.accepted)
+	case result.err != nil:
+		r.node.options.Log.Debug("agreement call failed", zap.Stringer("peer", result.from), zap.Error(result.err))
+	case result.response.promise != nil:
+		proposer.HandlePromise(r.now(), result.from, *result.response.promise)
+	case result.response.accepted != nil:
+		proposer.HandleAccepted(result.from, *result.response.accepted)
 	}
 }
 
-// broadcastView tells a view that was decided to all whom it concerns. Who misses it learns it from any other.
+// broadcastView sends a view that was decided to all replicas that it concerns. One that misses it gets it from any
+// other.
 func (r *Reconfigurer) broadcastView(v view.View) {
 	r.highestRound = 0
 	r.changeNeededSince = 0
@@ -110,7 +112,7 @@
 	envelope := Envelope{Chain: v.Chain, Epoch: v.Epoch, Sender: r.self().Replica, Body: ViewNotice{View: v}}
 	body, err := encodeEnvelope(envelope)
 	if err != nil {
-		r.node.options.Log.Error("encode", zap.Error(err))
+		r.node.options.Log.Error("encode view notice failed", zap.Error(err))
 		return
 	}
 	for _, to := range slices.Compact(addresses) {
--- a/internal/chain/proposer_options.go
+++ b/internal/chain/proposer_options.go
@@ -6,7 +6,7 @@
 	"nickelline/internal/view"
 )
 
-// nextViewOptions describes an attempt to have the next view decided.
+// nextViewOptions describes an attempt to have the next view decided by the electorate of the current one.
 func (r *Reconfigurer) nextViewOptions(v view.View) view.ProposerOptions {
 	candidates := r.nextViewCandidates(v)
 	options := r.epochOptions(v)
@@ -27,7 +27,7 @@
 	return options
 }
 
-// firstViewOptions describes an attempt to have the first view decided, with the seeds that promise.
+// firstViewOptions describes an attempt to have the first view decided, with the seeds that promise as its members.
 func (r *Reconfigurer) firstViewOptions(v view.View) view.ProposerOptions {
 	options := r.epochOptions(v)
 	options.Acceptors = r.voter.seeds
@@ -39,6 +39,7 @@
 	return options
 }
 
+// epochOptions returns what all attempts for the epoch after a view have in common.
 func (r *Reconfigurer) epochOptions(v view.View) view.ProposerOptions {
 	epoch := v.Epoch + 1
 	round := max(r.voter.nextRound(epoch), r.highestRound+1)
@@ -49,4 +50,5 @@
 	}
 }
 
+// majorityOf returns how many acceptors of a proposal decide.
 func majorityOf(options view.ProposerOptions) int { return len(options.Acceptors)/2 + 1 }
--- a/internal/chain/prover.go
+++ b/internal/chain/prover.go
@@ -7,11 +7,11 @@
 	"nickelline/internal/view"
 )
 
-// Prover proves to those who serve at this replica that what they act on is the newest there is. It asks the voters and needs
+// Prover proves to those who serve at this replica that what they act on is current. It asks the voters and needs
 // neither the whole chain nor the disk.
 type Prover struct{ reconfigurer *Reconfigurer }
 
-// NewProver makes a prover for the replica of a reconfigurer.
+// NewProver returns a prover for the replica of a reconfigurer.
 func NewProver(r *Reconfigurer) *Prover { return &Prover{reconfigurer: r} }
 
 // ConfirmView proves that, when it was called, no view after the one in force here had been decided, and gives that view. A
--- a/internal/chain/prover_test.go
+++ b/internal/chain/prover_test.go
@@ -24,7 +24,7 @@
 	return c
 }
 
-// byRank gives the members in the order of the chain.
+// byRank returns the members in the order of the chain.
 func (c *cluster) byRank() []*member {
 	c.t.Helper()
 	v := c.members[0].node.View()
--- a/internal/chain/receive.go
+++ b/internal/chain/receive.go
@@ -8,7 +8,7 @@
 	"nickelline/internal/view"
 )
 
-// Receive takes a message of another replica.
+// Receive handles a message of another replica. A message of another chain is ignored.
 func (r *Replica) Receive(now time.Duration, from netip.AddrPort, e Envelope) {
 	if e.Chain != r.chain {
 		return
@@ -17,14 +17,15 @@
 	case ViewRequest:
 		r.sendView(from)
 	case ViewNotice:
-		r.Install(now, body.View)
+		r.Install(body.View)
 	default:
 		r.receiveInEpoch(now, from, e)
 	}
 	r.followUp(now)
 }
 
-// receiveInEpoch takes nothing from another epoch, but has the side that is behind learn the newer view.
+// receiveInEpoch handles a message that belongs to the epoch of its sender. Messages of any other epoch are dropped:
+// this is what stops a replaced head or predecessor from writing here. The side that is behind is sent the newer view.
 func (r *Replica) receiveInEpoch(now time.Duration, from netip.AddrPort, e Envelope) {
 	if e.Epoch > r.view.Epoch {
 		r.requestNewerView(e.Epoch, from)
@@ -52,31 +53,34 @@
 	}
 }
 
-// requestNewerView asks a replica for its view if that is newer than the own one.
+// requestNewerView asks a replica for its view if the given epoch is newer than the own one.
 func (r *Replica) requestNewerView(epoch uint64, from netip.AddrPort) {
 	if epoch > r.newestView().Epoch {
 		r.send(from, ViewRequest{})
 	}
 }
 
+// send queues a message that carries the epoch in force.
 func (r *Replica) send(to netip.AddrPort, body Body) {
 	envelope := Envelope{Chain: r.chain, Epoch: r.view.Epoch, Sender: r.self.Replica, Body: body}
 	r.out.Messages = append(r.out.Messages, Outgoing{To: to, Envelope: envelope})
 }
 
+// sendView sends the view in force, if there is one.
 func (r *Replica) sendView(to netip.AddrPort) {
 	if r.view.Epoch > 0 {
 		r.send(to, ViewNotice{View: r.view.Clone()})
 	}
 }
 
-// notifyLearners tells those who were fed here that a view follows.
+// notifyLearners sends a view that is about to come into force to the learners that stream from this replica.
 func (r *Replica) notifyLearners(v view.View) {
 	for _, replica := range r.learnerOrder() {
 		r.send(r.learners[replica].to.Address, ViewNotice{View: v.Clone()})
 	}
 }
 
+// reportViolation records a breach of the protocol by another replica.
 func (r *Replica) reportViolation(format string, arguments ...any) {
 	r.out.Violations = append(r.out.Violations, fmt.Sprintf(format, arguments...))
 }
--- a/internal/chain/reconfigurer.go
+++ b/internal/chain/reconfigurer.go
@@ -11,25 +11,25 @@
 	"nickelline/internal/view"
 )
 
-// Timing of the changes of views.
+// Timing of view changes.
 const (
 	rankDelay       = 250 * time.Millisecond // between the attempts of members, in the order of the chain
 	attemptTimeout  = 1500 * time.Millisecond
 	callTimeout     = time.Second
 	retryMinimum    = 50 * time.Millisecond // after an attempt that failed
 	retrySpread     = 200 * time.Millisecond
-	firstViewWait   = 500 * time.Millisecond // for the answers of seeds beyond a majority
-	firstStartWait  = 2 * time.Second        // during which all seeds have to answer
-	discoveryPeriod = 300 * time.Millisecond // between questions of a replica that knows no view
-	joinPeriod      = time.Second            // between the requests of a learner
-	standbyPeriod   = 2 * time.Second        // the same, where the view has no room
-	joinRequestTTL  = 5 * time.Second        // of a learner's request
-	learnTimeout    = 3 * time.Second        // until a learner tries another source
-	unlistedGrace   = 2500 * time.Millisecond
-	viewCheckPeriod = 3 * time.Second // between a member's questions for a newer view
+	firstViewWait   = 500 * time.Millisecond  // for the answers of seeds beyond a majority
+	firstStartWait  = 2 * time.Second         // during which all seeds have to answer
+	discoveryPeriod = 300 * time.Millisecond  // between the requests of a replica that knows no view
+	joinPeriod      = time.Second             // between the requests of a learner
+	standbyPeriod   = 2 * time.Second         // the same, where the view has no room
+	joinRequestTTL  = 5 * time.Second         // of a learner's request
+	learnTimeout    = 3 * time.Second         // until a learner tries another source
+	unlistedGrace   = 2500 * time.Millisecond // during which a member that is not a candidate counts as reachable
+	viewCheckPeriod = 3 * time.Second         // between a member's requests for a newer view
 )
 
-// ReconfigurerOptions describe how a chain without an outside authority changes its views.
+// ReconfigurerOptions describe how the replicas of a chain agree on its views.
 type ReconfigurerOptions struct {
 	Node *Node
 	// Seeds are the internal addresses of the replicas that agree on the first view.
@@ -40,8 +40,8 @@
 	Policy     view.Policy
 }
 
-// Reconfigurer drives the view changes of a chain: it proposes the next view when members became unreachable or learners
-// caught up, and has a replica that no view names learn.
+// Reconfigurer drives the view changes of a chain: it proposes the next view when members became unreachable or
+// learners caught up, and has a replica that no view names learn.
 type Reconfigurer struct {
 	options ReconfigurerOptions
 	node    *Node
@@ -50,28 +50,29 @@
 	wake    chan struct{}
 	probes  neighbourProbes
 
-	mutex      sync.Mutex
+	mutex      sync.Mutex // guards what follows
 	candidates []view.Candidate
 	joins      map[view.ReplicaID]joinRequest
 	unlisted   map[view.ReplicaID]time.Duration // since when members are not among the candidates
 	leaving    bool
 
-	// Of the goroutine of Run.
-	highestRound      uint64         // that stood in the way of an attempt
+	// Used by the goroutine of Run only.
+	highestRound      uint64         // of a proposal that an attempt lost to
 	changeNeededSince time.Duration  // since when the view should be changed, 0: it should not
 	viewCheckedAt     time.Duration  // when another replica was asked for its view
 	peerIndex         int            // of the peer that is asked next for its view
-	source            netip.AddrPort // of this learner
-	sourceSince       time.Duration  // since when it has not caught up
+	source            netip.AddrPort // that this learner receives from
+	sourceSince       time.Duration  // since when source is used without having caught up
 }
 
-// joinRequest is a learner's word that it has caught up.
+// joinRequest is the notice of a learner that it has caught up.
 type joinRequest struct {
 	member view.Member
 	at     time.Duration
 }
 
-// NewReconfigurer makes a reconfigurer. It answers others from now on, and acts when Run is called.
+// NewReconfigurer returns a reconfigurer for a node. It answers the requests of other replicas from now on, and acts by
+// itself while Run is running.
 func NewReconfigurer(options ReconfigurerOptions) (*Reconfigurer, error) {
 	var seeds []netip.AddrPort
 	if options.FirstStart {
@@ -95,11 +96,13 @@
 	return r, nil
 }
 
+// now returns the time since the reconfigurer was made.
 func (r *Reconfigurer) now() time.Duration { return time.Since(r.began) }
 
+// self returns the own replica as the views name it.
 func (r *Reconfigurer) self() view.Member { return r.node.options.Self }
 
-// Run works until ctx ends.
+// Run proposes views, or learns, until ctx ends. The probes of neighbours that it starts end with ctx too.
 func (r *Reconfigurer) Run(ctx context.Context) {
 	go r.probeNeighbours(ctx)
 	timer := time.NewTimer(0)
@@ -117,7 +120,8 @@
 	}
 }
 
-// act does what is to be done in the view in force, and tells when to look again, 0: only if something changes.
+// act does what the view in force calls for, and returns the time until it should be called again, 0 if only a change
+// calls for that.
 func (r *Reconfigurer) act(ctx context.Context) time.Duration {
 	v := r.node.View()
 	switch {
@@ -135,7 +139,7 @@
 	return r.discover(ctx)
 }
 
-// actAsMember proposes the next view if one is needed, after those before it in the chain had time to.
+// actAsMember proposes the next view if one is needed, after the members before it in the chain had time to.
 func (r *Reconfigurer) actAsMember(ctx context.Context, v view.View) time.Duration {
 	_, needed := r.planNextView(v)
 	if !needed && !r.voter.hasAcceptedAfter(v.Epoch) {
@@ -171,7 +175,7 @@
 	return r.attempt(ctx, options, majorityOf(options))
 }
 
-// attempt tries to have a view decided, and gives the time until another try.
+// attempt tries to have a view decided, and returns the time until another try.
 func (r *Reconfigurer) attempt(ctx context.Context, options view.ProposerOptions, needed int) time.Duration {
 	if r.propose(ctx, options, needed) {
 		return 0
--- a/internal/chain/record_codec.go
+++ b/internal/chain/record_codec.go
@@ -6,7 +6,7 @@
 	"nickelline/internal/view"
 )
 
-// encodeRecord gives the record that lies beside the log.
+// encodeRecord returns the contents of the record file.
 func encodeRecord(record Record) ([]byte, error) {
 	return capnpcodec.Marshal(0, chainwire.NewRootRecord, func(w chainwire.Record) error {
 		w.SetCompleteEpoch(record.CompleteEpoch)
@@ -19,6 +19,7 @@
 	})
 }
 
+// decodeRecord reverses encodeRecord.
 func decodeRecord(data []byte) (Record, error) {
 	r, err := capnpcodec.Unmarshal(data, chainwire.ReadRootRecord)
 	if err != nil {
--- a/internal/chain/record_file.go
+++ b/internal/chain/record_file.go
@@ -10,6 +10,10 @@
 	"nickelline/internal/segment"
 )
 
+// recordName is the name of the file of the record within the directory of a chain.
+const recordName = "record"
+
+// loadRecord reads the record of a replica, which is zero if there is none yet.
 func loadRecord(options Options) (Record, error) {
 	if err := options.FileSystem.MakeDirectory(options.Directory); err != nil {
 		return Record{}, merry.Prepend(err, "directory")
@@ -24,6 +28,7 @@
 	return decodeRecord(data)
 }
 
+// saveRecord replaces the record and returns once it is on disk.
 func (d *diskWriter) saveRecord(record Record) error {
 	data, err := encodeRecord(record)
 	if err != nil {
--- a/internal/chain/replica.go
+++ b/internal/chain/replica.go
@@ -8,60 +8,48 @@
 	"nickelline/internal/view"
 )
 
-// Replica is a replica of a chain as a state machine without input or output: events go in by its methods, each of which
-// takes a reading of a steady clock; Output tells what to do.
-//
-// # Protocol
-//
-// Each member of the view feeds its successor over a session: the successor outlines its log, the last common position
-// is found, what follows it is dropped, and entries that are on the sender's disk follow. A replica acknowledges what it
-// and all replicas after it have on disk; what is acknowledged to the head is committed, and the commit travels down.
-// So within an epoch the log of a replica on disk always contains that of its successor, and a committed entry is on the
-// disks of all members.
-//
-// A replica is complete if it has all that was committed in earlier epochs. Members of the first view are; one that
-// joined later is once it has synced what its predecessor, itself complete, had when their session began. As entries
-// are only committed with all members, a complete one stays so while it is in every view. Only complete replicas feed
-// others, and only a complete head takes proposals.
+// Replica is one replica of a chain as a state machine without input or output. Events go in by its methods, each of
+// which takes the time since a fixed moment by a monotonic clock; Output returns what the driver has to do in answer.
+// It is not safe for concurrent use. Package doc has the protocol and its invariants.
 type Replica struct {
-	chain           uint32
+	chain           uint32 // number of the chain
 	self            view.Member
 	minimumReplicas int
 	generation      uint64
 	limits          limits
 
-	view          view.View
+	view          view.View  // in force
 	installing    *view.View // being written to disk
 	completeEpoch uint64     // latest epoch in which the replica was complete, 0 if it never was
 	completing    uint64     // the same, being written to disk
 
 	history   *history
-	synced    uint64
-	committed uint64
+	synced    uint64 // the log is on the own disk up to this sequence
+	committed uint64 // entries up to this sequence were handed out for applying
 
 	upstream  upstream
-	source    netip.AddrPort // of a learner
-	successor *link
+	source    netip.AddrPort // that a learner receives from, invalid if there is none
+	successor *link          // nil if there is none, or this replica is not complete
 	learners  map[view.ReplicaID]*link
-	sessions  uint64
+	sessions  uint64 // that were begun by this process
 
 	head headState
 
-	lastDisk uint64
-	disk     []pendingDisk
+	lastDisk uint64        // identifier of the newest disk operation
+	disk     []pendingDisk // operations that are not done, in order
 	out      Output
 }
 
-// Recovered is what a replica found in its directory.
+// Recovered is what a replica found in its directory when it was started.
 type Recovered struct {
 	Record   Record // zero if there was none
 	Snapshot segment.Snapshot
 	Entries  []segment.Entry
 }
 
-// NewReplica makes the state machine of a replica that was started. The record that its first output asks to be written
-// raises its generation.
-func NewReplica(now time.Duration, chain uint32, self view.Member, minimumReplicas int, recovered Recovered) *Replica {
+// NewReplica returns the state machine of a replica that has just been started. Its first output asks for a record with
+// the next generation to be written; no view is in force before that is on disk.
+func NewReplica(chain uint32, self view.Member, minimumReplicas int, recovered Recovered) *Replica {
 	base := Position{Epoch: recovered.Snapshot.Epoch, Sequence: recovered.Snapshot.Sequence}
 	r := &Replica{
 		chain:           chain,
@@ -73,7 +61,7 @@
 		history:         newHistory(base, recovered.Entries),
 		committed:       base.Sequence,
 		learners:        make(map[view.ReplicaID]*link),
-		head:            headState{proposals: make(map[uint64]uint64)},
+		head:            headState{appended: make(map[uint64]uint64)},
 	}
 	r.view.Chain = chain
 	r.synced = r.history.last().Sequence
@@ -84,17 +72,18 @@
 	return r
 }
 
-// Output takes what the events since the last call ask for.
+// Output returns the work that has been asked for since the last call, and clears it. The driver must call it after
+// each event.
 func (r *Replica) Output() Output {
 	out := r.out
 	r.out = Output{}
 	return out
 }
 
-// View gives the view that is in force.
+// View returns the view in force. Its epoch is 0 if there is none.
 func (r *Replica) View() view.View { return r.view }
 
-// Status gives the replica's progress. Applied is left to the driver.
+// Status returns the replica's progress. The field Applied is left to the driver.
 func (r *Replica) Status() Status {
 	return Status{
 		Epoch:        r.view.Epoch,
@@ -107,10 +96,10 @@
 	}
 }
 
-// Tick tells the time, for retries.
+// Tick lets retries happen that are due at the given time.
 func (r *Replica) Tick(now time.Duration) { r.followUp(now) }
 
-// Deadline gives the time at which Tick should be called, and whether there is one.
+// Deadline returns the time at which Tick should be called next, and whether there is one.
 func (r *Replica) Deadline() (time.Duration, bool) {
 	earliest := r.upstream.attachAt
 	for _, l := range r.links() {
@@ -121,7 +110,8 @@
 	return earliest, earliest != 0
 }
 
-// followUp follows up on what an event changed.
+// followUp does all that the last event has made possible: it advances commits, sends what the windows of the links
+// permit, retries, acknowledges, and trims the history. Events end with it.
 func (r *Replica) followUp(now time.Duration) {
 	r.checkComplete()
 	r.advanceReceiver()
--- a/internal/chain/retry.go
+++ b/internal/chain/retry.go
@@ -10,7 +10,8 @@
 	defaultCallTimeout = 5 * time.Second // of a call without a deadline
 )
 
-// awaitRetry waits a little, or until another view is in force, before a call is tried again.
+// awaitRetry waits for retryPause, or until another epoch is in force, before a call is tried again. It returns the
+// error of ctx.
 func (n *Node) awaitRetry(ctx context.Context, epoch uint64) error {
 	bounded, cancel := context.WithTimeout(ctx, retryPause)
 	defer cancel()
@@ -18,7 +19,7 @@
 	return ctx.Err()
 }
 
-// withDefaultTimeout gives a context with a deadline.
+// withDefaultTimeout returns ctx with a deadline: its own, or after defaultCallTimeout.
 func withDefaultTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return context.WithCancel(ctx)
--- a/internal/chain/second_loss_test.go
+++ b/internal/chain/second_loss_test.go
@@ -43,7 +43,7 @@
 	return s.siteAt(member.Address)
 }
 
-// firstLoss takes a site out of the chain without the loss of a disk that is needed.
+// firstLoss handles a site out of the chain without the loss of a disk that is needed.
 func (s *simulation) firstLoss(target *site, duration time.Duration) {
 	switch s.random.IntN(8) {
 	case 0:
--- a/internal/chain/simulation_losses_test.go
+++ b/internal/chain/simulation_losses_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// whole tells whether the newest view has all its members complete, is on the disks of all its voters, which are as many as the
+// whole reports whether the newest view has all its members complete, is on the disks of all its voters, which are as many as the
 // policy wants, and is not being changed.
 func (s *simulation) whole() bool {
 	if s.newest.Epoch == 0 || s.decided.Epoch > s.newest.Epoch || len(s.newest.Members) < s.policy.MinimumMembers {
@@ -51,13 +51,13 @@
 	return true
 }
 
-// changing tells whether a site takes part in an agreement on a view after the newest one.
+// changing reports whether a site takes part in an agreement on a view after the newest one.
 func (s *simulation) changing(site *site) bool {
 	state := site.acceptor.State()
 	return site.proposer != nil || (state.Epoch > s.newest.Epoch && state.Accepted != nil)
 }
 
-// mayLoseDisk tells whether the chain has to bear another loss. An authority that is not careful may have dropped all other
+// mayLoseDisk reports whether the chain has to bear another loss. An authority that is not careful may have dropped all other
 // copies: then only members beside as many as are needed may go, and only while nothing else is going on.
 func (s *simulation) mayLoseDisk() bool {
 	s.noteRepair()
@@ -128,7 +128,7 @@
 	poll()
 }
 
-// remove takes a site away with its disk after it has handed over.
+// remove handles a site away with its disk after it has handed over.
 func (s *simulation) remove(site *site, back time.Duration) {
 	s.note("replaced: %d", site.index)
 	s.losses.replaced++
@@ -139,7 +139,7 @@
 	s.wipe(site, back)
 }
 
-// mayVote tells whether the newest view, or one that some site has accepted after it, gives a vote to a replica.
+// mayVote reports whether the newest view, or one that some site has accepted after it, gives a vote to a replica.
 func (s *simulation) mayVote(candidate *site) bool {
 	replica := candidate.self.Replica
 	return s.newest.HasVoter(replica) || slices.ContainsFunc(s.sites, func(other *site) bool {
@@ -148,7 +148,7 @@
 	})
 }
 
-// handedOver tells whether a site knows a view of which it is no member to be on the disks of a majority of its other voters
+// handedOver reports whether a site knows a view of which it is no member to be on the disks of a majority of its other voters
 // (Reconfigurer.HandOver).
 func (s *site) handedOver() bool {
 	v := s.replica.View()
--- a/internal/chain/simulation_site_test.go
+++ b/internal/chain/simulation_site_test.go
@@ -151,7 +151,7 @@
 	s.waits = nil
 	s.proposer = nil
 	s.tickAt = 0
-	s.replica = NewReplica(s.simulation.network.Now(), 0, s.self, s.simulation.policy.MinimumMembers, state)
+	s.replica = NewReplica(0, s.self, s.simulation.policy.MinimumMembers, state)
 	s.replica.limits = s.simulation.limits
 }
 
--- a/internal/chain/simulation_views_test.go
+++ b/internal/chain/simulation_views_test.go
@@ -90,13 +90,13 @@
 	return candidates
 }
 
-// knowsDiskLost tells whether failure detection has seen another replica at the address of a member.
+// knowsDiskLost reports whether failure detection has seen another replica at the address of a member.
 func (s *site) knowsDiskLost(member view.Member) bool {
 	other := s.simulation.siteAt(member.Address)
 	return s.reaches(other) && other.replica != nil && other.self.Replica != 0 && other.self.Replica != member.Replica
 }
 
-// reaches tells whether failure detection has another site for alive.
+// reaches reports whether failure detection has another site for alive.
 func (s *site) reaches(other *site) bool {
 	network := s.simulation.network
 	wrong := s.simulation.random.IntN(100) == 0
@@ -185,7 +185,7 @@
 			known := other.replica.View()
 			s.simulation.network.Send(address, s.address, func() {
 				if known.Epoch > 0 {
-					s.step(func(now time.Duration) { s.replica.Install(now, known) })
+					s.step(func(time.Duration) { s.replica.Install(known) })
 				}
 				if known.Epoch < s.replica.View().Epoch {
 					s.step(func(time.Duration) { s.replica.sendView(address) })
@@ -228,7 +228,7 @@
 // spread installs a decided view, and tells it to some.
 func (s *site) spread(v view.View) {
 	s.simulation.note("site %d had view %d decided", s.index, v.Epoch)
-	s.step(func(now time.Duration) { s.replica.Install(now, v) })
+	s.step(func(time.Duration) { s.replica.Install(v) })
 	var addresses []netip.AddrPort
 	known := s.replica.View()
 	for _, member := range slices.Concat(known.Members, known.Voters, v.Members, v.Voters) {
@@ -242,7 +242,7 @@
 	}
 }
 
-// votes tells whether the site is an acceptor for an epoch.
+// votes reports whether the site is an acceptor for an epoch.
 func (s *site) votes(epoch uint64) bool {
 	v := s.replica.View()
 	if epoch != v.Epoch+1 {
@@ -284,7 +284,7 @@
 func (s *site) hearAuthority() {
 	decided := s.simulation.decided
 	if decided.Epoch > 0 && (s.simulation.healed || s.simulation.random.IntN(3) != 0) {
-		s.step(func(now time.Duration) { s.replica.Install(now, decided) })
+		s.step(func(time.Duration) { s.replica.Install(decided) })
 	}
 }
 
--- a/internal/chain/state_machine.go
+++ b/internal/chain/state_machine.go
@@ -1,7 +1,7 @@
 package chain
 
-// Machine is the state that a chain replicates. Its methods are called from one goroutine, Apply only for committed
-// entries and in order.
+// Machine is the state that a chain replicates. Its methods are called from one goroutine, Apply only for
+// committed entries and in order.
 type Machine interface {
 	// Apply executes a command and gives its result, which must depend on nothing but the state and the command.
 	Apply(sequence uint64, command []byte) (result []byte)
--- a/internal/chain/status.go
+++ b/internal/chain/status.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Status is the replica's progress.
+// Status is a replica's progress.
 type Status struct {
 	Epoch        uint64 // of the view in force here
 	LastAppended uint64 // sequence of the last entry in the log
-	Synced       uint64 // sequence up to which the log is on the disk
+	Synced       uint64 // sequence up to which the log is on disk
 	Committed    uint64 // sequence up to which entries are known to be committed
-	Applied      uint64 // sequence up to which the machine has applied them
-	// Complete tells that this replica has all that was ever committed: it may be the head of the next view.
+	Applied      uint64 // sequence up to which entries are applied to the state machine
+	// Complete is set if this replica has every entry that was ever committed, so that it may be head of the next view.
 	Complete bool
-	// Ready tells that this replica is the head and connected with all other members.
+	// Ready is set if this replica is the head, and connected with all other members of a view that may commit.
 	Ready bool
-	// CaughtUp tells that this learner has all that its source knew to be committed.
+	// CaughtUp is set if this learner has what its source was last known to have committed.
 	CaughtUp bool
 }
 
-// Status gives the replica's progress.
+// Status returns the replica's progress.
 func (n *Node) Status() Status {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -26,15 +26,15 @@
 	return status
 }
 
-// CaughtUp tells that this learner has all that its source knew to be committed.
+// CaughtUp reports whether this learner has what its source knew to be committed.
 func (n *Node) CaughtUp() bool { return n.Status().CaughtUp }
 
-// IsHead tells whether the view in force here names this replica as head. Only a Barrier proves that it still is.
+// IsHead reports whether the view in force here names this replica as head. Only a Barrier proves that it still is.
 func (n *Node) IsHead() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.failure == nil && n.replica.isHead()
 }
 
-// Impaired tells that the replica's disk has failed or is stalled: the chain should go on without it.
+// Impaired reports whether the disk of this replica has failed or is stalled: the chain should go on without it.
 func (n *Node) Impaired() bool { return n.stopped() || n.disk.stalled(time.Now()) }
--- a/internal/chain/timing_test.go
+++ b/internal/chain/timing_test.go
@@ -36,7 +36,7 @@
 	return s
 }
 
-// commitTime gives how long it takes until a command that is proposed now at the head is committed, with all retries.
+// commitTime returns how long it takes until a command that is proposed now at the head is committed, with all retries.
 func (s *simulation) commitTime() time.Duration {
 	begin := s.network.Now()
 	for _, site := range s.sites {
--- a/internal/chain/upstream_entries.go
+++ b/internal/chain/upstream_entries.go
@@ -6,6 +6,8 @@
 	"nickelline/internal/view"
 )
 
+// receiveStart truncates the log to what it shares with the sender's. Entries that are known to be committed are never
+// truncated.
 func (r *Replica) receiveStart(now time.Duration, sender view.ReplicaID, m Start) {
 	u := &r.upstream
 	if !r.inSession(sender, m.Session) || m.Generation != r.generation || u.started {
@@ -28,6 +30,7 @@
 	u.ackDue = true
 }
 
+// receiveAppend appends entries that follow the last one here without a gap.
 func (r *Replica) receiveAppend(now time.Duration, sender view.ReplicaID, m Append) {
 	u := &r.upstream
 	if !r.inSession(sender, m.Session) {
@@ -44,7 +47,8 @@
 	}
 }
 
-// advanceReceiver commits what is known to be committed and on the own disk: the machine is never ahead of that.
+// advanceReceiver commits what is known to be committed and is on the own disk: the applied state is never ahead of the
+// disk.
 func (r *Replica) advanceReceiver() {
 	if r.upstream.started {
 		r.commit(min(r.upstream.committed, r.synced))
--- a/internal/chain/upstream_session.go
+++ b/internal/chain/upstream_session.go
@@ -7,7 +7,7 @@
 	"nickelline/internal/view"
 )
 
-// upstream is the session by which this replica is fed: by its predecessor, or, if no view names it, by a source.
+// upstream is the receiving side of a session: from the predecessor, or from the source of a learner.
 type upstream struct {
 	from      netip.AddrPort // invalid: the replica is fed by nobody
 	session   Session
@@ -24,7 +24,7 @@
 	attachAt time.Duration
 }
 
-// incomingSnapshot is a snapshot of which parts have arrived.
+// incomingSnapshot is a snapshot of which chunks have arrived.
 type incomingSnapshot struct {
 	position Position
 	total    uint64
@@ -32,7 +32,7 @@
 	data     []byte
 }
 
-// resetUpstream forgets the session, at the beginning of an epoch.
+// resetUpstream forgets the session, at the beginning of an epoch, and finds the replica to receive from.
 func (r *Replica) resetUpstream(now time.Duration) {
 	r.upstream = upstream{}
 	if r.view.Has(r.self.Replica) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// Follow has a replica that no view names be fed by the member at an address.
+// Follow has a learner, which no view names, receive from the member at an address.
 func (r *Replica) Follow(now time.Duration, from netip.AddrPort) {
 	if r.newestView().Has(r.self.Replica) || from == r.source {
 		return
@@ -59,7 +59,7 @@
 	r.followUp(now)
 }
 
-// attach asks for a session when it is time to.
+// attach asks the upstream replica for a session when that is due.
 func (r *Replica) attach(now time.Duration) {
 	u := &r.upstream
 	if u.attachAt == 0 || now < u.attachAt {
@@ -77,7 +77,8 @@
 	}
 }
 
-// isUpstream tells whether a replica is the one to be fed by.
+// isUpstream reports whether a replica is the one to receive from: the predecessor of a member, the source of a
+// learner.
 func (r *Replica) isUpstream(from netip.AddrPort, sender view.ReplicaID) bool {
 	if !r.view.Has(r.self.Replica) {
 		return from == r.source
@@ -86,6 +87,7 @@
 	return ok && predecessor.Replica == sender
 }
 
+// receiveConnect begins a session with the upstream replica, and answers with an outline of the own log.
 func (r *Replica) receiveConnect(now time.Duration, from netip.AddrPort, sender view.ReplicaID, m Connect) {
 	u := &r.upstream
 	if !r.isUpstream(from, sender) || (sender == u.sender && !m.Session.After(u.session)) {
@@ -100,8 +102,8 @@
 	r.send(from, History{Session: m.Session, Generation: r.generation, Committed: r.committed, Runs: r.history.runs()})
 }
 
-// inSession tells whether a message belongs to the session. The sender of a later one, which was not begun here, has to
-// begin anew.
+// inSession reports whether a message belongs to the current session. A predecessor that uses a later one, whose
+// beginning was missed here, is asked for a new session.
 func (r *Replica) inSession(sender view.ReplicaID, session Session) bool {
 	u := &r.upstream
 	if sender == u.sender && session == u.session {
@@ -116,7 +118,7 @@
 	return false
 }
 
-// requestNewSession asks for a new session.
+// requestNewSession tells the upstream replica that a session is of no use here.
 func (r *Replica) requestNewSession(session Session) {
 	r.send(r.upstream.from, Attach{Session: session, Broken: true})
 }
--- a/internal/chain/upstream_snapshot.go
+++ b/internal/chain/upstream_snapshot.go
@@ -7,6 +7,7 @@
 	"nickelline/internal/view"
 )
 
+// receiveSnapshotChunk collects a snapshot, and replaces the log by it once it is whole.
 func (r *Replica) receiveSnapshotChunk(now time.Duration, sender view.ReplicaID, m SnapshotChunk) {
 	u := &r.upstream
 	if !r.inSession(sender, m.Session) || m.Generation != r.generation || u.started {
--- a/internal/chain/voter.go
+++ b/internal/chain/voter.go
@@ -16,20 +16,21 @@
 	"nickelline/internal/view"
 )
 
-// acceptorName is the file in which a voter keeps its promises.
+// acceptorName is the name of the file of the acceptor's state within the directory of a chain.
 const acceptorName = "acceptor"
 
-// voter is the part of a replica in the agreement on views, with its state on disk. It is there whether or not the replica is a
-// member of the chain.
+// voter is the acceptor of a replica in the agreement on views, with its state on disk. It exists whether or not the
+// replica is a member of the chain.
 type voter struct {
 	node *Node
-	// seeds agree on the first view; empty if this replica was not there at the first start of the system.
+	// seeds agree on the first view; empty if this replica took no part in the first start of the system.
 	seeds []netip.AddrPort
 
-	mutex    sync.Mutex
+	mutex    sync.Mutex // guards what follows
 	acceptor *view.Acceptor
 	leaving  bool
-	// answered is when a proposer was told last that this replica stays: a view that names it may be decided for some time.
+	// answered is when a proposer last got the answer that this replica is not leaving. It may have a view decided that
+	// names this replica until attemptTimeout later.
 	answered time.Time
 }
 
@@ -53,8 +54,10 @@
 	return vt, nil
 }
 
+// path returns the name of the acceptor's file.
 func (vt *voter) path() string { return path.Join(vt.node.options.Directory, acceptorName) }
 
+// save writes the state and returns once it is on disk. The mutex is held.
 func (vt *voter) save() error {
 	data, err := view.EncodeAcceptorState(vt.acceptor.State(), vt.seeds)
 	if err != nil {
@@ -63,7 +66,7 @@
 	return segment.SaveRecord(vt.node.options.FileSystem, vt.path(), data)
 }
 
-// votes tells whether this replica votes on the epoch after a view, be it a member of that view or not.
+// votes reports whether this replica votes on the epoch after a view, whether or not it is a member of that view.
 func (vt *voter) votes(v view.View) bool {
 	if v.Epoch == 0 {
 		return slices.Contains(vt.seeds, vt.node.options.Self.Address)
@@ -71,7 +74,7 @@
 	return v.HasVoter(vt.node.options.Self.Replica)
 }
 
-// prepare answers a proposer. What is answered is on the disk.
+// prepare answers the first phase of a proposer. What it promises is on disk before it returns.
 func (vt *voter) prepare(m view.Prepare) (view.Promise, error) {
 	vt.mutex.Lock()
 	defer vt.mutex.Unlock()
@@ -93,7 +96,7 @@
 	return answer, nil
 }
 
-// accept answers a proposer. What is answered is on the disk.
+// accept answers the second phase of a proposer. What it accepts is on disk before it returns.
 func (vt *voter) accept(m view.Accept) (view.Accepted, error) {
 	vt.mutex.Lock()
 	defer vt.mutex.Unlock()
@@ -105,8 +108,8 @@
 	return answer, vt.saveIfChanged(before)
 }
 
-// confirms tells whether the view of an epoch, of which this replica is a voter, is the newest that it knows, and it has
-// accepted no later one.
+// confirms reports whether this replica votes on the epoch after the given one, knows no newer view, and has accepted
+// none.
 func (vt *voter) confirms(epoch uint64) bool {
 	vt.mutex.Lock()
 	defer vt.mutex.Unlock()
@@ -117,20 +120,20 @@
 	return !vt.acceptedAfter(epoch)
 }
 
-// hasAcceptedAfter tells whether this replica has accepted a view for the epoch after another one that is not known to be decided.
+// hasAcceptedAfter reports whether this replica has accepted a view for a later epoch, which may or may not be decided.
 func (vt *voter) hasAcceptedAfter(epoch uint64) bool {
 	vt.mutex.Lock()
 	defer vt.mutex.Unlock()
 	return vt.acceptedAfter(epoch)
 }
 
-// acceptedAfter tells whether a view of a later epoch has been accepted. The mutex is held.
+// acceptedAfter is hasAcceptedAfter with the mutex held.
 func (vt *voter) acceptedAfter(epoch uint64) bool {
 	state := vt.acceptor.State()
 	return state.Epoch > epoch && state.Accepted != nil
 }
 
-// saveIfChanged writes the state unless it is the one before. A voter whose disk failed answers nothing more.
+// saveIfChanged writes the state unless it equals before. A voter whose disk failed answers nothing more.
 func (vt *voter) saveIfChanged(before view.AcceptorState) error {
 	if vt.node.stopped() {
 		return fault.New(fault.NotReady, "the replica has failed")
@@ -145,8 +148,8 @@
 	return err
 }
 
-// leave has proposers told that this replica is about to end, and gives the time until which one may name it that was told
-// otherwise.
+// leave has proposers answered from now on that this replica is about to end. It returns the time until which a
+// proposer that was answered otherwise may still name it.
 func (vt *voter) leave() time.Time {
 	vt.mutex.Lock()
 	defer vt.mutex.Unlock()
@@ -154,7 +157,7 @@
 	return vt.answered.Add(attemptTimeout)
 }
 
-// nextRound gives the round for a proposal of this replica that is higher than those that it has seen.
+// nextRound returns a round for a proposal of this replica that is higher than those that its acceptor has seen.
 func (vt *voter) nextRound(epoch uint64) uint64 {
 	vt.mutex.Lock()
 	defer vt.mutex.Unlock()
--- a/internal/chain/wait.go
+++ b/internal/chain/wait.go
@@ -7,13 +7,14 @@
 	"nickelline/internal/fault"
 )
 
-// watcher waits until something is true of the node.
+// watcher waits until a condition holds for the node.
 type watcher struct {
 	ready func() bool // called with the node's mutex held
 	done  chan struct{}
 }
 
-// wait returns once ready is true, or with fault.NotReady when ctx ends or the node fails before.
+// wait returns once ready is true. It returns fault.NotReady if ctx ends before, and the failure if the node fails
+// before. Ready is called with the mutex held.
 func (n *Node) wait(ctx context.Context, ready func() bool) error {
 	n.mutex.Lock()
 	if n.failure != nil || ready() {
@@ -36,7 +37,7 @@
 	return fault.Wrap(fault.NotReady, ctx.Err())
 }
 
-// wakeWatchers ends the waits that are over. The node's mutex is held.
+// wakeWatchers ends the waits whose condition holds. The mutex is held.
 func (n *Node) wakeWatchers() {
 	n.watchers = slices.DeleteFunc(n.watchers, func(w *watcher) bool {
 		over := n.failure != nil || w.ready()
