--- a/internal/chain/agreement_message.go
+++ b/internal/chain/agreement_message.go
@@ -184,6 +184,7 @@
 		return err
 	case chainwire.AgreementResponse_Which_confirmed:
 		a.confirmed = r.Confirmed()
+	case chainwire.AgreementResponse_Which_nothing:
 	}
 	return nil
 }
--- a/internal/chain/doc.go
+++ b/internal/chain/doc.go
@@ -1,20 +1,65 @@
-// Package chain replicates a state machine over an ordered group of replicas (chain replication).
+// Package chain replicates a state machine over an ordered group of replicas by chain replication (van Renesse and
+// Schneider, OSDI 2004). Views, the memberships of the group, are agreed by the replicas with single-decree Paxos, which
+// package view implements.
+//
+// # Terms
+//
+// A chain is a group of replicas with one log. A view names its members in order, from the head to the tail, and the
+// voters that agree on the next view; its number is the epoch. A learner is a replica that no view names and that
+// receives the log from a member, its source. A sequence numbers an entry of the log; a position is a sequence with the
+// epoch in which its entry was appended. A session is one connection from a replica to its successor or to a learner. A
+// replica is complete if it has every entry that was ever committed.
+//
+// # Protocol
+//
+// The head appends commands to its log. Each member streams its log to its successor, and acknowledges to its
+// predecessor what it and all members after it have on disk. What is acknowledged to the head is committed, and the
+// commit travels down the chain. A session begins with an outline of the receiver's log: the sender finds the last
+// position that both logs share, the receiver truncates its log after it, and entries follow that are on the sender's
+// disk. A receiver that lacks more than the sender keeps in memory gets a snapshot first.
+//
+// Members of the first view are complete. A member that joined later becomes complete once it has synced what its
+// predecessor, itself complete, had when their session began. As entries are only committed with all members, a complete
+// member stays so while it is in every view. Only complete replicas stream to others, and only a complete head takes
+// proposals.
 //
 // # Guarantees
 //
-// A command whose result Propose gave is on the disks of all members of the view, at least MinimumReplicas, and no later
-// view loses it. After fault.NotReady the command was not appended and never will be; after fault.Unclear it may be
-// committed yet. A Barrier that succeeded proves that this replica has applied all that was committed anywhere when the
-// call began. No clock is trusted for any of this: what belongs to another epoch is refused, and every view keeps a
-// replica that has to leave the old epoch, with that on its disk, before the new one begins.
+//   - A command whose result Node.Propose returned is on the disks of all members of the view, at least
+//     Options.MinimumReplicas, and no later view loses it.
+//   - After an error of kind fault.NotReady the command was not appended and never will be. After fault.Unclear it may
+//     still be committed.
+//   - After Node.Barrier returned nil this replica has applied everything that was committed anywhere when the call
+//     began.
+//   - Entries are applied in the same order everywhere, at a replica only once they are on its own disk.
+//   - No clock is trusted for any of this. Messages of another epoch are refused, and a view comes into force at a
+//     replica only once it is on its disk: a replica that has left an epoch never acts in it again, also after a restart.
+//     Every view keeps a member of the one before, so that the old epoch cannot commit once the new one has begun.
+//
+// Within an epoch the log on a replica's disk always contains that on its successor's disk. The proofs rest on this and
+// on the order of Output: an acknowledgement is sent only after DiskDone for what it covers.
+//
+// # Where to find
+//
+// A command is committed, and then acknowledged to its caller, by Replica.advanceHead: once Replica.acknowledgeable says
+// that it is on the disks of all members. The applier then applies it and gives its caller the result.
 //
-// # Parts
+// A replaced head is stopped by the epoch of its messages: members that have entered the new view drop them in
+// Replica.receiveInEpoch, so that nothing the old head appends is acknowledged by all members of its view. A new view
+// needs a majority of the voters of the one before (Reconfigurer.propose). What is read at a replica is proven to be
+// current by a barrier (Replica.Barrier) or by a majority of voters (Prover).
 //
-// Replica is the protocol as a state machine (core.go; head.go, downstream.go and upstream.go for its roles), Node drives
-// it with a transport, a log on disk and a clock. Views come from outside by Node.Install, or are agreed by the replicas
-// themselves, which a Reconfigurer drives (package view has the agreement and the policy).
+// # Files in reading order
 //
-// A replica that no view names learns from a member: by a snapshot if the member no longer keeps what it lacks, then
-// entry by entry. Once it has caught up a view may append it at the tail; it is complete, and so may become the head,
-// once it has synced what its predecessor had when their first session in that view began.
+//   - The protocol as a state machine: replica.go, limits.go, message.go, output.go, receive.go, install_view.go,
+//     completeness.go, durable_log.go, commit.go, history.go, outline.go.
+//   - The roles of a replica in it: head.go, head_proposals.go, head_barriers.go; link.go and the files downstream_*.go
+//     (sending); the files upstream_*.go and acknowledge.go (receiving).
+//   - The driver: options.go, node.go, node_views.go, status.go, notifications.go, record_file.go, disk_writer.go,
+//     state_machine.go, applier.go, dispatcher.go.
+//   - Calls at a node: propose.go, forward.go, barrier.go, barrier_rounds.go, wait.go, retry.go.
+//   - The agreement on views: reconfigurer.go, candidates.go, plan.go, proposer_options.go, propose_view.go, voter.go,
+//     agreement_calls.go, discovery.go, neighbour_probes.go, learner.go, handover.go, confirm_majority.go, prover.go.
+//   - The forms on the wire and on disk: message_kinds.go, envelope_encode.go, envelope_decode.go, call_codec.go,
+//     agreement_message.go, record_codec.go, and the schema in chainwire/chain.capnp.
 package chain
--- a/internal/chain/downstream_retry.go
+++ b/internal/chain/downstream_retry.go
@@ -21,6 +21,7 @@
 		bytes = r.inFlight(l)
 	case linkSendingSnapshot:
 		bytes = l.snapshotSent - l.snapshotAcked
+	case linkConnecting, linkAwaitingSnapshot: // nothing is in flight
 	}
 	transfer := time.Duration(bytes) * time.Second / slowestLink
 	l.deadline = now + retryInterval<<min(l.attempts, retryDoublings) + transfer
--- a/internal/chain/downstream_session.go
+++ b/internal/chain/downstream_session.go
@@ -111,6 +111,7 @@
 		r.acknowledgeSnapshot(now, l, m.SnapshotBytes)
 	case linkStreaming:
 		r.acknowledgeEntries(now, l, m)
+	case linkConnecting, linkAwaitingSnapshot: // nothing was sent that can be acknowledged
 	}
 }
 
@@ -121,5 +122,6 @@
 		r.flushSnapshot(now, l)
 	case linkStreaming:
 		r.flushEntries(now, l)
+	case linkConnecting, linkAwaitingSnapshot: // nothing can be sent yet
 	}
 }
--- a/internal/chain/prover.go
+++ b/internal/chain/prover.go
@@ -14,7 +14,7 @@
 // NewProver returns a prover for the replica of a reconfigurer.
 func NewProver(r *Reconfigurer) *Prover { return &Prover{reconfigurer: r} }
 
-// ConfirmView proves that, when it was called, no view after the one in force here had been decided, and gives that view. A
+// ConfirmView proves that, when it was called, no view after the one in force here had been decided, and returns that view. A
 // majority of its voters say that they have accepted none: a later view needs the votes of a majority, and any two have a
 // voter in common. Unlike a barrier that needs neither all members nor the disk, so that one lost member does not hold it up.
 func (p *Prover) ConfirmView(ctx context.Context) (view.View, error) {
--- a/internal/chain/prover_test.go
+++ b/internal/chain/prover_test.go
@@ -152,13 +152,44 @@
 	}
 }
 
+// proofChecker proposes at one member while others prove that they are current, and checks each proof.
+type proofChecker struct {
+	t            *testing.T
+	acknowledged atomic.Uint64 // sum after the last acknowledged command
+	proofs       atomic.Uint64
+}
+
+// propose adds one again and again until ctx ends, with pauses so that nothing is under way now and then.
+func (p *proofChecker) propose(ctx context.Context, m *member) {
+	for ctx.Err() == nil {
+		if result, err := m.node.Propose(ctx, number(1)); err == nil {
+			p.acknowledged.Store(binary.LittleEndian.Uint64(result))
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// prove proves again and again until ctx ends that a member is current, and checks that it then lacks nothing.
+func (p *proofChecker) prove(ctx context.Context, m *member) {
+	for ctx.Err() == nil {
+		before := p.acknowledged.Load()
+		if NewProver(m.reconfigurer).ConfirmCurrent(ctx) != nil {
+			continue
+		}
+		p.proofs.Add(1)
+		if after := m.applied(); after < before {
+			p.t.Errorf("applied sum: got %d, want at least %d, which was acknowledged before", after, before)
+		}
+	}
+}
+
 // Whoever is proven to be current has applied all that was acknowledged anywhere before the proof began, while entries are
 // committed, members are lost and come back.
 func TestConfirmCurrentLacksNothing(t *testing.T) {
 	const rounds, each = 4, 150 * time.Millisecond
 	c := newWholeCluster(t)
-	var acknowledged, proofs atomic.Uint64
-	acknowledged.Store(1)
+	checker := &proofChecker{t: t}
+	checker.acknowledged.Store(1)
 	for round := range rounds {
 		lost := c.members[round%len(c.members)]
 		var others []*member
@@ -169,27 +200,9 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), each)
 		var working sync.WaitGroup
-		working.Go(func() {
-			for ctx.Err() == nil {
-				if result, err := others[0].node.Propose(ctx, number(1)); err == nil {
-					acknowledged.Store(binary.LittleEndian.Uint64(result))
-				}
-				time.Sleep(time.Millisecond) // so that nothing is under way now and then
-			}
-		})
+		working.Go(func() { checker.propose(ctx, others[0]) })
 		for _, m := range others {
-			working.Go(func() {
-				for ctx.Err() == nil {
-					before := acknowledged.Load()
-					if NewProver(m.reconfigurer).ConfirmCurrent(ctx) != nil {
-						continue
-					}
-					proofs.Add(1)
-					if after := m.applied(); after < before {
-						t.Errorf("%d is applied, %d was acknowledged before", after, before)
-					}
-				}
-			})
+			working.Go(func() { checker.prove(ctx, m) })
 		}
 		time.Sleep(each / 3)
 		c.close(lost)
@@ -202,7 +215,7 @@
 			c.awaitView(m, ofSize(3))
 		}
 	}
-	if proofs.Load() < rounds {
-		t.Errorf("only %d proofs", proofs.Load())
+	if got := checker.proofs.Load(); got < rounds {
+		t.Errorf("proofs: got %d, want at least %d", got, rounds)
 	}
 }
--- a/internal/chain/receive.go
+++ b/internal/chain/receive.go
@@ -47,7 +47,7 @@
 	case SnapshotChunk:
 		r.receiveSnapshotChunk(now, e.Sender, body)
 	case Append:
-		r.receiveAppend(now, e.Sender, body)
+		r.receiveAppend(e.Sender, body)
 	case Acknowledge:
 		r.receiveAcknowledge(now, e.Sender, body)
 	}
--- a/internal/chain/upstream_entries.go
+++ b/internal/chain/upstream_entries.go
@@ -31,7 +31,7 @@
 }
 
 // receiveAppend appends entries that follow the last one here without a gap.
-func (r *Replica) receiveAppend(now time.Duration, sender view.ReplicaID, m Append) {
+func (r *Replica) receiveAppend(sender view.ReplicaID, m Append) {
 	u := &r.upstream
 	if !r.inSession(sender, m.Session) {
 		return
