--- a/internal/chain/disk_writer_test.go
+++ b/internal/chain/disk_writer_test.go
@@ -28,14 +28,14 @@
 	}
 }
 
-func TestStallIsTold(t *testing.T) {
-	told := make(chan struct{}, 1)
-	d := newDiskWriter(nil, nil, func() { notify(told) })
+func TestStallIsReported(t *testing.T) {
+	reported := make(chan struct{}, 1)
+	d := newDiskWriter(nil, nil, func() { notify(reported) })
 	d.add([]DiskOperation{{ID: 1}})
 	d.take()
-	<-told
+	<-reported
 	if !d.stalled(time.Now()) {
-		t.Error("told of a disk that is not stalled")
+		t.Error("a stall was reported, but the disk is not stalled")
 	}
 	d.idle()
 	if d.watchdog.Stop() {
--- a/internal/chain/history_test.go
+++ b/internal/chain/history_test.go
@@ -26,21 +26,21 @@
 		{"one empty", historyOf(Position{}, 1, 1, 1), historyOf(Position{}, 1), Position{}, true},
 		{"same", historyOf(Position{}, 1, 1, 1, 2), historyOf(Position{}, 1, 1, 1, 2), Position{2, 3}, true},
 		{"one longer", historyOf(Position{}, 1, 1, 1, 1), historyOf(Position{}, 1, 1, 1), Position{1, 2}, true},
-		{"parted", historyOf(Position{}, 1, 1, 1, 3), historyOf(Position{}, 1, 1, 1, 2, 2), Position{1, 2}, true},
-		{"parted at once", historyOf(Position{}, 1, 2), historyOf(Position{}, 1, 1, 1), Position{}, true},
+		{"diverged", historyOf(Position{}, 1, 1, 1, 3), historyOf(Position{}, 1, 1, 1, 2, 2), Position{1, 2}, true},
+		{"diverged at once", historyOf(Position{}, 1, 2), historyOf(Position{}, 1, 1, 1), Position{}, true},
 		{"snapshot on one side", historyOf(Position{1, 2}, 1, 1, 2), historyOf(Position{}, 1, 1, 1, 1), Position{1, 3}, true},
 		{"ends at the snapshot", historyOf(Position{1, 2}, 1, 2), historyOf(Position{}, 1, 1, 1), Position{1, 2}, true},
 		{"ends before the snapshot", historyOf(Position{1, 3}, 1, 2), historyOf(Position{}, 1, 1, 1), Position{}, false},
-		{"parted before the snapshot", historyOf(Position{2, 3}, 1, 2), historyOf(Position{}, 1, 1, 1, 1, 1), Position{}, false},
+		{"diverged before the snapshot", historyOf(Position{2, 3}, 1, 2), historyOf(Position{}, 1, 1, 1, 1, 1), Position{}, false},
 	}
 	for _, c := range cases {
 		got, ok := lastCommonPosition(c.a.runs(), c.b.runs())
 		if got != c.want || ok != c.ok {
-			t.Errorf("%s: %v, %v; want %v, %v", c.name, got, ok, c.want, c.ok)
+			t.Errorf("%s: got %v, %v; want %v, %v", c.name, got, ok, c.want, c.ok)
 		}
 		back, ok := lastCommonPosition(c.b.runs(), c.a.runs())
 		if back != c.want || ok != c.ok {
-			t.Errorf("%s, the other way: %v, %v; want %v, %v", c.name, back, ok, c.want, c.ok)
+			t.Errorf("%s, the other way: got %v, %v; want %v, %v", c.name, back, ok, c.want, c.ok)
 		}
 	}
 }
@@ -52,7 +52,7 @@
 		want                int
 	}{{0, 5, 50, 1}, {0, 5, 250, 2}, {1, 5, 1000, 4}, {1, 3, 1000, 2}, {4, 5, 0, 1}} {
 		if got := h.batch(c.after, c.limit, c.bytes); len(got) != c.want || got[0].Sequence != c.after+1 {
-			t.Errorf("batch after %d up to %d with %d bytes has %d entries, want %d", c.after, c.limit, c.bytes, len(got), c.want)
+			t.Errorf("batch after %d up to %d with %d bytes: got %d entries, want %d", c.after, c.limit, c.bytes, len(got), c.want)
 		}
 	}
 }
--- a/internal/chain/neighbour_probes_test.go
+++ b/internal/chain/neighbour_probes_test.go
@@ -52,51 +52,51 @@
 }
 
 // A member that others still reach, but this one does not, counts as unreachable here after the limit.
-func TestSilentNeighbour(t *testing.T) {
+func TestUnresponsiveNeighbour(t *testing.T) {
 	var n neighbourProbes
 	v := ring(1, 1, 2, 3)
 	n.run(v, 0, 3*time.Second, map[view.ReplicaID]bool{2: true, 3: true})
 	n.run(v, 3300*time.Millisecond, 4200*time.Millisecond, map[view.ReplicaID]bool{2: true})
 	if n.unresponsive(4200*time.Millisecond, 3) {
-		t.Error("taken for silent before the limit")
+		t.Error("unresponsive before the timeout")
 	}
 	n.run(v, 4500*time.Millisecond, 4800*time.Millisecond, map[view.ReplicaID]bool{2: true})
 	if !n.unresponsive(4800*time.Millisecond, 3) {
-		t.Error("not taken for silent after the limit")
+		t.Error("not unresponsive after the timeout")
 	}
 	if n.unresponsive(4800*time.Millisecond, 2) {
-		t.Error("a member that answers is taken for silent")
+		t.Error("a member that answers is unresponsive")
 	}
 	n.answered(4900*time.Millisecond, 3)
 	if n.unresponsive(4900*time.Millisecond, 3) {
-		t.Error("taken for silent after it answered")
+		t.Error("unresponsive after it answered")
 	}
 }
 
-// A replica that was frozen itself must not hold the others for silent, nor must one with a new view.
-func TestSilenceOfOneHeldUp(t *testing.T) {
+// A replica that was frozen itself must not find the others unresponsive, nor must one with a new view.
+func TestProbesAfterOwnPause(t *testing.T) {
 	var n neighbourProbes
 	v := ring(1, 1, 2, 3)
 	n.run(v, 0, time.Second, map[view.ReplicaID]bool{2: true, 3: true})
 	if n.unresponsive(5*time.Second, 3) {
-		t.Error("silent by the clock alone, before anyone was asked")
+		t.Error("unresponsive by the clock alone, before a probe")
 	}
 	n.observe(5*time.Second, v, 1)
 	if n.unresponsive(5*time.Second, 3) {
-		t.Error("silent right after a pause of the own process")
+		t.Error("unresponsive right after a pause of the own process")
 	}
 	n.run(v, 5*time.Second, 7*time.Second, nil)
 	if !n.unresponsive(7*time.Second, 3) {
-		t.Fatal("not silent after two seconds")
+		t.Fatal("not unresponsive after two seconds")
 	}
 	n.observe(7*time.Second, ring(2, 1, 3), 1)
 	if n.unresponsive(7*time.Second, 3) {
-		t.Error("silent right after a new view")
+		t.Error("unresponsive right after a new view")
 	}
 }
 
 // The plan of the next view leaves out a neighbour that cannot be reached from here, though the table of members shows it.
-func TestPlanWithoutSilentNeighbour(t *testing.T) {
+func TestPlanWithoutUnresponsiveNeighbour(t *testing.T) {
 	v := ring(1, 1, 2, 3)
 	r := &Reconfigurer{
 		node:     &Node{options: Options{Self: view.Member{Replica: 1}}},
--- a/internal/chain/prover_test.go
+++ b/internal/chain/prover_test.go
@@ -42,7 +42,7 @@
 	if v, err := NewProver(head.reconfigurer).ConfirmView(testContext(t)); err != nil || v.Epoch != head.node.View().Epoch {
 		t.Fatalf("view %d, %v", v.Epoch, err)
 	}
-	c.close(tail) // no member is told of it
+	c.close(tail) // no member is notified of it
 	if _, err := NewProver(head.reconfigurer).ConfirmView(testContext(t)); err != nil {
 		t.Errorf("with two of three members: %v", err)
 	}
@@ -54,7 +54,7 @@
 
 // A member that has accepted the next view, or knows it, does not confirm the one before it: the next one may be decided
 // though the head has not received it.
-func TestAcceptedViewIsNotOutdone(t *testing.T) {
+func TestNoConfirmationAfterNewerViewAccepted(t *testing.T) {
 	c := newWholeCluster(t)
 	ordered := c.byRank()
 	head := ordered[0]
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestOutsiderConfirmsNothing(t *testing.T) {
+func TestNonMemberConfirmsNothing(t *testing.T) {
 	c := newCluster(t, 3, 4)
 	c.propose(c.members[0], 1)
 	outsider := c.members[3]
--- a/internal/chain/second_loss_test.go
+++ b/internal/chain/second_disk_loss_test.go
@@ -19,7 +19,7 @@
 func TestSecondLossAtAnyStep(t *testing.T) {
 	runHistories(t, func(t *testing.T, seed uint64) *simulation {
 		s := newAgreedSimulation(t, seed)
-		s.planTroubles = s.planSecondLoss
+		s.planFaults = s.planSecondLoss
 		return s
 	})
 }
@@ -53,12 +53,12 @@
 	case 2:
 		s.isolate(target, duration, 2)
 	case 3:
-		s.note("power loss %d", target.index)
+		s.logf("power loss %d", target.index)
 		s.end(target, true, duration)
 	case 4:
 		s.freeze(target, duration)
 	case 5:
-		s.note("power loss of all")
+		s.logf("power loss of all")
 		for _, other := range s.sites {
 			s.end(other, true, time.Duration(s.random.Int64N(int64(duration))))
 		}
@@ -67,16 +67,16 @@
 	}
 }
 
-// isolate cuts a site off from all others: both ways, or only what it sends, or only what it is sent.
+// isolate partitions a site from all others: both ways (direction 0), only what it sends (1), or only what it is sent (2).
 func (s *simulation) isolate(target *site, duration time.Duration, direction int) {
-	s.note("isolated %d, direction %d", target.index, direction)
-	set := func(cut bool) {
+	s.logf("isolated %d, direction %d", target.index, direction)
+	set := func(partitioned bool) {
 		for _, other := range s.sites {
 			if direction != 2 {
-				s.network.Partition(target.address, other.address, cut)
+				s.network.Partition(target.address, other.address, partitioned)
 			}
 			if direction != 1 {
-				s.network.Partition(other.address, target.address, cut)
+				s.network.Partition(other.address, target.address, partitioned)
 			}
 		}
 	}
@@ -122,7 +122,7 @@
 	if len(wiped) == 0 || s.random.IntN(4) == 0 {
 		return
 	}
-	s.note("and power loss of all")
+	s.logf("and power loss of all")
 	for _, other := range s.sites {
 		if !slices.Contains(wiped, other) {
 			s.end(other, true, time.Duration(s.random.Int64N(int64(2*time.Second))))
--- a/internal/chain/simulation_losses_test.go
+++ b/internal/chain/simulation_disk_losses_test.go
@@ -22,10 +22,10 @@
 // tolerated is the number of disks that may be lost at once.
 func (s *simulation) tolerated() int { return s.policy.MinimumMembers - 1 }
 
-// noteRepair makes all losses good once the chain is whole.
-func (s *simulation) noteRepair() {
+// updateRepaired makes all losses good once the chain is whole.
+func (s *simulation) updateRepaired() {
 	if s.losses.unrepaired > 0 && s.whole() {
-		s.note("whole")
+		s.logf("whole")
 		s.losses.unrepaired = 0
 	}
 }
@@ -60,7 +60,7 @@
 // mayLoseDisk reports whether the chain has to bear another loss. An authority that is not careful may have dropped all other
 // copies: then only members beside as many as are needed may go, and only while nothing else is going on.
 func (s *simulation) mayLoseDisk() bool {
-	s.noteRepair()
+	s.updateRepaired()
 	if s.authority && !s.careful {
 		return len(s.newest.Members) > s.policy.MinimumMembers && s.whole()
 	}
@@ -73,7 +73,7 @@
 		return
 	}
 	if s.random.IntN(3) == 0 {
-		s.note("and power loss of all")
+		s.logf("and power loss of all")
 		for _, other := range s.sites {
 			if other != site {
 				s.end(other, true, duration/3)
@@ -85,7 +85,7 @@
 
 // takeDisk counts the loss of a site's disk and wipes it.
 func (s *simulation) takeDisk(site *site, back time.Duration) {
-	s.note("disk lost %d", site.index)
+	s.logf("disk lost %d", site.index)
 	s.losses.total++
 	s.losses.unrepaired++
 	s.wipe(site, back)
@@ -110,7 +110,7 @@
 	if site.replica == nil || site.leaving || !s.network.Up(site.address) || s.authority {
 		return
 	}
-	s.note("to be replaced: %d", site.index)
+	s.logf("to be replaced: %d", site.index)
 	site.leaving = true
 	replica, deadline := site.self.Replica, s.network.Now()+leavingTime
 	var poll func()
@@ -130,7 +130,7 @@
 
 // remove handles a site away with its disk after it has handed over.
 func (s *simulation) remove(site *site, back time.Duration) {
-	s.note("replaced: %d", site.index)
+	s.logf("replaced: %d", site.index)
 	s.losses.replaced++
 	if s.mayVote(site) {
 		s.losses.unrepaired++
--- a/internal/chain/simulation_check_test.go
+++ b/internal/chain/simulation_linearizability_test.go
@@ -29,9 +29,9 @@
 	}
 	if porcupine.CheckOperationsTimeout(registerModel, history, checkTime) == porcupine.Illegal {
 		for _, o := range s.operations {
-			s.note("%+v", *o)
+			s.logf("%+v", *o)
 		}
-		s.fail("the history is not linearizable")
+		s.fatalf("the history is not linearizable")
 	}
 	s.checkCommitOrder()
 }
@@ -44,27 +44,27 @@
 		if o.done && !o.read {
 			o.position = s.sequences[o.id]
 			if outcome := order.outcomes[o.id]; outcome != (registerOutcome{o.ok, o.version, o.result}) {
-				s.fail("operation %+v, committed in order gives %+v", *o, outcome)
+				s.fatalf("operation %+v, committed in order gives %+v", *o, outcome)
 			}
 		}
 	}
 	for _, o := range s.operations {
 		if o.done && o.read {
-			s.placeRead(o, order)
+			s.positionRead(o, order)
 		}
 	}
 	for _, first := range s.operations {
 		for _, second := range s.operations {
 			if first.done && second.done && !second.read && first.end < second.begin && first.position >= second.position {
-				s.fail("%+v is committed before %+v, which ended first", *second, *first)
+				s.fatalf("%+v is committed before %+v, which ended first", *second, *first)
 			}
 		}
 	}
 }
 
-// placeRead finds the first place in the order of commits at which a read can have happened. Operations stand in the order in
-// which they began, so that all reads that ended before have their places.
-func (s *simulation) placeRead(read *operation, order commitOrder) {
+// positionRead finds the first position in the order of commits at which a read can have happened. Operations stand in the order in
+// which they began, so that all reads that ended before have their positions.
+func (s *simulation) positionRead(read *operation, order commitOrder) {
 	read.position = order.begins[read.version]
 	for _, other := range s.operations {
 		if other.done && other.end < read.begin {
@@ -72,10 +72,10 @@
 		}
 	}
 	if next, overwritten := order.begins[read.version+1]; overwritten && read.position >= next {
-		s.fail("%+v shows an older state than operations that ended before it began", *read)
+		s.fatalf("%+v shows an older state than operations that ended before it began", *read)
 	}
 	if read.result != order.values[read.version] {
-		s.fail("%+v shows a value that its version never had", *read)
+		s.fatalf("%+v shows a value that its version never had", *read)
 	}
 }
 
@@ -102,7 +102,7 @@
 	for sequence := uint64(1); sequence <= s.highest; sequence++ {
 		entry, committed := s.committed[sequence]
 		if !committed {
-			s.fail("entry %d was never applied", sequence)
+			s.fatalf("entry %d was never applied", sequence)
 		}
 		before := state.version
 		state.Apply(sequence, []byte(entry.data))
--- /dev/null
+++ b/internal/chain/simulation_site_calls_test.go
@@ -0,0 +1,77 @@
+package chain
+
+import "time"
+
+// acceptedProposal waits for the commit of its entry.
+type acceptedProposal struct {
+	id    uint64
+	reply func(ok, refused bool, version, value uint64)
+}
+
+type appliedWait struct {
+	sequence uint64
+	do       func()
+}
+
+func (s *site) whenApplied(sequence uint64, do func()) {
+	if s.applied >= sequence {
+		do()
+		return
+	}
+	s.waits = append(s.waits, appliedWait{sequence: sequence, do: do})
+}
+
+func (s *site) propose(command []byte, reply func(ok, refused bool, version, value uint64)) {
+	s.simulation.lastID++
+	id := s.simulation.lastID
+	s.proposals[id] = reply
+	s.step(func(now time.Duration) { s.replica.Propose(now, id, command) })
+	s.after(operationTime, func() {
+		if s.proposals[id] != nil && s.replica.Cancel(id) {
+			delete(s.proposals, id)
+			reply(false, true, 0, 0)
+		}
+	})
+}
+
+func (s *site) barrier(reply func(sequence uint64)) {
+	s.simulation.lastID++
+	id := s.simulation.lastID
+	s.barriers[id] = reply
+	s.step(func(now time.Duration) { s.replica.Barrier(now, id) })
+}
+
+func (s *site) resolve(out Output) {
+	for _, a := range out.Accepted {
+		s.accepted[a.Sequence] = acceptedProposal{id: a.Proposal, reply: s.proposals[a.Proposal]}
+		delete(s.proposals, a.Proposal)
+	}
+	for _, r := range out.Rejected {
+		s.reject(r)
+	}
+	for _, b := range out.Barriers {
+		if !b.Failed {
+			s.barriers[b.Barrier](b.Sequence)
+		}
+		delete(s.barriers, b.Barrier)
+	}
+}
+
+func (s *site) reject(r Rejected) {
+	if reply := s.proposals[r.Proposal]; reply != nil {
+		if r.Unclear {
+			s.simulation.fatalf("site %d: proposal %d was not appended, but is called unclear", s.index, r.Proposal)
+		}
+		delete(s.proposals, r.Proposal)
+		reply(false, true, 0, 0)
+	}
+	for sequence, call := range s.accepted {
+		if call.id != r.Proposal {
+			continue
+		}
+		delete(s.accepted, sequence)
+		if !r.Unclear {
+			s.simulation.fatalf("site %d: proposal %d was appended, but is called refused", s.index, r.Proposal)
+		}
+	}
+}
--- /dev/null
+++ b/internal/chain/simulation_site_disk_test.go
@@ -0,0 +1,89 @@
+package chain
+
+import (
+	"errors"
+	"maps"
+	"path"
+	"time"
+
+	"nickelline/internal/segment"
+)
+
+// write has disk operations carried out after a delay, one after the other.
+func (s *site) write(operations []DiskOperation) {
+	for _, operation := range operations {
+		s.writing = append(s.writing, operation)
+		delay := s.diskDelay/2 + time.Duration(s.simulation.random.Int64N(int64(s.diskDelay)))
+		s.writeAt = max(s.writeAt, s.simulation.network.Now()) + delay
+		s.after(s.writeAt-s.simulation.network.Now(), s.written)
+	}
+}
+
+func (s *site) written() {
+	operation := s.writing[0]
+	s.writing = s.writing[1:]
+	s.check(s.writeOne(operation))
+	s.check(s.log.Sync())
+	s.recordDurable(operation)
+	s.step(func(now time.Duration) { s.replica.DiskDone(now, operation.ID) })
+}
+
+func (s *site) writeOne(operation DiskOperation) error {
+	switch {
+	case operation.Append != nil:
+		return s.log.Append(operation.Append...)
+	case operation.Truncate != nil:
+		return s.log.TruncateAfter(*operation.Truncate)
+	case operation.Reset != nil:
+		return s.log.Reset(*operation.Reset)
+	}
+	data, err := encodeRecord(*operation.Record)
+	if err != nil {
+		return err
+	}
+	return segment.SaveRecord(s.fileSystem, path.Join(siteDirectory, recordName), data)
+}
+
+func (s *site) recordDurable(operation DiskOperation) {
+	switch {
+	case operation.Append != nil:
+		for _, entry := range operation.Append {
+			s.durable[entry.Sequence] = entry.Epoch
+		}
+	case operation.Truncate != nil:
+		maps.DeleteFunc(s.durable, func(sequence, _ uint64) bool { return sequence > *operation.Truncate })
+	case operation.Reset != nil:
+		clear(s.durable)
+		s.durableBase = operation.Reset.Sequence
+	}
+}
+
+// checkDisks checks that what is about to be acknowledged is on enough disks, or was until some were lost.
+func (s *simulation) checkDisks(position Position) {
+	count := 0
+	for _, site := range s.sites {
+		if epoch, ok := site.durable[position.Sequence]; (ok && epoch == position.Epoch) || position.Sequence <= site.durableBase {
+			count++
+		}
+	}
+	if count+s.losses.unrepaired < s.policy.MinimumMembers {
+		s.fatalf("entry %v is acknowledged with %d copies", position, count)
+	}
+}
+
+func (s *site) snapshot() segment.Snapshot {
+	return segment.Snapshot{Epoch: s.position.Epoch, Sequence: s.position.Sequence, Data: s.machine.Snapshot()}
+}
+
+func (s *site) compact() {
+	if s.bytes < s.simulation.snapshotBytes {
+		return
+	}
+	s.bytes = 0
+	snapshot := s.snapshot()
+	s.after(s.diskDelay, func() {
+		if err := s.log.SaveSnapshot(snapshot); !errors.Is(err, segment.ErrOutOfOrder) {
+			s.check(err)
+		}
+	})
+}
--- a/internal/chain/simulation_site_test.go
+++ b/internal/chain/simulation_site_test.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"io/fs"
-	"maps"
 	"math/rand/v2"
 	"net/netip"
 	"path"
@@ -23,21 +22,21 @@
 
 // site is a machine of a simulation: a disk, and the replica that runs there.
 type site struct {
-	simulation *simulation
-	index      int
-	address    netip.AddrPort
-	diskDelay  time.Duration
-	leaving    bool
-	answered   time.Duration                    // when a proposer was told last that this replica stays
-	silent     map[netip.AddrPort]time.Duration // since when others cannot be reached
+	simulation       *simulation
+	index            int
+	address          netip.AddrPort
+	diskDelay        time.Duration
+	leaving          bool
+	answered         time.Duration                    // when a proposer last got the answer that this replica is not leaving
+	unreachableSince map[netip.AddrPort]time.Duration // since when others cannot be reached
 
 	disk *simnet.Disk
 	// Of the disk, as far as it is known to be safe.
-	durable     map[uint64]uint64 // epochs of entries by sequence
-	durableBase uint64            // all up to here are in a snapshot
-	wasEpoch    uint64            // highest epoch that this replica was in
+	durable      map[uint64]uint64 // epochs of entries by sequence
+	durableBase  uint64            // all up to here are in a snapshot
+	highestEpoch uint64            // highest epoch that this replica was in
 
-	// Of the life of a process.
+	// Of one process.
 	fileSystem segment.FileSystem
 	self       view.Member
 	replica    *Replica
@@ -58,27 +57,16 @@
 	tickAt     time.Duration
 }
 
-// acceptedProposal waits for the commit of its entry.
-type acceptedProposal struct {
-	id    uint64
-	reply func(ok, refused bool, version, value uint64)
-}
-
-type appliedWait struct {
-	sequence uint64
-	do       func()
-}
-
 func newSite(s *simulation, index int, address netip.AddrPort) *site {
 	return &site{
-		simulation: s,
-		index:      index,
-		address:    address,
-		diskDelay:  time.Millisecond,
-		disk:       simnet.NewDisk(rand.New(rand.NewPCG(s.seed, uint64(index+100)))),
-		durable:    make(map[uint64]uint64),
-		silent:     make(map[netip.AddrPort]time.Duration),
-		machine:    &register{},
+		simulation:       s,
+		index:            index,
+		address:          address,
+		diskDelay:        time.Millisecond,
+		disk:             simnet.NewDisk(rand.New(rand.NewPCG(s.seed, uint64(index+100)))),
+		durable:          make(map[uint64]uint64),
+		unreachableSince: make(map[netip.AddrPort]time.Duration),
+		machine:          &register{},
 	}
 }
 
@@ -92,11 +80,11 @@
 
 func (s *site) check(err error) {
 	if err != nil {
-		s.simulation.fail("site %d: %v", s.index, err)
+		s.simulation.fatalf("site %d: %v", s.index, err)
 	}
 }
 
-// start begins a life of the replica from what is on the disk.
+// start starts the replica from what is on the disk, with a new generation.
 func (s *site) start(firstStart bool) {
 	s.simulation.network.Start(s.address)
 	s.fileSystem = s.disk.Mount()
@@ -118,12 +106,12 @@
 		s.check(s.fileSystem.MakeDirectory(siteDirectory))
 		identity := s.simulation.random.Uint64() | 1
 		s.check(segment.SaveRecord(s.fileSystem, name, binary.LittleEndian.AppendUint64(nil, identity)))
-		s.wasEpoch = 0
+		s.highestEpoch = 0
 	}
 	replica, created, err := view.LoadIdentity(s.fileSystem, siteDirectory)
 	s.check(err)
 	if created {
-		s.simulation.fail("identity made anew")
+		s.simulation.fatalf("identity made anew")
 	}
 	s.self = view.Member{Replica: replica, Name: fmt.Sprint(s.index), Zone: fmt.Sprint(s.index % 3), Address: s.address}
 }
@@ -179,7 +167,7 @@
 	s.check(segment.SaveRecord(s.fileSystem, path.Join(siteDirectory, acceptorName), data))
 }
 
-// end ends the life of the replica. Of what was being written some may be on the disk.
+// end ends the process of the replica. Of what was being written some may be on the disk.
 func (s *site) end(power bool) {
 	s.simulation.network.Stop(s.address)
 	if s.log == nil {
@@ -211,12 +199,12 @@
 	event(now)
 	out := s.replica.Output()
 	for _, text := range out.Violations {
-		s.simulation.note("site %d: %s", s.index, text)
+		s.simulation.logf("site %d: %s", s.index, text)
 	}
 	for _, message := range out.Messages {
 		s.send(message)
 	}
-	s.settle(out)
+	s.resolve(out)
 	s.write(out.Disk)
 	for _, v := range out.Views {
 		s.enter(v)
@@ -260,62 +248,13 @@
 	})
 }
 
-// write has disk operations carried out after a delay, one after the other.
-func (s *site) write(operations []DiskOperation) {
-	for _, operation := range operations {
-		s.writing = append(s.writing, operation)
-		delay := s.diskDelay/2 + time.Duration(s.simulation.random.Int64N(int64(s.diskDelay)))
-		s.writeAt = max(s.writeAt, s.simulation.network.Now()) + delay
-		s.after(s.writeAt-s.simulation.network.Now(), s.written)
-	}
-}
-
-func (s *site) written() {
-	operation := s.writing[0]
-	s.writing = s.writing[1:]
-	s.check(s.writeOne(operation))
-	s.check(s.log.Sync())
-	s.noteDurable(operation)
-	s.step(func(now time.Duration) { s.replica.DiskDone(now, operation.ID) })
-}
-
-func (s *site) writeOne(operation DiskOperation) error {
-	switch {
-	case operation.Append != nil:
-		return s.log.Append(operation.Append...)
-	case operation.Truncate != nil:
-		return s.log.TruncateAfter(*operation.Truncate)
-	case operation.Reset != nil:
-		return s.log.Reset(*operation.Reset)
-	}
-	data, err := encodeRecord(*operation.Record)
-	if err != nil {
-		return err
-	}
-	return segment.SaveRecord(s.fileSystem, path.Join(siteDirectory, recordName), data)
-}
-
-func (s *site) noteDurable(operation DiskOperation) {
-	switch {
-	case operation.Append != nil:
-		for _, entry := range operation.Append {
-			s.durable[entry.Sequence] = entry.Epoch
-		}
-	case operation.Truncate != nil:
-		maps.DeleteFunc(s.durable, func(sequence, _ uint64) bool { return sequence > *operation.Truncate })
-	case operation.Reset != nil:
-		clear(s.durable)
-		s.durableBase = operation.Reset.Sequence
-	}
-}
-
 // enter checks that the epochs of a replica do not go back.
 func (s *site) enter(v view.View) {
-	if v.Epoch < s.wasEpoch {
-		s.simulation.fail("site %d went back from epoch %d to %d", s.index, s.wasEpoch, v.Epoch)
+	if v.Epoch < s.highestEpoch {
+		s.simulation.fatalf("site %d went back from epoch %d to %d", s.index, s.highestEpoch, v.Epoch)
 	}
-	s.wasEpoch = v.Epoch
-	s.simulation.noteView(s, v)
+	s.highestEpoch = v.Epoch
+	s.simulation.checkView(s, v)
 }
 
 func (s *site) apply(operation ApplyOperation) {
@@ -327,9 +266,9 @@
 	}
 	for _, entry := range operation.Entries {
 		if entry.Sequence != s.position.Sequence+1 {
-			s.simulation.fail("site %d applies %d after %d", s.index, entry.Sequence, s.position.Sequence)
+			s.simulation.fatalf("site %d applies %d after %d", s.index, entry.Sequence, s.position.Sequence)
 		}
-		s.simulation.noteCommitted(s, entry.Epoch, entry.Sequence, entry.Data)
+		s.simulation.checkCommitted(s, entry.Epoch, entry.Sequence, entry.Data)
 		result := s.machine.Apply(entry.Sequence, entry.Data)
 		s.bytes += len(entry.Data)
 		s.advance(Position{Epoch: entry.Epoch, Sequence: entry.Sequence})
@@ -350,96 +289,3 @@
 		s.whenApplied(wait.sequence, wait.do)
 	}
 }
-
-func (s *site) whenApplied(sequence uint64, do func()) {
-	if s.applied >= sequence {
-		do()
-		return
-	}
-	s.waits = append(s.waits, appliedWait{sequence: sequence, do: do})
-}
-
-// checkDisks checks that what is about to be acknowledged is on enough disks, or was until some were lost.
-func (s *simulation) checkDisks(position Position) {
-	count := 0
-	for _, site := range s.sites {
-		if epoch, ok := site.durable[position.Sequence]; (ok && epoch == position.Epoch) || position.Sequence <= site.durableBase {
-			count++
-		}
-	}
-	if count+s.losses.unrepaired < s.policy.MinimumMembers {
-		s.fail("entry %v is acknowledged with %d copies", position, count)
-	}
-}
-
-func (s *site) snapshot() segment.Snapshot {
-	return segment.Snapshot{Epoch: s.position.Epoch, Sequence: s.position.Sequence, Data: s.machine.Snapshot()}
-}
-
-func (s *site) compact() {
-	if s.bytes < s.simulation.snapshotBytes {
-		return
-	}
-	s.bytes = 0
-	snapshot := s.snapshot()
-	s.after(s.diskDelay, func() {
-		if err := s.log.SaveSnapshot(snapshot); !errors.Is(err, segment.ErrOutOfOrder) {
-			s.check(err)
-		}
-	})
-}
-
-func (s *site) propose(command []byte, reply func(ok, refused bool, version, value uint64)) {
-	s.simulation.lastID++
-	id := s.simulation.lastID
-	s.proposals[id] = reply
-	s.step(func(now time.Duration) { s.replica.Propose(now, id, command) })
-	s.after(operationTime, func() {
-		if s.proposals[id] != nil && s.replica.Cancel(id) {
-			delete(s.proposals, id)
-			reply(false, true, 0, 0)
-		}
-	})
-}
-
-func (s *site) barrier(reply func(sequence uint64)) {
-	s.simulation.lastID++
-	id := s.simulation.lastID
-	s.barriers[id] = reply
-	s.step(func(now time.Duration) { s.replica.Barrier(now, id) })
-}
-
-func (s *site) settle(out Output) {
-	for _, a := range out.Accepted {
-		s.accepted[a.Sequence] = acceptedProposal{id: a.Proposal, reply: s.proposals[a.Proposal]}
-		delete(s.proposals, a.Proposal)
-	}
-	for _, r := range out.Rejected {
-		s.reject(r)
-	}
-	for _, b := range out.Barriers {
-		if !b.Failed {
-			s.barriers[b.Barrier](b.Sequence)
-		}
-		delete(s.barriers, b.Barrier)
-	}
-}
-
-func (s *site) reject(r Rejected) {
-	if reply := s.proposals[r.Proposal]; reply != nil {
-		if r.Unclear {
-			s.simulation.fail("site %d: proposal %d was not appended, but is called unclear", s.index, r.Proposal)
-		}
-		delete(s.proposals, r.Proposal)
-		reply(false, true, 0, 0)
-	}
-	for sequence, call := range s.accepted {
-		if call.id != r.Proposal {
-			continue
-		}
-		delete(s.accepted, sequence)
-		if !r.Unclear {
-			s.simulation.fail("site %d: proposal %d was appended, but is called refused", s.index, r.Proposal)
-		}
-	}
-}
--- a/internal/chain/timing_test.go
+++ b/internal/chain/timing_test.go
@@ -8,15 +8,15 @@
 	"nickelline/internal/view"
 )
 
-// Bounds on times in a network without trouble.
+// Bounds on times in a network without faults.
 const (
 	hop                = 900 * time.Microsecond
 	commitBound        = 10 * time.Millisecond
 	writableAgainBound = 1500 * time.Millisecond
 )
 
-// calmSimulation is a chain of three that has settled on its first view.
-func calmSimulation(t *testing.T) *simulation {
+// newHealthySimulation returns a chain of three that has agreed on its first view and commits.
+func newHealthySimulation(t *testing.T) *simulation {
 	s := newSimulation(t, 1)
 	s.authority = false
 	s.healed = true
@@ -32,12 +32,12 @@
 	for _, site := range s.sites {
 		site.start(true)
 	}
-	s.commitTime()
+	s.commitLatency()
 	return s
 }
 
-// commitTime returns how long it takes until a command that is proposed now at the head is committed, with all retries.
-func (s *simulation) commitTime() time.Duration {
+// commitLatency returns how long it takes until a command that is proposed now at the head is committed, with all retries.
+func (s *simulation) commitLatency() time.Duration {
 	begin := s.network.Now()
 	for _, site := range s.sites {
 		if site.replica.isHead() {
@@ -55,21 +55,21 @@
 		}
 		return false
 	})
-	return s.network.Now() - begin + s.commitTime()
+	return s.network.Now() - begin + s.commitLatency()
 }
 
-func TestTimeOfACommit(t *testing.T) {
-	s := calmSimulation(t)
+func TestCommitLatency(t *testing.T) {
+	s := newHealthySimulation(t)
 	for range 20 {
-		took := s.commitTime()
+		took := s.commitLatency()
 		if took > commitBound {
 			t.Fatalf("a commit over three replicas took %v, want at most %v", took, commitBound)
 		}
 	}
 }
 
-func TestTimeUntilWritableAfterAllWereKilled(t *testing.T) {
-	s := calmSimulation(t)
+func TestTimeUntilWritableAfterAllKilled(t *testing.T) {
+	s := newHealthySimulation(t)
 	for round := range 10 {
 		for _, site := range s.sites {
 			site.end(false)
@@ -81,7 +81,7 @@
 		s.runUntil(func() bool {
 			return s.network.Up(s.sites[0].address) && s.network.Up(s.sites[1].address) && s.network.Up(s.sites[2].address)
 		})
-		took := s.commitTime()
+		took := s.commitLatency()
 		if took > writableAgainBound {
 			t.Fatalf("writable %v after all had come back, want at most %v", took, writableAgainBound)
 		}
