--- a/internal/chain/barrier_rounds.go
+++ b/internal/chain/barrier_rounds.go
@@ -65,7 +65,7 @@
 	if !ok {
 		return 0, fault.New(fault.NotReady, "chain %d has no view", n.options.Chain)
 	}
-	body, err := encodeBarrierRequest(n.options.Chain)
+	body, err := barrierRequest{chain: n.options.Chain}.encode()
 	if err != nil {
 		return 0, err
 	}
@@ -75,10 +75,10 @@
 	if err != nil {
 		return 0, err
 	}
-	sequence, epoch, err := decodeBarrierResponse(answer.Body)
+	response, err := decodeBarrierResponse(answer.Body)
 	if err != nil {
 		return 0, err
 	}
-	n.step(func(time.Duration) { n.replica.requestNewerView(epoch, head.Address) })
-	return sequence, nil
+	n.step(func(time.Duration) { n.replica.requestNewerView(response.epoch, head.Address) })
+	return response.sequence, nil
 }
--- a/internal/chain/dispatcher.go
+++ b/internal/chain/dispatcher.go
@@ -97,29 +97,29 @@
 
 // propose handles a proposal that another replica forwarded to the head.
 func (d *Registry) propose(ctx context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
-	chain, command, err := decodeProposeRequest(m.Body)
+	request, err := decodeProposeRequest(m.Body)
 	if err != nil {
 		return peer.Message{}, fault.Wrap(fault.NotReady, err)
 	}
-	n, err := d.node(chain)
+	n, err := d.node(request.chain)
 	if err != nil {
 		return peer.Message{}, err
 	}
-	result, err := n.proposeLocally(ctx, command)
+	result, err := n.proposeLocally(ctx, request.command)
 	if err != nil {
 		return peer.Message{}, err
 	}
-	body, err := encodeProposeResponse(result)
+	body, err := proposeResponse{result: result}.encode()
 	return peer.Message{Kind: kindPropose, Body: body}, fault.Wrap(fault.Unclear, err)
 }
 
 // barrier handles a barrier request of another replica to the head.
 func (d *Registry) barrier(ctx context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
-	chain, err := decodeBarrierRequest(m.Body)
+	request, err := decodeBarrierRequest(m.Body)
 	if err != nil {
 		return peer.Message{}, fault.Wrap(fault.NotReady, err)
 	}
-	n, err := d.node(chain)
+	n, err := d.node(request.chain)
 	if err != nil {
 		return peer.Message{}, err
 	}
@@ -127,7 +127,7 @@
 	if err != nil {
 		return peer.Message{}, fault.Wrap(fault.NotReady, err)
 	}
-	body, err := encodeBarrierResponse(sequence, n.View().Epoch)
+	body, err := barrierResponse{sequence: sequence, epoch: n.View().Epoch}.encode()
 	return peer.Message{Kind: kindBarrier, Body: body}, fault.Wrap(fault.NotReady, err)
 }
 
--- a/internal/chain/doc.go
+++ b/internal/chain/doc.go
@@ -60,6 +60,6 @@
 //   - Calls at a node: propose.go, forward.go, barrier.go, barrier_rounds.go, wait.go, retry.go.
 //   - The agreement on views: reconfigurer.go, candidates.go, plan.go, proposer_options.go, propose_view.go, voter.go,
 //     agreement_calls.go, discovery.go, neighbour_probes.go, learner.go, handover.go, confirm_majority.go, prover.go.
-//   - The forms on the wire and on disk: message_kinds.go, envelope_encode.go, envelope_decode.go, call_codec.go,
+//   - The forms on the wire and on disk: message_kinds.go, envelope_encode.go, envelope_decode.go, call_messages.go,
 //     agreement_message.go, record_codec.go, and the schema in chainwire/chain.capnp.
 package chain
--- a/internal/chain/downstream_session.go
+++ b/internal/chain/downstream_session.go
@@ -81,7 +81,7 @@
 		return
 	}
 	if common.Sequence < m.Committed {
-		r.reportViolation("replica %d has committed %d, and parts at %d", sender, m.Committed, common.Sequence)
+		r.reportViolation(sender, "replica %d has committed %d, and parts at %d", sender, m.Committed, common.Sequence)
 		return
 	}
 	r.start(now, l, common)
--- a/internal/chain/golden_test.go
+++ b/internal/chain/golden_test.go
@@ -169,52 +169,52 @@
 	}
 }
 
-func TestGoldenCalls(t *testing.T) {
-	const chain = 0xd1
-	command := []byte("a command")
-	result := []byte("the result of a command")
+func TestGoldenProposeRequest(t *testing.T) {
+	want := proposeRequest{chain: 0xd1, command: []byte("a command")}
+	encoded, err := want.encode()
+	if err != nil {
+		t.Fatalf("encode: %v", err)
+	}
+	got, err := decodeProposeRequest(golden.Bytes(t, "propose-request.hex", encoded))
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("decoded: got %+v, %v; want %+v", got, err, want)
+	}
+}
 
-	t.Run("propose request", func(t *testing.T) {
-		encoded, err := encodeProposeRequest(chain, command)
-		if err != nil {
-			t.Fatalf("encode: %v", err)
-		}
-		gotChain, gotCommand, err := decodeProposeRequest(golden.Bytes(t, "propose-request.hex", encoded))
-		if err != nil || gotChain != chain || string(gotCommand) != string(command) {
-			t.Errorf("decoded: got %#x, %q, %v; want %#x, %q", gotChain, gotCommand, err, chain, command)
-		}
-	})
-	t.Run("propose response", func(t *testing.T) {
-		encoded, err := encodeProposeResponse(result)
-		if err != nil {
-			t.Fatalf("encode: %v", err)
-		}
-		got, err := decodeProposeResponse(golden.Bytes(t, "propose-response.hex", encoded))
-		if err != nil || string(got) != string(result) {
-			t.Errorf("decoded: got %q, %v; want %q", got, err, result)
-		}
-	})
-	t.Run("barrier request", func(t *testing.T) {
-		encoded, err := encodeBarrierRequest(chain)
-		if err != nil {
-			t.Fatalf("encode: %v", err)
-		}
-		got, err := decodeBarrierRequest(golden.Bytes(t, "barrier-request.hex", encoded))
-		if err != nil || got != chain {
-			t.Errorf("decoded: got %#x, %v; want %#x", got, err, chain)
-		}
-	})
-	t.Run("barrier response", func(t *testing.T) {
-		const sequence, epoch = 0xd2, 0xd3
-		encoded, err := encodeBarrierResponse(sequence, epoch)
-		if err != nil {
-			t.Fatalf("encode: %v", err)
-		}
-		gotSequence, gotEpoch, err := decodeBarrierResponse(golden.Bytes(t, "barrier-response.hex", encoded))
-		if err != nil || gotSequence != sequence || gotEpoch != epoch {
-			t.Errorf("decoded: got %#x, %#x, %v; want %#x, %#x", gotSequence, gotEpoch, err, sequence, epoch)
-		}
-	})
+func TestGoldenProposeResponse(t *testing.T) {
+	want := proposeResponse{result: []byte("the result of a command")}
+	encoded, err := want.encode()
+	if err != nil {
+		t.Fatalf("encode: %v", err)
+	}
+	got, err := decodeProposeResponse(golden.Bytes(t, "propose-response.hex", encoded))
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("decoded: got %+v, %v; want %+v", got, err, want)
+	}
+}
+
+func TestGoldenBarrierRequest(t *testing.T) {
+	want := barrierRequest{chain: 0xd1}
+	encoded, err := want.encode()
+	if err != nil {
+		t.Fatalf("encode: %v", err)
+	}
+	got, err := decodeBarrierRequest(golden.Bytes(t, "barrier-request.hex", encoded))
+	if err != nil || got != want {
+		t.Errorf("decoded: got %+v, %v; want %+v", got, err, want)
+	}
+}
+
+func TestGoldenBarrierResponse(t *testing.T) {
+	want := barrierResponse{sequence: 0xd2, epoch: 0xd3}
+	encoded, err := want.encode()
+	if err != nil {
+		t.Fatalf("encode: %v", err)
+	}
+	got, err := decodeBarrierResponse(golden.Bytes(t, "barrier-response.hex", encoded))
+	if err != nil || got != want {
+		t.Errorf("decoded: got %+v, %v; want %+v", got, err, want)
+	}
 }
 
 func TestGoldenMessageKinds(t *testing.T) {
--- a/internal/chain/node.go
+++ b/internal/chain/node.go
@@ -128,7 +128,8 @@
 // dispatch hands an output to those who carry it out. The mutex is held.
 func (n *Node) dispatch(out Output) {
 	for _, violation := range out.Violations {
-		n.options.Log.Error("breach of the chain's protocol", zap.Uint32("chain", n.options.Chain), zap.String("what", violation))
+		n.options.Log.Error("breach of the chain's protocol", zap.Uint32("chain", n.options.Chain),
+			zap.Uint64("sender", uint64(violation.Sender)), zap.String("what", violation.Description))
 	}
 	n.disk.add(out.Disk)
 	for _, message := range out.Messages {
--- a/internal/chain/output.go
+++ b/internal/chain/output.go
@@ -19,7 +19,13 @@
 	// SnapshotRequested asks for a snapshot of the applied state, to be passed to SnapshotTaken.
 	SnapshotRequested bool
 	// Violations describe breaches of the protocol by other replicas, for the log. The messages were ignored.
-	Violations []string
+	Violations []Violation
+}
+
+// Violation describes a message that a replica which follows the protocol does not send.
+type Violation struct {
+	Sender      view.ReplicaID
+	Description string
 }
 
 // DiskOperation changes what is on disk. Exactly one of the fields after ID is set.
--- a/internal/chain/propose.go
+++ b/internal/chain/propose.go
@@ -58,7 +58,7 @@
 	case head.Replica == n.options.Self.Replica:
 		return n.proposeLocally(ctx, command)
 	}
-	body, err := encodeProposeRequest(n.options.Chain, command)
+	body, err := proposeRequest{chain: n.options.Chain, command: command}.encode()
 	if err != nil {
 		return nil, fault.Wrap(fault.NotReady, err)
 	}
@@ -66,8 +66,8 @@
 	if err != nil {
 		return nil, err
 	}
-	result, err := decodeProposeResponse(answer.Body)
-	return result, fault.Wrap(fault.Unclear, err)
+	response, err := decodeProposeResponse(answer.Body)
+	return response.result, fault.Wrap(fault.Unclear, err)
 }
 
 // proposeLocally proposes at this replica, as the head.
--- a/internal/chain/receive.go
+++ b/internal/chain/receive.go
@@ -81,6 +81,7 @@
 }
 
 // reportViolation records a breach of the protocol by another replica.
-func (r *Replica) reportViolation(format string, arguments ...any) {
-	r.out.Violations = append(r.out.Violations, fmt.Sprintf(format, arguments...))
+func (r *Replica) reportViolation(sender view.ReplicaID, format string, arguments ...any) {
+	violation := Violation{Sender: sender, Description: fmt.Sprintf(format, arguments...)}
+	r.out.Violations = append(r.out.Violations, violation)
 }
--- a/internal/chain/simulation_clients_test.go
+++ b/internal/chain/simulation_clients_test.go
@@ -102,13 +102,13 @@
 		return
 	}
 	command := commandOf(o)
-	reply := func(ok, refused bool, version, value uint64) {
+	reply := func(result writeResult) {
 		s.network.Send(head.Address, at.address, func() {
-			if refused {
+			if result.refused {
 				again()
 				return
 			}
-			o.ok, o.version, o.result = ok, version, value
+			o.ok, o.version, o.result = result.ok, result.version, result.value
 			s.finish(o)
 		})
 	}
--- a/internal/chain/simulation_site_calls_test.go
+++ b/internal/chain/simulation_site_calls_test.go
@@ -2,10 +2,17 @@
 
 import "time"
 
+// writeResult is the answer to a write of a client.
+type writeResult struct {
+	refused        bool // certainly not appended
+	ok             bool // the version was the expected one
+	version, value uint64
+}
+
 // acceptedProposal waits for the commit of its entry.
 type acceptedProposal struct {
 	id    uint64
-	reply func(ok, refused bool, version, value uint64)
+	reply func(writeResult)
 }
 
 type appliedWait struct {
@@ -21,7 +28,7 @@
 	s.waits = append(s.waits, appliedWait{sequence: sequence, do: do})
 }
 
-func (s *site) propose(command []byte, reply func(ok, refused bool, version, value uint64)) {
+func (s *site) propose(command []byte, reply func(writeResult)) {
 	s.simulation.lastID++
 	id := s.simulation.lastID
 	s.proposals[id] = reply
@@ -29,7 +36,7 @@
 	s.after(operationTime, func() {
 		if s.proposals[id] != nil && s.replica.Cancel(id) {
 			delete(s.proposals, id)
-			reply(false, true, 0, 0)
+			reply(writeResult{refused: true})
 		}
 	})
 }
@@ -63,7 +70,7 @@
 			s.simulation.fatalf("site %d: proposal %d was not appended, but is called unclear", s.index, r.Proposal)
 		}
 		delete(s.proposals, r.Proposal)
-		reply(false, true, 0, 0)
+		reply(writeResult{refused: true})
 	}
 	for sequence, call := range s.accepted {
 		if call.id != r.Proposal {
--- a/internal/chain/simulation_site_test.go
+++ b/internal/chain/simulation_site_test.go
@@ -49,7 +49,7 @@
 	position   Position
 	applied    uint64
 	bytes      int
-	proposals  map[uint64]func(ok, refused bool, version, value uint64)
+	proposals  map[uint64]func(writeResult)
 	accepted   map[uint64]acceptedProposal
 	barriers   map[uint64]func(sequence uint64)
 	waits      []appliedWait
@@ -133,7 +133,7 @@
 	s.bytes = 0
 	s.writing = nil
 	s.writeAt = 0
-	s.proposals = make(map[uint64]func(bool, bool, uint64, uint64))
+	s.proposals = make(map[uint64]func(writeResult))
 	s.accepted = make(map[uint64]acceptedProposal)
 	s.barriers = make(map[uint64]func(uint64))
 	s.waits = nil
@@ -198,8 +198,8 @@
 	now := s.simulation.network.Now()
 	event(now)
 	out := s.replica.Output()
-	for _, text := range out.Violations {
-		s.simulation.logf("site %d: %s", s.index, text)
+	for _, violation := range out.Violations {
+		s.simulation.logf("site %d: %s", s.index, violation.Description)
 	}
 	for _, message := range out.Messages {
 		s.send(message)
@@ -275,7 +275,11 @@
 		if call, ok := s.accepted[entry.Sequence]; ok {
 			delete(s.accepted, entry.Sequence)
 			s.simulation.checkDisks(Position{Epoch: entry.Epoch, Sequence: entry.Sequence})
-			call.reply(result[0] == 1, false, binary.LittleEndian.Uint64(result[1:]), binary.LittleEndian.Uint64(result[9:]))
+			call.reply(writeResult{
+				ok:      result[0] == 1,
+				version: binary.LittleEndian.Uint64(result[1:]),
+				value:   binary.LittleEndian.Uint64(result[9:]),
+			})
 		}
 	}
 }
--- a/internal/chain/upstream_entries.go
+++ b/internal/chain/upstream_entries.go
@@ -14,7 +14,7 @@
 		return
 	}
 	if held, ok := r.history.position(m.Match.Sequence); !ok || held != m.Match || m.Match.Sequence < r.committed {
-		r.reportViolation("session starts at %v, committed is %d", m.Match, r.committed)
+		r.reportViolation(sender, "session starts at %v, committed is %d", m.Match, r.committed)
 		return
 	}
 	r.truncate(now, m.Match.Sequence)
--- a/internal/chain/upstream_snapshot.go
+++ b/internal/chain/upstream_snapshot.go
@@ -14,7 +14,7 @@
 		return
 	}
 	if m.Position.Sequence < r.committed {
-		r.reportViolation("snapshot at %v, committed is %d", m.Position, r.committed)
+		r.reportViolation(sender, "snapshot at %v, committed is %d", m.Position, r.committed)
 		return
 	}
 	if u.snapshot == nil || u.snapshot.position != m.Position {
