--- a/internal/chain/agreement_message.go
+++ b/internal/chain/agreement_message.go
@@ -110,7 +110,7 @@
 	case chainwire.AgreementRequest_Which_view:
 		return nil
 	}
-	return merry.Errorf("question of unknown type %d", r.Which())
+	return merry.Errorf("request of unknown type %d", r.Which())
 }
 
 func (a agreementResponse) encode() ([]byte, error) {
--- a/internal/chain/barrier_rounds.go
+++ b/internal/chain/barrier_rounds.go
@@ -8,7 +8,7 @@
 	"nickelline/internal/peer"
 )
 
-// remoteTimeout bounds a round of barriers that is asked for at the head, which several callers share.
+// remoteTimeout bounds a barrier round, which several callers share.
 const remoteTimeout = 2 * time.Second
 
 // remoteBarriers shares rounds of barriers among the callers at a replica that is not the head.
--- a/internal/chain/downstream_session.go
+++ b/internal/chain/downstream_session.go
@@ -81,13 +81,13 @@
 		return
 	}
 	if common.Sequence < m.Committed {
-		r.reportViolation(sender, "replica %d has committed %d, and parts at %d", sender, m.Committed, common.Sequence)
+		r.reportViolation(sender, "replica %d has committed %d, and its log diverges after %d", sender, m.Committed, common.Sequence)
 		return
 	}
 	r.start(now, l, common)
 }
 
-// start tells the receiver from which position entries follow, and begins to stream them.
+// start begins to stream entries after a position that both logs share.
 func (r *Replica) start(now time.Duration, l *link, common Position) {
 	l.state = linkStreaming
 	l.next = common.Sequence + 1
--- a/internal/chain/head_proposals.go
+++ b/internal/chain/head_proposals.go
@@ -7,7 +7,7 @@
 	"nickelline/internal/segment"
 )
 
-// Propose handles a command at the head. It is appended once all members are connected; the output tells its sequence
+// Propose handles a command at the head. It is appended once all members are connected; the output returns its sequence
 // by Accepted, or that it has none by Rejected.
 func (r *Replica) Propose(now time.Duration, id uint64, command []byte) {
 	if !r.isHead() || r.head.waitingBytes+len(command) > r.limits.waiting {
--- a/internal/chain/link.go
+++ b/internal/chain/link.go
@@ -13,10 +13,10 @@
 type linkState uint8
 
 const (
-	linkConnecting linkState = iota // the receiver's history is awaited
-	linkAwaitingSnapshot
+	linkConnecting       linkState = iota // the receiver has not answered with its history
+	linkAwaitingSnapshot                  // the driver has not taken the snapshot that the receiver needs
 	linkSendingSnapshot
-	linkStreaming
+	linkStreaming // entries are sent
 )
 
 // link is the sending side of a session, to the successor or to a learner.
@@ -30,15 +30,15 @@
 	next       uint64 // sequence of the next entry to send
 	stored     uint64 // on the receiver's disk
 	acked      uint64 // on the disks of the receiver and of all after it
-	ready      bool
+	ready      bool   // the chain is connected from the receiver to the tail
 
-	committedSent uint64
-	barrierSent   uint64
-	barrierAcked  uint64
+	committedSent uint64 // newest commit that was sent
+	barrierSent   uint64 // newest barrier that was sent
+	barrierAcked  uint64 // newest barrier that came back from the tail
 
-	snapshot      *segment.Snapshot
-	snapshotSent  uint64
-	snapshotAcked uint64
+	snapshot      *segment.Snapshot // being sent, nil if none is
+	snapshotSent  uint64            // bytes
+	snapshotAcked uint64            // bytes
 
 	deadline time.Duration // of the next sign of progress, 0: none is awaited
 	attempts int           // sessions without progress
--- a/internal/chain/neighbour_probes_test.go
+++ b/internal/chain/neighbour_probes_test.go
@@ -17,24 +17,25 @@
 
 func TestRingNeighbours(t *testing.T) {
 	for _, test := range []struct {
+		name    string
 		members []view.ReplicaID
 		self    view.ReplicaID
 		want    []view.ReplicaID
 	}{
-		{[]view.ReplicaID{1}, 1, nil},
-		{[]view.ReplicaID{1, 2}, 3, nil},
-		{[]view.ReplicaID{1, 2}, 1, []view.ReplicaID{2}},
-		{[]view.ReplicaID{1, 2, 3}, 1, []view.ReplicaID{3, 2}},
-		{[]view.ReplicaID{1, 2, 3, 4}, 3, []view.ReplicaID{2, 4}},
-		{[]view.ReplicaID{1, 2, 3, 4}, 4, []view.ReplicaID{3, 1}},
+		{"alone", []view.ReplicaID{1}, 1, nil},
+		{"not a member", []view.ReplicaID{1, 2}, 3, nil},
+		{"one other member", []view.ReplicaID{1, 2}, 1, []view.ReplicaID{2}},
+		{"head", []view.ReplicaID{1, 2, 3}, 1, []view.ReplicaID{3, 2}},
+		{"middle", []view.ReplicaID{1, 2, 3, 4}, 3, []view.ReplicaID{2, 4}},
+		{"tail", []view.ReplicaID{1, 2, 3, 4}, 4, []view.ReplicaID{3, 1}},
 	} {
 		got := ringNeighbours(ring(1, test.members...), test.self)
 		if len(got) != len(test.want) {
-			t.Fatalf("beside %d of %v: %v", test.self, test.members, got)
+			t.Fatalf("%s: got %v, want %v", test.name, got, test.want)
 		}
 		for i, m := range got {
 			if m.Replica != test.want[i] {
-				t.Errorf("beside %d of %v: %v, want %v", test.self, test.members, got, test.want)
+				t.Errorf("%s: got %v, want %v", test.name, got, test.want)
 			}
 		}
 	}
--- a/internal/chain/propose_view.go
+++ b/internal/chain/propose_view.go
@@ -19,50 +19,100 @@
 	err      error
 }
 
+// viewAttempt is one attempt to have a view decided.
+type viewAttempt struct {
+	reconfigurer *Reconfigurer
+	options      view.ProposerOptions
+	needed       int // acceptors that have to answer
+	proposer     *view.Proposer
+	results      chan agreementResult
+	failed       map[netip.AddrPort]bool // acceptors that cannot be reached
+}
+
 // propose makes one attempt, and gives it up once fewer acceptors than needed can answer. It reports whether a view was
 // decided.
 func (r *Reconfigurer) propose(ctx context.Context, options view.ProposerOptions, needed int) bool {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	proposer := view.NewProposer(options)
-	results := make(chan agreementResult, 2*len(proposer.Recipients()))
-	prepare := proposer.Prepare()
-	r.callAll(ctx, proposer.Recipients(), agreementRequest{prepare: &prepare}, results)
+	attempt := &viewAttempt{
+		reconfigurer: r,
+		options:      options,
+		needed:       needed,
+		proposer:     proposer,
+		results:      make(chan agreementResult, 2*len(proposer.Recipients())),
+		failed:       make(map[netip.AddrPort]bool),
+	}
+	return attempt.run(ctx)
+}
+
+// run sends both phases of the proposal, and reports whether a view was decided.
+func (a *viewAttempt) run(ctx context.Context) bool {
+	r := a.reconfigurer
+	prepare := a.proposer.Prepare()
+	r.callAll(ctx, a.proposer.Recipients(), agreementRequest{prepare: &prepare}, a.results)
 	timer := time.NewTimer(attemptTimeout)
 	defer timer.Stop()
-	failed := make(map[netip.AddrPort]bool)
 	for {
 		select {
 		case <-ctx.Done():
 			return false
-		case result := <-results:
-			r.handleResult(proposer, result)
-			if result.err != nil && slices.Contains(options.Acceptors, result.from) {
-				failed[result.from] = true
-			}
-			if result.response.view.Epoch >= options.Epoch || len(options.Acceptors)-len(failed) < needed {
+		case result := <-a.results:
+			a.handle(result)
+			if a.isLost(result) {
 				return false
 			}
 		case <-timer.C:
-			proposer.Tick(r.now())
-		}
-		if v, ok := proposer.Decided(); ok {
-			r.broadcastView(v)
-			return true
-		}
-		if refused, over := proposer.Abandoned(); over {
-			r.highestRound = refused.Round
-			return false
+			a.proposer.Tick(r.now())
 		}
-		if accept, ok := proposer.TakeAccept(); ok {
-			r.callAll(ctx, options.Acceptors, agreementRequest{accept: &accept}, results)
+		if decided, over := a.advance(ctx); over {
+			return decided
 		}
-		if deadline, ok := proposer.Deadline(); ok {
+		if deadline, ok := a.proposer.Deadline(); ok {
 			timer.Reset(max(0, deadline-r.now()))
 		}
 	}
 }
 
+// handle passes the answer of an acceptor to the proposer.
+func (a *viewAttempt) handle(result agreementResult) {
+	r := a.reconfigurer
+	switch {
+	case result.err != nil:
+		r.node.options.Log.Debug("agreement call failed", zap.Stringer("peer", result.from), zap.Error(result.err))
+		if slices.Contains(a.options.Acceptors, result.from) {
+			a.failed[result.from] = true
+		}
+	case result.response.promise != nil:
+		a.proposer.HandlePromise(r.now(), result.from, *result.response.promise)
+	case result.response.accepted != nil:
+		a.proposer.HandleAccepted(result.from, *result.response.accepted)
+	}
+}
+
+// isLost reports whether the epoch has been decided already, or too few acceptors can be reached.
+func (a *viewAttempt) isLost(result agreementResult) bool {
+	return result.response.view.Epoch >= a.options.Epoch || len(a.options.Acceptors)-len(a.failed) < a.needed
+}
+
+// advance broadcasts a view that was decided, begins the second phase once the first is done, and reports whether the
+// attempt is over.
+func (a *viewAttempt) advance(ctx context.Context) (decided, over bool) {
+	r := a.reconfigurer
+	if v, ok := a.proposer.Decided(); ok {
+		r.broadcastView(v)
+		return true, true
+	}
+	if refused, abandoned := a.proposer.Abandoned(); abandoned {
+		r.highestRound = refused.Round
+		return false, true
+	}
+	if accept, ok := a.proposer.TakeAccept(); ok {
+		r.callAll(ctx, a.options.Acceptors, agreementRequest{accept: &accept}, a.results)
+	}
+	return false, false
+}
+
 // callAll sends a request to acceptors and non-voters. The own replica answers first: what it answers is on disk before
 // others are asked, so that this replica uses no proposal number twice.
 func (r *Reconfigurer) callAll(ctx context.Context, asked []netip.AddrPort, q agreementRequest, results chan<- agreementResult) {
@@ -85,18 +135,6 @@
 	}
 }
 
-// handleResult passes the answer of an acceptor to the proposer.
-func (r *Reconfigurer) handleResult(proposer *view.Proposer, result agreementResult) {
-	switch {
-	case result.err != nil:
-		r.node.options.Log.Debug("agreement call failed", zap.Stringer("peer", result.from), zap.Error(result.err))
-	case result.response.promise != nil:
-		proposer.HandlePromise(r.now(), result.from, *result.response.promise)
-	case result.response.accepted != nil:
-		proposer.HandleAccepted(result.from, *result.response.accepted)
-	}
-}
-
 // broadcastView sends a view that was decided to all replicas that it concerns. One that misses it gets it from any
 // other.
 func (r *Reconfigurer) broadcastView(v view.View) {
--- a/internal/chain/prover.go
+++ b/internal/chain/prover.go
@@ -31,7 +31,7 @@
 
 // ConfirmCurrent proves that this replica has applied all that was committed anywhere when it was called. It does not need all
 // members: what is committed in the newest view has passed through each of its members, so a complete one that has applied all
-// that it has received lacks nothing. While entries are under way that cannot be told, and a barrier has to be asked for.
+// that it has received lacks nothing. While entries are under way this cannot be known, and a barrier is needed.
 func (p *Prover) ConfirmCurrent(ctx context.Context) error {
 	v, err := p.ConfirmView(ctx)
 	if err != nil {
--- a/internal/chain/state_machine.go
+++ b/internal/chain/state_machine.go
@@ -3,10 +3,10 @@
 // Machine is the state that a chain replicates. Its methods are called from one goroutine, Apply only for
 // committed entries and in order.
 type Machine interface {
-	// Apply executes a command and gives its result, which must depend on nothing but the state and the command.
+	// Apply executes a command and returns its result, which must depend on nothing but the state and the command.
 	Apply(sequence uint64, command []byte) (result []byte)
-	// Snapshot gives the whole state.
+	// Snapshot returns the whole state.
 	Snapshot() []byte
-	// Restore replaces the state by one that Snapshot gave.
+	// Restore replaces the state by one that Snapshot returned.
 	Restore(snapshot []byte) error
 }
--- a/internal/chain/upstream_session.go
+++ b/internal/chain/upstream_session.go
@@ -9,26 +9,26 @@
 
 // upstream is the receiving side of a session: from the predecessor, or from the source of a learner.
 type upstream struct {
-	from      netip.AddrPort // invalid: the replica is fed by nobody
+	from      netip.AddrPort // invalid if there is no replica to receive from
 	session   Session
 	sender    view.ReplicaID
-	started   bool
-	target    uint64 // on disk here, it makes a member complete
-	committed uint64 // as the sender knows it
+	started   bool   // the position from which entries follow is known
+	target    uint64 // sequence that makes a member complete once it is on disk here
+	committed uint64 // sequence up to which the sender knows entries to be committed
 	barrier   uint64 // newest one that came from the head
 
 	snapshot *incomingSnapshot
 
-	lastAck  Acknowledge // last one that was sent
-	ackDue   bool        // one has to be sent, also if it tells nothing new
-	attachAt time.Duration
+	lastAck  Acknowledge   // that was sent
+	ackDue   bool          // one has to be sent, also if nothing has changed
+	attachAt time.Duration // when to ask for a session, 0: no need to
 }
 
 // incomingSnapshot is a snapshot of which chunks have arrived.
 type incomingSnapshot struct {
 	position Position
-	total    uint64
-	received uint64
+	total    uint64 // bytes
+	received uint64 // bytes, one for an empty snapshot
 	data     []byte
 }
 
@@ -118,7 +118,7 @@
 	return false
 }
 
-// requestNewSession tells the upstream replica that a session is of no use here.
+// requestNewSession asks the upstream replica for a session in place of one that is of no use here.
 func (r *Replica) requestNewSession(session Session) {
 	r.send(r.upstream.from, Attach{Session: session, Broken: true})
 }
