--- a/internal/chain/simulation_faults_test.go
+++ b/internal/chain/simulation_faults_test.go
@@ -10,58 +10,85 @@
 	}
 }
 
-// faultKinds is the number of kinds of faults.
-const faultKinds = 18
+// faults are drawn by their index; one that stands here several times is drawn more often.
+var faults = [...]func(s *simulation, site *site, duration time.Duration){
+	0:  (*simulation).kill,
+	1:  (*simulation).kill,
+	2:  (*simulation).losePower,
+	3:  (*simulation).losePowerOfAll,
+	4:  (*simulation).killAll,
+	5:  (*simulation).freeze,
+	6:  (*simulation).partition,
+	7:  (*simulation).partition,
+	8:  (*simulation).loseDisk,
+	9:  (*simulation).slowDisk,
+	10: (*simulation).leave,
+	11: (*simulation).losePowerAfterProposals,
+	12: (*simulation).losePowerAfterProposals,
+	13: (*simulation).loseDisk,
+	14: (*simulation).loseDisk,
+	15: (*simulation).loseDisk,
+	16: (*simulation).replace,
+	17: (*simulation).replace,
+}
 
+// injectFault draws a site, a duration and a fault.
 func (s *simulation) injectFault() {
 	site := s.sites[s.random.IntN(len(s.sites))]
 	duration := time.Duration(100+s.random.IntN(3000)) * time.Millisecond
-	switch s.random.IntN(faultKinds) {
-	case 0, 1:
-		s.logf("kill %d", site.index)
-		s.end(site, false, duration/2)
-	case 2:
-		s.logf("power loss %d", site.index)
-		s.end(site, true, duration)
-	case 3:
-		s.logf("power loss of all")
-		for _, other := range s.sites {
-			s.end(other, true, time.Duration(s.random.IntN(1000))*time.Millisecond)
-		}
-	case 4:
-		s.logf("kill all")
+	inject := faults[s.random.IntN(len(faults))]
+	inject(s, site, duration)
+}
+
+func (s *simulation) kill(site *site, duration time.Duration) {
+	s.logf("kill %d", site.index)
+	s.end(site, false, duration/2)
+}
+
+func (s *simulation) killAll(*site, time.Duration) {
+	s.logf("kill all")
+	for _, other := range s.sites {
+		s.end(other, false, time.Duration(s.random.IntN(1000))*time.Millisecond)
+	}
+}
+
+func (s *simulation) losePower(site *site, duration time.Duration) {
+	s.logf("power loss %d", site.index)
+	s.end(site, true, duration)
+}
+
+func (s *simulation) losePowerOfAll(*site, time.Duration) {
+	s.logf("power loss of all")
+	for _, other := range s.sites {
+		s.end(other, true, time.Duration(s.random.IntN(1000))*time.Millisecond)
+	}
+}
+
+// losePowerAfterProposals ends a site, or all, while entries are being written.
+func (s *simulation) losePowerAfterProposals(site *site, _ time.Duration) {
+	s.logf("power loss right after proposals")
+	for range 1 + s.random.IntN(4) {
+		s.propose()
+	}
+	all := s.random.IntN(2) == 0
+	s.after(time.Duration(s.random.IntN(30))*time.Millisecond/2, func() {
 		for _, other := range s.sites {
-			s.end(other, false, time.Duration(s.random.IntN(1000))*time.Millisecond)
-		}
-	case 5:
-		s.freeze(site, duration)
-	case 6, 7:
-		s.partition(site, duration)
-	case 8, 13, 14, 15:
-		s.loseDisk(site, duration)
-	case 9:
-		site.diskDelay = duration / 20
-		s.after(duration, func() { site.diskDelay = time.Millisecond })
-	case 11, 12:
-		s.logf("power loss right after proposals")
-		for range 1 + s.random.IntN(4) {
-			s.propose()
-		}
-		all := s.random.IntN(2) == 0
-		s.after(time.Duration(s.random.IntN(30))*time.Millisecond/2, func() {
-			for _, other := range s.sites {
-				if all || other == site {
-					s.end(other, s.random.IntN(4) != 0, time.Duration(s.random.IntN(1000))*time.Millisecond)
-				}
+			if all || other == site {
+				s.end(other, s.random.IntN(4) != 0, time.Duration(s.random.IntN(1000))*time.Millisecond)
 			}
-		})
-	case 10:
-		s.logf("leaving %d", site.index)
-		site.leaving = true
-		s.after(duration, func() { site.leaving = false })
-	case 16, 17:
-		s.replace(site, duration)
-	}
+		}
+	})
+}
+
+func (s *simulation) slowDisk(site *site, duration time.Duration) {
+	site.diskDelay = duration / 20
+	s.after(duration, func() { site.diskDelay = time.Millisecond })
+}
+
+func (s *simulation) leave(site *site, duration time.Duration) {
+	s.logf("leaving %d", site.index)
+	site.leaving = true
+	s.after(duration, func() { site.leaving = false })
 }
 
 // after does something later, unless faults have ended before.
@@ -73,6 +100,7 @@
 	})
 }
 
+// end ends a site, with or without a loss of power, and starts it again later.
 func (s *simulation) end(site *site, power bool, back time.Duration) {
 	if !s.network.Up(site.address) {
 		return
