--- a/internal/chain/codec_test.go
+++ b/internal/chain/codec_test.go
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got.Body, Body(m)) {
-		t.Fatal("the entries are not the same")
+		t.Fatalf("decoded entries differ: got %d, want %d", len(got.Body.(Append).Entries), len(m.Entries))
 	}
 }
 
--- a/internal/chain/history_test.go
+++ b/internal/chain/history_test.go
@@ -61,18 +61,18 @@
 	h := historyOf(Position{}, 10, 1, 1, 2, 2, 2)
 	h.trim(2)
 	if h.base != (Position{1, 2}) || h.bytesUpTo(3) != 30 || h.bytesUpTo(1) != 20 {
-		t.Fatalf("base %v, %d bytes up to 3, %d up to 1", h.base, h.bytesUpTo(3), h.bytesUpTo(1))
+		t.Fatalf("trim: got base %v, %d bytes up to 3, %d up to 1; want {1 2}, 30, 20", h.base, h.bytesUpTo(3), h.bytesUpTo(1))
 	}
 	h.truncate(4)
 	if h.last() != (Position{2, 4}) || h.totalBytes() != 40 {
-		t.Fatalf("last %v, %d bytes", h.last(), h.totalBytes())
+		t.Fatalf("truncate: got last %v, %d bytes; want {2 4}, 40", h.last(), h.totalBytes())
 	}
 	h.append([]segment.Entry{{Epoch: 3, Sequence: 5, Data: make([]byte, 5)}})
 	if got, ok := h.position(5); !ok || got.Epoch != 3 || h.totalBytes() != 45 {
-		t.Fatalf("position %v, %d bytes", got, h.totalBytes())
+		t.Fatalf("append: got position %v, %d bytes; want epoch 3, 45", got, h.totalBytes())
 	}
 	h.trim(5)
 	if h.last() != (Position{3, 5}) || h.totalBytes() != 45 || len(h.runs()) != 1 {
-		t.Fatalf("last %v, %d bytes, %v", h.last(), h.totalBytes(), h.runs())
+		t.Fatalf("trim of all: got last %v, %d bytes, runs %v; want {3 5}, 45, one run", h.last(), h.totalBytes(), h.runs())
 	}
 }
--- a/internal/chain/prover_test.go
+++ b/internal/chain/prover_test.go
@@ -40,15 +40,15 @@
 	ordered := c.byRank()
 	head, middle, tail := ordered[0], ordered[1], ordered[2]
 	if v, err := NewProver(head.reconfigurer).ConfirmView(testContext(t)); err != nil || v.Epoch != head.node.View().Epoch {
-		t.Fatalf("view %d, %v", v.Epoch, err)
+		t.Fatalf("confirmed epoch: got %d, %v; want %d", v.Epoch, err, head.node.View().Epoch)
 	}
 	c.close(tail) // no member is notified of it
 	if _, err := NewProver(head.reconfigurer).ConfirmView(testContext(t)); err != nil {
-		t.Errorf("with two of three members: %v", err)
+		t.Errorf("confirmation by two of three members: got error %v, want none", err)
 	}
 	c.close(middle)
 	if v, err := NewProver(head.reconfigurer).ConfirmView(testContext(t)); err == nil {
-		t.Errorf("view %d is confirmed by one of three members", v.Epoch)
+		t.Errorf("confirmation by one of three members: got epoch %d, want an error", v.Epoch)
 	}
 }
 
@@ -70,14 +70,14 @@
 		}
 		accepted, err := m.reconfigurer.voter.accept(view.Accept{Epoch: next.Epoch, Number: number, View: next})
 		if err != nil || !accepted.Granted {
-			t.Fatalf("%+v, %v", accepted, err)
+			t.Fatalf("accept: got %+v, %v; want it granted", accepted, err)
 		}
 		if m.reconfigurer.voter.confirms(old.Epoch) {
 			t.Errorf("member %d confirms the view before the one that it has accepted", i)
 		}
 	}
 	if v, err := NewProver(head.reconfigurer).ConfirmView(testContext(t)); err == nil {
-		t.Errorf("view %d is confirmed, and view %d is decided", v.Epoch, next.Epoch)
+		t.Errorf("confirmation: got epoch %d, want an error, as epoch %d is decided", v.Epoch, next.Epoch)
 	}
 	ordered[1].node.Install(next)
 	c.awaitView(ordered[1], func(v view.View) bool { return v.Epoch >= next.Epoch })
@@ -91,7 +91,7 @@
 	c.propose(c.members[0], 1)
 	outsider := c.members[3]
 	if v, err := NewProver(outsider.reconfigurer).ConfirmView(testContext(t)); err == nil {
-		t.Errorf("a replica outside of the view confirms epoch %d", v.Epoch)
+		t.Errorf("confirmation by a replica outside of the view: got epoch %d, want an error", v.Epoch)
 	}
 	if outsider.reconfigurer.voter.confirms(c.members[0].node.View().Epoch) {
 		t.Error("a replica outside of the view has a vote")
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	if q, err := decodeAgreementRequest(body); err != nil || q.confirm != 9 || q.join || q.prepare != nil || q.accept != nil {
-		t.Errorf("%+v, %v", q, err)
+		t.Errorf("request: got %+v, %v; want confirm 9 only", q, err)
 	}
 	for _, confirmed := range []bool{true, false} {
 		body, err := agreementResponse{view: view.View{Epoch: 9}, confirmed: confirmed}.encode()
@@ -113,7 +113,7 @@
 			t.Fatal(err)
 		}
 		if a, err := decodeAgreementResponse(body); err != nil || a.confirmed != confirmed || a.view.Epoch != 9 {
-			t.Errorf("%+v, %v", a, err)
+			t.Errorf("response: got %+v, %v; want confirmed %v in view 9", a, err, confirmed)
 		}
 	}
 }
@@ -139,7 +139,7 @@
 	c.close(tail)
 	for _, m := range []*member{head, middle} {
 		if err := NewProver(m.reconfigurer).ConfirmCurrent(testContext(t)); err != nil {
-			t.Errorf("with nothing under way: %v", err)
+			t.Errorf("confirmation with nothing under way: got error %v, want none", err)
 		}
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
