--- a/internal/chain/acknowledge.go
+++ b/internal/chain/acknowledge.go
@@ -16,7 +16,7 @@
 		m.Stored = r.synced
 	}
 	if u.started && r.complete() {
-		m.Synced, m.Ready = r.acknowledgeable()
+		m.Synced, m.Ready = r.syncedToTail()
 		m.Barrier = r.returnedBarrier()
 	}
 	if m == u.lastAck && !u.ackDue {
@@ -27,9 +27,9 @@
 	r.send(u.from, m)
 }
 
-// acknowledgeable returns the sequence up to which this replica and all after it have the log on disk, and whether they
+// syncedToTail returns the sequence up to which this replica and all after it have the log on disk, and whether they
 // are connected. At the head this decides what is committed.
-func (r *Replica) acknowledgeable() (synced uint64, ready bool) {
+func (r *Replica) syncedToTail() (synced uint64, ready bool) {
 	if _, ok := r.view.Successor(r.self.Replica); !ok {
 		return r.synced, true
 	}
--- a/internal/chain/commit.go
+++ b/internal/chain/commit.go
@@ -1,7 +1,7 @@
 package chain
 
 // commit has the entries up to a sequence applied. Its callers decide what is committed: advanceHead at the head,
-// advanceReceiver elsewhere.
+// commitReceived elsewhere.
 func (r *Replica) commit(sequence uint64) {
 	if sequence <= r.committed {
 		return
--- a/internal/chain/doc.go
+++ b/internal/chain/doc.go
@@ -41,7 +41,7 @@
 //
 // # Where to find
 //
-// A command is committed, and then acknowledged to its caller, by Replica.advanceHead: once Replica.acknowledgeable says
+// A command is committed, and then acknowledged to its caller, by Replica.advanceHead: once Replica.syncedToTail says
 // that it is on the disks of all members. The applier then applies it and gives its caller the result.
 //
 // A replaced head is stopped by the epoch of its messages: members that have entered the new view drop them in
--- a/internal/chain/head.go
+++ b/internal/chain/head.go
@@ -42,7 +42,7 @@
 	if !r.isHead() || len(r.view.Members) < r.minimumReplicas {
 		return false
 	}
-	_, ready := r.acknowledgeable()
+	_, ready := r.syncedToTail()
 	return ready
 }
 
@@ -81,7 +81,7 @@
 	}
 	r.appendWaiting()
 	if len(r.view.Members) >= r.minimumReplicas {
-		synced, _ := r.acknowledgeable()
+		synced, _ := r.syncedToTail()
 		r.commit(synced)
 	}
 	r.advanceBarrier()
--- a/internal/chain/replica.go
+++ b/internal/chain/replica.go
@@ -114,7 +114,7 @@
 // permit, retries, acknowledges, and trims the history. Events end with it.
 func (r *Replica) followUp(now time.Duration) {
 	r.checkComplete()
-	r.advanceReceiver()
+	r.commitReceived()
 	r.advanceHead()
 	for _, l := range r.links() {
 		r.retry(now, l)
--- a/internal/chain/upstream_entries.go
+++ b/internal/chain/upstream_entries.go
@@ -10,7 +10,7 @@
 // truncated.
 func (r *Replica) receiveStart(now time.Duration, sender view.ReplicaID, m Start) {
 	u := &r.upstream
-	if !r.inSession(sender, m.Session) || m.Generation != r.generation || u.started {
+	if !r.checkSession(sender, m.Session) || m.Generation != r.generation || u.started {
 		return
 	}
 	if held, ok := r.history.position(m.Match.Sequence); !ok || held != m.Match || m.Match.Sequence < r.committed {
@@ -33,7 +33,7 @@
 // receiveAppend appends entries that follow the last one here without a gap.
 func (r *Replica) receiveAppend(sender view.ReplicaID, m Append) {
 	u := &r.upstream
-	if !r.inSession(sender, m.Session) {
+	if !r.checkSession(sender, m.Session) {
 		return
 	}
 	if !u.started || m.Previous != r.history.last() {
@@ -47,9 +47,9 @@
 	}
 }
 
-// advanceReceiver commits what is known to be committed and is on the own disk: the applied state is never ahead of the
+// commitReceived commits what is known to be committed and is on the own disk: the applied state is never ahead of the
 // disk.
-func (r *Replica) advanceReceiver() {
+func (r *Replica) commitReceived() {
 	if r.upstream.started {
 		r.commit(min(r.upstream.committed, r.synced))
 	}
--- a/internal/chain/upstream_session.go
+++ b/internal/chain/upstream_session.go
@@ -102,9 +102,9 @@
 	r.send(from, History{Session: m.Session, Generation: r.generation, Committed: r.committed, Runs: r.history.runs()})
 }
 
-// inSession reports whether a message belongs to the current session. A predecessor that uses a later one, whose
+// checkSession reports whether a message belongs to the current session. A predecessor that uses a later one, whose
 // beginning was missed here, is asked for a new session.
-func (r *Replica) inSession(sender view.ReplicaID, session Session) bool {
+func (r *Replica) checkSession(sender view.ReplicaID, session Session) bool {
 	u := &r.upstream
 	if sender == u.sender && session == u.session {
 		return true
--- a/internal/chain/upstream_snapshot.go
+++ b/internal/chain/upstream_snapshot.go
@@ -10,7 +10,7 @@
 // receiveSnapshotChunk collects a snapshot, and replaces the log by it once it is whole.
 func (r *Replica) receiveSnapshotChunk(now time.Duration, sender view.ReplicaID, m SnapshotChunk) {
 	u := &r.upstream
-	if !r.inSession(sender, m.Session) || m.Generation != r.generation || u.started {
+	if !r.checkSession(sender, m.Session) || m.Generation != r.generation || u.started {
 		return
 	}
 	if m.Position.Sequence < r.committed {
