--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Never is later than any reading of the clock: the time at which a machine is due that waits for an event only.
+// Never is later than any time of the clock: the time at which a machine is due that waits for an event only.
 const Never = time.Duration(math.MaxInt64)
 
-// Machine is a deterministic state machine. Times are readings of the clock of its driver.
+// Machine is a deterministic state machine. Times are by the clock of its driver.
 type Machine[Output any] interface {
 	// Advance does what is due.
 	Advance(now time.Duration)
@@ -94,8 +94,8 @@
 	inspect(d.now())
 }
 
-// Reading returns what the clock of the machine reads at a time.
-func (d *Driver[Output]) Reading(at time.Time) time.Duration { return at.Sub(d.epoch) }
+// TimeOf returns a time by the clock of the machine.
+func (d *Driver[Output]) TimeOf(at time.Time) time.Duration { return at.Sub(d.epoch) }
 
 func (d *Driver[Output]) now() time.Duration { return time.Since(d.epoch) }
 
--- a/internal/driver/driver_test.go
+++ b/internal/driver/driver_test.go
@@ -133,9 +133,9 @@
 	}
 }
 
-func TestReadingIsOfTheSameClock(t *testing.T) {
+func TestTimeOfUsesTheClockOfTheMachine(t *testing.T) {
 	d, _ := newTestDriver(&testMachine{due: Never})
-	before := d.Reading(time.Now())
+	before := d.TimeOf(time.Now())
 	d.Inspect(func(now time.Duration) {
 		if now < before {
 			t.Errorf("clock: got %v, want at least %v", now, before)
--- a/internal/gossip/disseminator.go
+++ b/internal/gossip/disseminator.go
@@ -9,10 +9,10 @@
 	"nickelline/internal/member"
 )
 
-// never is later than any reading of the clock.
+// never is later than any time of the clock.
 const never = driver.Never
 
-// disseminator is the state machine of dissemination, run by a driver. Times are readings of the driver's clock.
+// disseminator is the state machine of dissemination, run by a driver. Times are by the clock of its driver.
 type disseminator struct {
 	random    *rand.Rand
 	self      member.Member
--- a/internal/gossip/disseminator_test.go
+++ b/internal/gossip/disseminator_test.go
@@ -265,17 +265,17 @@
 func TestExchangesAreRetriedUntilThereIsAConfiguration(t *testing.T) {
 	const now = time.Minute
 	s := newSimulation(t, 1, 20)
-	c := s.nodes[len(s.nodes)-1].disseminator
-	c.store(now, Value{Topic: Backends, Version: Version{Sequence: 1}}, nil, false)
-	c.exchangeEnded(now)
-	if !c.antiEntropy.failing || c.antiEntropy.due() > now+exchangeRetry {
-		t.Errorf("time to the next exchange without a configuration: got %v, want a retry", c.antiEntropy.due()-now)
+	d := s.nodes[len(s.nodes)-1].disseminator
+	d.store(now, Value{Topic: Backends, Version: Version{Sequence: 1}}, nil, false)
+	d.exchangeEnded(now)
+	if !d.antiEntropy.failing || d.antiEntropy.due() > now+exchangeRetry {
+		t.Errorf("time to the next exchange without a configuration: got %v, want a retry", d.antiEntropy.due()-now)
 	}
-	c.store(now, Value{Topic: Configuration, Version: Version{Sequence: 1}}, nil, false)
-	c.certify(Configuration, Version{Sequence: 1}, now)
-	c.exchangeEnded(now)
-	if c.antiEntropy.failing || c.antiEntropy.due() <= now+exchangeRetry {
-		t.Errorf("time to the next exchange with a proven configuration: got %v, want a heartbeat", c.antiEntropy.due()-now)
+	d.store(now, Value{Topic: Configuration, Version: Version{Sequence: 1}}, nil, false)
+	d.certify(Configuration, Version{Sequence: 1}, now)
+	d.exchangeEnded(now)
+	if d.antiEntropy.failing || d.antiEntropy.due() <= now+exchangeRetry {
+		t.Errorf("time to the next exchange with a proven configuration: got %v, want a heartbeat", d.antiEntropy.due()-now)
 	}
 }
 
@@ -283,20 +283,20 @@
 	s := newSimulation(t, 1, 20)
 	first, second, third := s.nodes[0].self.Address, s.nodes[4].self.Address, s.nodes[8]
 	announced := []summary{{topic: Backends, version: Version{Sequence: 5}, age: UnknownAge}}
-	c := third.disseminator
-	c.receiveAnnouncement(0, first, announced)
-	c.receiveAnnouncement(0, second, announced)
-	out := c.Take(true)
+	d := third.disseminator
+	d.receiveAnnouncement(0, first, announced)
+	d.receiveAnnouncement(0, second, announced)
+	out := d.Take(true)
 	if len(out.fetches) != 1 || out.fetches[0].to != first {
 		t.Fatalf("fetches: got %+v, want one from %v", out.fetches, first)
 	}
-	c.fetchFailed(time.Second, Backends)
-	out = c.Take(true)
+	d.fetchFailed(time.Second, Backends)
+	out = d.Take(true)
 	if len(out.fetches) != 1 || out.fetches[0].to != second {
 		t.Fatalf("fetches after a failure: got %+v, want one from %v", out.fetches, second)
 	}
-	c.fetched(time.Second, 0, &fetchAnswer{update: update{value: Value{Topic: Backends, Version: Version{Sequence: 5}}}, age: UnknownAge})
-	if due := c.entries[Backends].fetchDue(); due != never {
+	d.fetched(time.Second, 0, &fetchAnswer{update: update{value: Value{Topic: Backends, Version: Version{Sequence: 5}}}, age: UnknownAge})
+	if due := d.entries[Backends].fetchDue(); due != never {
 		t.Errorf("time of the next fetch: got %v, want none", due)
 	}
 }
--- a/internal/gossip/history_test.go
+++ b/internal/gossip/history_test.go
@@ -86,10 +86,10 @@
 		"damage":                     {entryOf(t, 1), func(u *update) { u.steps = []step{{base, sequence(4), []byte("damage")}} }},
 		"no differences":             {entryOf(t, 1), func(u *update) { u.steps = []step{{base, sequence(4), nil}} }},
 	}
-	for name, c := range cases {
+	for name, test := range cases {
 		u := good
-		c.change(&u)
-		if value, _, readable := c.present.read(&u); readable {
+		test.change(&u)
+		if value, _, readable := test.present.read(&u); readable {
 			t.Errorf("%s: version %v is read", name, value.Version)
 		}
 	}
@@ -130,21 +130,21 @@
 // Where differences do not lead to the pending version, the whole value is fetched from the same member, at once.
 func TestWholeValueIsFetchedAfterUselessDifferences(t *testing.T) {
 	s := newSimulation(t, 1, 20)
-	source, c := s.nodes[0].self.Address, s.nodes[8].disseminator
-	c.store(0, versionValue(1), nil, false)
-	c.receiveAnnouncement(0, source, []summary{{topic: Configuration, version: sequence(2), age: UnknownAge}})
-	fetches := c.Take(true).fetches
+	source, d := s.nodes[0].self.Address, s.nodes[8].disseminator
+	d.store(0, versionValue(1), nil, false)
+	d.receiveAnnouncement(0, source, []summary{{topic: Configuration, version: sequence(2), age: UnknownAge}})
+	fetches := d.Take(true).fetches
 	if len(fetches) != 1 || fetches[0].request.base == nil || *fetches[0].request.base != sequence(1) {
 		t.Fatalf("fetches %+v", fetches)
 	}
 	damaged := update{value: Value{Topic: Configuration, Version: sequence(2)}, steps: []step{{sequence(1), sequence(2), []byte("damage")}}}
-	c.fetched(time.Second, 0, &fetchAnswer{update: damaged, age: UnknownAge})
-	fetches = c.Take(true).fetches
+	d.fetched(time.Second, 0, &fetchAnswer{update: damaged, age: UnknownAge})
+	fetches = d.Take(true).fetches
 	if len(fetches) != 1 || fetches[0].to != source || fetches[0].request.base != nil {
 		t.Fatalf("fetches %+v after damaged differences", fetches)
 	}
-	c.fetched(time.Second, 0, &fetchAnswer{update: update{value: versionValue(2)}, age: UnknownAge})
-	if got := c.entries[Configuration].value; got.Version != sequence(2) || len(c.Take(true).fetches) > 0 {
+	d.fetched(time.Second, 0, &fetchAnswer{update: update{value: versionValue(2)}, age: UnknownAge})
+	if got := d.entries[Configuration].value; got.Version != sequence(2) || len(d.Take(true).fetches) > 0 {
 		t.Errorf("holds %v", got.Version)
 	}
 }
--- a/internal/gossip/service.go
+++ b/internal/gossip/service.go
@@ -58,7 +58,8 @@
 	return s
 }
 
-// Start begins to exchange with other members, until ctx ends. Before it nothing is sent. It must be called once.
+// Start begins to exchange with other members, until ctx ends. Before it nothing is sent. It must be called once. The
+// goroutines of exchanges and fetches end soon after ctx; nobody waits for them.
 func (s *Service) Start(ctx context.Context) { s.driver.Start(ctx) }
 
 // Publish announces a version that this process has made or learned of otherwise. One that is not newer than the present one
@@ -96,7 +97,7 @@
 
 // Certify says that at asOf, a time by the monotonic clock, no version of the topic was newer.
 func (s *Service) Certify(topic Topic, version Version, asOf time.Time) {
-	s.driver.Inspect(func(time.Duration) { s.disseminator.certify(topic, version, s.driver.Reading(asOf)) })
+	s.driver.Inspect(func(time.Duration) { s.disseminator.certify(topic, version, s.driver.TimeOf(asOf)) })
 }
 
 // ProofAge returns how long ago the present version was certainly the newest, UnknownAge if there is no proof for it.
--- a/internal/member/membership.go
+++ b/internal/member/membership.go
@@ -9,7 +9,7 @@
 	"nickelline/internal/driver"
 )
 
-// never is later than any reading of the clock.
+// never is later than any time of the clock.
 const never = driver.Never
 
 const (
@@ -32,7 +32,7 @@
 	endedAt time.Duration
 }
 
-// membership is the state machine of the protocol, run by a driver. Times are readings of the driver's clock.
+// membership is the state machine of the protocol, run by a driver. Times are by the clock of its driver.
 type membership struct {
 	random  *rand.Rand
 	self    *entry
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -59,7 +59,8 @@
 	return s
 }
 
-// Start begins to take part, until ctx ends. Before it nothing is sent. It must be called once.
+// Start begins to take part, until ctx ends. Before it nothing is sent. It must be called once. The goroutines of exchanges
+// end soon after ctx; nobody waits for them.
 func (s *Service) Start(ctx context.Context) { s.driver.Start(ctx) }
 
 // Table returns the members as they are known now.
