--- a/internal/member/membership_test.go
+++ b/internal/member/membership_test.go
@@ -59,13 +59,13 @@
 	} {
 		t.Run(fmt.Sprint(c.size, " members"), func(t *testing.T) {
 			t.Parallel()
-			s := started(t, 1, c.size)
+			s := newJoinedSimulation(t, 1, c.size)
 			s.loss = 0.01
 			sum := time.Duration(0)
 			for range c.crashes {
 				address := s.order[s.random.IntN(len(s.order))]
 				s.crash(address)
-				sum += s.runUntil("detection", 5*time.Second, func() bool { return s.known(address, Dead) })
+				sum += s.runUntil("detection", 5*time.Second, func() bool { return s.allHold(address, Dead) })
 				s.start(address, uint64(s.clock.Now()))
 				s.runUntil("return", 5*time.Second, s.complete)
 			}
@@ -80,10 +80,10 @@
 
 func TestFrozenMemberReturns(t *testing.T) {
 	forEachHistory(t, func(t *testing.T, seed uint64, size int) {
-		s := started(t, seed, size)
+		s := newJoinedSimulation(t, seed, size)
 		address := s.order[s.random.IntN(size)]
 		s.freeze(address)
-		s.runUntil("detection", 6*time.Second, func() bool { return s.known(address, Dead) })
+		s.runUntil("detection", 6*time.Second, func() bool { return s.allHold(address, Dead) })
 		s.run(s.clock.Now()+10*time.Second, nil)
 		s.falseDeaths = 0
 		s.thaw(address)
@@ -97,7 +97,7 @@
 
 func TestShortFreezeIsRefuted(t *testing.T) {
 	forEachHistory(t, func(t *testing.T, seed uint64, size int) {
-		s := started(t, seed, size)
+		s := newJoinedSimulation(t, seed, size)
 		for range 10 {
 			address := s.order[s.random.IntN(size)]
 			s.freeze(address)
@@ -113,7 +113,7 @@
 
 func TestSlowMembersStayAlive(t *testing.T) {
 	forEachHistory(t, func(t *testing.T, seed uint64, size int) {
-		s := started(t, seed, size)
+		s := newJoinedSimulation(t, seed, size)
 		s.loss = 0.01
 		s.slow = make(map[netip.AddrPort]time.Duration)
 		for _, i := range s.random.Perm(size)[:size/4] {
@@ -130,7 +130,7 @@
 	for _, duration := range []time.Duration{2 * time.Second, 30 * time.Second, 3 * time.Minute} {
 		t.Run(duration.String(), func(t *testing.T) {
 			forEachHistory(t, func(t *testing.T, seed uint64, size int) {
-				s := started(t, seed, size)
+				s := newJoinedSimulation(t, seed, size)
 				s.loss = 0.01
 				small := map[netip.AddrPort]bool{}
 				for _, i := range s.random.Perm(size)[:1+s.random.IntN(size/2)] {
@@ -156,7 +156,7 @@
 	for name, incarnation := range map[string]uint64{"clock ahead": 1 << 40, "clock stepped back": 0} {
 		t.Run(name, func(t *testing.T) {
 			forEachHistory(t, func(t *testing.T, seed uint64, size int) {
-				s := started(t, seed, size)
+				s := newJoinedSimulation(t, seed, size)
 				address := s.order[s.random.IntN(size)]
 				s.crash(address)
 				s.run(s.clock.Now()+time.Duration(s.random.Int64N(int64(4*time.Second))), nil)
@@ -183,7 +183,7 @@
 
 func TestLeave(t *testing.T) {
 	forEachHistory(t, func(t *testing.T, seed uint64, size int) {
-		s := started(t, seed, size)
+		s := newJoinedSimulation(t, seed, size)
 		s.loss = 0.01
 		address := s.order[s.random.IntN(size)]
 		node := s.nodes[address]
@@ -194,9 +194,9 @@
 			return confirmed
 		})
 		s.crash(address)
-		s.runUntil("left", time.Second, func() bool { return s.known(address, Left) })
+		s.runUntil("left", time.Second, func() bool { return s.allHold(address, Left) })
 		s.run(s.clock.Now()+10*time.Second, nil)
-		if !s.known(address, Left) {
+		if !s.allHold(address, Left) {
 			t.Errorf("state after the leave: got another one at some member, want %v at all", Left)
 		}
 	})
@@ -204,7 +204,7 @@
 
 func TestAllRestart(t *testing.T) {
 	forEachHistory(t, func(t *testing.T, seed uint64, size int) {
-		s := started(t, seed, size)
+		s := newJoinedSimulation(t, seed, size)
 		for _, address := range s.order {
 			s.crash(address)
 		}
@@ -219,7 +219,7 @@
 
 func TestJoinWhileSeedsAreDown(t *testing.T) {
 	forEachHistory(t, func(t *testing.T, seed uint64, size int) {
-		s := started(t, seed, size)
+		s := newJoinedSimulation(t, seed, size)
 		s.crash(s.seeds[0])
 		s.crash(s.seeds[1])
 		s.run(s.clock.Now()+20*time.Second, nil)
@@ -232,7 +232,7 @@
 }
 
 func TestPartitionOfTwoMembersIsBridgedByOthers(t *testing.T) {
-	s := started(t, 1, 16)
+	s := newJoinedSimulation(t, 1, 16)
 	first, second := s.order[4], s.order[5]
 	s.falseDeaths = 0
 	s.connected = func(a, b netip.AddrPort) bool { return !(a == first && b == second) && !(a == second && b == first) }
@@ -243,7 +243,7 @@
 }
 
 func TestUpdateSelfReachesAll(t *testing.T) {
-	s := started(t, 1, 16)
+	s := newJoinedSimulation(t, 1, 16)
 	address := s.order[7]
 	s.deliver(s.nodes[address], func(n *simulatedNode) {
 		n.membership.updateSelf(s.clock.Now(), func(m *Member) { m.Leaving = true })
@@ -256,7 +256,7 @@
 }
 
 func TestDeadMembersAreForgotten(t *testing.T) {
-	s := started(t, 1, 16)
+	s := newJoinedSimulation(t, 1, 16)
 	address := s.order[9]
 	s.crash(address)
 	s.run(s.clock.Now()+forgetAfter+time.Minute, nil)
--- a/internal/member/simulation_test.go
+++ b/internal/member/simulation_test.go
@@ -286,8 +286,8 @@
 	return fmt.Sprintf("%d differences%s", count, text)
 }
 
-// known reports whether all that are up hold the member to be in the state.
-func (s *simulation) known(address netip.AddrPort, state State) bool {
+// allHold reports whether all that are up hold the member to be in the state.
+func (s *simulation) allHold(address netip.AddrPort, state State) bool {
 	for _, other := range s.order {
 		if other == address || !s.isUp(other) {
 			continue
@@ -300,8 +300,8 @@
 	return true
 }
 
-// started returns a simulation in which all know each other.
-func started(t testing.TB, seed uint64, size int) *simulation {
+// newJoinedSimulation returns a simulation in which all know each other.
+func newJoinedSimulation(t testing.TB, seed uint64, size int) *simulation {
 	t.Helper()
 	s := newSimulation(t, seed, size)
 	s.run(startSpread, nil)
