--- a/internal/gossip/service_test.go
+++ b/internal/gossip/service_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestExchangeBringsAProof: a proof made after the exchange of a heartbeat is had by asking for it.
+// A proof that was made after the exchange of a heartbeat is fetched by an exchange besides it.
 func TestExchangeBringsAProof(t *testing.T) {
 	const longHeartbeat = time.Hour // no exchange of its own but those at the start
 	var table atomic.Pointer[member.Table]
--- a/internal/member/doc.go
+++ b/internal/member/doc.go
@@ -34,7 +34,7 @@
 //	suspicion.go    suspicions, their time-outs and their end
 //	broadcast.go    dissemination of updates
 //	join.go         joining by way of seeds, rejoining after a partition
-//	antientropy.go  exchange of whole lists; digest.go tells when
+//	antientropy.go  exchange of whole lists; digest.go: the hash that shows whether lists differ
 //	leave.go        planned end of this process
 //	service.go      the state machine over package peer, run by package driver
 //	publisher.go    calls of the subscribers with new tables
--- a/internal/member/membership.go
+++ b/internal/member/membership.go
@@ -221,7 +221,7 @@
 }
 
 // ping sends a ping that is no probe: nobody waits for its ack. It makes the receiver known to this member and the other
-// way round, or gives it occasion to refute what is held of it.
+// way round, or lets it refute what is asserted of it.
 func (m *membership) ping(to netip.AddrPort) {
 	m.send(to, message{messageType: pingMessage, sequence: m.prober.nextSequence()})
 }
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -19,7 +19,7 @@
 	// relayTimeout is how long an ack is passed on to the member that asked for the probe.
 	relayTimeout = time.Second
 
-	// An ack that comes after the time-out tells that this process or the other one is slow, not dead: the time-outs of
+	// An ack that comes after the time-out shows that this process or the other one is slow, not dead: the time-outs of
 	// probes grow with the number of late acks, and shrink with each in time. That is the local health multiplier of
 	// Lifeguard (Dadgar, Phillips, Currey, 2017), fed by late acks only.
 	lateAckWeight   = 4
