--- a/decide/attempts.go
+++ b/decide/attempts.go
@@ -48,11 +48,11 @@
 	m.recordClassOutcome(a.backend, r, e.Code)
 	m.recordOutcome(a.backend, r, e)
 	switch {
-	case r.done && r.inFlight == 0:
+	case r.answered && r.inFlight == 0:
 		delete(m.requests, r.id)
-	case e.Over && !r.done:
+	case e.Over && !r.answered:
 		m.close(r)
-	case !r.done && r.inFlight == 0:
+	case !r.answered && r.inFlight == 0:
 		m.retry(r, a.mayRun)
 	}
 }
@@ -93,9 +93,9 @@
 
 // close forgets a request once its attempts have ended; those in flight are cancelled.
 func (m *Module) close(r *request) {
-	r.done = true
+	r.answered = true
 	for i := range r.attempts {
-		if m.settings.MayCancel && !r.attempts[i].ended && !r.started {
+		if m.settings.MayCancel && !r.attempts[i].ended && !r.streaming {
 			m.emit(CancelAttempt{ID: r.id, Attempt: i})
 		}
 	}
--- a/decide/behaviour_test.go
+++ b/decide/behaviour_test.go
@@ -18,19 +18,19 @@
 	due      []rigEvent
 	sent     map[decide.BackendID]int
 	last     map[decide.RequestID]decide.Action
-	legs     map[decide.RequestID]int
+	attempts map[decide.RequestID]int
 	over     map[decide.RequestID]bool
-	retries  int           // of a refused client, after its hold-off
+	retries  int           // of a refused client, after the time that it was asked to wait
 	patience time.Duration // of a first try
 	work     func(decide.RequestID) time.Duration
-	// fate, if set, has the last word on an attempt.
-	fate   func(decide.RequestID, decide.BackendID, time.Duration, decide.OutcomeCode) (time.Duration, decide.OutcomeCode)
-	report func(b decide.BackendID) *decide.Report // nil: backends tell nothing
-	waits  []time.Duration                         // that refused clients were told
-	inTime map[string]int
-	came   map[decide.RequestID]time.Duration
+	// outcome, if set, decides how an attempt ends.
+	outcome     func(decide.RequestID, decide.BackendID, time.Duration, decide.OutcomeCode) (time.Duration, decide.OutcomeCode)
+	report      func(b decide.BackendID) *decide.Report // nil: backends report nothing
+	retryAfters []time.Duration                         // that refused clients were asked to wait
+	inTime      map[string]int
+	came        map[decide.RequestID]time.Duration
 	refused, failed,
-	asks, next, accused, suspects, statusLines int
+	subscriptions, next, backendLines, suspects, statusLines int
 }
 
 type rigEvent struct {
@@ -50,7 +50,7 @@
 
 func newRig(t *testing.T, s decide.Settings, backends int) *rig {
 	r := &rig{t: t, m: decide.New(s, 5), now: time.Hour, sent: map[decide.BackendID]int{}, over: map[decide.RequestID]bool{},
-		last: map[decide.RequestID]decide.Action{}, legs: map[decide.RequestID]int{}, patience: 2 * time.Second,
+		last: map[decide.RequestID]decide.Action{}, attempts: map[decide.RequestID]int{}, patience: 2 * time.Second,
 		inTime: map[string]int{}, came: map[decide.RequestID]time.Duration{}}
 	r.work = func(decide.RequestID) time.Duration { return 0 }
 	r.delay = func(decide.BackendID) (time.Duration, decide.OutcomeCode) { return 50 * time.Millisecond, decide.OK }
@@ -67,12 +67,12 @@
 		switch a := a.(type) {
 		case decide.Send:
 			r.sent[a.Backend]++
-			leg := r.legs[a.ID]
-			r.legs[a.ID]++
+			leg := r.attempts[a.ID]
+			r.attempts[a.ID]++
 			d, code := r.delay(a.Backend)
 			d += r.work(a.ID)
-			if r.fate != nil {
-				d, code = r.fate(a.ID, a.Backend, d, code)
+			if r.outcome != nil {
+				d, code = r.outcome(a.ID, a.Backend, d, code)
 			}
 			if d > a.Timeout {
 				d, code = a.Timeout, decide.TimedOut
@@ -87,7 +87,7 @@
 		case decide.Refuse:
 			r.refused++
 			r.over[a.ID], r.last[a.ID] = true, a
-			r.waits = append(r.waits, a.RetryAfter)
+			r.retryAfters = append(r.retryAfters, a.RetryAfter)
 			class, try, _ := strings.Cut(string(a.ID), "/")
 			if left := r.patience - (r.now + a.RetryAfter - r.came[decide.RequestID(class)]); len(try) < r.retries && left > 0 {
 				id := decide.RequestID(class + "/" + try + "x")
@@ -101,7 +101,7 @@
 			r.due = append(r.due, rigEvent{r.now + a.After, decide.TimerFired{Token: a.Token}})
 		case decide.Log:
 			if strings.HasPrefix(a.Line, "server ") {
-				r.accused++
+				r.backendLines++
 				if strings.Contains(a.Line, "suspect:") {
 					r.suspects++
 				}
@@ -109,7 +109,7 @@
 				r.statusLines++ // of the whole node
 			}
 		case decide.Subscribe:
-			r.asks++
+			r.subscriptions++
 			r.due = append(r.due, rigEvent{r.now + time.Second, decide.ListUpdate{Kind: decide.ListFailed}})
 		}
 	}
@@ -151,7 +151,7 @@
 
 func (r *rig) reset() { r.sent, r.refused, r.failed = map[decide.BackendID]int{}, 0, 0 }
 
-// A silent backend is left out and its requests are answered elsewhere, also while the list is down; it then comes
+// A backend that does not answer is left out and its requests are answered elsewhere, also while the list is down; it then comes
 // back paced, as it may be cold.
 func TestSilentBackendWhileListIsDown(t *testing.T) {
 	s := rigSettings()
@@ -168,10 +168,10 @@
 	r.reset()
 	r.run(6*time.Second, 100, "cheap")
 	if r.sent[3] > 25 || r.failed > 0 || r.refused > 5 {
-		t.Errorf("silent backend got %d, %d failed, %d refused", r.sent[3], r.failed, r.refused)
+		t.Errorf("unresponsive backend got %d, %d failed, %d refused", r.sent[3], r.failed, r.refused)
 	}
-	if r.asks < 3 {
-		t.Errorf("the list was asked for %d times only", r.asks)
+	if r.subscriptions < 3 {
+		t.Errorf("the list was asked for %d times only", r.subscriptions)
 	}
 	r.delay = quick
 	r.reset()
@@ -181,11 +181,11 @@
 	r.reset()
 	r.run(5*time.Second, 100, "cheap")
 	if early > 50 || r.sent[3] < 60 {
-		t.Errorf("back from silence: %d in the first 3 s, %d in 5 s once warm", early, r.sent[3])
+		t.Errorf("answering again: %d in the first 3 s, %d in 5 s once warm", early, r.sent[3])
 	}
 }
 
-// An unsafe request at a silent backend is failed at its deadline, never repeated and never refused.
+// An unsafe request at a backend that does not answer is failed at its deadline, never repeated and never refused.
 func TestUnsafeTimeOutFails(t *testing.T) {
 	r := newRig(t, rigSettings(), 3)
 	r.delay = func(decide.BackendID) (time.Duration, decide.OutcomeCode) { return time.Hour, decide.TimedOut }
@@ -246,12 +246,12 @@
 	r.delay = func(decide.BackendID) (time.Duration, decide.OutcomeCode) { return 150 * time.Millisecond, decide.OK }
 	r.reset()
 	r.run(5*time.Second, 80, "cheap")
-	if r.accused > 0 {
-		t.Errorf("%d backends were made suspects", r.accused)
+	if r.backendLines > 0 {
+		t.Errorf("%d backends were made suspects", r.backendLines)
 	}
 	for id := decide.BackendID(1); id <= 4; id++ {
 		if r.sent[id] < 25 { // one in flight, as before, is 33 in 5 s
-			t.Errorf("server %d got %d only", id, r.sent[id])
+			t.Errorf("backend %d got %d only", id, r.sent[id])
 		}
 	}
 }
@@ -277,7 +277,7 @@
 		busy      float64
 		wantsShed bool
 	}{
-		{"idle, answers long beside the aim", 400 * time.Millisecond, 0.25, false},
+		{"idle, answers long beside the target", 400 * time.Millisecond, 0.25, false},
 		{"idle, answers short", 50 * time.Millisecond, 0.25, false},
 		{"cores all busy", 400 * time.Millisecond, 1, true},
 	} {
@@ -383,7 +383,7 @@
 	}
 }
 
-// A zone is lost together with the nodes there: its backends fall silent, this node gets twice the traffic, the list tells
+// A zone is lost together with the nodes there: its backends stop answering, this node gets twice the traffic, the list says
 // late, and the backends come back as new processes. What is left is not crowded, and those that return are paced.
 func TestZoneLostWithItsNodesAndBackCold(t *testing.T) {
 	s := rigSettings()
@@ -463,8 +463,8 @@
 	r.reset()
 	r.inTime = map[string]int{}
 	mixed(10 * time.Second)
-	if r.accused > 0 {
-		t.Errorf("%d backends made suspects by heavy requests", r.accused)
+	if r.backendLines > 0 {
+		t.Errorf("%d backends made suspects by heavy requests", r.backendLines)
 	}
 	if r.inTime["cheap"] < 190 {
 		t.Errorf("%d of 300 of the class that costs what it did were served in time, %d refused", r.inTime["cheap"], r.refused)
@@ -479,7 +479,7 @@
 }
 
 // Overload whose refused clients come back, twice each: the dear class keeps its service, the backends' queues stay short,
-// and clients are not told all the same wait.
+// and clients are not all asked to wait for the same time.
 func TestOverloadWithClientRetries(t *testing.T) {
 	r := newRig(t, rigSettings(), 4)
 	r.retries, r.patience = 2, 1200*time.Millisecond
@@ -499,7 +499,7 @@
 		return r.next - start
 	}
 	mixed(10*time.Second, 60)
-	r.inTime, longest, r.waits = map[string]int{}, 0, nil
+	r.inTime, longest, r.retryAfters = map[string]int{}, 0, nil
 	mixed(10*time.Second, 600) // 20 and 300 a second; the backends do 200
 	if r.inTime["dear"] < 170 {
 		t.Errorf("%d of 200 dear requests in time", r.inTime["dear"])
@@ -511,11 +511,11 @@
 		t.Errorf("a backend's queue of %v", longest)
 	}
 	seen := map[time.Duration]bool{}
-	for _, w := range r.waits {
+	for _, w := range r.retryAfters {
 		seen[w] = true
 	}
-	if len(seen) < len(r.waits)/4 {
-		t.Errorf("%d refusals with %d different waits", len(r.waits), len(seen))
+	if len(seen) < len(r.retryAfters)/4 {
+		t.Errorf("%d refusals with %d different waits", len(r.retryAfters), len(seen))
 	}
 }
 
@@ -565,10 +565,10 @@
 		}
 		return 50 * time.Millisecond, decide.OK
 	}
-	r.accused, r.statusLines = 0, 0
+	r.backendLines, r.statusLines = 0, 0
 	r.run(60*time.Second, 100, "cheap")
-	if r.accused == 0 || r.accused > 13 {
-		t.Errorf("%d log lines in a minute about one backend", r.accused)
+	if r.backendLines == 0 || r.backendLines > 13 {
+		t.Errorf("%d log lines in a minute about one backend", r.backendLines)
 	}
 	if r.statusLines < 3*11 || r.statusLines > 3*13 {
 		t.Errorf("%d lines of status in some 60 s, want 3 every 5 s", r.statusLines)
@@ -601,7 +601,7 @@
 // it causes look normal, or they grow until backends turn slow.
 func TestLongOverloadDoesNotLengthenQueues(t *testing.T) {
 	s := rigSettings()
-	s.Classes[1].Target = 10 * time.Second // an aim far off: only the uncrowded latency bounds the queue
+	s.Classes[1].Target = 10 * time.Second // a target far off: only the uncrowded latency bounds the queue
 	r := newRig(t, s, 4)
 	free := map[decide.BackendID]time.Duration{}
 	var waits, answers time.Duration
--- a/decide/capacity.go
+++ b/decide/capacity.go
@@ -33,7 +33,7 @@
 		evenShares := math.Min(1, math.Max(m.trafficShare*float64(m.settings.Nodes), minEvenShare))
 		rate /= math.Max(m.utilisationOf(b), minUtilisation) * evenShares
 	}
-	if m.settled && !m.hasHistory(b) {
+	if m.capacityKnown && !m.hasHistory(b) {
 		rate = m.warmth(b) * m.fleetCapacity
 	}
 	return rate
--- a/decide/coldstart.go
+++ b/decide/coldstart.go
@@ -41,7 +41,7 @@
 	warmRate := math.Max(m.fleetCapacity, coldStartRate/float64(m.settings.Nodes))
 	rate := math.Max(1, coldOverloadShare*m.settings.OverloadFactor) * warmRate
 	rate *= part
-	if m.hasHistory(b) { // it has told by now what it can do itself; the warm ones may be few, and slow
+	if m.hasHistory(b) { // it has shown by now what it can do itself; the warm ones may be few, and slow
 		rate = math.Max(rate, m.capacityOf(b))
 	}
 	b.tokens, b.tokensAt = math.Min(2, b.tokens+rate*(m.now-b.tokensAt).Seconds()), m.now
--- a/decide/estimates.go
+++ b/decide/estimates.go
@@ -13,7 +13,7 @@
 // updateEstimates renews, once a tick, what the thresholds need to know of the whole fleet.
 func (m *Module) updateEstimates() {
 	rate, capacity := m.updateCapacity()
-	m.learned = rate > 0 && m.answers >= 2*float64(len(m.subset))
+	m.answersSuffice = rate > 0 && m.answers >= 2*float64(len(m.subset))
 	growth := 1 + tickInterval.Seconds()/memoryTau
 	m.updateLeastLatency(growth)
 	m.updateSaturation(growth)
@@ -41,10 +41,10 @@
 	}
 	if tried > 0 {
 		m.fleetCapacity = triedCapacity / tried
-	} else if count > 0 && !m.settled { // with none warm, what the last ones could do still holds
+	} else if count > 0 && !m.capacityKnown { // with none warm, what the last ones could do still holds
 		m.fleetCapacity = capacity / count
 	}
-	m.settled = m.settled || tried > 0
+	m.capacityKnown = m.capacityKnown || tried > 0
 	return rate, capacity
 }
 
@@ -74,7 +74,7 @@
 	m.peakCapacity /= growth
 	if capacity > rate {
 		m.peakCapacity = 0
-	} else if m.learned {
+	} else if m.answersSuffice {
 		m.peakCapacity = math.Max(m.peakCapacity, m.fleetCapacity)
 	}
 }
--- a/decide/fault_test.go
+++ b/decide/fault_test.go
@@ -17,7 +17,7 @@
 	r.delay = func(decide.BackendID) (time.Duration, decide.OutcomeCode) { return 150 * time.Millisecond, decide.OK }
 	losing := true
 	bySend := map[decide.BackendID]map[string]int{}
-	r.fate = func(id decide.RequestID, b decide.BackendID, d time.Duration, code decide.OutcomeCode) (time.Duration, decide.OutcomeCode) {
+	r.outcome = func(id decide.RequestID, b decide.BackendID, d time.Duration, code decide.OutcomeCode) (time.Duration, decide.OutcomeCode) {
 		class := strings.TrimRight(string(id), "0123456789")
 		if bySend[b] == nil {
 			bySend[b] = map[string]int{}
@@ -39,10 +39,10 @@
 	mixed(10 * time.Second)
 	for b := decide.BackendID(1); b <= backends/2; b++ {
 		if lost := bySend[b]["cheap"]; lost > 40 {
-			t.Errorf("server %d had %d requests of the class that it loses in 10 s", b, lost)
+			t.Errorf("backend %d had %d requests of the class that it loses in 10 s", b, lost)
 		}
 		if had := bySend[b]["dear"]; had < 60 {
-			t.Errorf("server %d had only %d requests of the class that it answers in 10 s", b, had)
+			t.Errorf("backend %d had only %d requests of the class that it answers in 10 s", b, had)
 		}
 	}
 	losing = false
@@ -51,7 +51,7 @@
 	mixed(10 * time.Second)
 	for b := decide.BackendID(1); b <= backends/2; b++ {
 		if had := bySend[b]["cheap"]; had < 30 {
-			t.Errorf("server %d had only %d requests of a class that it answers again in 10 s", b, had)
+			t.Errorf("backend %d had only %d requests of a class that it answers again in 10 s", b, had)
 		}
 	}
 }
--- a/decide/health.go
+++ b/decide/health.go
@@ -75,7 +75,7 @@
 	b.answerRate = b.answerRate*decay(m.now-b.answerRateAt, rateTau) + 1/rateTau
 	b.answerRateAt, b.unanswered = m.now, 0
 	b.backoff = 0
-	if !r.started {
+	if !r.streaming {
 		m.recordAnswer(b, r.class, e.Elapsed)
 	}
 	b.failuresInRow = 0
--- a/decide/many_test.go
+++ b/decide/many_test.go
@@ -77,7 +77,7 @@
 	}
 	for id := BackendID(1); id <= backends; id++ {
 		if mean := nodes * 8 / backends; use[id] < mean*3/4 || use[id] > mean*5/3 {
-			t.Errorf("server %d is used by %d nodes, %d on average", id, use[id], mean)
+			t.Errorf("backend %d is used by %d nodes, %d on average", id, use[id], mean)
 		}
 	}
 }
@@ -181,8 +181,8 @@
 	}
 }
 
-// An attempt that times out brings no report, and is news all the same: a backend that answers nothing in time is no
-// empty one, though its last report is long ago. The news lapses.
+// An attempt that times out brings no report, and is information all the same: a backend that answers nothing in time is no
+// empty one, though its last report is long ago. It lapses.
 func TestTimeOutsTellOfCrowds(t *testing.T) {
 	m := New(sparseSettings(600), 3)
 	m.Handle(time.Hour, sparseList(8))
@@ -212,7 +212,7 @@
 // many suspects there are: in a jam each of many nodes has many, and trials of them all would keep it up.
 func TestTrialsAreFewAndLongEnough(t *testing.T) {
 	const arrivals = 200
-	const took = 250 * time.Millisecond // of an aim of 600 ms
+	const took = 250 * time.Millisecond // of a target of 600 ms
 	m := New(sparseSettings(600), 3)
 	m.Handle(time.Hour, sparseList(40))
 	_, now := drive(m, time.Hour, 20, took, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
@@ -237,7 +237,7 @@
 	}
 }
 
-// A node of many hears of each of its backends about once in a validity, and so seldom opens a connection anew; and goes
+// A node of many learns of each of its backends about once in a validity, and so seldom opens a connection anew; and goes
 // by what backends report, as the others have most of the requests there.
 func TestSubsetsKeepNewsFresh(t *testing.T) {
 	m := New(sparseSettings(300), 1)
@@ -252,7 +252,7 @@
 	}
 }
 
-// A backend of which a node has no news, or none lately, is no empty one: in a jam all nodes would have such backends, and
+// A backend of which a node knows nothing, or nothing of late, is no empty one: in a jam all nodes would have such backends, and
 // each would send them all that it has. It holds what the others do, until that is old too.
 func TestBackendsWithoutNewsAreNotCrowded(t *testing.T) {
 	m := New(sparseSettings(300), 3)
@@ -267,11 +267,11 @@
 		m.recordReport(b, &Report{InFlight: 60, HasInFlight: true, Utilisation: 1})
 	}
 	if b := m.subset[0]; m.modeOf(b) == Normal {
-		t.Error("a backend that has told nothing for 10 s is normal in a jam")
+		t.Error("a backend that has reported nothing for 10 s is normal in a jam")
 	}
 	m.now += 10 * time.Second
 	if b := m.subset[0]; m.modeOf(b) != Normal {
-		t.Error("10 s later the jam is still taken for news")
+		t.Error("10 s later the jam is still taken for current")
 	}
 }
 
--- a/decide/module.go
+++ b/decide/module.go
@@ -54,12 +54,12 @@
 	leastLatency     float64 // the least that meanLatency has been
 
 	// Capacity (capacity.go, estimates.go).
-	learned       bool    // there are answers enough for thresholds
-	settled       bool    // some backend has been known for long enough
-	fleetCapacity float64 // answers each second that the mean backend is able to
-	peakCapacity  float64 // the most that this has been
-	failureRate   float64 // part of the attempts, after an answer of the same backend, that fails, smoothed
-	trafficShare  float64 // this node's part of all requests at backends
+	answersSuffice bool    // there are answers enough for thresholds
+	capacityKnown  bool    // some backend has been known for long enough
+	fleetCapacity  float64 // answers each second that the mean backend is able to
+	peakCapacity   float64 // the most that this has been
+	failureRate    float64 // part of the attempts, after an answer of the same backend, that fails, smoothed
+	trafficShare   float64 // this node's part of all requests at backends
 
 	// Reports (reports.go).
 	reportedHeld    float64 // sum of what backends reported to hold without queues, fading
@@ -152,7 +152,7 @@
 	case StreamStarted:
 		m.streamStarted(e)
 	case RequestAbandoned:
-		if r := m.requests[e.ID]; r != nil && !r.done {
+		if r := m.requests[e.ID]; r != nil && !r.answered {
 			m.close(r)
 		}
 	case MessageReceived:
@@ -177,7 +177,7 @@
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) {
 		return
 	}
-	r.started = true
+	r.streaming = true
 	m.recordAnswer(r.attempts[e.Attempt].backend, r.class, e.Elapsed)
 }
 
@@ -226,10 +226,10 @@
 func (m *Module) answerOverdue() {
 	open := m.openRequests[:0]
 	for _, r := range m.openRequests {
-		if !r.done && !r.started && m.now >= r.deadline {
+		if !r.answered && !r.streaming && m.now >= r.deadline {
 			m.answerFinally(r)
 		}
-		if !r.done {
+		if !r.answered {
 			open = append(open, r)
 		}
 	}
--- a/decide/peers_test.go
+++ b/decide/peers_test.go
@@ -13,7 +13,7 @@
 	return s
 }
 
-// messages gives what actions send to peers.
+// messages returns what actions send to peers.
 func messages(actions []Action) (sent []SendMessage) {
 	for _, a := range actions {
 		if s, ok := a.(SendMessage); ok {
@@ -58,13 +58,13 @@
 	alone, _ := asking(t, 9, now)
 	drive(alone, now+50*time.Millisecond, 20, 500*time.Millisecond, jam)
 	if full := alone.saturation(); full < 40 {
-		t.Errorf("one that was told nothing finds %.1f in a jam: this test shows nothing", full)
+		t.Errorf("one that got no sizes finds %.1f in a jam: this test shows nothing", full)
 	}
 	if sent := messages(fresh.Handle(later, TimerFired{})); len(sent) > 0 {
 		t.Errorf("asks again: %+v", sent)
 	}
 	if again := messages(fresh.Handle(later, MessageReceived{From: 9, Data: asked[0].Data})); len(again) != 1 {
-		t.Error("does not hand on what it was told")
+		t.Error("does not hand on the sizes that it got")
 	}
 	before := fresh.saturation()
 	fresh.Handle(later, MessageReceived{From: 9, Data: append([]byte(sizesAnswer), make([]byte, sizesHeaderLength-len(sizesAnswer)+8)...)})
@@ -73,11 +73,11 @@
 	}
 }
 
-// Nobody tells what it has hardly learnt, nobody asks for ever, or where messages are not allowed.
+// No node sends sizes that it has hardly learned, none asks for ever, or where messages are not allowed.
 func TestPeersAreAskedInBounds(t *testing.T) {
 	m, asked := asking(t, 3, time.Hour)
 	if told := messages(m.Handle(time.Hour+time.Second, MessageReceived{From: 8, Data: asked[0].Data})); len(told) > 0 {
-		t.Errorf("a node that has just started tells %+v", told)
+		t.Errorf("a node that has just started sends %+v", told)
 	}
 	count := 0
 	for i := range 400 {
--- a/decide/request.go
+++ b/decide/request.go
@@ -27,8 +27,8 @@
 	attempts          []attempt
 	inFlight          int // attempts
 	priority          bool
-	done              bool // it has its final answer
-	started           bool // a stream has begun
+	answered          bool // it has its final answer
+	streaming         bool // a stream has begun
 	trial             bool // an attempt was a trial of a suspect
 }
 
--- a/decide/rules.go
+++ b/decide/rules.go
@@ -3,7 +3,7 @@
 // maySend reports whether the rules allow an attempt of a request at a backend. Every attempt passes
 // it.
 func (m *Module) maySend(r *request, b *backend) bool {
-	if r.done || r.started || m.now >= r.deadline || len(r.attempts) >= max(1, m.settings.MaxAttempts) ||
+	if r.answered || r.streaming || m.now >= r.deadline || len(r.attempts) >= max(1, m.settings.MaxAttempts) ||
 		b.State != Ready || r.inFlight >= 2 || r.inFlight > 0 && !m.settings.MayOverlap {
 		return false
 	}
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -72,7 +72,7 @@
 // toAnother returns a send to another backend, if one is ready.
 func toAnother(w *world, s decide.Send) decide.Send {
 	for _, id := range w.ids {
-		if l := w.backends[id]; id != s.Backend && l.drainTold == 0 {
+		if l := w.backends[id]; id != s.Backend && l.drainNotified == 0 {
 			s.Backend = id
 			return s
 		}
@@ -98,12 +98,12 @@
 }
 
 func sendToDraining(w *world, s decide.Send) []decide.Action {
-	return toLast(w, s, func(l *listed) bool { return l.drainTold > 0 })
+	return toLast(w, s, func(l *listed) bool { return l.drainNotified > 0 })
 }
 
 func sendToCold(w *world, s decide.Send) []decide.Action {
 	return toLast(w, s, func(l *listed) bool {
-		return l.startTold && l.drainTold == 0 && w.now-l.StartedAt < 2*time.Second
+		return l.startNotified && l.drainNotified == 0 && w.now-l.StartedAt < 2*time.Second
 	})
 }
 
--- a/decide/surge_test.go
+++ b/decide/surge_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// When the list tells that most backends have gone, those that are left will hold what those held, whatever they last
-// reported: by the time that reports tell, all nodes have crowded them. That lapses, for then reports do tell.
+// When the list says that most backends have gone, those that are left will hold what those held, whatever they last
+// reported: by the time that reports show it, all nodes have crowded them. That lapses, for then reports do show it.
 func TestBackendsThatAreLeftHoldMore(t *testing.T) {
 	for _, how := range []BackendState{Draining, Gone} {
 		m := New(sparseSettings(300), 3)
@@ -26,7 +26,7 @@
 		}
 		m.now += 5 * time.Second
 		if n, h := m.load(m.subset[0]); n > h/2 {
-			t.Errorf("n %.1f, H %.1f without news of a crowd for 5 s", n, h)
+			t.Errorf("n %.1f, H %.1f without a sign of a crowd for 5 s", n, h)
 		}
 	}
 }
--- a/decide/threshold_test.go
+++ b/decide/threshold_test.go
@@ -17,7 +17,7 @@
 	sent    map[BackendID]int
 	out     map[BackendID]float64
 	started map[BackendID]Time
-	late    Time // until then reports of backend 7 tell of none of its load
+	late    Time // until then reports of backend 7 show none of its load
 	next    int
 }
 
@@ -123,7 +123,7 @@
 	}
 }
 
-// Before a cold backend has told what it can do, it gets more than the settings say that it can do at least, as most can
+// Before a cold backend has shown what it can do, it gets more than the settings say that it can do at least, as most can
 // do more and the warm ones refuse; and far less than what would make it fall.
 func TestColdBackendsGetHalfOfWhatMakesThemFall(t *testing.T) {
 	f := newFlow(6)
@@ -132,7 +132,7 @@
 	cold := ListUpdate{Kind: ListChanges, Version: 1}
 	for id := BackendID(1); id <= 4; id++ {
 		cold.Entries = append(cold.Entries, Backend{ID: id, StartedAt: f.now})
-		f.started[id] = f.now - 5*time.Second // it starts with 0.4 of its capacity, and 0.2 is what is told
+		f.started[id] = f.now - 5*time.Second // it starts with 0.4 of its capacity, and 0.2 is what the list says
 	}
 	f.m.Handle(f.now, cold)
 	clear(f.sent)
@@ -146,7 +146,7 @@
 	}
 }
 
-// What a new backend's first reports say is late: it tells of a process that had no load yet.
+// What a new backend's first reports say is late: it is of a process that had no load yet.
 func TestFirstReportsAreOfIdleTime(t *testing.T) {
 	f := newFlow(6)
 	f.run(30 * time.Second)
@@ -182,7 +182,7 @@
 	can := 5 * flowRate * (0.2 + 0.8*12.5/20)
 	for id := BackendID(1); id <= 6; id++ {
 		if got := float64(f.sent[id]); got < can/2 || got > 1.3*can {
-			t.Errorf("server %d had %.0f requests from 10 s to 15 s after its start, it can do %.0f", id, got, can)
+			t.Errorf("backend %d had %.0f requests from 10 s to 15 s after its start, it can do %.0f", id, got, can)
 		}
 	}
 }
--- a/decide/thresholds.go
+++ b/decide/thresholds.go
@@ -34,7 +34,7 @@
 // mean of the fleet, since chance must not starve a backend. Queues stay small, as some backends turn
 // slow for long when crowded.
 func (m *Module) highThreshold(b *backend) float64 {
-	if !m.learned {
+	if !m.answersSuffice {
 		return 2 * minWindow / float64(m.settings.Nodes)
 	}
 	quickness := math.Min(1, m.meanLatency/m.latencyOf(b))
--- a/decide/world_test.go
+++ b/decide/world_test.go
@@ -29,8 +29,8 @@
 
 type listed struct {
 	decide.Backend
-	drainTold time.Duration // when the node was told that it drains or is gone; 0: it is ready
-	startTold bool
+	drainNotified time.Duration // when the node was notified that it drains or is gone; 0: it is ready
+	startNotified bool
 }
 
 type pending struct {
@@ -83,7 +83,7 @@
 }
 
 // sameGroup is the checker's own reading of the scopes.
-func sameGroup(s decide.Scope, a, b *listed) bool {
+func sameScope(s decide.Scope, a, b *listed) bool {
 	return s == decide.ScopeAll || s == decide.ScopeZone && a.Zone == b.Zone || s == decide.ScopeCell && a.Cell == b.Cell
 }
 
@@ -106,7 +106,7 @@
 	if len(q.attempts) >= w.set.MaxAttempts {
 		w.fault("more than %d attempts", w.set.MaxAttempts)
 	}
-	if s.drainTold > 0 && w.now > s.drainTold+w.set.DrainGrace {
+	if s.drainNotified > 0 && w.now > s.drainNotified+w.set.DrainGrace {
 		w.fault("send to a backend that drains or is gone")
 	}
 	for _, p := range q.attempts {
@@ -118,13 +118,13 @@
 		}
 		if q.class.Effect == decide.Unsafe {
 			w.fault("unsafe request sent again")
-		} else if !sameGroup(q.class.KeyScope, s, w.backends[p.backend]) || w.now > p.at+q.class.DedupWindow {
+		} else if !sameScope(q.class.KeyScope, s, w.backends[p.backend]) || w.now > p.at+q.class.DedupWindow {
 			w.fault("keyed request sent outside its group or window")
 		}
 	}
 	w.sends[a.Backend] = append(w.sends[a.Backend], w.now)
 	age := (w.now - s.StartedAt).Seconds() / w.set.ColdTime.Seconds()
-	if s.startTold && age < 1 {
+	if s.startNotified && age < 1 {
 		part := w.set.ColdFrom + (1-w.set.ColdFrom)*max(0, age)
 		n := 0
 		for _, at := range w.sends[a.Backend] {
@@ -220,7 +220,7 @@
 		decide.Full, decide.TimedOut, decide.ConnectFailed, decide.Reset, decide.NotSent}
 	code, took := codes[w.r.Intn(len(codes))], time.Duration(1+w.r.Intn(400))*time.Millisecond
 	if uint32(a.Backend)%5 == uint32(w.now.Seconds()/7)%5 && w.r.Intn(2) == 0 {
-		code = decide.TimedOut // some backends are silent for a while
+		code = decide.TimedOut // some backends do not answer for a while
 	}
 	if code == decide.TimedOut || took > limit {
 		code, took = decide.TimedOut, limit
@@ -294,8 +294,8 @@
 		Cell: w.r.Intn(3), Size: 1, StartedAt: started}
 }
 
-// tell records what a list says and passes it on.
-func (w *world) tell(kind decide.ListKind, entries []decide.Backend) {
+// publish records what a list says and passes it on.
+func (w *world) publish(kind decide.ListKind, entries []decide.Backend) {
 	in := map[decide.BackendID]bool{}
 	for _, n := range entries {
 		s := w.backends[n.ID]
@@ -304,19 +304,19 @@
 			w.backends[n.ID] = s
 			w.ids = append(w.ids, n.ID)
 		}
-		s.startTold = n.State == decide.Ready && n.StartedAt > 0
+		s.startNotified = n.State == decide.Ready && n.StartedAt > 0
 		s.Backend = n
 		in[n.ID] = true
 		if n.State == decide.Ready {
-			s.drainTold = 0
-		} else if s.drainTold == 0 {
-			s.drainTold = w.now
+			s.drainNotified = 0
+		} else if s.drainNotified == 0 {
+			s.drainNotified = w.now
 		}
 	}
 	if kind != decide.ListChanges {
 		for _, id := range w.ids {
-			if s := w.backends[id]; !in[id] && s.drainTold == 0 {
-				s.drainTold, s.State = w.now, decide.Gone
+			if s := w.backends[id]; !in[id] && s.drainNotified == 0 {
+				s.drainNotified, s.State = w.now, decide.Gone
 			}
 		}
 	}
@@ -341,7 +341,7 @@
 				all = append(all, e)
 			}
 		}
-		w.tell(decide.ListFull, all)
+		w.publish(decide.ListFull, all)
 		return
 	case 5:
 		if w.set.ListOnRequest {
@@ -349,7 +349,7 @@
 		}
 		return
 	}
-	w.tell(decide.ListChanges, []decide.Backend{b})
+	w.publish(decide.ListChanges, []decide.Backend{b})
 }
 
 func (w *world) start() {
@@ -365,7 +365,7 @@
 		all = append(all, w.newBackend(0))
 	}
 	w.backends, w.ids = map[decide.BackendID]*listed{}, nil
-	w.tell(decide.ListCached, all)
+	w.publish(decide.ListCached, all)
 }
 
 // run plays a stretch of time; restarts says whether the node may be restarted in between.
@@ -410,9 +410,9 @@
 		ListOnRequest: r.Intn(2) == 0, AnswerSlack: 20 * time.Millisecond, MaxListAge: 10 * time.Second,
 		DrainGrace: ms(0, 1000), ColdFrom: 0.3, ColdTime: ms(3000, 9000), OverloadFactor: 2.5, OverloadTime: time.Second}
 	for i, n := 0, 1+r.Intn(4); i < n; i++ {
-		aim := ms(100, 1500)
-		w.set.Classes = append(w.set.Classes, decide.Class{Name: fmt.Sprint("c", i), Value: float64(r.Intn(13)), Target: aim,
-			Deadline: 2*aim + ms(0, 2000), LateValue: float64(r.Intn(2)) / 2, Effect: decide.Effect(r.Intn(3)),
+		target := ms(100, 1500)
+		w.set.Classes = append(w.set.Classes, decide.Class{Name: fmt.Sprint("c", i), Value: float64(r.Intn(13)), Target: target,
+			Deadline: 2*target + ms(0, 2000), LateValue: float64(r.Intn(2)) / 2, Effect: decide.Effect(r.Intn(3)),
 			KeyScope: decide.Scope(r.Intn(3)), DedupWindow: ms(100, 4000), Streamed: r.Intn(4) == 0})
 	}
 	if r.Intn(3) == 0 {
--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// News that was told before discovery moves is followed, though it comes to the loop after the move: it counts as told,
+// A list that was sent before discovery moves is taken, though it comes to the loop after the move: it counts as delivered,
 // and at the new address nobody may answer.
 func TestNewsCrossesMove(t *testing.T) {
 	t.Parallel()
@@ -68,7 +68,7 @@
 		silent := netip.MustParseAddrPort(backend(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
 		p.loop.post(func() { p.loop.moveDiscovery(silent) })
 		release()
-		eventually(t, "news behind the move", func() bool { return len(p.loop.events) >= 2 })
+		eventually(t, "a list behind the move", func() bool { return len(p.loop.events) >= 2 })
 		letLoop()
 		p.in(func() {})
 		if h := p.loop.transport.Find(1); h != nil {
@@ -126,7 +126,7 @@
 	}
 }
 
-// Where lists are pushed, what the agent gets when it is back counts as told at once: the node may not sleep then for
+// Where lists are pushed, what the agent gets when it is back counts as delivered at once: the node may not sleep then for
 // longer than it may go on sending to a backend that drains, nor wait for a call that the agent never took.
 func TestPushedListIsAskedForWithinTheGrace(t *testing.T) {
 	t.Parallel()
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -22,7 +22,7 @@
 	"nickelline/decide"
 )
 
-// registry is discovery as a test wants it: it answers call n with what says, and tells of each call.
+// registry is discovery as a test wants it: it answers call n with what says.
 func registry(t *testing.T, says func(n int, query url.Values) string) netip.AddrPort {
 	var calls atomic.Int64
 	return netip.MustParseAddrPort(backend(t, answering(func(r *http.Request, _ []byte) string {
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// pair gives a connection as the node has it, and its client's side.
+// pair returns a connection as the node has it, and its client's side.
 func pair(t *testing.T) (*admission, *clientConn, *net.TCPConn) {
 	t.Helper()
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -240,7 +240,7 @@
 func (lateBody) Read(p []byte) (int, error) { <-time.After(bodyTimeout); p[0] = 'b'; return 1, io.EOF }
 func (lateBody) Close() error               { return nil }
 
-// A body whose end crosses the deadline for it is told to be late: net/http's watch for the client's going may have
+// A body whose end crosses the deadline for it is answered as late: net/http's watch for the client's going may have
 // ended with that deadline, and the request would be taken for one whose client has left.
 func TestBodyCrossesItsDeadline(t *testing.T) {
 	t.Parallel()
@@ -251,7 +251,7 @@
 	}
 }
 
-// A node that is told to end before it serves, and to read its configuration again while it drains, still answers what
+// A node that is asked to end before it serves, and to read its configuration again while it drains, still answers what
 // the kernel has accepted for it.
 func TestEndAtTheStart(t *testing.T) {
 	t.Parallel()
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -176,7 +176,7 @@
 func (f *frontend) writeUnanswered(w http.ResponseWriter, req *request, end waitEnd) {
 	switch end {
 	case clientLeft:
-		// It has closed its connection, or its own direction only: then it is told that nothing comes.
+		// It has closed its connection, or its own direction only: then its client reads that nothing comes.
 		f.loop.post(func() { f.loop.abandon(req) })
 		f.stats.clientsGone.Add(1)
 		reject(w, http.StatusBadRequest, "the client has closed")
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -170,7 +170,7 @@
 	return resp, body
 }
 
-// askServed is ask by a client that comes again after a refusal, when it was told to. On a machine that is held up, answers
+// askServed is ask by a client that comes again after a refusal, when it was asked to. On a machine that is held up, answers
 // seem slow, and the module may refuse for a moment what would be served.
 func (n *testNode) askServed(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
@@ -226,7 +226,7 @@
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return nil, "", fmt.Errorf("the answer is cut short: %w", err)
+		return nil, "", fmt.Errorf("the answer is truncated: %w", err)
 	}
 	return resp, string(body), nil
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// A Connection header that names a request's id or key does not take it away: without them a repeat can't be told.
+// A Connection header that names a request's id or key does not take it away: without them a repeat can't be recognised.
 func TestConnectionHeaderKeepsIdentity(t *testing.T) {
 	t.Parallel()
 	h := endToEnd(http.Header{"Connection": {"X-Hop, x-correlation-id", "idempotency-key"}, "X-Hop": {"1"}, "X-Correlation-Id": {"q"}, "Idempotency-Key": {"k"}})
@@ -134,7 +134,7 @@
 	}
 }
 
-// Silent connections, heads and bodies without end are closed or answered within 3 s, and hundreds of them shut
+// Connections that send nothing, heads and bodies without end are closed or answered within 3 s, and hundreds of them shut
 // nobody out; nor do connections that have asked once and stay.
 func TestSilentClients(t *testing.T) {
 	t.Parallel()
@@ -227,7 +227,7 @@
 	}
 }
 
-// A machine that says nothing holds up nobody: the answer comes by the client's patience, and it is the module's. Where the
+// A backend that does not answer holds up nobody: the answer comes by the client's patience, and it is the module's. Where the
 // test's own machine is held up for longer than the guard behind that waits, the guard's answer comes: it is asked again.
 func TestSilentBackend(t *testing.T) {
 	t.Parallel()
