--- a/decide/behaviour_test.go
+++ b/decide/behaviour_test.go
@@ -2,158 +2,15 @@
 
 import (
 	"fmt"
-	"strings"
 	"testing"
 	"time"
 
 	"nickelline/decide"
 )
 
-// rig feeds one module with a fleet of backends whose delays the test sets.
-type rig struct {
-	t        *testing.T
-	m        *decide.Module
-	now      time.Duration
-	delay    func(b decide.BackendID) (time.Duration, decide.OutcomeCode)
-	due      []rigEvent
-	sent     map[decide.BackendID]int
-	last     map[decide.RequestID]decide.Action
-	attempts map[decide.RequestID]int
-	over     map[decide.RequestID]bool
-	retries  int           // of a refused client, after the time that it was asked to wait
-	patience time.Duration // of a first try
-	work     func(decide.RequestID) time.Duration
-	// outcome, if set, decides how an attempt ends.
-	outcome     func(decide.RequestID, decide.BackendID, time.Duration, decide.OutcomeCode) (time.Duration, decide.OutcomeCode)
-	report      func(b decide.BackendID) *decide.Report // nil: backends report nothing
-	retryAfters []time.Duration                         // that refused clients were asked to wait
-	inTime      map[string]int
-	came        map[decide.RequestID]time.Duration
-	refused, failed,
-	subscriptions, next, backendLines, suspects, statusLines int
-}
-
-type rigEvent struct {
-	at time.Duration
-	e  decide.Event
-}
-
-func rigSettings() decide.Settings {
-	return decide.Settings{Nodes: 1, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond, MaxListAge: 10 * time.Second,
-		ConnectTimeout: 100 * time.Millisecond, ColdFrom: 0.3, ColdTime: 8 * time.Second, OverloadFactor: 2.5,
-		OverloadTime: time.Second, MayRetryAfter: true, MaxRetryAfter: time.Second,
-		Classes: []decide.Class{
-			{Name: "dear", Value: 12, Target: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond, Effect: decide.Safe},
-			{Name: "cheap", Value: 1, Target: 1500 * time.Millisecond, Deadline: 4 * time.Second, Effect: decide.Safe},
-			{Name: "once", Value: 1, Target: 1500 * time.Millisecond, Deadline: 2 * time.Second, Effect: decide.Unsafe}}}
-}
-
-func newRig(t *testing.T, s decide.Settings, backends int) *rig {
-	r := &rig{t: t, m: decide.New(s, 5), now: time.Hour, sent: map[decide.BackendID]int{}, over: map[decide.RequestID]bool{},
-		last: map[decide.RequestID]decide.Action{}, attempts: map[decide.RequestID]int{}, patience: 2 * time.Second,
-		inTime: map[string]int{}, came: map[decide.RequestID]time.Duration{}}
-	r.work = func(decide.RequestID) time.Duration { return 0 }
-	r.delay = func(decide.BackendID) (time.Duration, decide.OutcomeCode) { return 50 * time.Millisecond, decide.OK }
-	var list []decide.Backend
-	for i := range backends {
-		list = append(list, decide.Backend{ID: decide.BackendID(i + 1), Zone: "z"})
-	}
-	r.feed(decide.ListUpdate{Kind: decide.ListCached, Entries: list})
-	return r
-}
-
-func (r *rig) feed(e decide.Event) {
-	for _, a := range r.m.Handle(r.now, e) {
-		switch a := a.(type) {
-		case decide.Send:
-			r.sent[a.Backend]++
-			leg := r.attempts[a.ID]
-			r.attempts[a.ID]++
-			d, code := r.delay(a.Backend)
-			d += r.work(a.ID)
-			if r.outcome != nil {
-				d, code = r.outcome(a.ID, a.Backend, d, code)
-			}
-			if d > a.Timeout {
-				d, code = a.Timeout, decide.TimedOut
-			}
-			end := decide.AttemptEnded{ID: a.ID, Attempt: leg, Backend: a.Backend, Code: code, Elapsed: d}
-			if r.report != nil {
-				end.Report = r.report(a.Backend)
-			}
-			r.due = append(r.due, rigEvent{r.now + d, end})
-		case decide.CancelAttempt:
-			r.due = append(r.due, rigEvent{r.now + time.Millisecond, decide.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: decide.Cancelled}})
-		case decide.Refuse:
-			r.refused++
-			r.over[a.ID], r.last[a.ID] = true, a
-			r.retryAfters = append(r.retryAfters, a.RetryAfter)
-			class, try, _ := strings.Cut(string(a.ID), "/")
-			if left := r.patience - (r.now + a.RetryAfter - r.came[decide.RequestID(class)]); len(try) < r.retries && left > 0 {
-				id := decide.RequestID(class + "/" + try + "x")
-				r.due = append(r.due, rigEvent{r.now + a.RetryAfter, decide.RequestArrived{ID: id, Class: strings.TrimRight(class,
-					"0123456789"), Patience: left}})
-			}
-		case decide.Fail:
-			r.failed++
-			r.over[a.ID], r.last[a.ID] = true, a
-		case decide.SetTimer:
-			r.due = append(r.due, rigEvent{r.now + a.After, decide.TimerFired{Token: a.Token}})
-		case decide.Log:
-			if strings.HasPrefix(a.Line, "server ") {
-				r.backendLines++
-				if strings.Contains(a.Line, "suspect:") {
-					r.suspects++
-				}
-			} else {
-				r.statusLines++ // of the whole node
-			}
-		case decide.Subscribe:
-			r.subscriptions++
-			r.due = append(r.due, rigEvent{r.now + time.Second, decide.ListUpdate{Kind: decide.ListFailed}})
-		}
-	}
-}
-
-// run plays some time with so many arrivals a second of a class.
-func (r *rig) run(length time.Duration, rate float64, class string) {
-	arrived := 0.0
-	for end := r.now + length; r.now < end; r.now += 5 * time.Millisecond {
-		var rest, now []rigEvent
-		for _, d := range r.due {
-			if d.at <= r.now {
-				now = append(now, d)
-			} else {
-				rest = append(rest, d)
-			}
-		}
-		r.due = rest
-		for _, d := range now {
-			if e, ok := d.e.(decide.AttemptEnded); ok {
-				e.Over = r.over[e.ID] || e.Code == decide.OK
-				first, _, _ := strings.Cut(string(e.ID), "/")
-				if e.Code == decide.OK && !r.over[e.ID] && r.now-r.came[decide.RequestID(first)] < 600*time.Millisecond {
-					r.inTime[strings.TrimRight(first, "0123456789")]++
-				}
-				r.over[e.ID] = e.Over
-				d.e = e
-			}
-			r.feed(d.e)
-		}
-		for arrived += rate * 0.005; arrived >= 1; arrived-- {
-			r.next++
-			id := decide.RequestID(fmt.Sprint(class, r.next))
-			r.came[id] = r.now
-			r.feed(decide.RequestArrived{ID: id, Class: class, Patience: r.patience})
-		}
-	}
-}
-
-func (r *rig) reset() { r.sent, r.refused, r.failed = map[decide.BackendID]int{}, 0, 0 }
-
 // A backend that does not answer is left out and its requests are answered elsewhere, also while the list is down; it then comes
 // back paced, as it may be cold.
-func TestSilentBackendWhileListIsDown(t *testing.T) {
+func TestUnresponsiveBackendWhileListIsDown(t *testing.T) {
 	s := rigSettings()
 	s.ListOnRequest = true
 	r := newRig(t, s, 5)
@@ -256,71 +113,6 @@
 	}
 }
 
-// Quiet traffic is not refused, also with many backends and few requests.
-func TestQuietTrafficIsServed(t *testing.T) {
-	s := rigSettings()
-	s.Nodes = 6
-	r := newRig(t, s, 15)
-	r.run(4*time.Second, 30, "cheap")
-	r.reset()
-	r.run(20*time.Second, 30, "cheap")
-	if r.refused > 3 {
-		t.Errorf("%d of 600 refused on a quiet day", r.refused)
-	}
-}
-
-// Overload sheds the cheap class first, and a backend list that is empty or drains wholly refuses at once.
-func TestIdleBackendsAreNotOverloaded(t *testing.T) {
-	for _, c := range []struct {
-		name      string
-		took      time.Duration // of any answer, however many are out: nothing queues
-		busy      float64
-		wantsShed bool
-	}{
-		{"idle, answers long beside the target", 400 * time.Millisecond, 0.25, false},
-		{"idle, answers short", 50 * time.Millisecond, 0.25, false},
-		{"cores all busy", 400 * time.Millisecond, 1, true},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, rigSettings(), 4)
-			r.delay = func(decide.BackendID) (time.Duration, decide.OutcomeCode) { return c.took, decide.OK }
-			r.report = func(decide.BackendID) *decide.Report { return &decide.Report{Utilisation: c.busy} }
-			r.run(5*time.Second, 20, "dear") // it learns what an answer takes
-			for rate := 40.0; rate < 200; rate *= 1.5 {
-				r.run(2*time.Second, rate, "dear")
-			}
-			r.reset()
-			r.run(10*time.Second, 200, "dear")
-			r.run(10*time.Second, 200, "cheap")
-			if shed := r.refused > 0; shed != c.wantsShed {
-				t.Errorf("%d of 4000 requests refused by backends whose cores are %.0f%% busy", r.refused, 100*c.busy)
-			}
-		})
-	}
-}
-
-func TestOverloadShedsByWorth(t *testing.T) {
-	r := newRig(t, rigSettings(), 3)
-	busy := map[decide.BackendID]time.Duration{}
-	r.delay = func(id decide.BackendID) (time.Duration, decide.OutcomeCode) { // one request at a time, 20 ms each
-		busy[id] = max(busy[id], r.now) + 20*time.Millisecond
-		return busy[id] - r.now, decide.OK
-	}
-	refused := map[string]int{}
-	for range 400 {
-		for _, c := range []string{"dear", "cheap", "cheap", "cheap"} {
-			before := r.refused
-			r.next++
-			r.feed(decide.RequestArrived{ID: decide.RequestID(fmt.Sprint(r.next)), Class: c, Patience: time.Second})
-			refused[c] += r.refused - before
-		}
-		r.run(15*time.Millisecond, 0, "")
-	}
-	if refused["cheap"] < 200 || refused["dear"]*6 > refused["cheap"] {
-		t.Errorf("refused on arrival: %v", refused)
-	}
-}
-
 func TestNoUsableBackendOrOddSettings(t *testing.T) {
 	drained := []decide.Backend{{ID: 1, State: decide.Draining}}
 	for _, list := range [][]decide.Backend{nil, drained} {
@@ -348,41 +140,6 @@
 	}
 }
 
-// A full answer blocks its backend for the validity only.
-func TestFullAnswerLapses(t *testing.T) {
-	r := newRig(t, rigSettings(), 1)
-	r.delay = func(decide.BackendID) (time.Duration, decide.OutcomeCode) { return time.Millisecond, decide.Full }
-	r.run(5*time.Millisecond, 200, "cheap")
-	r.run(100*time.Millisecond, 0, "cheap")
-	r.reset()
-	r.run(800*time.Millisecond, 20, "cheap")
-	if r.sent[1] != 0 {
-		t.Errorf("%d sends to a blocked backend", r.sent[1])
-	}
-	r.run(200*time.Millisecond, 0, "cheap")
-	r.run(200*time.Millisecond, 20, "cheap")
-	if r.sent[1] == 0 {
-		t.Error("the block did not lapse")
-	}
-}
-
-// Full answers in a row back off: many nodes that each come back after one validity would keep a jam alive.
-func TestFullAnswersBackOff(t *testing.T) {
-	r := newRig(t, rigSettings(), 1)
-	r.delay = func(decide.BackendID) (time.Duration, decide.OutcomeCode) { return time.Millisecond, decide.Full }
-	r.run(20*time.Second, 20, "cheap")
-	if r.sent[1] == 0 || r.sent[1] > 12 {
-		t.Errorf("%d sends in 20 s to a backend that stays full", r.sent[1])
-	}
-	r.delay = func(decide.BackendID) (time.Duration, decide.OutcomeCode) { return time.Millisecond, decide.OK }
-	r.run(8*time.Second, 20, "cheap")
-	r.reset()
-	r.run(time.Second, 20, "cheap")
-	if r.sent[1] < 15 {
-		t.Errorf("%d of 20 sends once it answers again", r.sent[1])
-	}
-}
-
 // A zone is lost together with the nodes there: its backends stop answering, this node gets twice the traffic, the list says
 // late, and the backends come back as new processes. What is left is not crowded, and those that return are paced.
 func TestZoneLostWithItsNodesAndBackCold(t *testing.T) {
@@ -442,83 +199,6 @@
 	}
 }
 
-// One class suddenly costs eleven times as much on a quiet fleet: its backends are not to blame, and most of the other class
-// goes on. Guards against thresholds from what a quiet fleet happened to have in flight (without the least window 60 of 300
-// were served in time). What is still refused here is the price of not knowing that backends could do more.
-func TestOneClassSuddenlyDear(t *testing.T) {
-	r := newRig(t, rigSettings(), 6)
-	mixed := func(length time.Duration) {
-		for end := r.now + length; r.now < end; {
-			r.run(50*time.Millisecond, 61, "cheap")
-			r.run(50*time.Millisecond, 21, "once")
-		}
-	}
-	mixed(10 * time.Second)
-	r.work = func(id decide.RequestID) time.Duration {
-		if strings.HasPrefix(string(id), "once") {
-			return 500 * time.Millisecond
-		}
-		return 0
-	}
-	r.reset()
-	r.inTime = map[string]int{}
-	mixed(10 * time.Second)
-	if r.backendLines > 0 {
-		t.Errorf("%d backends made suspects by heavy requests", r.backendLines)
-	}
-	if r.inTime["cheap"] < 190 {
-		t.Errorf("%d of 300 of the class that costs what it did were served in time, %d refused", r.inTime["cheap"], r.refused)
-	}
-	least, most := r.sent[1], r.sent[1]
-	for _, n := range r.sent {
-		least, most = min(least, n), max(most, n)
-	}
-	if len(r.sent) < 6 || most > 2*least {
-		t.Errorf("uneven load on like backends: %v", r.sent)
-	}
-}
-
-// Overload whose refused clients come back, twice each: the dear class keeps its service, the backends' queues stay short,
-// and clients are not all asked to wait for the same time.
-func TestOverloadWithClientRetries(t *testing.T) {
-	r := newRig(t, rigSettings(), 4)
-	r.retries, r.patience = 2, 1200*time.Millisecond
-	free := map[decide.BackendID]time.Duration{}
-	longest := time.Duration(0)
-	r.delay = func(id decide.BackendID) (time.Duration, decide.OutcomeCode) { // one request at a time, 20 ms each
-		free[id] = max(free[id], r.now) + 20*time.Millisecond
-		longest = max(longest, free[id]-r.now)
-		return free[id] - r.now, decide.OK
-	}
-	mixed := func(length time.Duration, rate float64) int {
-		start := r.next
-		for end := r.now + length; r.now < end; {
-			r.run(50*time.Millisecond, 40, "dear")
-			r.run(50*time.Millisecond, rate, "cheap")
-		}
-		return r.next - start
-	}
-	mixed(10*time.Second, 60)
-	r.inTime, longest, r.retryAfters = map[string]int{}, 0, nil
-	mixed(10*time.Second, 600) // 20 and 300 a second; the backends do 200
-	if r.inTime["dear"] < 170 {
-		t.Errorf("%d of 200 dear requests in time", r.inTime["dear"])
-	}
-	if r.inTime["cheap"] < 1000 {
-		t.Errorf("%d cheap requests in time, of some 1800 that the backends could do", r.inTime["cheap"])
-	}
-	if longest > 300*time.Millisecond {
-		t.Errorf("a backend's queue of %v", longest)
-	}
-	seen := map[time.Duration]bool{}
-	for _, w := range r.retryAfters {
-		seen[w] = true
-	}
-	if len(seen) < len(r.retryAfters)/4 {
-		t.Errorf("%d refusals with %d different waits", len(r.retryAfters), len(seen))
-	}
-}
-
 // Guards against the burst that none of many nodes sees: each one's first requests to a backend that has just started.
 func TestManyNodesTogetherSpareAColdBackend(t *testing.T) {
 	const nodes = 60
@@ -596,31 +276,3 @@
 		}
 	}
 }
-
-// Guards against forgetting how fast an uncrowded fleet answers: an overload of a minute must not make the queues that
-// it causes look normal, or they grow until backends turn slow.
-func TestLongOverloadDoesNotLengthenQueues(t *testing.T) {
-	s := rigSettings()
-	s.Classes[1].Target = 10 * time.Second // a target far off: only the uncrowded latency bounds the queue
-	r := newRig(t, s, 4)
-	free := map[decide.BackendID]time.Duration{}
-	var waits, answers time.Duration
-	r.delay = func(id decide.BackendID) (time.Duration, decide.OutcomeCode) { // one request at a time, 20 ms each
-		free[id] = max(free[id], r.now) + 20*time.Millisecond
-		waits, answers = waits+free[id]-r.now, answers+1
-		return free[id] - r.now, decide.OK
-	}
-	r.run(10*time.Second, 100, "cheap")
-	r.run(10*time.Second, 400, "cheap")
-	waits, answers = 0, 0
-	r.run(5*time.Second, 400, "cheap")
-	early := waits / answers
-	r.run(60*time.Second, 400, "cheap")
-	waits, answers = 0, 0
-	r.run(5*time.Second, 400, "cheap")
-	if late := waits / answers; late > early*5/4 {
-		t.Errorf("mean wait %v after 10 s of overload, %v after 75 s", early, late)
-	} else {
-		t.Log(early, late)
-	}
-}
--- a/decide/many_test.go
+++ b/decide/many_test.go
@@ -183,7 +183,7 @@
 
 // An attempt that times out brings no report, and is information all the same: a backend that answers nothing in time is no
 // empty one, though its last report is long ago. It lapses.
-func TestTimeOutsTellOfCrowds(t *testing.T) {
+func TestTimeOutsShowOverload(t *testing.T) {
 	m := New(sparseSettings(600), 3)
 	m.Handle(time.Hour, sparseList(8))
 	_, now := drive(m, time.Hour, 20, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
@@ -239,7 +239,7 @@
 
 // A node of many learns of each of its backends about once in a validity, and so seldom opens a connection anew; and goes
 // by what backends report, as the others have most of the requests there.
-func TestSubsetsKeepNewsFresh(t *testing.T) {
+func TestSubsetsKeepReportsFresh(t *testing.T) {
 	m := New(sparseSettings(300), 1)
 	m.Handle(time.Hour, sparseList(200))
 	for i := range 800 {
@@ -254,7 +254,7 @@
 
 // A backend of which a node knows nothing, or nothing of late, is no empty one: in a jam all nodes would have such backends, and
 // each would send them all that it has. It holds what the others do, until that is old too.
-func TestBackendsWithoutNewsAreNotCrowded(t *testing.T) {
+func TestBackendsWithoutReportsAreNotCrowded(t *testing.T) {
 	m := New(sparseSettings(300), 3)
 	m.Handle(time.Hour, sparseList(40))
 	_, now := drive(m, time.Hour, 20, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -20,10 +20,10 @@
 // A backend's own 429 promises nothing: a client that took it for a refusal would repeat what may have run.
 func TestTooManyRequestsIsNoRefusal(t *testing.T) {
 	t.Parallel()
-	addr := backend(t, answering(func(*http.Request, []byte) string {
+	addr := startBackend(t, respondWith(func(*http.Request, []byte) string {
 		return "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n"
 	}))
-	n := start(t, &Config{Settings: settings(), KnownBackends: known(addr)})
+	n := startNode(t, &Config{Settings: testSettings(), KnownBackends: knownBackends(addr)})
 	if resp, _ := n.ask(t, message("order", "9.5", "b")); resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("status %d", resp.StatusCode)
 	}
@@ -31,12 +31,12 @@
 
 // A list that was sent before discovery moves is taken, though it comes to the loop after the move: it counts as delivered,
 // and at the new address nobody may answer.
-func TestNewsCrossesMove(t *testing.T) {
+func TestListCrossesMove(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{false, true} {
-		addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
+		addr := startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse("x") }))
 		tell, told, rest := make(chan struct{}), make(chan struct{}, 1), make(chan struct{})
-		c := &Config{Settings: settings(), KnownBackends: known(addr)}
+		c := &Config{Settings: testSettings(), KnownBackends: knownBackends(addr)}
 		c.Settings.ListOnRequest = !pushed
 		c.Discovery = registry(t, func(n int, _ url.Values) string {
 			switch n {
@@ -51,7 +51,7 @@
 			return ""
 		})
 		t.Cleanup(func() { close(rest) })
-		p := assemble(t, c)
+		p := startHeld(t, c)
 		release := sync.OnceFunc(func() { close(tell) })
 		t.Cleanup(release)
 		select {
@@ -65,12 +65,12 @@
 		held := make(chan struct{})
 		p.loop.post(func() { close(held); <-hold })
 		receive(t, "the loop", held)
-		silent := netip.MustParseAddrPort(backend(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
+		silent := netip.MustParseAddrPort(startBackend(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
 		p.loop.post(func() { p.loop.moveDiscovery(silent) })
 		release()
 		eventually(t, "a list behind the move", func() bool { return len(p.loop.events) >= 2 })
 		letLoop()
-		p.in(func() {})
+		p.runInLoop(func() {})
 		if h := p.loop.transport.Find(1); h != nil {
 			t.Errorf("pushed %v: the drain is not followed", pushed)
 		}
@@ -81,12 +81,12 @@
 // in step, with what time is left of the old one.
 func TestWatchIsNotRepeatedByTheLibrary(t *testing.T) {
 	t.Parallel()
-	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
+	addr := startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse("x") }))
 	calls := make(chan url.Values, 99)
 	var mu sync.Mutex
 	n := 0
-	c := &Config{Settings: settings(), KnownBackends: known(addr)}
-	c.Discovery = netip.MustParseAddrPort(backend(t, func(c net.Conn) {
+	c := &Config{Settings: testSettings(), KnownBackends: knownBackends(addr)}
+	c.Discovery = netip.MustParseAddrPort(startBackend(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
 			req, err := http.ReadRequest(r)
@@ -113,7 +113,7 @@
 			io.WriteString(c, jsonList(5, true, "ready", addr))
 		}
 	}))
-	start(t, c)
+	startNode(t, c)
 	for i, want := range []string{"1", "3000", "1"} {
 		select {
 		case q := <-calls:
@@ -131,9 +131,9 @@
 func TestPushedListIsAskedForWithinTheGrace(t *testing.T) {
 	t.Parallel()
 	const failing = 10
-	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
+	addr := startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse("x") }))
 	done := make(chan struct{})
-	c := &Config{Settings: settings(), KnownBackends: known(addr)}
+	c := &Config{Settings: testSettings(), KnownBackends: knownBackends(addr)}
 	c.Settings.ListOnRequest, c.Settings.DrainGrace = false, 500*time.Millisecond
 	hang := make(chan struct{})
 	c.Discovery = registry(t, func(n int, _ url.Values) string {
@@ -150,7 +150,7 @@
 	})
 	t.Cleanup(func() { close(hang) })
 	began := time.Now()
-	start(t, c)
+	startNode(t, c)
 	select {
 	case <-done:
 	case <-time.After(3 * patient):
@@ -167,7 +167,7 @@
 func TestNamesThatGiveOneNumber(t *testing.T) {
 	t.Parallel()
 	answers := func(text string) string {
-		return backend(t, answering(func(*http.Request, []byte) string { return ok(text) }))
+		return startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse(text) }))
 	}
 	addrs := map[string]string{"web-00000001": answers("web"), "db-00000001": answers("db"), "x-00000002": answers("x")}
 	told := func(full bool, states ...string) list {
@@ -181,7 +181,7 @@
 		}
 		return l
 	}
-	p := assemble(t, &Config{Settings: settings()})
+	p := startHeld(t, &Config{Settings: testSettings()})
 	for i, c := range []struct {
 		news list
 		want string
@@ -196,7 +196,7 @@
 		{told(false, "x-00000002", "ready", "x-00000002", "draining", "db-00000001", "draining", "db-00000001", "ready"), "db web"},
 	} {
 		var hosts []*upstream.Backend
-		p.in(func() {
+		p.runInLoop(func() {
 			p.loop.takeList(c.news)
 			for id := range p.loop.ready {
 				hosts = append(hosts, p.loop.transport.Find(id))
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -16,125 +16,6 @@
 	"time"
 )
 
-// pair returns a connection as the node has it, and its client's side.
-func pair(t *testing.T) (*admission, *clientConn, *net.TCPConn) {
-	t.Helper()
-	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer tcp.Close()
-	a := newAdmission(tcp, 1)
-	client, err := net.Dial("tcp", tcp.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	c, err := a.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { client.Close(); c.Close() })
-	client.SetDeadline(time.Now().Add(patient))
-	return a, c.(*clientConn), client.(*net.TCPConn)
-}
-
-// readOnce reads once from a connection, in a goroutine of its own.
-func readOnce(c *clientConn) chan error {
-	got := make(chan error, 1)
-	go func() {
-		_, err := c.Read(make([]byte, 4096))
-		got <- err
-	}()
-	return got
-}
-
-// readerWaits returns whether the connection's reader has seen that there is nothing to read.
-func readerWaits(c *clientConn) func() bool {
-	return func() bool { c.reading.Lock(); defer c.reading.Unlock(); return c.waiting }
-}
-
-// A connection that the node closes as idle has brought nothing that the node has read, and brings nothing from then on:
-// only then does its client know that what it has sent meanwhile may be sent again.
-func TestCloseCrossesRequest(t *testing.T) {
-	t.Parallel()
-	t.Run("request waits in the kernel", requestWaitsInKernel)
-	t.Run("request comes after the close was settled", requestComesAfterClose)
-	t.Run("quiet", quietIsClosed)
-	t.Run("evicted with a begun request", evictedWithBegunRequest)
-}
-
-func requestWaitsInKernel(t *testing.T) {
-	a, c, client := pair(t)
-	io.WriteString(client, "GET")
-	eventually(t, "come", func() bool {
-		return !c.shutQuietBack()
-	})
-	a.closeQuiet()
-	if err := receive(t, "a read", readOnce(c)); err != nil {
-		t.Error(err)
-	}
-	a.closeQuiet() // it has been read now
-	if a.openConnections() != 1 {
-		t.Error("closed under a request")
-	}
-	a.refuseRest()
-	if resp, err := http.ReadResponse(bufio.NewReader(client), nil); err != nil || resp.StatusCode != 503 {
-		t.Errorf("%v, %v", resp, err)
-	}
-	if a.openConnections() != 0 {
-		t.Error("still open")
-	}
-}
-
-func requestComesAfterClose(t *testing.T) {
-	_, c, client := pair(t)
-	got := readOnce(c)
-	eventually(t, "reading", readerWaits(c))
-	if !c.closeIfQuiet(true) {
-		t.Fatal("not shut")
-	}
-	io.WriteString(client, "GET")
-	if err := receive(t, "a read", got); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("read %v", err)
-	}
-}
-
-func quietIsClosed(t *testing.T) {
-	a, c, client := pair(t)
-	a.closeQuiet() // nobody has looked yet
-	if a.openConnections() != 1 {
-		t.Error("closed before anybody has looked")
-	}
-	got := readOnce(c)
-	eventually(t, "reading", readerWaits(c))
-	a.closeQuiet()
-	if err := receive(t, "a read", got); !errors.Is(err, net.ErrClosed) || a.openConnections() != 0 {
-		t.Errorf("read %v, %d held", err, a.openConnections())
-	}
-	if n, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the client reads %d, %v", n, err)
-	}
-}
-
-func evictedWithBegunRequest(t *testing.T) {
-	a, c, client := pair(t)
-	io.WriteString(client, "GET")
-	if err := receive(t, "a read", readOnce(c)); err != nil {
-		t.Fatal(err)
-	}
-	a.mu.Lock()
-	c.since = time.Now().Add(-minFresh)
-	old, begun := a.evictionCandidate()
-	a.mu.Unlock()
-	if old != c || !begun {
-		t.Fatalf("%v, %v", old, begun)
-	}
-	old.refuse()
-	if resp, err := http.ReadResponse(bufio.NewReader(client), nil); err != nil || resp.StatusCode != 503 {
-		t.Errorf("%v, %v", resp, err)
-	}
-}
-
 // shutQuietBack is shutQuiet(false), undone.
 func (c *clientConn) shutQuietBack() bool {
 	quiet := c.closeIfQuiet(false)
@@ -149,11 +30,11 @@
 func TestEndAnswersAll(t *testing.T) {
 	t.Parallel()
 	came := make(chan struct{}, 9)
-	c := &Config{Settings: settings()}
+	c := &Config{Settings: testSettings()}
 	for i := range c.Settings.Classes {
 		c.Settings.Classes[i].Deadline = 300 * time.Millisecond
 	}
-	silent := backend(t, func(c net.Conn) { // POSTs are never answered
+	silent := startBackend(t, func(c net.Conn) { // POSTs are never answered
 		r := bufio.NewReader(c)
 		for {
 			req, err := http.ReadRequest(r)
@@ -165,11 +46,11 @@
 				io.Copy(io.Discard, c)
 				return
 			}
-			io.WriteString(c, ok("x"))
+			io.WriteString(c, okResponse("x"))
 		}
 	})
-	c.KnownBackends = known(silent)
-	n := start(t, c)
+	c.KnownBackends = knownBackends(silent)
+	n := startNode(t, c)
 	dial := func() (net.Conn, *bufio.Reader) {
 		conn, err := net.Dial("tcp", n.addr)
 		if err != nil {
@@ -216,7 +97,7 @@
 // Of an answer and the client's going, both there, the answer is sent: select alone takes any.
 func TestAnswerGoesFirst(t *testing.T) {
 	t.Parallel()
-	p := assemble(t, &Config{Settings: settings()}) // with no backend each request is refused
+	p := startHeld(t, &Config{Settings: testSettings()}) // with no backend each request is refused
 	over := make(chan struct{})
 	close(over)
 	for range 20 {
@@ -225,9 +106,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ctx := context.WithValue(t.Context(), connKey{}, &clientConn{owner: p.door})
+		ctx := context.WithValue(t.Context(), connKey{}, &clientConn{owner: p.clients})
 		w := httptest.NewRecorder()
-		p.front.ServeHTTP(w, r.WithContext(&endsWhen{ctx, func() { p.in(func() {}) }, over}))
+		p.frontend.ServeHTTP(w, r.WithContext(&endsWhen{ctx, func() { p.runInLoop(func() {}) }, over}))
 		if w.Code != 503 {
 			t.Fatalf("status %d", w.Code)
 		}
@@ -266,10 +147,10 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(patient))
 	io.WriteString(conn, message("order", "9.5", "b"))
-	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
+	addr := startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse("x") }))
 	read := make(chan struct{}, 9)
-	c := &Config{Settings: settings(), KnownBackends: known(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 256}}
-	c.Discovery = netip.MustParseAddrPort(backend(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
+	c := &Config{Settings: testSettings(), KnownBackends: knownBackends(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 256}}
+	c.Discovery = netip.MustParseAddrPort(startBackend(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
 	c.readAgain = func() (*Config, error) { read <- struct{}{}; return nil, errors.New("bad") }
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
@@ -292,7 +173,7 @@
 	t.Parallel()
 	for _, first := range []string{"the request", "the deadline"} {
 		t.Run(first, func(t *testing.T) {
-			_, c, client := pair(t)
+			_, c, client := connPair(t)
 			over := func() { c.SetReadDeadline(time.Unix(1, 0)) }
 			if first == "the request" {
 				io.WriteString(client, "GET")
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -59,7 +59,7 @@
 // TestGoldenAnswers compares status, header and body of the answers that the node gives by itself.
 func TestGoldenAnswers(t *testing.T) {
 	t.Parallel()
-	addr := backend(t, answering(func(r *http.Request, _ []byte) string {
+	addr := startBackend(t, respondWith(func(r *http.Request, _ []byte) string {
 		if r.Header.Get("X-Correlation-Id") == "fails" {
 			return "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 3\r\n\r\nbad"
 		}
@@ -67,8 +67,8 @@
 	}))
 	const host, id, left, key, none, end = "Host: h\r\n", "X-Correlation-Id: q\r\n", "X-Time-Left: 9\r\n", "Idempotency-Key: k\r\n", "Content-Length: 0\r\n", "\r\n"
 	const get, post, head = "GET /read HTTP/1.1\r\n", "POST /order HTTP/1.1\r\n", host + id + left
-	empty := start(t, &Config{Settings: settings(), KnownBackends: known()})
-	serving := start(t, &Config{Settings: settings(), KnownBackends: known(addr)})
+	empty := startNode(t, &Config{Settings: testSettings(), KnownBackends: knownBackends()})
+	serving := startNode(t, &Config{Settings: testSettings(), KnownBackends: knownBackends(addr)})
 	serving.waitReady(t, http.StatusOK)
 	var text strings.Builder
 	for _, c := range []struct {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -26,7 +26,7 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-func settings() decide.Settings {
+func testSettings() decide.Settings {
 	class := func(name string, e decide.Effect) decide.Class {
 		return decide.Class{Name: name, Value: 1, Target: 5 * time.Second, Deadline: 10 * time.Second, Effect: e,
 			KeyScope: decide.ScopeCell, DedupWindow: 8 * time.Second}
@@ -40,7 +40,7 @@
 }
 
 // backend is a listener on a port that the kernel chose. Each connection is handed to serve.
-func backend(t *testing.T, serve func(net.Conn)) string {
+func startBackend(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -88,7 +88,7 @@
 }
 
 // answering reads requests and writes what reply says, until it says nothing.
-func answering(reply func(*http.Request, []byte) string) func(net.Conn) {
+func respondWith(reply func(*http.Request, []byte) string) func(net.Conn) {
 	return func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
@@ -106,11 +106,11 @@
 	}
 }
 
-func ok(body string) string {
+func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func known(addrs ...string) list {
+func knownBackends(addrs ...string) list {
 	l := list{version: 1, full: true}
 	for i, a := range addrs {
 		l.entries = append(l.entries, entry{name: fmt.Sprintf("s-%08x", i+1), addr: a, Backend: decide.Backend{ID: decide.BackendID(i + 1), Zone: "z", State: decide.Ready, Size: 1}})
@@ -126,7 +126,7 @@
 	ended chan error
 }
 
-func start(t *testing.T, c *Config) *testNode {
+func startNode(t *testing.T, c *Config) *testNode {
 	t.Helper()
 	// The listener is handed over: a port that is chosen, freed and taken again may be another's in between.
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -137,7 +137,7 @@
 		c.Limits = Limits{Cores: 1, MemoryMB: 192, Sockets: 256}
 	}
 	if !c.Discovery.IsValid() {
-		c.Discovery = netip.MustParseAddrPort(backend(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
+		c.Discovery = netip.MustParseAddrPort(startBackend(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	n := &testNode{addr: tcp.Addr().String(), hup: make(chan os.Signal), stop: stop, ended: make(chan error, 1)}
@@ -172,7 +172,7 @@
 
 // askServed is ask by a client that comes again after a refusal, when it was asked to. On a machine that is held up, answers
 // seem slow, and the module may refuse for a moment what would be served.
-func (n *testNode) askServed(t *testing.T, text string) (*http.Response, string) {
+func (n *testNode) askUntilServed(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
 	for end := time.Now().Add(patient); ; {
 		resp, body := n.ask(t, text)
@@ -245,14 +245,14 @@
 }
 
 // parts is a node whose parts a test can hold still.
-type parts struct {
-	loop  *loop
-	front *frontend
-	door  *admission
-	addr  string
+type heldNode struct {
+	loop     *loop
+	frontend *frontend
+	clients  *admission
+	addr     string
 }
 
-func assemble(t *testing.T, c *Config) *parts {
+func startHeld(t *testing.T, c *Config) *heldNode {
 	t.Helper()
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -264,8 +264,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	b := newTransport(c, 100, quiet)
 	l := newLoop(ctx, c, b, newDiscovery(c.Discovery, quiet), nil, quiet)
-	p := &parts{loop: l, front: newFrontend(l, 1<<20, quiet), door: newAdmission(tcp, 100), addr: tcp.Addr().String()}
-	srv := p.front.server(p.door)
+	p := &heldNode{loop: l, frontend: newFrontend(l, 1<<20, quiet), clients: newAdmission(tcp, 100), addr: tcp.Addr().String()}
+	srv := p.frontend.server(p.clients)
 	ended := make(chan struct{}, 3)
 	t.Cleanup(func() {
 		stop()
@@ -277,12 +277,12 @@
 	})
 	go func() { l.run(c.KnownBackends); ended <- struct{}{} }()
 	go func() { b.Run(ctx); ended <- struct{}{} }()
-	go func() { srv.Serve(p.door); ended <- struct{}{} }()
+	go func() { srv.Serve(p.clients); ended <- struct{}{} }()
 	return p
 }
 
 // in runs f in the loop and waits for it.
-func (p *parts) in(f func()) {
+func (p *heldNode) runInLoop(f func()) {
 	done := make(chan struct{})
 	p.loop.post(func() { f(); close(done) })
 	<-done
--- a/internal/node/left_test.go
+++ b/internal/node/left_test.go
@@ -16,7 +16,7 @@
 )
 
 // ways are those in which a client leaves.
-var ways = map[string]func(*net.TCPConn){
+var waysToLeave = map[string]func(*net.TCPConn){
 	"closes":           func(c *net.TCPConn) { c.Close() },
 	"resets":           func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	"stops sending":    func(c *net.TCPConn) { c.CloseWrite() },
@@ -30,7 +30,7 @@
 	t.Parallel()
 	for _, at := range []stage{queued, connecting, furtherAttempt, furtherAttemptQueued} {
 		for _, class := range []string{"read", "tag", "order"} {
-			for name, leave := range ways {
+			for name, leave := range waysToLeave {
 				for _, cancel := range []bool{false, true} {
 					body := "b"
 					if class == "read" {
@@ -91,7 +91,7 @@
 	if r.Header.Get("X-Correlation-Id") != "other" {
 		b.t.Errorf("sent on: %v", r.Header)
 	}
-	return ok("x")
+	return okResponse("x")
 }
 
 // holdDials holds back the dials to backends, but for the first one if passFirst, until released. Each one that is held
@@ -116,7 +116,7 @@
 }
 
 // holdLoop holds the loop from a call of hold until a call of release.
-func holdLoop(t *testing.T, p *parts) (hold, release func()) {
+func holdLoop(t *testing.T, p *heldNode) (hold, release func()) {
 	t.Helper()
 	let := make(chan struct{})
 	release = sync.OnceFunc(func() { close(let) })
@@ -133,10 +133,10 @@
 	serving := &leavingBackend{t: t, stage: at, first: make(chan struct{}, 1), came: make(chan struct{}, 9), full: make(chan struct{})}
 	serving.first <- struct{}{}
 	answerFull := sync.OnceFunc(func() { close(serving.full) })
-	serve := answering(serving.respond)
-	c := &Config{Settings: settings(), KnownBackends: known(backend(t, serve), backend(t, serve))}
+	serve := respondWith(serving.respond)
+	c := &Config{Settings: testSettings(), KnownBackends: knownBackends(startBackend(t, serve), startBackend(t, serve))}
 	c.Settings.MayCancel, c.Settings.ListOnRequest = cancel, true
-	p := assemble(t, c)
+	p := startHeld(t, c)
 	t.Cleanup(answerFull)
 	b := p.loop.transport
 	var dials chan struct{}
@@ -166,9 +166,9 @@
 		receive(t, "a dial", dials)
 	}
 	leave(conn.(*net.TCPConn))
-	eventually(t, "noticed", func() bool { return p.front.stats.clientsGone.Load() == 1 })
+	eventually(t, "noticed", func() bool { return p.frontend.stats.clientsGone.Load() == 1 })
 	releaseLoop()
-	over := func() (over bool) { p.in(func() { over = len(p.loop.requests) == 0 }); return }
+	over := func() (over bool) { p.runInLoop(func() { over = len(p.loop.requests) == 0 }); return }
 	if at.connects() { // nothing is awaited any more
 		eventually(t, "over", over)
 	}
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -51,14 +51,14 @@
 	}
 	request := message("read", "9.5", "")
 	t.Run("turned away", func(t *testing.T) {
-		_, c, client := pair(t)
+		_, c, client := connPair(t)
 		io.WriteString(client, request)
 		came(t, c.TCPConn)
 		turnAway(c.TCPConn)
 		reads(t, client, 503)
 	})
 	t.Run("cut at the end", func(t *testing.T) {
-		a, c, client := pair(t)
+		a, c, client := connPair(t)
 		io.WriteString(client, request)
 		came(t, c.TCPConn)
 		a.refuseRest()
@@ -66,7 +66,7 @@
 	})
 	for name, text := range map[string]string{"rejected": "GET /read HTTP/1.1\r\nHost: h\r\n\r\n", "malformed": "\x16\x03\x01\r\n\r\n"} {
 		t.Run(name, func(t *testing.T) {
-			p := assemble(t, &Config{Settings: settings()})
+			p := startHeld(t, &Config{Settings: testSettings()})
 			conn, err := net.Dial("tcp", p.addr)
 			if err != nil {
 				t.Fatal(err)
@@ -79,7 +79,7 @@
 }
 
 // lateDials gives a client's connection to a node whose connections to backends come up when they are let to.
-func lateDials(t *testing.T, p *parts) (client net.Conn, dials, let chan struct{}) {
+func lateDials(t *testing.T, p *heldNode) (client net.Conn, dials, let chan struct{}) {
 	t.Helper()
 	dials, let = make(chan struct{}, 9), make(chan struct{}, 9)
 	wrapDial(p.loop.transport, func(dial upstream.DialFunc) upstream.DialFunc {
@@ -103,24 +103,24 @@
 
 // A backend is told no more time than is left to the client, however long a connection took to come up and whatever an
 // earlier attempt has used.
-func TestTimeTold(t *testing.T) {
+func TestTimeLeftIsPassedOn(t *testing.T) {
 	t.Parallel()
 	const patience, gap = 9.5, 100 * time.Millisecond
 	told := make(chan string, 9)
 	first := make(chan struct{}, 1)
 	first <- struct{}{}
 	turn := make(chan struct{})
-	serve := answering(func(r *http.Request, _ []byte) string {
+	serve := respondWith(func(r *http.Request, _ []byte) string {
 		told <- r.Header.Get("X-Time-Left")
 		select {
 		case <-first:
 			<-turn
 			return "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 		default:
-			return ok("x")
+			return okResponse("x")
 		}
 	})
-	p := assemble(t, &Config{Settings: settings(), KnownBackends: known(backend(t, serve), backend(t, serve))})
+	p := startHeld(t, &Config{Settings: testSettings(), KnownBackends: knownBackends(startBackend(t, serve), startBackend(t, serve))})
 	conn, dials, let := lateDials(t, p)
 	var sent time.Time
 	left := func(attempt string, since time.Time) {
@@ -163,11 +163,11 @@
 			c.(*net.TCPConn).SetLinger(0)
 		}
 	}
-	c := &Config{Settings: settings(), KnownBackends: known(backend(t, serve), backend(t, serve))}
+	c := &Config{Settings: testSettings(), KnownBackends: knownBackends(startBackend(t, serve), startBackend(t, serve))}
 	for i := range c.Settings.Classes {
 		c.Settings.Classes[i].DedupWindow = window
 	}
-	p := assemble(t, c)
+	p := startHeld(t, c)
 	conn, dials, let := lateDials(t, p)
 	io.WriteString(conn, message("tag", "9.5", "b"))
 	receive(t, "a dial", dials)
@@ -197,10 +197,10 @@
 		"silent":  func(c net.Conn) { io.Copy(io.Discard, c) },
 		"refuses": nil,
 		"resets":  func(c net.Conn) { c.(*net.TCPConn).SetLinger(0) },
-		"503": answering(func(*http.Request, []byte) string {
+		"503": respondWith(func(*http.Request, []byte) string {
 			return "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
 		}),
-		"no list": answering(func(*http.Request, []byte) string { return ok("what") }),
+		"no list": respondWith(func(*http.Request, []byte) string { return okResponse("what") }),
 		"drips": func(c net.Conn) {
 			if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{")
@@ -211,20 +211,20 @@
 		for _, pushed := range []bool{false, true} {
 			t.Run(name+map[bool]string{true: ", pushed"}[pushed], func(t *testing.T) {
 				t.Parallel()
-				c := &Config{Settings: settings()}
+				c := &Config{Settings: testSettings()}
 				c.Settings.ListOnRequest = !pushed
-				c.KnownBackends = known(backend(t, answering(func(*http.Request, []byte) string { return ok("x") })))
+				c.KnownBackends = knownBackends(startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse("x") })))
 				c.Discovery = netip.MustParseAddrPort(closed.Addr().String())
 				if serve != nil {
-					c.Discovery = netip.MustParseAddrPort(backend(t, serve))
+					c.Discovery = netip.MustParseAddrPort(startBackend(t, serve))
 				}
 				began := time.Now()
-				n := start(t, c)
+				n := startNode(t, c)
 				n.waitReady(t, 200)
 				if took := time.Since(began); took >= callTimeout { // longer than a call is waited for
 					t.Errorf("ready after %v", took)
 				}
-				if resp, _ := n.askServed(t, message("order", "9.5", "b")); resp.StatusCode != 200 {
+				if resp, _ := n.askUntilServed(t, message("order", "9.5", "b")); resp.StatusCode != 200 {
 					t.Errorf("status %d", resp.StatusCode)
 				}
 			})
@@ -238,7 +238,7 @@
 	t.Parallel()
 	for _, reset := range []bool{true, false} {
 		read := make(chan struct{})
-		addr := backend(t, func(c net.Conn) {
+		addr := startBackend(t, func(c net.Conn) {
 			if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 				return
 			}
@@ -248,12 +248,12 @@
 				c.(*net.TCPConn).SetLinger(0)
 			}
 		})
-		b := newTransport(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
+		b := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
 		b.SetDial(func(_ context.Context, network, addr string, _ time.Time) (net.Conn, error) {
 			c, err := net.Dial(network, addr)
 			return &tellsOfReads{c.(*net.TCPConn), read, false}, err
 		})
-		b.update(known(addr))
+		b.update(knownBackends(addr))
 		r := b.do(t.Context(), b.Find(1), get(patient))
 		if r.code != decide.Reset || len(r.body) > 0 || r.clientStatus != 0 {
 			t.Errorf("reset %v: %v, %q (%v)", reset, r.code, r.body, r.err)
@@ -284,8 +284,8 @@
 func TestFloodBehindARequestIsCut(t *testing.T) {
 	t.Parallel()
 	came, let := make(chan struct{}, 9), make(chan struct{})
-	addr := backend(t, answering(func(*http.Request, []byte) string { came <- struct{}{}; <-let; return ok("x") }))
-	n := start(t, &Config{Settings: settings(), KnownBackends: known(addr)})
+	addr := startBackend(t, respondWith(func(*http.Request, []byte) string { came <- struct{}{}; <-let; return okResponse("x") }))
+	n := startNode(t, &Config{Settings: testSettings(), KnownBackends: knownBackends(addr)})
 	t.Cleanup(func() { close(let) })
 	conn, err := net.Dial("tcp", n.addr)
 	if err != nil {
@@ -329,9 +329,9 @@
 	if !full {
 		t.Fatal("connections come up still")
 	}
-	c := &Config{Settings: settings(), KnownBackends: known(l.Addr().String())}
+	c := &Config{Settings: testSettings(), KnownBackends: knownBackends(l.Addr().String())}
 	c.Settings.ConnectTimeout, c.Settings.MaxAttempts = 200*time.Millisecond, 1
-	n := start(t, c)
+	n := startNode(t, c)
 	began := time.Now()
 	if resp, _ := n.ask(t, message("order", "19.5", "b")); resp.StatusCode != 503 {
 		t.Errorf("status %d", resp.StatusCode)
--- a/internal/node/transport_test.go
+++ b/internal/node/transport_test.go
@@ -26,15 +26,15 @@
 		status int
 		code   decide.OutcomeCode
 	}{
-		"served":           {ok("x"), 200, decide.OK},
+		"served":           {okResponse("x"), 200, decide.OK},
 		"chunked":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", 200, decide.OK},
-		"interim":          {"HTTP/1.1 103 Early Hints\r\n\r\n" + ok("x"), 200, decide.OK},
-		"many interim":     {strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 20) + ok("x"), 200, decide.OK},
+		"interim":          {"HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse("x"), 200, decide.OK},
+		"many interim":     {strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 20) + okResponse("x"), 200, decide.OK},
 		"endless interim":  {strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 1<<15), 502, decide.Reset},
-		"another protocol": {"HTTP/1.1 101 Switching Protocols\r\n\r\n" + ok("x"), 502, decide.Reset},
-		"copy behind":      {ok("x") + ok("x"), 200, decide.OK},
-		"part of a copy":   {ok("x") + "HTT", 200, decide.OK},
-		"noise behind":     {ok("x") + "\x8e1\xc0", 502, decide.Reset},
+		"another protocol": {"HTTP/1.1 101 Switching Protocols\r\n\r\n" + okResponse("x"), 502, decide.Reset},
+		"copy behind":      {okResponse("x") + okResponse("x"), 200, decide.OK},
+		"part of a copy":   {okResponse("x") + "HTT", 200, decide.OK},
+		"noise behind":     {okResponse("x") + "\x8e1\xc0", 502, decide.Reset},
 		"short length":     {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nabcd", 502, decide.Reset},
 		"short by much":    {"HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + strings.Repeat("x", 20000), 502, decide.Reset},
 		"two lengths":      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 4\r\n\r\nabcd", 502, decide.Reset},
@@ -53,23 +53,23 @@
 		"truncated chunk":  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nx", 502, decide.Reset},
 		"no end":           {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nx", 502, decide.Reset},
 		"huge header":      {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<20) + "\r\nContent-Length: 1\r\n\r\nx", 502, decide.Reset},
-		"large":            {ok(strings.Repeat("x", 6*maxBody)), 200, decide.OK},
-		"too large":        {ok(strings.Repeat("x", maxAnswerBody+1)), 502, decide.Reset},
+		"large":            {okResponse(strings.Repeat("x", 6*maxBody)), 200, decide.OK},
+		"too large":        {okResponse(strings.Repeat("x", maxAnswerBody+1)), 502, decide.Reset},
 		"too large chunks": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("10000\r\n"+strings.Repeat("x", 1<<16)+"\r\n", 20), 502, decide.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr := backend(t, func(conn net.Conn) {
+			addr := startBackend(t, func(conn net.Conn) {
 				if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
 					io.WriteString(conn, c.reply)
 				}
 			})
-			b := newTransport(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
-			b.update(known(addr))
+			b := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
+			b.update(knownBackends(addr))
 			if r := b.do(t.Context(), b.Find(1), get(patient)); r.code != c.code {
 				t.Errorf("outcome %v (%v), want %v", r.code, r.err, c.code)
 			}
-			n := start(t, &Config{Settings: settings(), KnownBackends: known(addr)})
+			n := startNode(t, &Config{Settings: testSettings(), KnownBackends: knownBackends(addr)})
 			if resp, _ := n.ask(t, message("order", "9.5", "")); resp.StatusCode != c.status {
 				t.Errorf("status %d, want %d", resp.StatusCode, c.status)
 			}
@@ -86,7 +86,7 @@
 func TestNoHiddenResend(t *testing.T) {
 	t.Parallel()
 	var got atomic.Int64
-	addr := backend(t, func(c net.Conn) {
+	addr := startBackend(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for n := 0; ; n++ {
 			if _, err := http.ReadRequest(r); err != nil {
@@ -96,10 +96,10 @@
 			if n == 1 {
 				return
 			}
-			io.WriteString(c, ok("x"))
+			io.WriteString(c, okResponse("x"))
 		}
 	})
-	n := start(t, &Config{Settings: settings(), KnownBackends: known(addr)})
+	n := startNode(t, &Config{Settings: testSettings(), KnownBackends: knownBackends(addr)})
 	for i, want := range []int{200, 503} {
 		if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode != want {
 			t.Errorf("request %d: status %d, want %d", i, resp.StatusCode, want)
@@ -117,18 +117,18 @@
 	for name, more := range map[string]string{"copy": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", "start of one": "HTTP/1"} {
 		for _, late := range []time.Duration{0, minRest / 2, 10 * minRest} {
 			sent := make(chan struct{}, 9)
-			addr := backend(t, inPieces(func(c net.Conn) {
+			addr := startBackend(t, inPieces(func(c net.Conn) {
 				if late == 0 {
-					io.WriteString(c, ok("right")+more)
+					io.WriteString(c, okResponse("right")+more)
 				} else {
-					io.WriteString(c, ok("right"))
+					io.WriteString(c, okResponse("right"))
 					time.Sleep(late)
 					io.WriteString(c, more)
 				}
 				sent <- struct{}{}
 			}))
-			b := newTransport(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
-			b.update(known(addr))
+			b := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
+			b.update(knownBackends(addr))
 			for range 3 {
 				if r := b.do(t.Context(), b.Find(1), get(patient)); r.code != decide.OK || string(r.body) != "right" {
 					t.Errorf("%s after %v: %v %q", name, late, r.code, r.body)
@@ -149,9 +149,9 @@
 // A connection rests after an answer: what comes right behind it may come only when it would be in use again.
 func TestRest(t *testing.T) {
 	t.Parallel()
-	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
-	b := newTransport(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
-	b.update(known(addr))
+	addr := startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse("x") }))
+	b := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
+	b.update(knownBackends(addr))
 	h := b.Find(1)
 	opened := 0
 	for _, rested := range []time.Duration{0, 0, minRest} {
@@ -207,13 +207,13 @@
 // on its connections.
 func TestAddressTakenOver(t *testing.T) {
 	t.Parallel()
-	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
-	b := newTransport(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
-	b.update(known(addr))
+	addr := startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse("x") }))
+	b := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
+	b.update(knownBackends(addr))
 	if r := b.do(t.Context(), b.Find(1), get(patient)); r.code != decide.OK || b.Open() != 1 {
 		t.Fatalf("%v, %d open", r.code, b.Open())
 	}
-	news := known(addr, addr)
+	news := knownBackends(addr, addr)
 	news.entries[1].StartedAt = 1
 	for _, full := range []bool{false, true} {
 		news.full = full
@@ -232,8 +232,8 @@
 // A machine that says nothing when connected to takes a part of the descriptors only.
 func TestDialsBounded(t *testing.T) {
 	t.Parallel()
-	b := newTransport(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 16, quiet)
-	b.update(known("127.0.0.1:1"))
+	b := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 16, quiet)
+	b.update(knownBackends("127.0.0.1:1"))
 	h := b.Find(1)
 	const most = 2
 	dials, let := make(chan struct{}, most), make(chan struct{})
@@ -263,16 +263,16 @@
 func TestIdleClosedByBackend(t *testing.T) {
 	t.Parallel()
 	closed := make(chan struct{}, 9)
-	addr := backend(t, func(c net.Conn) {
+	addr := startBackend(t, func(c net.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-			io.WriteString(c, ok("x"))
+			io.WriteString(c, okResponse("x"))
 		}
 		c.Close()
 		closed <- struct{}{}
 	})
-	n := start(t, &Config{Settings: settings(), KnownBackends: known(addr)})
+	n := startNode(t, &Config{Settings: testSettings(), KnownBackends: knownBackends(addr)})
 	for range 5 {
-		if resp, _ := n.askServed(t, message("order", "9.5", "")); resp.StatusCode != 200 {
+		if resp, _ := n.askUntilServed(t, message("order", "9.5", "")); resp.StatusCode != 200 {
 			t.Fatalf("status %d", resp.StatusCode)
 		}
 		receive(t, "the close", closed)
@@ -283,10 +283,10 @@
 func TestLookAgainBeforeWriting(t *testing.T) {
 	t.Parallel()
 	var got atomic.Int64
-	addr := backend(t, answering(func(*http.Request, []byte) string { got.Add(1); return ok("x") }))
+	addr := startBackend(t, respondWith(func(*http.Request, []byte) string { got.Add(1); return okResponse("x") }))
 	fresh := func() (*transport, *upstream.Backend) {
-		b := newTransport(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
-		b.update(known(addr))
+		b := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
+		b.update(knownBackends(addr))
 		return b, b.Find(1)
 	}
 	for name, c := range map[string]struct {
@@ -294,13 +294,13 @@
 		want   decide.OutcomeCode
 	}{
 		"draining": {func(b *transport, _ *exchange, _ context.CancelFunc) {
-			l := known(addr)
+			l := knownBackends(addr)
 			l.full, l.entries[0].State = false, decide.Draining
 			b.update(l)
 		}, decide.ConnectFailed},
 		"gone from the list": {func(b *transport, _ *exchange, _ context.CancelFunc) { b.update(list{full: true}) }, decide.ConnectFailed},
 		"restarted": {func(b *transport, _ *exchange, _ context.CancelFunc) {
-			l := known(addr)
+			l := knownBackends(addr)
 			l.entries[0].StartedAt = 1
 			b.update(l)
 		}, decide.ConnectFailed},
@@ -335,15 +335,15 @@
 // A refused connection never ran, and the bound on connections is kept, by closing idle ones first.
 func TestConnecting(t *testing.T) {
 	t.Parallel()
-	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
-	other := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
+	addr := startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse("x") }))
+	other := startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse("x") }))
 	refused, err := net.Dial("tcp", addr) // nobody listens at its own end, and nobody else can
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer refused.Close()
-	b := newTransport(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 1, quiet)
-	b.update(known(addr, other, refused.LocalAddr().String()))
+	b := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 1, quiet)
+	b.update(knownBackends(addr, other, refused.LocalAddr().String()))
 	for i, want := range map[decide.BackendID]decide.OutcomeCode{1: decide.OK, 2: decide.OK, 3: decide.ConnectFailed, 4: decide.ConnectFailed} {
 		if r := b.do(t.Context(), b.Find(i), get(patient)); r.code != want {
 			t.Errorf("backend %d: %v (%v)", i, r.code, r.err)
@@ -367,10 +367,10 @@
 // again. One that has answered in the meantime keeps them.
 func TestSilenceClosesIdle(t *testing.T) {
 	t.Parallel()
-	addr := backend(t, func(c net.Conn) { io.Copy(io.Discard, c) })
+	addr := startBackend(t, func(c net.Conn) { io.Copy(io.Discard, c) })
 	for heard, want := range map[bool]int{false: 0, true: 1} {
-		b := newTransport(&Config{Settings: settings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
-		b.update(known(addr))
+		b := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
+		b.update(knownBackends(addr))
 		h := b.Find(1)
 		var conns [2]*upstream.Conn
 		for i := range conns {
