--- a/decide/checker_test.go
+++ b/decide/checker_test.go
@@ -2,15 +2,17 @@
 
 import "nickelline/decide"
 
-// sameGroup is the checker's own reading of the scopes.
+// sameScope reports whether two backends share knowledge of keys: the checker's own reading of the scopes.
 func sameScope(s decide.Scope, a, b *listed) bool {
 	return s == decide.ScopeAll || s == decide.ScopeZone && a.Zone == b.Zone || s == decide.ScopeCell && a.Cell == b.Cell
 }
 
+// neverRan reports whether an outcome proves that the attempt never ran.
 func neverRan(c decide.OutcomeCode) bool {
 	return c == decide.Full || c == decide.ConnectFailed || c == decide.NotSent
 }
 
+// checkSend records each rule that a send breaks.
 func (w *world) checkSend(q *liveRequest, a decide.Send) {
 	s := w.backends[a.Backend]
 	if s == nil {
@@ -58,6 +60,7 @@
 	}
 }
 
+// final records the final answer of a request, and a fault if it is not the first.
 func (w *world) final(id decide.RequestID) *liveRequest {
 	q := w.requests[id]
 	if q == nil {
--- a/decide/peers.go
+++ b/decide/peers.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// sizeRequestFanout is the number of nodes that are asked at once: some may be new themselves, or partitioned off.
+	// sizeRequestFanout is the number of nodes that are asked at once: some may be new themselves, or
+	// unreachable.
 	sizeRequestFanout = 3
 	// maxSizeRequests is how often a node asks, unless it gets an answer.
 	maxSizeRequests = 4
--- a/decide/world_test.go
+++ b/decide/world_test.go
@@ -1,7 +1,7 @@
 package decide_test
 
-// A small world that drives the module through legal but unkind events, and an independent checker of the
-// rules. Nothing here uses the module's own code beyond its interface.
+// A small simulation that drives the module through legal but unkind events. With the checker of the rules in
+// checker_test.go it uses nothing of the module beyond its interface.
 
 import (
 	"fmt"
