--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"reflect"
 	"strings"
 	"testing"
 	"time"
@@ -19,34 +20,42 @@
 "charges":{"cross_zone":0.02,"membership_mode":0.5},"goal":{"whole":0.6,"worst_window":0.4},"family":"proxy","tiers":["a","b"],
 "tier":1,"specifics":{"warm_keys":true},"zone":"n","key_of_tomorrow":[1]}}}`
 
+// batch returns a line with events of one instance.
 func batch(events string) string {
 	return `{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[` + events + `]}]}`
 }
 
+// one decodes a line with one event.
 func one(t *testing.T, event string) Event {
 	t.Helper()
 	b, err := DecodeBatch([]byte(batch(event)))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("decode %s: %v", event, err)
 	}
 	return b.Groups[0].Events[0]
 }
 
 func TestStart(t *testing.T) {
-	h := one(t, strings.ReplaceAll(start, "\n", ""))
-	s := h.Start.Settings
-	if h.Start.Seed != 9007199254740993 || s.Nodes != 3 || s.Self != 2 || !s.ListOnRequest || !s.SizeLive || !s.MayOverlap ||
-		s.ReportVia != decide.ReportAnswers || s.DrainGrace != 500*time.Millisecond || s.OverloadFactor != 2.5 {
-		t.Errorf("%+v", h.Start)
+	got := one(t, strings.ReplaceAll(start, "\n", "")).Start
+	if want := int64(9007199254740993); got.Seed != want {
+		t.Errorf("seed: got %d, want %d", got.Seed, want)
 	}
-	if s.CPUPerSecond != 15*time.Millisecond || s.CPUPerRequest != 2500*time.Nanosecond || s.MaxOpen != 9 || s.ConnIdle != 5 ||
-		s.StreamsPerConn != 100 || s.Prices != (decide.Prices{CrossZone: 0.02, ListLines: 0.5}) || s.Tier != 1 || len(s.Tiers) != 2 ||
-		s.Goal != (decide.Goal{Whole: 0.6, WorstWindow: 0.4}) || s.Family != "proxy" || !s.WarmKeys || s.PassesDeadline {
-		t.Errorf("%+v", s)
+	want := decide.Settings{
+		Nodes: 3, Self: 2, Zone: "n", Zones: []string{"n"}, Family: "proxy", Tier: 1, Tiers: []string{"a", "b"},
+		MaxAttempts: 4, MayOverlap: true, MayCancel: true, MayProbe: true, MayMessage: true,
+		MayRetryAfter: true, MaxRetryAfter: 2 * time.Second, ConnectTimeout: 250 * time.Millisecond,
+		MinTick: 5 * time.Millisecond, ListOnRequest: true, SizeKnown: true, SizeLive: true, WarmKeys: true,
+		ReportVia: decide.ReportAnswers, ReportFields: []string{"active"},
+		StreamsPerConn: 100, ConnIdle: 5, MaxOpen: 9, CPUPerSecond: 15 * time.Millisecond, CPUPerRequest: 2500 * time.Nanosecond,
+		Goal: decide.Goal{Whole: 0.6, WorstWindow: 0.4}, Prices: decide.Prices{CrossZone: 0.02, ListLines: 0.5},
+		AnswerSlack: 20 * time.Millisecond, MaxListAge: 10 * time.Second, DrainGrace: 500 * time.Millisecond,
+		ColdFrom: 0.32, ColdTime: 8300 * time.Millisecond, OverloadFactor: 2.5, OverloadTime: time.Second,
+		Tenants: []decide.Tenant{{Name: "a", Quota: 5, Share: 0.5}},
+		Classes: []decide.Class{{Name: "x", Value: 12, Target: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond,
+			LateValue: 0.5, Effect: decide.Keyed, KeyScope: decide.ScopeCell, DedupWindow: 8, Streamed: true}},
 	}
-	c := s.Classes[0]
-	if c.Effect != decide.Keyed || c.KeyScope != decide.ScopeCell || c.Value != 12 || !c.Streamed || c.Deadline != 1200*time.Millisecond {
-		t.Errorf("%+v", c)
+	if !reflect.DeepEqual(got.Settings, want) {
+		t.Errorf("settings: got\n%+v\nwant\n%+v", got.Settings, want)
 	}
 }
 
@@ -57,7 +66,8 @@
 			"feedback":{"active":7,"unheard_of":3,"waiting":2}}}`)
 		e := h.Module.(decide.AttemptEnded)
 		if e.Code != want || e.Attempt != 1 || e.Backend != 7 || e.Over || e.Report.InFlight != 7 || e.Report.Queue != 2 {
-			t.Errorf("code %s: %+v", code, e)
+			t.Errorf("code %s: got %+v with report %+v, want code %d, attempt 1 at backend 7, 7 in flight, 2 in the queue",
+				code, e, e.Report, want)
 		}
 	}
 }
@@ -65,14 +75,14 @@
 func TestReportWithNoKnownFieldIsNone(t *testing.T) {
 	h := one(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
 	if e := h.Module.(decide.AttemptEnded); e.Report != nil {
-		t.Errorf("%+v", e.Report)
+		t.Errorf("report without known fields: got %+v, want none", e.Report)
 	}
 }
 
 func TestEmptyBatch(t *testing.T) {
 	b, err := DecodeBatch([]byte(`{"sim_time_ns":8412250000,"groups":[]}`))
 	if err != nil || len(b.Groups) != 0 || string(AppendReply(nil, nil)) != "{\"groups\":[]}\n" {
-		t.Error(b, err)
+		t.Errorf("empty batch: got %+v, %v, want no groups and an empty reply", b, err)
 	}
 }
 
@@ -95,7 +105,7 @@
 		batch(`{"up":{"seed":1,"profile_data":{"classes":[{"name":"x","effect":"odd","key_scope":"all"}]}}}`): "unknown effect",
 	} {
 		if _, err := DecodeBatch([]byte(in)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want %q", in, err, want)
+			t.Errorf("%s: got error %v, want %q", in, err, want)
 		}
 	}
 }
