--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -26,6 +26,7 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
+// testSettings returns settings with a safe, a keyed and an unsafe class.
 func testSettings() decide.Settings {
 	class := func(name string, e decide.Effect) decide.Class {
 		return decide.Class{Name: name, Value: 1, Target: 5 * time.Second, Deadline: 10 * time.Second, Effect: e,
@@ -39,7 +40,7 @@
 		Classes:    []decide.Class{class("read", decide.Safe), class("tag", decide.Keyed), class("order", decide.Unsafe)}}
 }
 
-// backend is a listener on a port that the kernel chose. Each connection is handed to serve.
+// startBackend listens on a port that the kernel chooses, and returns its address. Each connection is handed to serve.
 func startBackend(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,7 +88,7 @@
 	}
 }
 
-// answering reads requests and writes what reply says, until it says nothing.
+// respondWith returns a function that reads requests and writes what reply returns, until that is nothing.
 func respondWith(reply func(*http.Request, []byte) string) func(net.Conn) {
 	return func(c net.Conn) {
 		r := bufio.NewReader(c)
@@ -106,10 +107,12 @@
 	}
 }
 
+// okResponse returns an answer with a body.
 func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
+// knownBackends returns a whole list of ready backends at the addresses.
 func knownBackends(addrs ...string) list {
 	l := list{version: 1, full: true}
 	for i, a := range addrs {
@@ -118,7 +121,7 @@
 	return l
 }
 
-// node is a running node.
+// testNode is a running node.
 type testNode struct {
 	addr  string
 	hup   chan os.Signal
@@ -126,6 +129,7 @@
 	ended chan error
 }
 
+// startNode starts a node, which the end of the test stops.
 func startNode(t *testing.T, c *Config) *testNode {
 	t.Helper()
 	// The listener is handed over: a port that is chosen, freed and taken again may be another's in between.
@@ -148,6 +152,7 @@
 
 var ids atomic.Int64
 
+// message returns a request of a class whose client waits for so many seconds.
 func message(class, left, body string) string {
 	method, key := "GET", ""
 	if class != "read" {
@@ -231,6 +236,7 @@
 	return resp, string(body), nil
 }
 
+// waitReady waits until the check of readiness answers with a status.
 func (n *testNode) waitReady(t *testing.T, want int) {
 	t.Helper()
 	for end := time.Now().Add(patient); ; time.Sleep(5 * time.Millisecond) {
@@ -244,7 +250,7 @@
 	}
 }
 
-// parts is a node whose parts a test can hold still.
+// heldNode is a node whose loop, frontend and admission a test reaches directly.
 type heldNode struct {
 	loop     *loop
 	frontend *frontend
@@ -252,6 +258,7 @@
 	addr     string
 }
 
+// startHeld starts a node without messages, statistics and draining.
 func startHeld(t *testing.T, c *Config) *heldNode {
 	t.Helper()
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -281,7 +288,7 @@
 	return p
 }
 
-// in runs f in the loop and waits for it.
+// runInLoop runs f in the loop and waits for it.
 func (p *heldNode) runInLoop(f func()) {
 	done := make(chan struct{})
 	p.loop.post(func() { f(); close(done) })
@@ -295,6 +302,7 @@
 	b.SetDial(wrap(before))
 }
 
+// eventually waits until holds returns true, and fails the test if it does not in time.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patient); !holds(); time.Sleep(time.Millisecond) {
