--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -2,13 +2,10 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"net"
 	"net/http"
 	"net/netip"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
@@ -30,25 +27,23 @@
 	idleTimeout  = 30 * time.Second
 	readTimeout  = 5 * time.Second
 	writeTimeout = 5 * time.Second
-	// shutdownTime is how long calls under way may take when the server stops.
+	// shutdownTimeout bounds the calls in progress when the server stops.
 	shutdownTimeout = time.Second
-	// retryAfter is the pause that a caller is told, in seconds, when its call was certainly not carried out.
-	retryAfterSeconds = "0.3"
 )
 
 // api serves the operator's calls over HTTP.
 type api struct {
 	service *service // nil at a node without a replica
 	status  func() controlapi.Status
-	// other gives the address of a node with a replica.
+	// other returns the operator's address of a node with a replica, and whether one is known.
 	other  func() (netip.AddrPort, bool)
 	server *server.Hertz
 }
 
-// silenceLibrary keeps the HTTP library's own messages out of the log.
+// disableLibraryLog keeps the HTTP library's own messages out of the log.
 var disableLibraryLog = sync.OnceFunc(func() { hlog.SetLevel(hlog.LevelFatal) })
 
-// newAPI makes the server on a listener that is open already.
+// newAPI returns a server on a listener that is open already. It closes the listener when it stops.
 func newAPI(listener net.Listener, s *service, status func() controlapi.Status, other func() (netip.AddrPort, bool)) *api {
 	disableLibraryLog()
 	a := &api{service: s, status: status, other: other}
@@ -72,7 +67,7 @@
 	return a
 }
 
-// atReplica has a call carried out here if this node has a replica, and sends the caller on to one that has otherwise.
+// atReplica returns the handler itself if this node has a replica, and otherwise one that redirects to a node that has.
 func (a *api) atReplica(handler app.HandlerFunc) app.HandlerFunc {
 	if a.service != nil {
 		return handler
@@ -100,129 +95,12 @@
 // run serves until stop is called.
 func (a *api) run() error { return a.server.Run() }
 
-// stop lets the calls under way end, up to a limit.
+// stop waits for the calls in progress, up to a timeout.
 func (a *api) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	_ = a.server.Shutdown(ctx)
+	_ = a.server.Shutdown(ctx) // calls that are cut off are repeated elsewhere by their callers
 }
 
-func (a *api) putConfiguration(ctx context.Context, request *app.RequestContext) {
-	a.configure(ctx, request, false)
-}
-
-func (a *api) patchConfiguration(ctx context.Context, request *app.RequestContext) {
-	a.configure(ctx, request, true)
-}
-
-func (a *api) configure(ctx context.Context, request *app.RequestContext, patch bool) {
-	match, err := readMatch(string(request.GetHeader(controlapi.MatchHeader)))
-	if err != nil {
-		answerError(request, err)
-		return
-	}
-	body, err := request.Body()
-	if err != nil {
-		answerError(request, fault.Wrap(fault.BadRequest, err))
-		return
-	}
-	result, err := a.service.Configure(ctx, &Configure{Patch: patch, Match: match, Body: body})
-	if err != nil {
-		answerError(request, err)
-		return
-	}
-	answerJSON(request, http.StatusOK, controlapi.ConfigurationAccepted{Version: result.Version})
-}
-
-// readMatch reads the version that an order builds on.
-func readMatch(header string) (uint64, error) {
-	text := strings.Trim(strings.TrimSpace(header), `"`)
-	version, err := strconv.ParseUint(text, 10, 64)
-	if err != nil {
-		return 0, fault.New(fault.BadRequest, "If-Match %q is not a version", header)
-	}
-	return version, nil
-}
-
-func (a *api) getConfiguration(ctx context.Context, request *app.RequestContext) {
-	state, err := a.service.Read(ctx)
-	if err != nil {
-		answerError(request, err)
-		return
-	}
-	document := state.EncodedDocument()
-	if document == nil {
-		answerError(request, fault.New(fault.NotFound, "no configuration has been taken yet"))
-		return
-	}
-	request.Header("ETag", strconv.Quote(strconv.FormatUint(state.Version(), 10)))
-	request.Data(http.StatusOK, "application/json", document)
-}
-
-func (a *api) postRetire(ctx context.Context, request *app.RequestContext) {
-	retire, err := readRetireRequest(request)
-	if err != nil {
-		answerError(request, err)
-		return
-	}
-	duration := time.Duration(retire.DurationS * float64(time.Second))
-	if _, err := a.service.Retire(ctx, request.Param(nodeParameter), duration); err != nil {
-		answerError(request, err)
-		return
-	}
-	answerJSON(request, http.StatusOK, controlapi.Retirement{State: controlapi.RetirementInProgress})
-}
-
-func readRetireRequest(request *app.RequestContext) (controlapi.RetireRequest, error) {
-	var retire controlapi.RetireRequest
-	body, err := request.Body()
-	if err != nil {
-		return retire, fault.Wrap(fault.BadRequest, err)
-	}
-	if len(body) == 0 {
-		return retire, nil
-	}
-	if err := json.Unmarshal(body, &retire); err != nil {
-		return retire, fault.Wrap(fault.BadRequest, err)
-	}
-	return retire, nil
-}
-
-func (a *api) getRetire(ctx context.Context, request *app.RequestContext) {
-	retirement, err := a.service.Retirement(ctx, request.Param(nodeParameter))
-	if err != nil {
-		answerError(request, err)
-		return
-	}
-	answerJSON(request, http.StatusOK, controlapi.Retirement{State: retirementState(retirement)})
-}
-
-func (a *api) getStatus(_ context.Context, request *app.RequestContext) {
-	answerJSON(request, http.StatusOK, a.status())
-}
-
-func answerError(request *app.RequestContext, err error) {
-	answer := fault.AnswerOf(fault.KindOf(err))
-	if answer.NotExecuted {
-		request.Header("Retry-After", retryAfterSeconds)
-	}
-	answerJSON(request, answer.Status, controlapi.ErrorBody{Error: errorText(err)})
-}
-
-func errorText(err error) string {
-	if text := merry.UserMessage(err); text != "" {
-		return text
-	}
-	return err.Error()
-}
-
-func answerJSON(request *app.RequestContext, status int, reply any) {
-	body, err := json.Marshal(reply)
-	if err != nil {
-		status, body = http.StatusInternalServerError, []byte("{}")
-	}
-	request.Data(status, "application/json", body)
-}
-
-// closedServer tells whether the error of a server means that it was stopped.
+// isServerClosed reports whether the error of a server means that it was stopped.
 func isServerClosed(err error) bool { return err == nil || errors.Is(err, net.ErrClosed) }
--- /dev/null
+++ b/internal/control/apply_leaseholders.go
@@ -0,0 +1,49 @@
+package control
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+)
+
+// changeLeaseholders changes the set of leaseholders by compare-and-swap. The epoch excludes allocators of earlier epochs.
+func (m *Machine) changeLeaseholders(request *ChangeLeaseholders) Result {
+	state := m.State()
+	current := &state.Leaseholders
+	if request.Epoch < current.Epoch {
+		text := fmt.Sprintf("an allocator of epoch %d has begun", current.Epoch)
+		return Result{Outcome: VersionMismatch, Version: current.Revision, Text: text}
+	}
+	if request.ExpectedRevision != current.Revision {
+		text := fmt.Sprintf("revision %d of the holders is current, not %d", current.Revision, request.ExpectedRevision)
+		return Result{Outcome: VersionMismatch, Version: current.Revision, Text: text}
+	}
+	next := state.withLeaseholders(current.changed(request))
+	m.state.Store(next)
+	return Result{Outcome: Accepted, Version: next.Leaseholders.Revision}
+}
+
+// changed returns the set after a change.
+func (s *LeaseholderSet) changed(change *ChangeLeaseholders) LeaseholderSet {
+	members := slices.DeleteFunc(slices.Clone(s.Members), func(member Leaseholder) bool {
+		return slices.Contains(change.Remove, member)
+	})
+	for _, added := range change.Add {
+		members = insertLeaseholder(members, added)
+	}
+	return LeaseholderSet{Epoch: change.Epoch, Revision: s.Revision + 1, Members: members}
+}
+
+// insertLeaseholder inserts a leaseholder into a sorted list, in place of one with the same address.
+func insertLeaseholder(members []Leaseholder, added Leaseholder) []Leaseholder {
+	i, found := slices.BinarySearchFunc(members, added, compareAddresses)
+	if found {
+		members[i] = added
+		return members
+	}
+	return slices.Insert(members, i, added)
+}
+
+func compareAddresses(a, b Leaseholder) int {
+	return cmp.Or(a.Address.Addr().Compare(b.Address.Addr()), cmp.Compare(a.Address.Port(), b.Address.Port()))
+}
--- a/internal/control/command.go
+++ b/internal/control/command.go
@@ -1,11 +1,8 @@
 package control
 
 import (
-	"crypto/sha256"
-	"encoding/binary"
+	"net/netip"
 	"time"
-
-	"nickelline/internal/fault"
 )
 
 // Command is one change of the control state. Exactly one of its fields is set.
@@ -19,7 +16,9 @@
 
 // Configure replaces the configuration, or patches it, if Match is the current version.
 type Configure struct {
+	// Patch is set if Body is a patch, and not a whole document.
 	Patch bool
+	// Match is the version that the change builds on, 0 for the first configuration.
 	Match uint64
 	Body  []byte
 }
@@ -30,87 +29,51 @@
 	Replica uint64
 }
 
-// Retire asks that a store be emptied. Stores are those that may hold data, as far as the proposer knows: Minimum of
-// them that are not being retired must remain.
+// Retire asks that a store be emptied.
 type Retire struct {
-	Store    Store
+	Store Store
+	// Duration is how long the operator allows for it.
 	Duration time.Duration
-	Stores   []Store
-	Minimum  int
+	// Stores are those that can hold data, as far as the proposer knows. At least Minimum of them that are not being retired
+	// must remain.
+	Stores  []Store
+	Minimum int
 }
 
-// Complete records that a store that is being retired holds nothing any more, which was seen at a version of the
-// placement. CurrentReplica is the replica that its machine holds by now, 0 if it is gone.
+// CompleteRetirement records that a store that is being retired holds no data any more.
 type CompleteRetirement struct {
-	Store           Store
-	CurrentReplica  uint64
+	Store Store
+	// CurrentReplica is the replica that the store's machine holds by now, 0 if there is none.
+	CurrentReplica uint64
+	// ExpectedVersion is the version of the placement at which the store was seen to be empty.
 	ExpectedVersion uint64
 }
 
-// Place replaces the placement table, if neither it nor the retirements have changed since it was computed.
+// ReplacePlacement replaces the placement table by compare-and-swap: if neither it nor the retirements have changed since
+// the new table was computed.
 type ReplacePlacement struct {
-	ExpectedVersion  uint64
+	// ExpectedVersion is the version of the placement that the table builds on.
+	ExpectedVersion uint64
+	// ExpectedRevision is that of the retirements.
 	ExpectedRevision uint64
-	Table            []byte
+	// Table is an encoded placement.Table.
+	Table []byte
 }
 
-// Outcome tells what became of a command.
-type Outcome uint8
-
-// The outcomes of commands.
-const (
-	// Malformed commands cannot be read.
-	Malformed Outcome = iota
-	// Accepted commands have changed the state.
-	Accepted
-	// Repeated commands had been accepted before.
-	Repeated
-	// Invalid commands break a rule of the operator's document.
-	Invalid
-	// VersionMismatch tells that a command builds on a state that is not the current one.
-	VersionMismatch
-	// Refused commands cannot be done in the present state.
-	Refused
-)
-
-var outcomeFaults = map[Outcome]fault.Kind{
-	Malformed:       fault.Internal,
-	Invalid:         fault.InvalidConfiguration,
-	VersionMismatch: fault.VersionConflict,
-	Refused:         fault.Conflict,
-}
-
-// Result is what applying a command gives.
-type Result struct {
-	Outcome Outcome
-	// Version is the version of the configuration, or of the placement, after the command.
-	Version uint64
-	// Text tells why the command changed nothing.
-	Text string
-}
-
-// Err gives the error for a command that was not accepted, nil for one that was.
-func (r Result) Err() error {
-	kind, failed := outcomeFaults[r.Outcome]
-	if !failed {
-		return nil
-	}
-	return fault.New(kind, "%s", r.Text)
+// ChangeLeaseholders changes the set of proxies that may hold quota leases, by compare-and-swap on its revision. It is
+// proposed by the allocator of an epoch of the control chain. An earlier allocator can change nothing once a later one has
+// made a change, even an empty one.
+type ChangeLeaseholders struct {
+	Epoch            uint64
+	ExpectedRevision uint64
+	// Add holds the processes that may hold leases from now on, each in place of a former process at its address.
+	Add []Leaseholder
+	// Remove holds the processes that hold no lease any more.
+	Remove []Leaseholder
 }
 
-// Digest identifies an order of the operator.
-type Digest struct{ High, Low uint64 }
-
-// Digest gives the digest of an order: the same for the same bytes sent on the same terms.
-func (c *Configure) Digest() Digest {
-	hash := sha256.New()
-	header := [9]byte{}
-	if c.Patch {
-		header[0] = 1
-	}
-	binary.LittleEndian.PutUint64(header[1:], c.Match)
-	hash.Write(header[:])
-	hash.Write(c.Body)
-	sum := hash.Sum(nil)
-	return Digest{High: binary.LittleEndian.Uint64(sum), Low: binary.LittleEndian.Uint64(sum[8:])}
+// Leaseholder is a proxy process, which may hold quota leases. Generation distinguishes it from others at its address.
+type Leaseholder struct {
+	Address    netip.AddrPort
+	Generation uint64
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -19,22 +19,6 @@
 	"nickelline/internal/view"
 )
 
-const (
-	// controlChain is the number of the chain that replicates the control state.
-	controlChain = 0
-	// chainDirectory is where it keeps its files, within the directory of the process.
-	chainDirectory = "control"
-	// leastMembers is the number of replicas that the chain has where there are so many.
-	minimumChainMembers = 3
-	// storeSilence is how long a store that sends no report is taken for alive: a few times the interval of reports. One
-	// that is cut off from the control processes may still look alive to others.
-	storeReportTimeout = 1600 * time.Millisecond
-	// settleHeartbeats and wholeHeartbeats bound, in heartbeats, how long a new head waits for stores, and how long a new
-	// process does not know all stores.
-	stabilizationHeartbeats = 2
-	discoveryHeartbeats     = 4
-)
-
 // Members is the table of members: a *member.Service.
 type Members interface {
 	Table() *member.Table
@@ -46,41 +30,47 @@
 	Settings   *settings.Settings
 	FileSystem segment.FileSystem
 	// Replica is the identity on the disk (view.LoadIdentity of the data directory), 0 if the process has no disk.
-	Replica   view.ReplicaID
-	Transport *peer.Transport // not started yet
+	Replica view.ReplicaID
+	// Transport must not be started yet.
+	Transport *peer.Transport
 	Members   Members
-	// Configuration and Placement spread what is committed.
+	// Configuration and Placement disseminate what is committed.
 	Configuration, Placement Topic
 	// OnFailure is called once if the disk fails.
 	OnFailure func(error)
 	Log       *zap.Logger
 }
 
-// Control is the control role of a process. A process without a disk keeps no replica and sends the operator on to nodes
+// Control is the control role of a process. A process without a disk keeps no replica and redirects the operator to nodes
 // that do.
 type Control struct {
-	options             Options
-	machine             *Machine
+	options   Options
+	heartbeat time.Duration
+	machine   *Machine
+	reports   *reportStore
+	listener  net.Listener // on which api serves
+	api       *api
+
+	// The following are nil if the process keeps no replica.
 	node                *chain.Node
 	reconfigurer        *chain.Reconfigurer
 	service             *service
 	publisher           *publisher
 	headStatus          *HeadStatus
 	placementController *placementController
-	reports             *reportStore
-	api                 *api
-	listener            net.Listener
-	heartbeat           time.Duration
 
+	// Signals to goroutines, with room for one each.
 	commits        chan struct{}
 	wakePublisher  chan struct{}
 	wakeHeadStatus chan struct{}
 	wakePlacement  chan struct{}
-	stop           context.CancelFunc
-	goroutines     sync.WaitGroup
+
+	stop       context.CancelFunc // nil before Start
+	goroutines sync.WaitGroup
 }
 
-// New opens the replica and the operator's address. It sets handlers on the transport.
+// New opens the replica and the operator's address, and registers handlers on the transport. Whoever calls it must call
+// Stop in the end, unless it returns an error.
 func New(o Options) (*Control, error) {
 	listener, err := listen(context.Background(), o.Settings.Listen.ControlPlane)
 	if err != nil {
@@ -88,10 +78,10 @@
 	}
 	c := &Control{
 		options:        o,
+		heartbeat:      o.Settings.Heartbeat(),
 		machine:        NewMachine(),
 		reports:        newReportStore(),
 		listener:       listener,
-		heartbeat:      o.Settings.Heartbeat(),
 		commits:        make(chan struct{}, 1),
 		wakePublisher:  make(chan struct{}, 1),
 		wakeHeadStatus: make(chan struct{}, 1),
@@ -101,6 +91,7 @@
 		if err := c.openReplica(); err != nil {
 			return nil, errors.Join(err, listener.Close())
 		}
+		c.assemble()
 	}
 	c.api = newAPI(listener, c.service, c.Status, c.otherNode)
 	return c, nil
@@ -114,7 +105,7 @@
 	}
 }
 
-// Start begins to work, after the transport was started.
+// Start begins to work, after the transport was started. Its goroutines end with Stop, which waits for them.
 func (c *Control) Start() {
 	ctx, stop := context.WithCancel(context.Background())
 	c.stop = stop
@@ -127,18 +118,18 @@
 	c.goroutines.Go(func() { c.reconfigurer.Run(ctx) })
 	c.goroutines.Go(func() { c.publisher.run(ctx, c.wakePublisher) })
 	c.goroutines.Go(func() { c.headStatus.run(ctx, c.wakeHeadStatus) })
-	c.goroutines.Go(func() { c.publishCommitted(ctx) })
+	c.goroutines.Go(func() { c.publishCommits(ctx) })
 	c.goroutines.Go(func() { c.runPlacement(ctx) })
 }
 
 // serve answers the operator until the server is stopped.
 func (c *Control) serve() {
 	if err := c.api.run(); !isServerClosed(err) {
-		c.options.Log.Error("operator's API", zap.Error(err))
+		c.options.Log.Error("serve operator's API failed", zap.Error(err))
 	}
 }
 
-// observeMembers tells the chain and the placement who is there.
+// observeMembers passes changes of the membership on to the chain and to the placement.
 func (c *Control) observeMembers(table *member.Table) {
 	var candidates []view.Candidate
 	for _, m := range table.All() {
@@ -154,8 +145,8 @@
 	signal(c.wakePlacement)
 }
 
-// publishCommitted announces what was committed as soon as it is.
-func (c *Control) publishCommitted(ctx context.Context) {
+// publishCommits announces what was committed as soon as it is.
+func (c *Control) publishCommits(ctx context.Context) {
 	for {
 		c.publisher.publish()
 		select {
@@ -167,7 +158,7 @@
 	}
 }
 
-// place keeps the placement in order whenever this node is the head.
+// runPlacement calls the placement controller every heartbeat, and whenever something may have changed.
 func (c *Control) runPlacement(ctx context.Context) {
 	ticker := time.NewTicker(c.heartbeat)
 	defer ticker.Stop()
@@ -178,12 +169,12 @@
 		case <-ticker.C:
 		case <-c.wakePlacement:
 		}
-		_, head := c.head()
-		c.placementController.reconcile(ctx, time.Now(), head)
+		_, isHead := c.head()
+		c.placementController.reconcile(ctx, time.Now(), isHead)
 	}
 }
 
-// head gives the address of the head of the control chain, and whether that is this node.
+// head returns the address of the head of the control chain, and whether that is this node.
 func (c *Control) head() (netip.AddrPort, bool) {
 	if c.node == nil {
 		return netip.AddrPort{}, false
@@ -192,7 +183,7 @@
 	return head.Address, head.Replica == c.options.Replica && head.Replica != 0
 }
 
-// otherNode gives the operator's address of a node that keeps a replica.
+// otherNode returns the operator's address of a random node that keeps a replica, and whether there is one.
 func (c *Control) otherNode() (netip.AddrPort, bool) {
 	var others []netip.AddrPort
 	for _, m := range c.options.Members.Table().ByRole(controlRole) {
@@ -206,13 +197,14 @@
 	return others[rand.IntN(len(others))], true
 }
 
-// State gives the newest state that is committed as far as this node knows.
+// State returns the latest committed state that is applied at this node.
 func (c *Control) State() *State { return c.machine.State() }
 
-// Headship tells whether this node is the head of the control chain, nil for a process without a replica.
+// HeadStatus returns whether this node is the head of the control chain, nil for a process without a replica.
 func (c *Control) HeadStatus() *HeadStatus { return c.headStatus }
 
-// OnView registers a function that is called with each view of the control chain. It must not block.
+// OnView registers a function that is called with each view of the control chain, and whether this node is its head. It
+// must not block.
 func (c *Control) OnView(notify func(v view.View, head bool)) {
 	if c.node == nil {
 		return
@@ -223,12 +215,12 @@
 	})
 }
 
-// Stop hands the replica's place over, as far as that can be done while ctx runs, and ends the work. The transport is
-// still needed while it runs.
+// Stop hands over to other replicas, as far as that is possible while ctx runs, and ends the work. The transport must be
+// running until it returns.
 func (c *Control) Stop(ctx context.Context) {
 	if c.node != nil {
 		if err := c.reconfigurer.HandOver(ctx); err != nil {
-			c.options.Log.Info("no view without this replica", zap.Error(err))
+			c.options.Log.Info("hand over of control replica failed", zap.Error(err))
 		}
 	}
 	c.api.stop()
--- a/internal/control/controlapi/status.go
+++ b/internal/control/controlapi/status.go
@@ -1,6 +1,6 @@
 package controlapi
 
-// Status is what a control node tells about the system, as it sees it without asking others.
+// Status describes the system as a control node knows it, without asking others.
 type Status struct {
 	Node          string             `json:"node"`
 	Configuration ConfigurationState `json:"configuration"`
@@ -22,11 +22,11 @@
 type ChainState struct {
 	Epoch uint64 `json:"epoch"`
 	Head  bool   `json:"head"`
-	// Replicas keep the state, the head first. Voters agree on who they are; one may be a voter and no replica of the chain.
+	// Replicas are the members of the view, the head first. Voters agree on the next view; a voter need not be a member.
 	Replicas []string `json:"replicas"`
 	Voters   []string `json:"voters"`
-	// LossesBorne is how many of the running machines may go with their disks now before the chain needs one of those that
-	// are not running.
+	// LossesBorne is how many of the running machines may fail now and lose their disks before the chain depends on one that
+	// is not running.
 	LossesBorne int    `json:"lossesBorne"`
 	Committed   uint64 `json:"committed"`
 	Appended    uint64 `json:"appended"`
--- a/internal/control/discard.go
+++ b/internal/control/discard.go
@@ -10,8 +10,8 @@
 	"nickelline/internal/segment"
 )
 
-// openFailed gives the error with which a replica could not be opened. One whose files are damaged is lost: it is discarded, and
-// the process joins as a new one when it is started again.
+// handleOpenError returns the error with which a replica could not be opened. A replica whose files are damaged is lost: it is
+// discarded, and the process joins as a new replica when it is started again.
 func (c *Control) handleOpenError(err error) error {
 	if !errors.Is(err, segment.ErrDamaged) {
 		return err
@@ -20,8 +20,8 @@
 	return errors.Join(err, discardReplica(c.options.FileSystem, c.options.Settings.DataDirectory))
 }
 
-// discardReplica removes the identity of the replica in a directory, and then its files. The order matters: with its identity but
-// without its files it would vote and be taken for complete as if it remembered.
+// discardReplica removes the identity of the replica in a directory, and then its files. The order matters: with its identity
+// but without its files a replica would vote, and count as complete, without the memory of what it has promised and stored.
 func discardReplica(fileSystem segment.FileSystem, directory string) error {
 	chainFiles := path.Join(directory, chainDirectory)
 	return segment.RemoveFiles(fileSystem, directory, path.Join(chainFiles, chain.LogDirectory), chainFiles)
--- a/internal/control/headstatus.go
+++ b/internal/control/headstatus.go
@@ -12,17 +12,22 @@
 )
 
 const (
-	// headProofPeriod is the time between two proofs of headship, and headProofAge how long one is used.
-	headProofPeriod   = 400 * time.Millisecond
+	// headProofPeriod is the time between two proofs that this node is the head.
+	headProofPeriod = 400 * time.Millisecond
+	// headProofLifetime is how long after its beginning a proof counts.
 	headProofLifetime = time.Second
 )
 
-// viewConfirmer proves which view of the control chain is the newest: a *chain.Prover.
+// viewProver proves which view of the control chain is the latest: a *chain.Prover.
 type viewProver interface {
 	ConfirmView(ctx context.Context) (view.View, error)
 }
 
-// Headship keeps the proof that this node is the head of the control chain. It implements quota.Headship.
+// HeadStatus is whether this node is the head of the control chain, as chain replication calls the replica that writes go
+// to. It is what a leader lease is in Raft: a proof by a quorum of the voters that no later view was decided when the proof
+// began, which counts for a limited time by this node's monotonic clock. A former head may take itself for the head until
+// that time has passed; whoever acts on HeadStatus must tolerate that. It implements quota.HeadStatus, and may be used
+// concurrently.
 type HeadStatus struct {
 	node          chainNode
 	prover        viewProver
@@ -31,13 +36,13 @@
 	log           *zap.Logger
 
 	mutex sync.Mutex
-	// proven and epoch tell when this node was proven to be the head last, and in which epoch.
+	// provenAt is when the latest successful proof began, zero if there was none, and provenEpoch the epoch that it was for.
 	provenAt    time.Time
 	provenEpoch uint64
 }
 
-// run proves headship at intervals while this node seems to be the head, and whenever it is asked to, until ctx ends.
-func (h *HeadStatus) run(ctx context.Context, soon <-chan struct{}) {
+// run makes proofs at intervals while this node seems to be the head, and whenever wake is signalled, until ctx ends.
+func (h *HeadStatus) run(ctx context.Context, wake <-chan struct{}) {
 	ticker := time.NewTicker(headProofPeriod)
 	defer ticker.Stop()
 	for {
@@ -45,13 +50,13 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-soon:
+		case <-wake:
 		}
 		h.prove(ctx)
 	}
 }
 
-// prove makes one proof, counted from when it begins.
+// prove makes one proof. It counts from when it begins.
 func (h *HeadStatus) prove(ctx context.Context) {
 	if !h.isHead(h.node.View()) {
 		return
@@ -59,7 +64,7 @@
 	begin := time.Now()
 	confirmed, err := h.prover.ConfirmView(ctx)
 	if err != nil {
-		h.log.Debug("no proof of headship", zap.Error(err))
+		h.log.Debug("prove head status failed", zap.Uint64("epoch", h.Epoch()), zap.Error(err))
 		return
 	}
 	if h.isHead(confirmed) {
@@ -74,18 +79,18 @@
 	return ok && head.Replica == h.self
 }
 
-// Fresh tells whether a proof that is young enough shows that this node is the head.
+// Fresh reports whether a proof that still counts shows that this node is the head in the current epoch.
 func (h *HeadStatus) Fresh() bool {
 	h.mutex.Lock()
-	proven, epoch := h.provenAt, h.provenEpoch
+	provenAt, provenEpoch := h.provenAt, h.provenEpoch
 	h.mutex.Unlock()
-	return !proven.IsZero() && epoch == h.Epoch() && time.Since(proven) < h.proofLifetime
+	return !provenAt.IsZero() && provenEpoch == h.Epoch() && time.Since(provenAt) < h.proofLifetime
 }
 
-// Epoch tells the view of the control chain.
+// Epoch returns the epoch of the control chain's view that is installed here.
 func (h *HeadStatus) Epoch() uint64 { return h.node.View().Epoch }
 
-// Head is the address of the head as far as this node knows.
+// Head returns the address of the head in that view, and whether there is one.
 func (h *HeadStatus) Head() (netip.AddrPort, bool) {
 	head, ok := h.node.View().Head()
 	return head.Address, ok
--- a/internal/control/publisher.go
+++ b/internal/control/publisher.go
@@ -10,29 +10,29 @@
 	"nickelline/internal/view"
 )
 
-// barrierTimeout bounds one barrier of the distributor.
+// barrierTimeout bounds one barrier of the publisher.
 const barrierTimeout = time.Second
 
-// Topic spreads the newest version of something over all processes.
+// Topic disseminates the latest version of something to all processes.
 type Topic interface {
 	// Publish announces a version.
 	Publish(sequence uint64, data []byte)
-	// Certify says that at asOf no version was newer.
+	// Certify announces that at asOf no version was newer.
 	Certify(sequence uint64, asOf time.Time)
 }
 
-// chainNode is the control chain as the distributor uses it: a *chain.Node.
+// chainNode is the control chain as the publisher and HeadStatus use it: a *chain.Node.
 type chainNode interface {
 	Barrier(ctx context.Context) error
 	View() view.View
 }
 
-// currencyConfirmer proves without the whole chain that what is applied here is current: a *chain.Prover.
+// currencyProver proves without the whole chain that what is applied here is current: a *chain.Prover.
 type currencyProver interface {
 	ConfirmCurrent(ctx context.Context) error
 }
 
-// distributor publishes what is committed, and proves now and then that it is current.
+// publisher announces what is committed, and certifies at intervals that it is current.
 type publisher struct {
 	node          chainNode
 	prover        currencyProver
@@ -45,38 +45,37 @@
 	mutex                  sync.Mutex
 	publishedConfiguration uint64
 	publishedPlacement     uint64
-	// proven is the time at which the newest successful barrier began: what is held here is as new as what was committed
-	// then.
+	// provenAt is when the latest successful proof began: what is applied here includes everything that was committed then.
 	provenAt time.Time
 }
 
-// publish announces what was committed since the last call. A new version is as current as the one before it was proven
-// to be.
-func (d *publisher) publish() {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	state := d.machine.State()
-	if version := state.Version(); version > d.publishedConfiguration {
-		d.publishedConfiguration = version
-		d.configuration.Publish(version, state.EncodedDocument())
-		certify(d.configuration, version, d.provenAt)
+// publish announces what was committed since the last call. A new version is certified as of the latest proof, as the one
+// before it was current then.
+func (p *publisher) publish() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	state := p.machine.State()
+	if version := state.Version(); version > p.publishedConfiguration {
+		p.publishedConfiguration = version
+		p.configuration.Publish(version, state.EncodedDocument())
+		certify(p.configuration, version, p.provenAt)
 	}
-	if version := state.PlacementVersion; version > d.publishedPlacement {
-		d.publishedPlacement = version
-		d.placement.Publish(version, state.Placement)
-		certify(d.placement, version, d.provenAt)
+	if version := state.PlacementVersion; version > p.publishedPlacement {
+		p.publishedPlacement = version
+		p.placement.Publish(version, state.Placement)
+		certify(p.placement, version, p.provenAt)
 	}
 }
 
-// certify says that a version is current, unless there is none or no proof.
+// certify announces that a version is current, unless there is no version or no proof.
 func certify(topic Topic, version uint64, asOf time.Time) {
 	if version > 0 && !asOf.IsZero() {
 		topic.Certify(version, asOf)
 	}
 }
 
-// run proves at intervals that what is held here is current, and whenever it is asked to, until ctx ends.
-func (d *publisher) run(ctx context.Context, soon <-chan struct{}) {
+// run makes proofs at intervals, and whenever wake is signalled, until ctx ends.
+func (p *publisher) run(ctx context.Context, wake <-chan struct{}) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -84,37 +83,38 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-soon:
+		case <-wake:
 		}
-		d.prove(ctx)
-		timer.Reset(d.period)
+		p.prove(ctx)
+		timer.Reset(p.period)
 	}
 }
 
-// prove makes one proof, counted from when it begins. A barrier is needed only while commands are under way: it waits for
-// members that are cut off until the chain goes on without them.
-func (d *publisher) prove(ctx context.Context) {
+// prove makes one proof that what is applied here is current, and certifies the published versions as of its beginning. A
+// barrier is needed only while commands are in progress: it waits for unreachable members until the chain continues without
+// them.
+func (p *publisher) prove(ctx context.Context) {
 	begin := time.Now()
-	if d.prover.ConfirmCurrent(ctx) != nil {
+	if p.prover.ConfirmCurrent(ctx) != nil {
 		begin = time.Now()
 		ctx, cancel := context.WithTimeout(ctx, barrierTimeout)
 		defer cancel()
-		if err := d.node.Barrier(ctx); err != nil {
-			d.log.Debug("no proof that the state is current", zap.Error(err))
+		if err := p.node.Barrier(ctx); err != nil {
+			p.log.Debug("prove that the control state is current failed", zap.Error(err))
 			return
 		}
 	}
-	d.publish()
-	d.certifyAll(begin)
+	p.publish()
+	p.certifyAll(begin)
 }
 
-func (d *publisher) certifyAll(asOf time.Time) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	if !asOf.After(d.provenAt) {
+func (p *publisher) certifyAll(asOf time.Time) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if !asOf.After(p.provenAt) {
 		return
 	}
-	d.provenAt = asOf
-	certify(d.configuration, d.publishedConfiguration, asOf)
-	certify(d.placement, d.publishedPlacement, asOf)
+	p.provenAt = asOf
+	certify(p.configuration, p.publishedConfiguration, asOf)
+	certify(p.placement, p.publishedPlacement, asOf)
 }
--- /dev/null
+++ b/internal/control/report_codec.go
@@ -0,0 +1,80 @@
+package control
+
+import (
+	"nickelline/internal/capnpcodec"
+	"nickelline/internal/control/controlwire"
+)
+
+// encodeReport returns a report as a Cap'n Proto message. It is marked if another node has forwarded it.
+func encodeReport(report Report, forwarded bool) ([]byte, error) {
+	return capnpcodec.Marshal(0, controlwire.NewRootReport, func(root controlwire.Report) error {
+		root.SetForwarded(forwarded)
+		root.SetImpaired(report.Impaired)
+		store, err := root.NewStore()
+		if err != nil {
+			return err
+		}
+		if err := fillStore(store, report.Store); err != nil {
+			return err
+		}
+		return fillChains(root, report.Chains)
+	})
+}
+
+func fillChains(root controlwire.Report, chains []ChainStatus) error {
+	list, err := root.NewChains(int32(len(chains)))
+	if err != nil {
+		return err
+	}
+	for i, status := range chains {
+		element := list.At(i)
+		element.SetChain(status.Chain)
+		element.SetEpoch(status.Epoch)
+		element.SetComplete(status.Complete)
+		element.SetCaughtUp(status.CaughtUp)
+		element.SetRunning(status.Running)
+	}
+	return nil
+}
+
+// decodeReport reads a report that encodeReport wrote.
+func decodeReport(encoded []byte) (report Report, forwarded bool, err error) {
+	root, err := capnpcodec.Unmarshal(encoded, controlwire.ReadRootReport)
+	if err != nil {
+		return Report{}, false, err
+	}
+	store, err := root.Store()
+	if err != nil {
+		return Report{}, false, err
+	}
+	if report.Store, err = readStore(store); err != nil {
+		return Report{}, false, err
+	}
+	report.Impaired = root.Impaired()
+	if report.Chains, err = readChains(root); err != nil {
+		return Report{}, false, err
+	}
+	return report, root.Forwarded(), nil
+}
+
+func readChains(root controlwire.Report) ([]ChainStatus, error) {
+	list, err := root.Chains()
+	if err != nil {
+		return nil, err
+	}
+	if err := capnpcodec.CheckLength(list); err != nil {
+		return nil, err
+	}
+	var chains []ChainStatus
+	for i := range list.Len() {
+		element := list.At(i)
+		chains = append(chains, ChainStatus{
+			Chain:    element.Chain(),
+			Epoch:    element.Epoch(),
+			Complete: element.Complete(),
+			CaughtUp: element.CaughtUp(),
+			Running:  element.Running(),
+		})
+	}
+	return chains, nil
+}
--- /dev/null
+++ b/internal/control/report_store.go
@@ -0,0 +1,48 @@
+package control
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"sync"
+	"time"
+)
+
+// reportStore keeps the latest report of each store. Its methods may be called concurrently.
+type reportStore struct {
+	mutex     sync.Mutex
+	byReplica map[uint64]receivedReport
+}
+
+type receivedReport struct {
+	chains   []ChainStatus
+	impaired bool
+	at       time.Time
+}
+
+func newReportStore() *reportStore { return &reportStore{byReplica: map[uint64]receivedReport{}} }
+
+// put keeps a report that was received at a time, and reports whether it differs from the one before.
+func (r *reportStore) put(report Report, at time.Time) bool {
+	slices.SortFunc(report.Chains, func(a, b ChainStatus) int { return cmp.Compare(a.Chain, b.Chain) })
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	last, known := r.byReplica[report.Store.Replica]
+	r.byReplica[report.Store.Replica] = receivedReport{chains: report.Chains, impaired: report.Impaired, at: at}
+	return !known || last.impaired != report.Impaired || !slices.Equal(last.chains, report.Chains)
+}
+
+// recent returns what a replica reported last, and whether that was received since a time and the replica is not impaired.
+func (r *reportStore) recent(replica uint64, since time.Time) ([]ChainStatus, bool) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	received, known := r.byReplica[replica]
+	return received.chains, known && !received.impaired && !received.at.Before(since)
+}
+
+// expire drops the reports that were received before a time.
+func (r *reportStore) expire(before time.Time) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	maps.DeleteFunc(r.byReplica, func(_ uint64, received receivedReport) bool { return received.at.Before(before) })
+}
--- a/internal/control/report_test.go
+++ b/internal/control/report_test.go
@@ -79,7 +79,7 @@
 	if _, recent := r.recent(9, begin); recent {
 		t.Error("a report that never came is recent")
 	}
-	r.forget(begin.Add(time.Second))
+	r.expire(begin.Add(time.Second))
 	if _, recent := r.recent(7, begin); recent || len(r.byReplica) != 1 {
 		t.Error("an old report is not forgotten")
 	}
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -10,30 +10,38 @@
 
 // State is the control state after some command. It is immutable.
 type State struct {
-	// Document and Configuration are the operator's configuration, nil before the first.
+	// Document and Configuration are the operator's configuration, as written and as compiled, nil before the first.
 	Document      *configuration.Document
 	Configuration *configuration.Snapshot
-	// Retirements stand in the order in which they were asked for.
+	// Retirements are in the order in which they were requested.
 	Retirements []Retirement
 	// RetirementRevision counts the changes of the retirements.
 	RetirementRevision uint64
-	// Placement is the table of package placement, as encoded, and PlacementVersion counts its changes.
+	// Placement is the placement table of the batch partitions, as encoded, and PlacementVersion counts its changes.
 	Placement        []byte
 	PlacementVersion uint64
-	// Holders are the proxies that may hold quota leases.
+	// Leaseholders are the proxies that may hold quota leases.
 	Leaseholders LeaseholderSet
 
 	encoded func() []byte
 }
 
-// Retirement is an order that a store be emptied.
+// Retirement is a request that a store be emptied, and whether that is completed.
 type Retirement struct {
 	Store     Store
 	Duration  time.Duration
 	Completed bool
 }
 
-// Version is the version of the configuration, 0 before the first.
+// LeaseholderSet is the set of proxies that may hold quota leases.
+type LeaseholderSet struct {
+	// Epoch is that of the allocator that made the latest change, and Revision counts the changes.
+	Epoch, Revision uint64
+	// Members are sorted by their addresses, one for each address.
+	Members []Leaseholder
+}
+
+// Version returns the version of the configuration, 0 before the first.
 func (s *State) Version() uint64 {
 	if s.Document == nil {
 		return 0
@@ -41,7 +49,7 @@
 	return s.Document.Version()
 }
 
-// EncodedDocument gives the configuration as JSON, nil before the first. Callers must not change it.
+// EncodedDocument returns the configuration as JSON, nil before the first. Callers must not change it.
 func (s *State) EncodedDocument() []byte {
 	if s.Document == nil {
 		return nil
@@ -49,7 +57,7 @@
 	return s.encoded()
 }
 
-// Retirement gives the newest retirement of the store with a name.
+// Retirement returns the latest retirement of the store with a name, and whether there is one.
 func (s *State) Retirement(name string) (Retirement, bool) {
 	i := s.retirementIndex(name)
 	if i < 0 {
@@ -62,7 +70,7 @@
 	return slices.IndexFunc(s.Retirements, func(r Retirement) bool { return r.Store.Name == name })
 }
 
-// Retired tells whether a store must not be given data. While a retirement is in progress that holds for every replica
+// Retired reports whether a store must not be given data. While a retirement is in progress that holds for every replica
 // on the machine; once it is completed, for the replica that was retired.
 func (s *State) Retired(store Store) bool {
 	return slices.ContainsFunc(s.Retirements, func(r Retirement) bool {
@@ -73,16 +81,16 @@
 	})
 }
 
-// withDocument gives a state with another configuration.
-func (s *State) withDocument(d *configuration.Document, c *configuration.Snapshot) *State {
+// withDocument returns a state with another configuration.
+func (s *State) withDocument(document *configuration.Document, snapshot *configuration.Snapshot) *State {
 	next := *s
-	next.Document = d
-	next.Configuration = c
-	next.encoded = sync.OnceValue(d.Encode)
+	next.Document = document
+	next.Configuration = snapshot
+	next.encoded = sync.OnceValue(document.Encode)
 	return &next
 }
 
-// withRetirement gives a state with a retirement in place of an earlier one of the same name, or added.
+// withRetirement returns a state with a retirement in place of an earlier one of the same name, or added.
 func (s *State) withRetirement(r Retirement) *State {
 	next := *s
 	next.Retirements = slices.Clone(s.Retirements)
@@ -95,10 +103,17 @@
 	return &next
 }
 
-// withPlacement gives a state with the next placement table.
+// withPlacement returns a state with the next placement table.
 func (s *State) withPlacement(table []byte) *State {
 	next := *s
 	next.Placement = slices.Clone(table)
 	next.PlacementVersion++
 	return &next
 }
+
+// withLeaseholders returns a state with another set of leaseholders.
+func (s *State) withLeaseholders(leaseholders LeaseholderSet) *State {
+	next := *s
+	next.Leaseholders = leaseholders
+	return &next
+}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -8,7 +8,7 @@
 	"nickelline/internal/view"
 )
 
-// Status describes the system as this node sees it, without asking others.
+// Status describes the system as this node knows it, without asking others.
 func (c *Control) Status() controlapi.Status {
 	state := c.machine.State()
 	return controlapi.Status{
@@ -44,14 +44,14 @@
 		Head:        head,
 		Replicas:    memberNames(v.Members),
 		Voters:      memberNames(v.Electorate()),
-		LossesBorne: v.ToleratedLosses(c.runs),
+		LossesBorne: v.ToleratedLosses(c.isRunning),
 		Committed:   status.Committed,
 		Appended:    status.LastAppended,
 	}
 }
 
-// runs tells whether a replica of the control chain runs, as far as this node knows.
-func (c *Control) runs(replica view.ReplicaID) bool {
+// isRunning reports whether a replica of the control chain runs, as far as this node knows.
+func (c *Control) isRunning(replica view.ReplicaID) bool {
 	if replica == c.options.Replica {
 		return true
 	}
--- a/internal/control/stores.go
+++ b/internal/control/stores.go
@@ -20,11 +20,11 @@
 	Table() *member.Table
 }
 
-// storeDirectory knows which stores there are, from the table of members and from the placement.
+// storeDirectory lists the stores of the system, from the table of members and from the placement.
 type storeDirectory struct {
 	members membership
 	machine *Machine
-	// wholeFrom is the time from which on a store that is not known does not exist.
+	// completeFrom is the time from which on the list is complete: a store that is not in it does not exist.
 	completeFrom time.Time
 	now          func() time.Time
 }
@@ -38,7 +38,7 @@
 		}
 		store := Store{Name: m.Name, Replica: m.Replica}
 		known = append(known, store)
-		if isDurable(&m, table) {
+		if canHoldData(&m, table) {
 			remaining = append(remaining, store)
 		}
 	}
@@ -46,15 +46,15 @@
 	return known, remaining, !d.now().Before(d.completeFrom)
 }
 
-// mayRemain tells whether a store can be counted on to hold data later: it runs, or is down and has data to come back with.
-func isDurable(m *member.Member, table placement.Table) bool {
+// canHoldData reports whether a store can be relied on to hold data later: it runs, or is down but has data to return with.
+func canHoldData(m *member.Member, table placement.Table) bool {
 	if m.Replica == 0 || m.Leaving {
 		return false
 	}
 	return m.Running() || table.Names(view.ReplicaID(m.Replica))
 }
 
-// appendPlaced adds the stores that the placement names but that are not known otherwise.
+// appendPlacedStores appends the stores that the placement names but that are not known otherwise.
 func appendPlacedStores(known []Store, table placement.Table) []Store {
 	for _, partition := range table.Partitions {
 		for _, m := range slices.Concat(partition.View.Members, partition.Learners) {
@@ -66,8 +66,8 @@
 	return known
 }
 
-// decodePlacement reads the placement of a state. One that cannot be read is taken for none: nothing is derived from it
-// but what stores there are.
+// decodePlacement reads the placement of a state. One that cannot be read counts as empty, as callers derive from it only
+// what stores there are.
 func decodePlacement(state *State) placement.Table {
 	table, err := placement.Decode(state.Placement)
 	if err != nil {
