--- a/internal/placement/change.go
+++ b/internal/placement/change.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// ChangeKind tells what was changed.
+// ChangeKind is what was changed.
 type ChangeKind uint8
 
 // The kinds of changes.
 const (
 	// Created is a first view.
 	Created ChangeKind = iota + 1
-	// Repaired is a view without members that cannot be reached, or with learners that have caught up, or both.
+	// Repaired is a view without unreachable or leaving members, or with learners that have caught up, or both.
 	Repaired
-	// Emptied is a view without the members on stores that are being retired.
+	// RetiringDropped is a view without the members on stores that are being retired.
 	RetiringDropped
-	// Trimmed is a view without a member that is beyond the wanted number.
+	// ExcessDropped is a view without members beyond the replication factor.
 	ExcessDropped
 	// HeadMoved is a view with another member as head.
 	HeadMoved
@@ -25,14 +25,14 @@
 var changeNames = map[ChangeKind]string{
 	Created:         "created",
 	Repaired:        "repaired",
-	RetiringDropped: "emptied",
-	ExcessDropped:   "trimmed",
+	RetiringDropped: "retiring members dropped",
+	ExcessDropped:   "excess members dropped",
 	HeadMoved:       "head moved",
 	LearnerAdded:    "learner added",
 	LearnerRemoved:  "learner removed",
 }
 
-// String gives the name of the kind.
+// String returns the name of the kind.
 func (k ChangeKind) String() string { return changeNames[k] }
 
 // Change is one difference between two tables, for the log.
@@ -41,14 +41,14 @@
 	Chain uint32
 	// Epoch is that of the view after the change.
 	Epoch uint64
-	// Store is the name of the store that a learner was added or removed for.
+	// Store is the name of the store for which a learner was added or removed, empty for changes of other kinds.
 	Store string
 }
 
-// MovesHead tells whether the change is a move of a head for the sake of balance.
+// MovesHead reports whether the change moves a head for the sake of balance.
 func (c Change) MovesHead() bool { return c.Kind == HeadMoved }
 
-// String describes the change.
+// String returns a description of the change.
 func (c Change) String() string {
 	if c.Store == "" {
 		return fmt.Sprintf("chain %d, epoch %d: %s", c.Chain, c.Epoch, c.Kind)
--- a/internal/placement/codec.go
+++ b/internal/placement/codec.go
@@ -11,7 +11,8 @@
 	"nickelline/internal/view"
 )
 
-// Encode gives the message of a table.
+// Encode returns a table as a Cap'n Proto message. Replicas that several partitions name are listed once, and referred to by
+// their index in the list.
 func Encode(t Table) ([]byte, error) {
 	data, err := encode(t)
 	if err != nil {
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// replicaList numbers the replicas that a table names. Members that differ in nothing but when they joined are one.
+// replicaTable numbers the replicas that a table names. Members that differ only in when they joined are the same replica.
 type replicaTable struct {
 	numbers  map[view.Member]uint32
 	replicas []view.Member
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// Decode reads a message that Encode made. No message at all is the table before the first assignment.
+// Decode reads a table that Encode wrote. No data at all stands for the table before the first placement.
 func Decode(data []byte) (Table, error) {
 	if len(data) == 0 {
 		return Table{}, nil
--- a/internal/placement/create.go
+++ b/internal/placement/create.go
@@ -11,16 +11,16 @@
 	minimumPartitions  = 4
 	maximumPartitions  = 512
 
-	// evenPasses bounds how often the first table is gone through to even out the loads.
+	// maximumEvenOutPasses bounds the passes over the first table that even out the loads.
 	maximumEvenOutPasses = 4
 
 	// firstEpoch is the epoch of the first view of a chain.
 	firstEpoch = 1
 )
 
-// Create makes the first table, once there are stores enough for the least number of replicas: the number of partitions
-// stays as it is from then on. It reports false before that. The caller waits until no more stores come up, as their
-// number decides about that of the partitions.
+// Create returns the first table, and false while there are fewer eligible stores than MinimumReplicas. The number of
+// partitions stays the same from then on, and is derived from the number of stores: the caller should wait until no more
+// stores start.
 func Create(stores []Store, policy Policy) (Table, []Change, bool) {
 	eligible := 0
 	for i := range stores {
@@ -47,11 +47,12 @@
 	return created, changes, true
 }
 
+// partitionCount returns the number of partitions for a number of stores.
 func partitionCount(stores int) int {
 	return min(max(partitionsPerStore*stores, minimumPartitions), maximumPartitions)
 }
 
-// assign chooses the holders of a partition, beginning with the store that is head of the fewest.
+// assignStores chooses the stores of a partition, beginning with that which is head of the fewest.
 func (p *plan) assignStores(partition int) {
 	head := noStore
 	for store := range p.stores {
@@ -70,7 +71,7 @@
 	p.assigned[partition] = assigned
 }
 
-// evenOut makes the best change to each partition, but for its head, and tells whether it changed any.
+// evenOut makes the best move of each partition, except of its head, and reports whether there was any.
 func (p *plan) evenOut() bool {
 	changed := false
 	for i := range p.table.Partitions {
@@ -86,6 +87,7 @@
 	return changed
 }
 
+// betterHead reports whether a store should rather become the head of a partition than another one.
 func (p *plan) betterHead(a, b int) bool {
 	if p.heads[a] != p.heads[b] {
 		return p.heads[a] < p.heads[b]
@@ -93,6 +95,7 @@
 	return p.loads[a] < p.loads[b]
 }
 
+// firstMembers returns the members of a first view, the head first.
 func (p *plan) firstMembers(assigned []int) []view.Member {
 	members := make([]view.Member, 0, len(assigned))
 	for _, store := range assigned {
--- /dev/null
+++ b/internal/placement/learners.go
@@ -0,0 +1,48 @@
+package placement
+
+import (
+	"slices"
+
+	"nickelline/internal/view"
+)
+
+// removeLearners removes the learners of a partition that are gone, or that are not assigned to it any more.
+func (p *plan) removeLearners(partition int) {
+	if p.changed[partition] {
+		return
+	}
+	current := &p.table.Partitions[partition]
+	var remaining []view.Member
+	for _, learner := range current.Learners {
+		if store := p.storeOf(learner); store != noStore && slices.Contains(p.assigned[partition], store) {
+			remaining = append(remaining, learner)
+			continue
+		}
+		p.recordChange(partition, LearnerRemoved, learner.Name)
+	}
+	current.Learners = remaining
+}
+
+// addLearners assigns as many stores to a partition as are missing, and adds their replicas as learners.
+func (p *plan) addLearners(partition int) {
+	if p.changed[partition] {
+		return
+	}
+	for len(p.assigned[partition]) < p.replicationFactor {
+		store := p.bestStore(p.assigned[partition], noStore)
+		if store == noStore {
+			return
+		}
+		p.addLearner(partition, store)
+	}
+}
+
+func (p *plan) addLearner(partition, store int) {
+	current := &p.table.Partitions[partition]
+	learner := p.stores[store].Member
+	learner.Joined = 0
+	current.Learners = append(current.Learners, learner)
+	p.assigned[partition] = append(p.assigned[partition], store)
+	p.addLoad(store, 1)
+	p.recordChange(partition, LearnerAdded, learner.Name)
+}
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -7,24 +7,24 @@
 	"nickelline/internal/view"
 )
 
-// none stands for no store.
+// noStore is the index that stands for no store.
 const noStore = -1
 
-// plan is the state of one computation. Stores are referred to by their index.
+// plan is the state of one computation of a table. Stores are referred to by their index.
 type plan struct {
 	table             Table
 	policy            Policy
 	replicationFactor int
 	stores            []Store
-	// zones are those that have stores that may hold partitions.
+	// zones are those with eligible stores.
 	zones   []zone
 	index   map[view.ReplicaID]int
 	changes []Change
-	// changed tells for each partition whether this computation has changed it: it is changed once.
+	// changed is whether this computation has changed a partition. Each is changed at most once.
 	changed []bool
-	// holders are, for each partition, the stores that will hold it once what has begun is finished.
+	// assigned are, for each partition, the stores that will hold it once the moves in progress are finished.
 	assigned [][]int
-	// loads and heads count, for each store, the partitions that it will hold and those whose head it is.
+	// loads and heads count, for each store, the partitions that it will hold and those that it is the head of.
 	loads []int
 	heads []int
 }
@@ -55,7 +55,7 @@
 	return p
 }
 
-// count works out the holders of all partitions and the loads of all stores.
+// countAssignments derives the assigned stores of all partitions, and the loads of all stores, from the table.
 func (p *plan) countAssignments() {
 	for i := range p.table.Partitions {
 		p.assigned[i] = p.eligibleStores(&p.table.Partitions[i])
@@ -67,15 +67,20 @@
 		}
 	}
 	for i := range p.table.Partitions {
-		for len(p.assigned[i]) > p.replicationFactor {
-			position := p.mostDispensable(p.assigned[i])
-			p.addLoad(p.assigned[i][position], -1)
-			p.assigned[i] = slices.Delete(p.assigned[i], position, position+1)
-		}
+		p.dropDispensable(i)
+	}
+}
+
+// dropDispensable reduces the assigned stores of a partition to the replication factor.
+func (p *plan) dropDispensable(partition int) {
+	for len(p.assigned[partition]) > p.replicationFactor {
+		position := p.mostDispensable(p.assigned[partition])
+		p.addLoad(p.assigned[partition][position], -1)
+		p.assigned[partition] = slices.Delete(p.assigned[partition], position, position+1)
 	}
 }
 
-// candidatesOf gives the stores that hold or learn a partition and may keep it.
+// eligibleStores returns the stores that are members or learners of a partition and may keep it.
 func (p *plan) eligibleStores(partition *Partition) []int {
 	var stores []int
 	for _, members := range [][]view.Member{partition.View.Members, partition.Learners} {
@@ -88,7 +93,7 @@
 	return stores
 }
 
-// storeOf gives the store that has the replica of a member, none if it is not known.
+// storeOf returns the store that has the replica of a member, noStore if it is not known.
 func (p *plan) storeOf(member view.Member) int {
 	store, ok := p.index[member.Replica]
 	if !ok || member.Replica == 0 {
@@ -97,6 +102,7 @@
 	return store
 }
 
+// headStore returns the store of the head of a partition, noStore if it is not known.
 func (p *plan) headStore(partition int) int {
 	head, ok := p.table.Partitions[partition].View.Head()
 	if !ok {
@@ -105,8 +111,8 @@
 	return p.storeOf(head)
 }
 
-// mostDispensable gives the position of the store whose removal leaves the others best placed in zones, among these the
-// one with the highest load, among these the last.
+// mostDispensable returns the position of the store whose removal leaves the best distribution over zones, among these that
+// with the highest load, and among these the last.
 func (p *plan) mostDispensable(assigned []int) int {
 	best := 0
 	for position := 1; position < len(assigned); position++ {
@@ -117,7 +123,7 @@
 	return best
 }
 
-// dispensability is higher the less the zone of the store at a position suits the set, then by its load.
+// dispensability is the cost of the zone of the store at a position, then its load.
 func (p *plan) dispensability(assigned []int, position int) int {
 	store := assigned[position]
 	return p.zoneCost(assigned, p.stores[store].Zone)*p.loadScale() + p.loads[store]
@@ -132,7 +138,7 @@
 	p.changes = append(p.changes, Change{Kind: kind, Chain: v.Chain, Epoch: v.Epoch, Store: store})
 }
 
-// setView gives a partition its next view. Learners that it names are none any more.
+// setView replaces the view of a partition. Learners that are members of it are learners no more.
 func (p *plan) setView(partition int, next view.View, kind ChangeKind) {
 	current := &p.table.Partitions[partition]
 	current.View = next
@@ -140,7 +146,7 @@
 	p.recordChange(partition, kind, "")
 }
 
-// finish gives the table and what was changed.
+// finish returns the table, with the next version if anything was changed, and the changes.
 func (p *plan) finish() (Table, []Change) {
 	if len(p.changes) > 0 {
 		p.table.Version++
--- a/internal/placement/retire.go
+++ b/internal/placement/retire.go
@@ -7,7 +7,7 @@
 	"nickelline/internal/view"
 )
 
-// CheckRetire tells whether a store can be emptied: the error is fault.NotFound if there is no store of that name, and
+// CheckRetire returns an error if a store cannot be emptied: fault.NotFound if there is no store of that name, and
 // fault.Conflict if too few would remain.
 func CheckRetire(stores []Store, name string, policy Policy) error {
 	known := false
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// IsEmptied tells whether a store that is being retired can be taken away: no partition names its replica, and each
+// CanRemove reports whether a store that is being retired can be taken away: no partition names its replica, and each
 // partition has its full number of complete replicas elsewhere.
 func CanRemove(table Table, stores []Store, retiring view.ReplicaID, policy Policy) bool {
 	if table.Names(retiring) {
@@ -44,7 +44,7 @@
 	return true
 }
 
-// full tells whether a partition has as many complete replicas as are wanted on stores that stay.
+// isFullyReplicated reports whether a partition has as many complete replicas as are wanted on eligible stores.
 func (p *plan) isFullyReplicated(partition int) bool {
 	v := p.table.Partitions[partition].View
 	isMissing := func(m view.Member) bool { return !p.isCurrent(v, m) || !p.stores[p.storeOf(m)].isEligible() }
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -7,24 +7,24 @@
 	"nickelline/internal/view"
 )
 
-// Table is the placement of all partitions. It is immutable once it has been published.
+// Table is the placement of all partitions. It must not be changed once it is published.
 type Table struct {
-	// Version counts the changes from 1. 0 is the table before the first assignment, which has no partitions.
+	// Version counts the changes from 1. 0 is the table before the first placement, which has no partitions.
 	Version    uint64
 	Partitions []Partition
 }
 
-// Partition is one chain of stores and what is to become of it.
+// Partition is one chain of stores, with the stores that are to join it.
 type Partition struct {
 	View view.View
-	// Learners are the replicas that follow the chain so that they can become members.
+	// Learners are the replicas that follow the chain in order to become members.
 	Learners []view.Member
 }
 
-// ChainOf gives the number of the chain of the partition at an index. Chain 0 is that of the control state.
+// ChainOf returns the number of the chain of the partition at an index. Chain 0 is that of the control state.
 func ChainOf(partition int) uint32 { return uint32(partition) + 1 }
 
-// PartitionOf gives the index of the partition of a tenant, -1 if there are no partitions. It stays the same as long as
+// PartitionOf returns the index of the partition of a tenant, -1 if there are no partitions. It stays the same as long as
 // the number of partitions does.
 func (t Table) PartitionOf(tenant string) int {
 	if len(t.Partitions) == 0 {
@@ -35,7 +35,7 @@
 	return int(finalizeHash(hash.Sum64()) % uint64(len(t.Partitions)))
 }
 
-// mix spreads the bits of a hash, so that similar names do not fall on similar numbers (the finalizer of MurmurHash3).
+// finalizeHash spreads the bits of a hash, so that similar names do not get similar numbers (the finalizer of MurmurHash3).
 func finalizeHash(hash uint64) uint64 {
 	hash ^= hash >> 33
 	hash *= 0xff51afd7ed558ccd
@@ -44,15 +44,15 @@
 	return hash ^ hash>>33
 }
 
-// Assignment is what a replica has to do for a partition.
+// Assignment is the role of a replica in a partition.
 type Assignment struct {
 	Partition int
 	View      view.View
-	// Learner tells that the replica is not a member of the view and has to follow the chain.
+	// Learner is set if the replica is not a member of the view, and has to follow the chain.
 	Learner bool
 }
 
-// AssignmentsOf gives the partitions that a replica is a member or a learner of.
+// AssignmentsOf returns the assignments of a replica: the partitions that it is a member or a learner of.
 func (t Table) AssignmentsOf(replica view.ReplicaID) []Assignment {
 	var assignments []Assignment
 	for i, partition := range t.Partitions {
@@ -66,12 +66,12 @@
 	return assignments
 }
 
-// Names tells whether a replica is a member or a learner of any partition.
+// Names reports whether a replica is a member or a learner of any partition.
 func (t Table) Names(replica view.ReplicaID) bool {
 	return slices.ContainsFunc(t.Partitions, func(p Partition) bool { return p.View.Has(replica) || p.hasLearner(replica) })
 }
 
-// Clone gives a table that shares no memory with t.
+// Clone returns a table that shares no memory with t.
 func (t Table) Clone() Table {
 	t.Partitions = slices.Clone(t.Partitions)
 	for i, partition := range t.Partitions {
@@ -80,12 +80,12 @@
 	return t
 }
 
-// Equal tells whether two tables are the same.
+// Equal reports whether two tables are the same.
 func (t Table) Equal(other Table) bool {
 	return t.Version == other.Version && slices.EqualFunc(t.Partitions, other.Partitions, Partition.Equal)
 }
 
-// Equal tells whether two partitions are the same.
+// Equal reports whether two partitions are the same.
 func (p Partition) Equal(other Partition) bool {
 	return p.View.Equal(other.View) && slices.Equal(p.Learners, other.Learners)
 }
--- a/internal/placement/zone.go
+++ b/internal/placement/zone.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// zone is the stores of a zone that may hold partitions.
+// zone lists the eligible stores of a zone.
 type zone struct {
 	name   string
 	stores []int
-	// sorted tells that the stores are in order of their loads.
+	// sorted is set while the stores are in the order of compareLoads.
 	sorted bool
 }
 
@@ -22,22 +22,24 @@
 	p.zones[i].stores = append(p.zones[i].stores, store)
 }
 
+// zoneIndex returns the index of the zone of a store, -1 if it has no eligible stores.
 func (p *plan) zoneIndex(store int) int {
 	return slices.IndexFunc(p.zones, func(z zone) bool { return z.name == p.stores[store].Zone })
 }
 
-// addLoad counts partitions that a store will hold, or will not hold any more.
+// addLoad changes the number of partitions that a store will hold.
 func (p *plan) addLoad(store, count int) {
 	p.loads[store] += count
 	p.invalidateOrder(store)
 }
 
-// addHeads counts partitions whose head a store is, or is not any more.
+// addHeads changes the number of partitions that a store is the head of.
 func (p *plan) addHeads(store, count int) {
 	p.heads[store] += count
 	p.invalidateOrder(store)
 }
 
+// invalidateOrder marks the zone of a store as not sorted.
 func (p *plan) invalidateOrder(store int) {
 	if i := p.zoneIndex(store); i >= 0 {
 		p.zones[i].sorted = false
@@ -49,7 +51,8 @@
 	return cmp.Or(cmp.Compare(p.loads[a], p.loads[b]), cmp.Compare(p.heads[a], p.heads[b]), cmp.Compare(a, b))
 }
 
-// leastLoaded gives the store of a zone with the lowest load that is neither among the holders nor left out.
+// leastLoaded returns the store of a zone with the lowest load that is neither assigned nor excluded, noStore if there is
+// none.
 func (p *plan) leastLoaded(z *zone, assigned []int, excluded int) int {
 	if !z.sorted {
 		slices.SortFunc(z.stores, p.compareLoads)
@@ -63,8 +66,8 @@
 	return noStore
 }
 
-// bestStore gives the store that should hold a partition beside the holders: one in the zone that suits them best, with a
-// low load, and with a low count of heads. One store is left out. It is none if no other is left.
+// bestStore returns the store that should hold a partition beside the assigned ones: that in the zone with the lowest cost,
+// with the lowest load there, and with the fewest heads. One store is excluded. It returns noStore if there is no other.
 func (p *plan) bestStore(assigned []int, excluded int) int {
 	best, lowestCost := noStore, 0
 	for i := range p.zones {
@@ -80,8 +83,8 @@
 	return best
 }
 
-// zoneCost tells how ill a zone suits one more replica beside the holders: it grows with how many of them are there, or
-// falls where replicas are concentrated.
+// zoneCost returns how little a zone suits one more replica beside the assigned stores. It rises with the number of these in
+// the zone, or falls where replicas are concentrated.
 func (p *plan) zoneCost(assigned []int, name string) int {
 	count := p.countInZone(assigned, name)
 	if p.policy.Concentrated {
@@ -90,7 +93,7 @@
 	return count
 }
 
-// inZone counts the holders in a zone.
+// countInZone counts the assigned stores in a zone.
 func (p *plan) countInZone(assigned []int, name string) int {
 	count := 0
 	for _, store := range assigned {
