--- a/internal/control/api_test.go
+++ b/internal/control/api_test.go
@@ -46,7 +46,7 @@
 	t.Cleanup(func() {
 		a.stop()
 		if err := <-ended; !isServerClosed(err) {
-			t.Errorf("the server ended with %v", err)
+			t.Errorf("run: got %v, want a closed server", err)
 		}
 	})
 	return &testAPI{t: t, address: listener.Addr().String()}
@@ -87,7 +87,7 @@
 	a.t.Helper()
 	got := a.call(method, path, match, body)
 	if got.status != status {
-		a.t.Fatalf("%s %s: %d in place of %d: %s", method, path, got.status, status, got.body)
+		a.t.Fatalf("%s %s: got status %d (%s), want %d", method, path, got.status, got.body, status)
 	}
 	return got
 }
@@ -126,7 +126,7 @@
 	a.expect("GET", controlapi.ConfigurationPath, "", "", 503)
 	a.replica.fail(errUnclear)
 	if got := a.expect("PUT", controlapi.ConfigurationPath, "0", documentText(3, 10), 504); got.header.Get("Retry-After") != "" {
-		t.Error("an order whose fate is not known is answered with a time to retry")
+		t.Error("unclear outcome: got a Retry-After header")
 	}
 	a.expect("POST", controlapi.RetirePath+"a", "", "", 504)
 }
@@ -137,7 +137,7 @@
 	padded := fmt.Sprintf(`%s,"padding":%q}`, strings.TrimSuffix(text, "}"), strings.Repeat("x", 4<<20))
 	a.expect("PUT", controlapi.ConfigurationPath, "0", padded, 200)
 	if got := a.expect("GET", controlapi.ConfigurationPath, "", "", 200); len(got.body) < 4<<20 {
-		t.Errorf("%d bytes are read back", len(got.body))
+		t.Errorf("got %d bytes, want more than 4 MB", len(got.body))
 	}
 }
 
@@ -152,7 +152,7 @@
 	if got := a.expect("GET", controlapi.RetirePath+"a", "", "", 200); got.body != `{"state":"in_progress"}` {
 		t.Errorf("got %s", got.body)
 	}
-	if _, err := a.replica.Propose(t.Context(), encode(t, complete("a", 1, 0))); err != nil {
+	if _, err := a.replica.Propose(t.Context(), mustEncodeCommand(t, complete("a", 1, 0))); err != nil {
 		t.Fatal(err)
 	}
 	if got := a.expect("GET", controlapi.RetirePath+"a", "", "", 200); got.body != `{"state":"completed"}` {
@@ -170,8 +170,9 @@
 	}
 }
 
-// TestBodyCutShort sends part of an order and closes: nothing may be taken of it, though the part is an order by itself.
-func TestBodyCutShort(t *testing.T) {
+// TestTruncatedBody sends a body that is shorter than its announced length, and closes. It must not be accepted, though what
+// was sent is a valid document.
+func TestTruncatedBody(t *testing.T) {
 	a := newTestAPI(t)
 	connection, err := net.Dial("tcp", a.address)
 	if err != nil {
@@ -189,14 +190,14 @@
 	}
 	response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 	if err == nil && response.StatusCode == 200 {
-		t.Error("an order that was cut short is acknowledged")
+		t.Error("truncated body: got status 200")
 	}
 	if a.replica.machine.State().Version() != 0 {
-		t.Error("an order that was cut short is taken")
+		t.Error("truncated body: got it accepted")
 	}
 }
 
-// TestChunkedBody sends an order in chunks, and then one that ends before its last chunk.
+// TestChunkedBody sends a body in chunks, and then one that ends before its last chunk.
 func TestChunkedBody(t *testing.T) {
 	a := newTestAPI(t)
 	send := func(match uint64, body, end string) int {
@@ -222,22 +223,22 @@
 		return response.StatusCode
 	}
 	if status := send(0, documentText(3, 10), "0\r\n\r\n"); status != 200 {
-		t.Errorf("a whole body in chunks: %d", status)
+		t.Errorf("chunked body: got status %d, want 200", status)
 	}
 	if status := send(3, documentText(5, 10), ""); status == 200 || a.replica.machine.State().Version() != 3 {
-		t.Errorf("a body without its last chunk: %d", status)
+		t.Errorf("chunked body without its last chunk: got status %d, or version %d", status, a.replica.machine.State().Version())
 	}
 }
 
 func TestReadMatch(t *testing.T) {
 	for text, want := range map[string]uint64{"0": 0, "7": 7, ` "7" `: 7, "18446744073709551615": 1<<64 - 1} {
 		if got, err := readMatch(text); err != nil || got != want {
-			t.Errorf("%q: %d, %v", text, got, err)
+			t.Errorf("%q: got %d, %v; want %d", text, got, err, want)
 		}
 	}
 	for _, text := range []string{"", "*", "-1", "7.5", "seven"} {
 		if _, err := readMatch(text); err == nil {
-			t.Errorf("%q is taken", text)
+			t.Errorf("%q: got no error", text)
 		}
 	}
 }
--- a/internal/control/benchmark_test.go
+++ b/internal/control/benchmark_test.go
@@ -22,13 +22,13 @@
 	for _, size := range []int{100, 1_000, 10_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			m := NewMachine()
-			if result := apply(b, m, put(0, largeDocument(size))); result.Outcome != Accepted {
+			if result := mustApply(b, m, put(0, largeDocument(size))); result.Outcome != Accepted {
 				b.Fatal(result.Text)
 			}
 			var commands [][]byte
 			for i := range b.N {
 				order := fmt.Sprintf(`{"version":%d,"upsert":{"routes":[{"name":"r-5","hostname":"h","pathPrefix":"/p5/","timeoutMs":7,"service":"s"}]}}`, i+2)
-				commands = append(commands, encode(b, patch(uint64(i+1), order)))
+				commands = append(commands, mustEncodeCommand(b, patch(uint64(i+1), order)))
 			}
 			b.ReportMetric(float64(len(commands[0])), "command-bytes")
 			b.ReportAllocs()
--- a/internal/control/golden_api_test.go
+++ b/internal/control/golden_api_test.go
@@ -61,7 +61,7 @@
 	a.record(http.MethodPost, path+"a", "", "")
 	a.record(http.MethodGet, path+"a", "", "")
 	a.record(http.MethodPost, path+"b", "", `{"durationS":10}`)
-	if _, err := a.api.replica.Propose(t.Context(), encode(t, complete("a", 1, 0))); err != nil {
+	if _, err := a.api.replica.Propose(t.Context(), mustEncodeCommand(t, complete("a", 1, 0))); err != nil {
 		t.Fatal(err)
 	}
 	a.record(http.MethodGet, path+"a", "", "")
@@ -96,7 +96,7 @@
 		t.Fatal(err)
 	}
 	machine := goldenMachine(t)
-	expect(t, machine, &Command{ReplacePlacement: &ReplacePlacement{ExpectedVersion: 1, ExpectedRevision: 3, Table: table}}, Accepted)
+	applyAndCheck(t, machine, &Command{ReplacePlacement: &ReplacePlacement{ExpectedVersion: 1, ExpectedRevision: 3, Table: table}}, Accepted)
 	members := &fixedMembers{table: member.NewTable(
 		member.Member{Name: "store-1", Role: storeRole, Zone: "zone-a", Address: first.Address, State: member.Alive},
 		member.Member{Name: "store-2", Role: storeRole, Zone: "zone-b", Address: second.Address, State: member.Suspect, Leaving: true},
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -115,13 +115,13 @@
 func goldenMachine(t *testing.T) *Machine {
 	t.Helper()
 	m := NewMachine()
-	expect(t, m, &Command{Configure: &goldenOrder}, Accepted)
-	expect(t, m, &Command{Configure: &goldenLateOrder}, VersionMismatch)
-	expect(t, m, &Command{Retire: &Retire{Store: goldenStore, Duration: 1234 * time.Millisecond}}, Accepted)
-	expect(t, m, &Command{CompleteRetirement: &CompleteRetirement{Store: goldenStore, CurrentReplica: 0x6162636465666768}}, Accepted)
-	expect(t, m, &Command{Retire: &Retire{Store: goldenStores[0], Duration: 5678 * time.Millisecond}}, Accepted)
-	expect(t, m, &Command{ReplacePlacement: &ReplacePlacement{ExpectedRevision: 3, Table: []byte("placement table")}}, Accepted)
-	expect(t, m, &Command{ChangeLeaseholders: &ChangeLeaseholders{Epoch: 51, Add: []Leaseholder{goldenAdded, goldenRemoved}}}, Accepted)
+	applyAndCheck(t, m, &Command{Configure: &goldenOrder}, Accepted)
+	applyAndCheck(t, m, &Command{Configure: &goldenLateOrder}, VersionMismatch)
+	applyAndCheck(t, m, &Command{Retire: &Retire{Store: goldenStore, Duration: 1234 * time.Millisecond}}, Accepted)
+	applyAndCheck(t, m, &Command{CompleteRetirement: &CompleteRetirement{Store: goldenStore, CurrentReplica: 0x6162636465666768}}, Accepted)
+	applyAndCheck(t, m, &Command{Retire: &Retire{Store: goldenStores[0], Duration: 5678 * time.Millisecond}}, Accepted)
+	applyAndCheck(t, m, &Command{ReplacePlacement: &ReplacePlacement{ExpectedRevision: 3, Table: []byte("placement table")}}, Accepted)
+	applyAndCheck(t, m, &Command{ChangeLeaseholders: &ChangeLeaseholders{Epoch: 51, Add: []Leaseholder{goldenAdded, goldenRemoved}}}, Accepted)
 	return m
 }
 
--- a/internal/control/headstatus_test.go
+++ b/internal/control/headstatus_test.go
@@ -11,16 +11,16 @@
 	"nickelline/internal/view"
 )
 
-// fakeConfirmer confirms the view of a fake node, unless it is told to fail. The view may change before the answer comes.
-type fakeConfirmer struct {
+// fakeProver confirms the view of a fake node, unless it has an error. The view may change before the answer.
+type fakeProver struct {
 	node  *fakeChainNode
 	err   error
 	after func()
-	asked int
+	calls int
 }
 
-func (f *fakeConfirmer) ConfirmView(context.Context) (view.View, error) {
-	f.asked++
+func (f *fakeProver) ConfirmView(context.Context) (view.View, error) {
+	f.calls++
 	confirmed := f.node.current
 	if f.after != nil {
 		f.after()
@@ -28,76 +28,76 @@
 	return confirmed, f.err
 }
 
-func newHeadshipFixture() (*HeadStatus, *fakeChainNode, *fakeConfirmer) {
-	node := newDistributorFixture().node
-	confirmer := &fakeConfirmer{node: node}
-	h := &HeadStatus{node: node, prover: confirmer, self: 7, proofLifetime: time.Hour, log: zap.NewNop()}
-	return h, node, confirmer
+func newHeadStatusFixture() (*HeadStatus, *fakeChainNode, *fakeProver) {
+	node := newPublisherFixture().node
+	prover := &fakeProver{node: node}
+	h := &HeadStatus{node: node, prover: prover, self: 7, proofLifetime: time.Hour, log: zap.NewNop()}
+	return h, node, prover
 }
 
-func TestHeadshipIsOfItsEpoch(t *testing.T) {
-	h, node, confirmer := newHeadshipFixture()
+func TestHeadProofCountsInItsEpochOnly(t *testing.T) {
+	h, node, prover := newHeadStatusFixture()
 	if h.Fresh() {
-		t.Error("headship without a proof")
+		t.Error("before a proof: got a fresh status")
 	}
 	h.prove(t.Context())
 	if !h.Fresh() || h.Epoch() != 3 {
-		t.Error("a confirmed view proves no headship")
+		t.Error("after a proof: got no fresh status")
 	}
 	node.current.Epoch = 4
 	if h.Fresh() {
-		t.Error("a proof holds in its epoch only")
+		t.Error("in the next epoch: got a fresh status")
 	}
-	confirmer.after = func() { node.current.Epoch = 5 }
+	prover.after = func() { node.current.Epoch = 5 }
 	h.prove(t.Context())
 	if h.Fresh() {
-		t.Error("a view that was replaced meanwhile proves headship")
+		t.Error("after a proof of a view that was replaced meanwhile: got a fresh status")
 	}
 }
 
-func TestOnlyTheHeadAsksForProofs(t *testing.T) {
-	h, node, confirmer := newHeadshipFixture()
+func TestOnlyTheHeadRequestsProofs(t *testing.T) {
+	h, node, prover := newHeadStatusFixture()
 	node.current.Members = []view.Member{{Replica: 8, Address: netip.MustParseAddrPort("10.0.0.8:1")}, {Replica: 7}}
 	h.prove(t.Context())
 	node.current.Members = nil
 	h.prove(t.Context())
-	if h.Fresh() || confirmer.asked > 0 {
-		t.Errorf("fresh: %v, asked %d times", h.Fresh(), confirmer.asked)
+	if h.Fresh() || prover.calls > 0 {
+		t.Errorf("got fresh %v after %d proofs, want false after 0", h.Fresh(), prover.calls)
 	}
 	node.current.Members = []view.Member{{Replica: 8, Address: netip.MustParseAddrPort("10.0.0.8:1")}}
 	if head, ok := h.Head(); !ok || head.Port() != 1 {
-		t.Errorf("head %v", head)
+		t.Errorf("got head %v, want port 1", head)
 	}
 }
 
-// An attempt that fails proves nothing, and takes nothing from the proof before it.
-func TestFailedProofOfHeadship(t *testing.T) {
-	h, _, confirmer := newHeadshipFixture()
-	confirmer.err = errNotReady
+// An attempt that fails proves nothing, and leaves the proof before it as it was.
+func TestFailedHeadProof(t *testing.T) {
+	h, _, prover := newHeadStatusFixture()
+	prover.err = errNotReady
 	h.prove(t.Context())
 	if h.Fresh() {
-		t.Error("a view that was not confirmed proves headship")
+		t.Error("after a failed proof: got a fresh status")
 	}
-	confirmer.err = nil
+	prover.err = nil
 	h.prove(t.Context())
-	confirmer.err = errNotReady
+	prover.err = errNotReady
 	h.prove(t.Context())
 	if !h.Fresh() {
-		t.Error("the proof before was lost")
+		t.Error("after a failed proof that follows a successful one: got no fresh status")
 	}
 }
 
-// A proof counts from before the members were asked.
-func TestHeadshipGrowsOld(t *testing.T) {
-	h, _, confirmer := newHeadshipFixture()
+// A proof counts from before the voters were asked.
+func TestHeadProofExpires(t *testing.T) {
+	h, _, prover := newHeadStatusFixture()
 	var answered time.Time
-	confirmer.after = func() { answered = time.Now() }
+	prover.after = func() { answered = time.Now() }
 	h.prove(t.Context())
 	if h.provenAt.After(answered) {
-		t.Error("the proof is younger than the answers")
+		t.Error("got a proof that began after the answers")
 	}
 	h.proofLifetime = 0
 	if h.Fresh() {
-		t.Error("an old proof is fresh")
+		t.Error("expired proof: got a fresh status")
 	}
 }
--- a/internal/control/leaseholders_test.go
+++ b/internal/control/leaseholders_test.go
@@ -8,84 +8,84 @@
 	"nickelline/internal/fault"
 )
 
-func holder(address string, generation uint64) Leaseholder {
+func leaseholder(address string, generation uint64) Leaseholder {
 	return Leaseholder{Address: netip.MustParseAddrPort(address), Generation: generation}
 }
 
 var (
-	holderA = holder("10.0.0.1:7661", 1<<63)
-	holderB = holder("10.0.0.2:7661", 2)
-	holderC = holder("10.0.0.1:7662", 3)
+	leaseholderA = leaseholder("10.0.0.1:7661", 1<<63)
+	leaseholderB = leaseholder("10.0.0.2:7661", 2)
+	leaseholderC = leaseholder("10.0.0.1:7662", 3)
 )
 
-func changeHolders(epoch, revision uint64, add, remove []Leaseholder) *Command {
+func changeLeaseholders(epoch, revision uint64, add, remove []Leaseholder) *Command {
 	return &Command{ChangeLeaseholders: &ChangeLeaseholders{Epoch: epoch, ExpectedRevision: revision, Add: add, Remove: remove}}
 }
 
-func wantHolders(t *testing.T, m *Machine, want LeaseholderSet) {
+func checkLeaseholders(t *testing.T, m *Machine, want LeaseholderSet) {
 	t.Helper()
 	if got := m.State().Leaseholders; !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
-func TestHoldersAreAddedAndRemoved(t *testing.T) {
+func TestLeaseholdersAreAddedAndRemoved(t *testing.T) {
 	m := NewMachine()
-	expect(t, m, changeHolders(1, 0, []Leaseholder{holderB, holderA}, nil), Accepted)
-	expect(t, m, changeHolders(1, 1, []Leaseholder{holderC}, []Leaseholder{holderB}), Accepted)
-	wantHolders(t, m, LeaseholderSet{Epoch: 1, Revision: 2, Members: []Leaseholder{holderA, holderC}})
+	applyAndCheck(t, m, changeLeaseholders(1, 0, []Leaseholder{leaseholderB, leaseholderA}, nil), Accepted)
+	applyAndCheck(t, m, changeLeaseholders(1, 1, []Leaseholder{leaseholderC}, []Leaseholder{leaseholderB}), Accepted)
+	checkLeaseholders(t, m, LeaseholderSet{Epoch: 1, Revision: 2, Members: []Leaseholder{leaseholderA, leaseholderC}})
 }
 
-func TestNewGenerationReplacesTheFormer(t *testing.T) {
+func TestRestartedProcessReplacesTheFormer(t *testing.T) {
 	m := NewMachine()
-	expect(t, m, changeHolders(1, 0, []Leaseholder{holderA, holderB}, nil), Accepted)
-	restarted := Leaseholder{Address: holderA.Address, Generation: 9}
-	expect(t, m, changeHolders(1, 1, []Leaseholder{restarted}, nil), Accepted)
-	expect(t, m, changeHolders(1, 2, nil, []Leaseholder{holderA}), Accepted) // not the generation that is there
-	wantHolders(t, m, LeaseholderSet{Epoch: 1, Revision: 3, Members: []Leaseholder{restarted, holderB}})
+	applyAndCheck(t, m, changeLeaseholders(1, 0, []Leaseholder{leaseholderA, leaseholderB}, nil), Accepted)
+	restarted := Leaseholder{Address: leaseholderA.Address, Generation: 9}
+	applyAndCheck(t, m, changeLeaseholders(1, 1, []Leaseholder{restarted}, nil), Accepted)
+	applyAndCheck(t, m, changeLeaseholders(1, 2, nil, []Leaseholder{leaseholderA}), Accepted) // not the current process
+	checkLeaseholders(t, m, LeaseholderSet{Epoch: 1, Revision: 3, Members: []Leaseholder{restarted, leaseholderB}})
 }
 
-func TestHoldersChangeOnlyFromTheCurrentRevision(t *testing.T) {
+func TestLeaseholdersChangeOnlyFromTheCurrentRevision(t *testing.T) {
 	m := NewMachine()
-	expect(t, m, changeHolders(2, 0, []Leaseholder{holderA}, nil), Accepted)
-	expect(t, m, changeHolders(2, 0, nil, []Leaseholder{holderA}), VersionMismatch)
-	expect(t, m, changeHolders(3, 0, nil, []Leaseholder{holderA}), VersionMismatch)
-	wantHolders(t, m, LeaseholderSet{Epoch: 2, Revision: 1, Members: []Leaseholder{holderA}})
+	applyAndCheck(t, m, changeLeaseholders(2, 0, []Leaseholder{leaseholderA}, nil), Accepted)
+	applyAndCheck(t, m, changeLeaseholders(2, 0, nil, []Leaseholder{leaseholderA}), VersionMismatch)
+	applyAndCheck(t, m, changeLeaseholders(3, 0, nil, []Leaseholder{leaseholderA}), VersionMismatch)
+	checkLeaseholders(t, m, LeaseholderSet{Epoch: 2, Revision: 1, Members: []Leaseholder{leaseholderA}})
 }
 
-func TestLaterAllocatorShutsOutEarlierOnes(t *testing.T) {
+func TestLaterAllocatorExcludesEarlierOnes(t *testing.T) {
 	m := NewMachine()
-	expect(t, m, changeHolders(2, 0, []Leaseholder{holderA}, nil), Accepted)
-	expect(t, m, changeHolders(3, 1, nil, nil), Accepted)
-	expect(t, m, changeHolders(2, 1, []Leaseholder{holderB}, nil), VersionMismatch)
-	expect(t, m, changeHolders(2, 2, []Leaseholder{holderB}, nil), VersionMismatch)
-	wantHolders(t, m, LeaseholderSet{Epoch: 3, Revision: 2, Members: []Leaseholder{holderA}})
+	applyAndCheck(t, m, changeLeaseholders(2, 0, []Leaseholder{leaseholderA}, nil), Accepted)
+	applyAndCheck(t, m, changeLeaseholders(3, 1, nil, nil), Accepted)
+	applyAndCheck(t, m, changeLeaseholders(2, 1, []Leaseholder{leaseholderB}, nil), VersionMismatch)
+	applyAndCheck(t, m, changeLeaseholders(2, 2, []Leaseholder{leaseholderB}, nil), VersionMismatch)
+	checkLeaseholders(t, m, LeaseholderSet{Epoch: 3, Revision: 2, Members: []Leaseholder{leaseholderA}})
 }
 
-func TestSnapshotHoldsTheHolders(t *testing.T) {
+func TestSnapshotContainsTheLeaseholders(t *testing.T) {
 	m := NewMachine()
-	expect(t, m, changeHolders(2, 0, []Leaseholder{holderA, holderB, holderC}, nil), Accepted)
+	applyAndCheck(t, m, changeLeaseholders(2, 0, []Leaseholder{leaseholderA, leaseholderB, leaseholderC}, nil), Accepted)
 	restored := NewMachine()
 	if err := restored.Restore(m.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
-	wantHolders(t, restored, m.State().Leaseholders)
+	checkLeaseholders(t, restored, m.State().Leaseholders)
 }
 
-func TestChangeHolders(t *testing.T) {
+func TestChangeLeaseholders(t *testing.T) {
 	c := &Control{machine: NewMachine()}
 	_, err := c.ChangeLeaseholders(t.Context(), &ChangeLeaseholders{})
-	wantKind(t, err, fault.NotReady)
+	checkKind(t, err, fault.NotReady)
 	replica := &fakeReplica{}
 	c.service = newTestService(replica)
 	c.machine = replica.machine
-	set, err := c.ChangeLeaseholders(t.Context(), &ChangeLeaseholders{Epoch: 1, Add: []Leaseholder{holderA}})
+	set, err := c.ChangeLeaseholders(t.Context(), &ChangeLeaseholders{Epoch: 1, Add: []Leaseholder{leaseholderA}})
 	if err != nil || len(set.Members) != 1 {
-		t.Errorf("%+v, error %v", set, err)
+		t.Errorf("got %+v, %v; want one leaseholder", set, err)
 	}
 	_, err = c.ChangeLeaseholders(t.Context(), &ChangeLeaseholders{Epoch: 1})
-	wantKind(t, err, fault.VersionConflict)
+	checkKind(t, err, fault.VersionConflict)
 	replica.fail(fault.New(fault.Unclear, "lost"))
 	_, err = c.ChangeLeaseholders(t.Context(), &ChangeLeaseholders{Epoch: 1, ExpectedRevision: 1})
-	wantKind(t, err, fault.Unclear)
+	checkKind(t, err, fault.Unclear)
 }
--- a/internal/control/losses_test.go
+++ b/internal/control/losses_test.go
@@ -19,28 +19,28 @@
 	for len(p.control.node.View().Members) != members {
 		select {
 		case <-ctx.Done():
-			s.t.Fatalf("the view names %d nodes", len(p.control.node.View().Members))
-		case <-p.viewed:
+			s.t.Fatalf("got a view of %d nodes, want %d", len(p.control.node.View().Members), members)
+		case <-p.viewChanged:
 		}
 	}
 }
 
-// waitForChain returns once a node tells so of the chain.
+// waitForChain returns once the status of a node shows a chain with these numbers.
 func (s *controlSystem) waitForChain(node, replicas, voters, lossesBorne int) {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), testCalls)
 	defer cancel()
 	p := s.nodes[node]
 	for {
-		told := p.control.Status().Chain
-		if len(told.Replicas) == replicas && len(told.Voters) == voters && told.LossesBorne == lossesBorne {
+		status := p.control.Status().Chain
+		if len(status.Replicas) == replicas && len(status.Voters) == voters && status.LossesBorne == lossesBorne {
 			return
 		}
 		select {
 		case <-ctx.Done():
-			s.t.Fatalf("node %d tells of the chain %+v", node, told)
-		case <-p.met:
-		case <-p.viewed:
+			s.t.Fatalf("node %d: got chain status %+v, want %d replicas, %d voters, %d losses borne", node, status, replicas, voters, lossesBorne)
+		case <-p.membersChanged:
+		case <-p.viewChanged:
 		}
 	}
 }
@@ -56,15 +56,15 @@
 	}
 }
 
-// One replica is away while the others take a change. Then one of these loses its disk while the other one is down. What was
-// acknowledged is on one disk then, and the one that was away still has its vote.
-func TestDiskIsLostWhileAReplicaIsAway(t *testing.T) {
+// One replica is down while the others accept a change. Then one of these loses its disk while the other one is down. The
+// acknowledged change is on one disk only then, and the replica that was down first still has its vote.
+func TestDiskIsLostWhileAReplicaIsDown(t *testing.T) {
 	for away := range testControls {
 		s := newControlSystem(t)
 		s.startAll(true)
 		first, second := (away+1)%testControls, (away+2)%testControls
 		s.put(first, 0, 3)
-		s.waitForAll(first)
+		s.waitForFullView(first)
 		s.waitForChain(first, testControls, testControls, 1)
 		s.kill(away)
 		s.waitForViewOf(first, testControls-1)
@@ -85,12 +85,12 @@
 	}
 }
 
-// A replica whose state in the agreement is damaged makes itself a new one.
+// A replica whose acceptor state is damaged is replaced by a new one at the next start.
 func TestDamagedAcceptorIsALostReplica(t *testing.T) {
 	s := newControlSystem(t)
 	s.startAll(true)
 	s.put(0, 0, 3)
-	s.waitForAll(0)
+	s.waitForFullView(0)
 	s.kill(2)
 	name := filepath.Join(s.directories[2], chainDirectory, "acceptor")
 	data, err := os.ReadFile(name)
@@ -102,7 +102,7 @@
 		t.Fatal(err)
 	}
 	if err := s.open(2, false); !errors.Is(err, segment.ErrDamaged) {
-		t.Fatalf("started: %v", err)
+		t.Fatalf("open: got %v, want %v", err, segment.ErrDamaged)
 	}
 	s.start(2, false)
 	s.expectVersion(2, 3)
--- a/internal/control/report_test.go
+++ b/internal/control/report_test.go
@@ -27,11 +27,11 @@
 		}
 		report, again, err := decodeReport(encoded)
 		if err != nil || again != forwarded || !reflect.DeepEqual(report, exampleReport) {
-			t.Errorf("%+v, %v, %v", report, again, err)
+			t.Errorf("got %+v, forwarded %v, %v; want %+v, %v", report, again, err, exampleReport, forwarded)
 		}
 	}
 	if _, _, err := decodeReport([]byte{1, 2}); err == nil {
-		t.Error("a report that cannot be read is taken")
+		t.Error("decode a malformed report: got no error")
 	}
 }
 
@@ -49,68 +49,68 @@
 		t.Fatalf("%+v, %v", decoded, err)
 	}
 	if !r.put(decoded, begin) || r.put(decoded, begin) {
-		t.Error("only the first of two equal reports of a disk that does not work is news")
+		t.Error("put two equal reports of an impaired store: got other than true, then false")
 	}
 	if _, recent := r.recent(7, begin); recent {
-		t.Error("a store whose disk does not work counts as reachable")
+		t.Error("impaired store: got a recent report")
 	}
 	if !r.put(exampleReport, begin) {
-		t.Error("a disk that works again is no news")
+		t.Error("put a report of a store that is impaired no more: got false, want true")
 	}
 	if _, recent := r.recent(7, begin); !recent {
-		t.Error("a store whose disk works again does not count as reachable")
+		t.Error("store that is impaired no more: got no recent report")
 	}
 }
 
-func TestReportsGrowOld(t *testing.T) {
+func TestReportsExpire(t *testing.T) {
 	r := newReportStore()
 	begin := time.Now()
 	if !r.put(exampleReport, begin) || r.put(exampleReport, begin) {
-		t.Error("only the first of two equal reports is news")
+		t.Error("put two equal reports: got other than true, then false")
 	}
 	later := Report{Store: Store{"s-2", 8}, Chains: []ChainStatus{{Chain: 5, Epoch: 1}}}
 	r.put(later, begin.Add(2*time.Second))
 	if chains, recent := r.recent(7, begin); !recent || !reflect.DeepEqual(chains, exampleReport.Chains) {
-		t.Errorf("got %+v, %v", chains, recent)
+		t.Errorf("got %+v, recent %v; want %+v, true", chains, recent, exampleReport.Chains)
 	}
 	if _, recent := r.recent(7, begin.Add(time.Second)); recent {
-		t.Error("an old report is recent")
+		t.Error("expired report: got it recent")
 	}
 	if _, recent := r.recent(9, begin); recent {
-		t.Error("a report that never came is recent")
+		t.Error("unknown replica: got a recent report")
 	}
 	r.expire(begin.Add(time.Second))
 	if _, recent := r.recent(7, begin); recent || len(r.byReplica) != 1 {
-		t.Error("an old report is not forgotten")
+		t.Error("expire: got the old report kept, or the other one dropped")
 	}
 }
 
-// reportNode is a control node that only accepts reports.
+// reportNode starts a control node that only handles reports.
 func reportNode(t *testing.T, head func() (netip.AddrPort, bool)) (*reportStore, *peer.Transport) {
 	t.Helper()
 	transport, err := peer.Listen(netip.MustParseAddrPort("127.0.0.1:0"), zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept := newReportStore()
-	h := &reportHandler{reports: kept, transport: transport, head: head, changed: func() {}}
+	reports := newReportStore()
+	h := &reportHandler{reports: reports, transport: transport, head: head, changed: func() {}}
 	transport.Handle(reportKind, h.handle)
 	transport.Start()
 	t.Cleanup(transport.Close)
-	return kept, transport
+	return reports, transport
 }
 
-func TestReportsReachTheHead(t *testing.T) {
-	kept, head := reportNode(t, func() (netip.AddrPort, bool) { return netip.AddrPort{}, true })
-	passed, other := reportNode(t, func() (netip.AddrPort, bool) { return head.Address(), false })
+func TestReportsAreForwardedToTheHead(t *testing.T) {
+	headReports, head := reportNode(t, func() (netip.AddrPort, bool) { return netip.AddrPort{}, true })
+	otherReports, other := reportNode(t, func() (netip.AddrPort, bool) { return head.Address(), false })
 	_, lost := reportNode(t, func() (netip.AddrPort, bool) { return other.Address(), false })
 	if err := ReportReplicas(t.Context(), lost, other.Address(), exampleReport); err != nil {
 		t.Fatal(err)
 	}
-	if len(kept.byReplica) != 1 || len(passed.byReplica) != 0 {
-		t.Errorf("%d and %d reports are kept", len(kept.byReplica), len(passed.byReplica))
+	if len(headReports.byReplica) != 1 || len(otherReports.byReplica) != 0 {
+		t.Errorf("got %d reports at the head and %d elsewhere, want 1 and 0", len(headReports.byReplica), len(otherReports.byReplica))
 	}
-	// A node that does not know the head does not send a report in a circle.
+	// A node that is not the head does not forward a report that was forwarded already.
 	err := ReportReplicas(t.Context(), head, lost.Address(), exampleReport)
-	wantKind(t, err, fault.NotReady)
+	checkKind(t, err, fault.NotReady)
 }
--- a/internal/control/stored_data_test.go
+++ b/internal/control/stored_data_test.go
@@ -108,7 +108,7 @@
 // propose has a command applied and compares its outcome.
 func (s *storedReplica) propose(command *Command, want Outcome) {
 	s.t.Helper()
-	reply, err := s.control.node.Propose(s.t.Context(), encode(s.t, command))
+	reply, err := s.control.node.Propose(s.t.Context(), mustEncodeCommand(s.t, command))
 	if err != nil {
 		s.t.Fatalf("propose: %v", err)
 	}
