--- a/internal/placement/running_test.go
+++ b/internal/placement/balance_heads_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// unevenHeads is a table in which one of three stores is head of nothing.
+// unevenHeads returns a table in which one of three stores is head of nothing.
 func unevenHeads(t *testing.T) (Table, []Store) {
 	t.Helper()
 	stores := testStores(3, 3)
@@ -28,7 +28,7 @@
 			members[0], members[1] = members[1], members[0]
 		}
 	}
-	settle(table, stores)
+	reportAll(table, stores)
 	return table, stores
 }
 
@@ -41,11 +41,11 @@
 	return moved
 }
 
-func TestBusyHeadsStayWhereTheyAre(t *testing.T) {
+func TestHeadsWithRunningItemsAreNotMoved(t *testing.T) {
 	table, stores := unevenHeads(t)
 	setRunning(table, stores, func(int) uint32 { return 100 })
 	if next, changes := Next(table, stores, PolicyFor(1)); len(changes) > 0 {
-		t.Errorf("heads of %v are moved while items run", movedHeads(table, next))
+		t.Errorf("got heads of %v moved while items run", movedHeads(table, next))
 	}
 }
 
@@ -63,11 +63,11 @@
 	})
 	next, _ := Next(table, stores, PolicyFor(1))
 	if moved := movedHeads(table, next); len(moved) != 1 || moved[0] != idle {
-		t.Errorf("heads of %v are moved, want that of %d, where nothing runs", moved, idle)
+		t.Errorf("got heads of %v moved, want that of %d, where nothing runs", moved, idle)
 	}
 }
 
-func TestOneBusyHeadIsMovedWhereThatIsAllowed(t *testing.T) {
+func TestOneHeadWithRunningItemsIsMovedIfAllowed(t *testing.T) {
 	table, stores := unevenHeads(t)
 	setRunning(table, stores, func(partition int) uint32 { return uint32(100 - partition) })
 	policy := PolicyFor(1)
@@ -75,13 +75,13 @@
 	next, _ := Next(table, stores, policy)
 	moved := movedHeads(table, next)
 	if len(moved) != 1 {
-		t.Fatalf("heads of %v are moved, want one", moved)
+		t.Fatalf("got heads of %v moved, want one", moved)
 	}
 	p := newPlan(table, stores, policy)
 	p.countAssignments()
 	for i := range table.Partitions {
 		if p.runningItems(i) < p.runningItems(moved[0]) && p.heads[p.headStore(i)] >= p.heads[p.headStore(moved[0])] {
-			t.Errorf("partition %d has %d items running, but %d with %d is moved", i, p.runningItems(i), moved[0], p.runningItems(moved[0]))
+			t.Errorf("got head of partition %d with %d items moved, want %d with %d", moved[0], p.runningItems(moved[0]), i, p.runningItems(i))
 		}
 	}
 }
--- a/internal/placement/benchmark_test.go
+++ b/internal/placement/benchmark_test.go
@@ -16,7 +16,7 @@
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			stores := testStores(count, benchmarkZones)
 			table := mustCreate(b, stores, PolicyFor(2))
-			settle(table, stores)
+			reportAll(table, stores)
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, changes := Next(table, stores, PolicyFor(2)); len(changes) > 0 {
@@ -33,7 +33,7 @@
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			stores := testStores(count, benchmarkZones)
 			table := mustCreate(b, stores, PolicyFor(2))
-			settle(table, stores)
+			reportAll(table, stores)
 			for i := range stores {
 				stores[i].Alive = stores[i].Zone != stores[0].Zone
 			}
@@ -53,7 +53,7 @@
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			stores := testStores(count+benchmarkZones, benchmarkZones)
 			table := mustCreate(b, stores[:count], PolicyFor(2))
-			settle(table, stores)
+			reportAll(table, stores)
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, changes := Next(table, stores, PolicyFor(2)); len(changes) == 0 {
--- a/internal/placement/concentrated_test.go
+++ b/internal/placement/concentrated_test.go
@@ -24,12 +24,12 @@
 	t.Helper()
 	for _, partition := range table.Partitions {
 		if zones := zonesOf(partition); len(zones) != 1 {
-			t.Errorf("chain %d has members in zones %v", partition.View.Chain, zones)
+			t.Errorf("chain %d: got members in zones %v", partition.View.Chain, zones)
 		}
 	}
 }
 
-func TestConcentratedPartitionsLieInOneZone(t *testing.T) {
+func TestConcentratedPartitionsAreInOneZone(t *testing.T) {
 	for _, test := range []struct{ stores, zones, tolerance int }{
 		{stores: 14, zones: 3, tolerance: 2},
 		{stores: 16, zones: 4, tolerance: 2},
@@ -40,45 +40,45 @@
 			policy := concentrated(test.tolerance)
 			table := mustCreate(t, stores, policy)
 			checkOneZone(t, table)
-			if difference := spread(table, stores, isHead); difference > 1 {
-				t.Errorf("heads differ by %d", difference)
+			if difference := countDifference(table, stores, isHead); difference > 1 {
+				t.Errorf("got a difference of %d heads, want at most 1", difference)
 			}
-			settle(table, stores)
+			reportAll(table, stores)
 			if _, changes := Next(table, stores, policy); len(changes) > 0 {
-				t.Errorf("a new table is changed: %v", changes)
+				t.Errorf("new table: got changes %v", changes)
 			}
 		})
 	}
 }
 
-// TestConcentratedPartitionsComeBackToTheirZone: while a zone has too few stores, others help out.
-func TestConcentratedPartitionsComeBackToTheirZone(t *testing.T) {
+// While a zone has too few stores, partitions use others, and return to one zone afterwards.
+func TestConcentratedPartitionsReturnToTheirZone(t *testing.T) {
 	stores := testStores(12, 3)
 	policy := concentrated(2)
 	table := mustCreate(t, stores, policy)
 	stores[0].Alive, stores[3].Alive = false, false
-	table = runUntilCalm(t, table, stores, policy)
+	table = runUntilStable(t, table, stores, policy)
 	for _, partition := range table.Partitions {
 		if count := len(partition.View.Members); count != policy.ReplicationFactor {
-			t.Errorf("chain %d has %d members", partition.View.Chain, count)
+			t.Errorf("chain %d: got %d members, want %d", partition.View.Chain, count, policy.ReplicationFactor)
 		}
 		if zones := zonesOf(partition); len(zones) > 2 {
-			t.Errorf("chain %d has members in zones %v", partition.View.Chain, zones)
+			t.Errorf("chain %d: got members in zones %v", partition.View.Chain, zones)
 		}
 	}
 	stores[0].Alive, stores[3].Alive = true, true
-	table = runUntilCalm(t, table, stores, policy)
+	table = runUntilStable(t, table, stores, policy)
 	checkOneZone(t, table)
 }
 
-// TestConcentratedPartitionsUseFewZones: zones with fewer stores than a partition has replicas.
+// Where zones have fewer stores than a partition has replicas, as few zones as possible are used.
 func TestConcentratedPartitionsUseFewZones(t *testing.T) {
 	stores := testStores(6, 3)
 	policy := concentrated(1)
-	table := runUntilCalm(t, mustCreate(t, stores, policy), stores, policy)
+	table := runUntilStable(t, mustCreate(t, stores, policy), stores, policy)
 	for _, partition := range table.Partitions {
 		if zones := zonesOf(partition); len(zones) > 2 || len(partition.View.Members) != policy.ReplicationFactor {
-			t.Errorf("chain %d has members in zones %v", partition.View.Chain, zones)
+			t.Errorf("chain %d: got members in zones %v", partition.View.Chain, zones)
 		}
 	}
 }
