--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -17,14 +17,14 @@
 	retryInterval = 40 * time.Millisecond
 )
 
-// Replica is the control chain as the operator's calls use it: a *chain.Node.
-type Replica interface {
+// chainReplica is the control chain as the operator's calls use it: a *chain.Node.
+type chainReplica interface {
 	Propose(ctx context.Context, command []byte) ([]byte, error)
 	Barrier(ctx context.Context) error
 }
 
-// Stores lists the stores of the system.
-type Stores interface {
+// storeLister lists the stores of the system.
+type storeLister interface {
 	// Stores returns all known stores, those of them that can be relied on to hold data, and whether the list is complete: a
 	// store that is not in it does not exist.
 	Stores() (known, remaining []Store, complete bool)
@@ -32,16 +32,16 @@
 
 // service carries out the operator's calls, independently of the protocol. Its methods may be called concurrently.
 type service struct {
-	replica Replica
+	replica chainReplica
 	machine *Machine
-	stores  Stores
+	stores  storeLister
 	// minimumStores is how many stores must remain when one is retired.
 	minimumStores int
 	callTimeout   time.Duration
 	retryInterval time.Duration
 }
 
-func newService(replica Replica, machine *Machine, stores Stores, minimumStores int) *service {
+func newService(replica chainReplica, machine *Machine, stores storeLister, minimumStores int) *service {
 	return &service{
 		replica:       replica,
 		machine:       machine,
--- a/internal/control/stores.go
+++ b/internal/control/stores.go
@@ -29,7 +29,7 @@
 	now          func() time.Time
 }
 
-// Stores implements Stores.
+// Stores implements storeLister.
 func (d *storeDirectory) Stores() (known, remaining []Store, complete bool) {
 	table := decodePlacement(d.machine.State())
 	for _, m := range d.members.Table().All() {
--- a/internal/control/system_test.go
+++ b/internal/control/system_test.go
@@ -3,11 +3,8 @@
 import (
 	"context"
 	"fmt"
-	"math/rand/v2"
-	"net"
 	"net/netip"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -46,82 +43,6 @@
 	membersChanged chan struct{} // the table of members changed
 }
 
-// recordingTopic records the latest published and certified versions.
-type recordingTopic struct {
-	mutex     sync.Mutex
-	published uint64
-	certified uint64
-	changed   chan struct{}
-}
-
-func newRecordingTopic() *recordingTopic { return &recordingTopic{changed: make(chan struct{}, 1)} }
-
-func (r *recordingTopic) Publish(sequence uint64, _ []byte) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.published = max(r.published, sequence)
-}
-
-func (r *recordingTopic) Certify(sequence uint64, _ time.Time) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.certified = max(r.certified, sequence)
-	signal(r.changed)
-}
-
-// wait returns once a version is certified.
-func (r *recordingTopic) wait(t *testing.T, sequence uint64) {
-	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), testCalls)
-	defer cancel()
-	for {
-		r.mutex.Lock()
-		certified, published := r.certified, r.published
-		r.mutex.Unlock()
-		if certified >= sequence {
-			if published < sequence {
-				t.Errorf("got version %d certified, but only %d published", certified, published)
-			}
-			return
-		}
-		select {
-		case <-ctx.Done():
-			t.Fatalf("got version %d certified, want %d", certified, sequence)
-		case <-r.changed:
-		}
-	}
-}
-
-// freePort returns a port that is free on all addresses of the system, outside of the range of ephemeral ports.
-func freePort(t *testing.T) uint16 {
-	t.Helper()
-	const first, count, tries = 20000, 12000, 100
-	for range tries {
-		if port := uint16(first + rand.IntN(count)); portIsFree(port) {
-			return port
-		}
-	}
-	t.Fatal("got no free port")
-	return 0
-}
-
-func portIsFree(port uint16) bool {
-	for node := range testControls {
-		address := netip.AddrPortFrom(nodeAddress(node), port)
-		listener, err := net.Listen("tcp4", address.String())
-		if err != nil {
-			return false
-		}
-		packets, err := net.ListenPacket("udp4", address.String())
-		_ = listener.Close()
-		if err != nil {
-			return false
-		}
-		_ = packets.Close()
-	}
-	return true
-}
-
 func nodeAddress(node int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, 0, byte(node + 1)}) }
 
 func newControlSystem(t *testing.T) *controlSystem {
