--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -11,11 +11,12 @@
 type Machine struct {
 	state atomic.Pointer[State]
 
-	mutex sync.RWMutex // guards the two histories
+	// mutex guards changes of accepted, which HasAccepted reads from other goroutines.
+	mutex sync.RWMutex
 	// accepted are the changes of the configuration that were accepted. A copy of one is acknowledged again.
 	accepted *digestHistory
 	// refused are changes that were refused because they build on a version that did not exist yet. A late copy of one stays
-	// refused even when that version exists.
+	// refused even when that version exists. Only the goroutine that calls Apply uses it.
 	refused *digestHistory
 }
 
--- a/internal/control/placement_fixture_test.go
+++ b/internal/control/placement_fixture_test.go
@@ -139,3 +139,13 @@
 	}
 	return count
 }
+
+// newStoreDirectory returns the list of stores of the fixture, by its clock.
+func (f *placementFixture) newStoreDirectory() *storeDirectory {
+	return &storeDirectory{members: f.members, machine: f.machine, now: func() time.Time { return f.now }}
+}
+
+// newService returns a service by which an operator may retire stores.
+func (f *placementFixture) newService(minimumStores int) *service {
+	return newService(&fakeReplica{machine: f.machine}, f.machine, f.newStoreDirectory(), minimumStores)
+}
--- a/internal/control/placement_random_test.go
+++ b/internal/control/placement_random_test.go
@@ -26,8 +26,7 @@
 			f.members.members = append(f.members.members, storeMember(len(f.members.members)+1))
 		}
 	case 4:
-		directory := &storeDirectory{members: f.members, machine: f.machine, now: func() time.Time { return f.now }}
-		s := newService(&fakeReplica{machine: f.machine}, f.machine, directory, 3)
+		s := f.newService(3)
 		_, _ = s.Retire(f.t.Context(), store.Name, time.Minute)
 	}
 }
--- a/internal/control/placement_retirement_test.go
+++ b/internal/control/placement_retirement_test.go
@@ -8,8 +8,7 @@
 func TestRetirementIsCompletedWhenTheStoreIsEmpty(t *testing.T) {
 	f := newPlacementFixture(t, 4)
 	f.run(10 * time.Second)
-	directory := &storeDirectory{members: f.members, machine: f.machine, now: func() time.Time { return f.now }}
-	s := newService(&fakeReplica{machine: f.machine}, f.machine, directory, 2)
+	s := f.newService(2)
 	if _, err := s.Retire(t.Context(), "s-3", time.Minute); err != nil {
 		t.Fatal(err)
 	}
@@ -34,8 +33,7 @@
 func TestRetirementThatLeavesTwoStores(t *testing.T) {
 	f := newPlacementFixture(t, 3)
 	f.run(10 * time.Second)
-	directory := &storeDirectory{members: f.members, machine: f.machine, now: func() time.Time { return f.now }}
-	s := newService(&fakeReplica{machine: f.machine}, f.machine, directory, 2)
+	s := f.newService(2)
 	if _, err := s.Retire(t.Context(), "s-3", time.Minute); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/stores_test.go
+++ b/internal/control/stores_test.go
@@ -19,7 +19,8 @@
 	f.members.find("s-2").Leaving = true
 	f.members.members = append(f.members.members, storeMember(4), storeMember(5))
 	f.members.find("s-4").State = member.Dead
-	directory := &storeDirectory{members: f.members, machine: f.machine, completeFrom: f.now, now: func() time.Time { return f.now }}
+	directory := f.newStoreDirectory()
+	directory.completeFrom = f.now
 	known, remaining, complete := directory.Stores()
 	if len(known) != 5 || !complete {
 		t.Errorf("got known stores %v, complete %v; want 5, true", known, complete)
--- a/internal/view/remaining.go
+++ b/internal/view/remaining.go
@@ -4,11 +4,11 @@
 
 // remainingMembers returns the members that the next view keeps.
 //
-// Those that are reachable and not leaving are kept, and are all that are if MinimumMembers of them are complete: then the
-// loss of up to MinimumMembers - 1 further disks leaves one that has everything that was committed. Otherwise the leaving
-// ones are kept too. If these are not enough either, unreachable members that still have their disks are retained at the
-// tail, where they do not keep the others from becoming complete. Nothing is committed without the retained ones until they
-// are dropped, or are back.
+// If MinimumMembers of the reachable members that are not leaving are complete, these members are kept and all others are
+// dropped: the loss of up to MinimumMembers - 1 further disks leaves one with everything that was committed. Otherwise the
+// leaving ones are kept too. If that is not enough either, unreachable members that still have their disks are retained at
+// the tail, where they do not keep the others from becoming complete. Nothing is committed without the retained members until
+// they are dropped, or are back.
 func remainingMembers(current View, candidates []Candidate, policy Policy) (members, retained []Member) {
 	serving := chainOrder(current, candidates, func(c Candidate) bool { return c.Reachable && !c.Leaving })
 	if completeCount(serving, candidates) >= policy.MinimumMembers {
