--- a/internal/operator/calls.go
+++ b/internal/operator/calls.go
@@ -30,14 +30,14 @@
 }
 
 func (c *Client) configure(ctx context.Context, method string, match uint64, body []byte) (uint64, error) {
-	var taken controlapi.ConfigurationAccepted
+	var accepted controlapi.ConfigurationAccepted
 	err := c.decoded(ctx, call{
 		method: method,
 		path:   controlapi.ConfigurationPath,
 		match:  strconv.FormatUint(match, 10),
 		body:   body,
-	}, &taken)
-	return taken.Version, err
+	}, &accepted)
+	return accepted.Version, err
 }
 
 // Retire asks that a store be emptied.
