--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -21,7 +21,8 @@
 //
 // # Guarantees
 //
-//   - An acknowledged change is on the disks of all members of the view, more than faultTolerance, and no later view loses it.
+//   - An acknowledged change is on the disks of all members of the view, at least one more than may be lost at the same time
+//     (settings.FaultTolerance), and no later view loses it.
 //   - A change is accepted at most once, however often it is sent: Machine remembers the digests of the latest ones. The
 //     history is part of the snapshot.
 //   - Changes of the configuration are a compare-and-swap on its version, those of the placement on its version and the
