--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -31,8 +31,8 @@
 //     may be sent again.
 //   - service.Read returns a state that was current at some moment after the call began: it waits for a Barrier.
 //   - What publisher certifies as current at a time includes everything that was committed before that time.
-//   - Only the head of the control chain changes the placement, and a former head changes nothing by mistake: its table
-//     builds on a version that is not current any more.
+//   - Only a node that considers itself the head proposes changes of the placement. What a former head proposes is refused
+//     once the next one has made a change, as it builds on an earlier version.
 //   - A replica whose files are damaged is discarded as a whole, its identity first, so that it never votes or counts as
 //     complete without its memory.
 //
