--- a/internal/control/leaseholders_test.go
+++ b/internal/control/leaseholders_test.go
@@ -36,7 +36,7 @@
 	checkLeaseholders(t, m, LeaseholderSet{Epoch: 1, Revision: 2, Members: []Leaseholder{leaseholderA, leaseholderC}})
 }
 
-func TestRestartedProcessReplacesTheFormer(t *testing.T) {
+func TestNewGenerationReplacesTheFormer(t *testing.T) {
 	m := NewMachine()
 	applyAndCheck(t, m, changeLeaseholders(1, 0, []Leaseholder{leaseholderA, leaseholderB}, nil), Accepted)
 	restarted := Leaseholder{Address: leaseholderA.Address, Generation: 9}
