--- a/cmd/nickelline/control.go
+++ b/cmd/nickelline/control.go
@@ -14,7 +14,7 @@
 	"nickelline/internal/view"
 )
 
-const handOverPart = 0.4 // of the grace period: in which a replica that ends hands its place over
+const handOverShare = 0.4 // of the grace period: in which a replica that ends hands over to others
 
 // ControlCommand is the role that keeps the control state.
 type ControlCommand struct{}
@@ -25,50 +25,78 @@
 	if err != nil {
 		return err
 	}
-	fileSystem := segment.OperatingSystem{}
-	replica, err := controlIdentity(p.settings, fileSystem)
+	n, err := newControlNode(p)
 	if err != nil {
 		return err
 	}
-	n, err := newNode(p, roleControl, p.settings.ControlInternal(p.settings.IP), uint64(replica))
-	if err != nil {
+	ctx, stop := context.WithCancel(context.Background())
+	defer stop()
+	if err := n.run(ctx, caught); err != nil {
 		return err
 	}
-	failed := make(chan error, 1) // the first failure counts
-	role, err := control.New(control.Options{
+	err = p.awaitEnd(n.diskFailed, caught, n.fileSystem)
+	n.handOver(ctx)
+	return err
+}
+
+// controlNode is a node with the control role.
+type controlNode struct {
+	*node
+	control    *control.Control
+	fileSystem segment.OperatingSystem
+	diskFailed chan error // receives the first failure of a disk
+}
+
+// newControlNode opens the control state. Nothing is received or sent before run.
+func newControlNode(p *process) (*controlNode, error) {
+	n := &controlNode{diskFailed: make(chan error, 1)}
+	replica, err := controlIdentity(p.settings, n.fileSystem)
+	if err != nil {
+		return nil, err
+	}
+	if n.node, err = newNode(p, roleControl, p.settings.ControlInternal(p.settings.IP), uint64(replica)); err != nil {
+		return nil, err
+	}
+	n.control, err = control.New(control.Options{
 		Settings:      p.settings,
-		FileSystem:    fileSystem,
+		FileSystem:    n.fileSystem,
 		Replica:       replica,
 		Transport:     n.transport,
 		Members:       n.members,
 		Configuration: topic{n.gossip, gossip.Configuration},
 		Placement:     topic{n.gossip, gossip.Placement},
-		OnFailure:     diskFailure(failed),
+		OnFailure:     diskFailure(n.diskFailed),
 		Log:           p.log,
 	})
 	if err != nil {
-		return err
+		return nil, err
 	}
-	serveQuotas(n, role)
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
+	serveQuotas(n.node, n.control)
+	return n, nil
+}
+
+// run starts all services of the node, which end with ctx or with handOver.
+func (n *controlNode) run(ctx context.Context, caught *signals) error {
 	n.start()
 	n.serveMetrics()
-	role.Start()
+	n.control.Start()
 	if err := n.pollBackends(ctx); err != nil {
 		return err
 	}
 	go n.reload(caught)
-	err = p.awaitEnd(failed, caught, fileSystem)
+	return nil
+}
+
+// handOver has another replica take over, within a limited time, and closes the node.
+func (n *controlNode) handOver(ctx context.Context) {
 	n.leaveSoon()
-	handOver, cancel := context.WithTimeout(ctx, handOverTime(p.settings))
-	role.Stop(handOver)
+	ctx, cancel := context.WithTimeout(ctx, handOverTime(n.settings))
+	n.control.Stop(ctx)
 	cancel()
 	n.leave()
-	return err
 }
 
-// controlIdentity gives the identity of the replica on the disk, 0 where the machine has no disk.
+// controlIdentity returns the identity of the replica on the disk, 0 where the machine has no disk.
 func controlIdentity(s *settings.Settings, fileSystem segment.FileSystem) (view.ReplicaID, error) {
 	if s.DataDirectory == "" {
 		return 0, nil
@@ -77,9 +105,9 @@
 	return replica, err
 }
 
-// handOverTime is how long a replica that is to end tries to hand its place over.
+// handOverTime is how long a replica that is to end tries to hand over to others.
 func handOverTime(s *settings.Settings) time.Duration {
-	return settings.Seconds(s.Bounds.GracePeriodS * handOverPart)
+	return settings.Seconds(s.Bounds.GracePeriodS * handOverShare)
 }
 
 // serveQuotas has this node share out the tenants' limits while it is the head of the control chain.
@@ -94,12 +122,13 @@
 	role.OnView(func(v view.View, head bool) { service.ObserveView(v.Epoch, head) })
 }
 
-// isGone tells whether no process is known to run at an address.
+// isGone reports whether no process is known to run at an address.
 func (n *node) isGone(address netip.AddrPort) bool {
 	found, known := n.members.Table().Get(address)
 	return !known || !found.Running()
 }
 
+// limitOf returns the limit of a tenant by a configuration, which may be nil. It is zero if the tenant is not known.
 func limitOf(snapshot *configuration.Snapshot, tenant string) quota.Limit {
 	if snapshot == nil {
 		return quota.Limit{}
--- a/cmd/nickelline/metrics.go
+++ b/cmd/nickelline/metrics.go
@@ -17,20 +17,20 @@
 	"nickelline/internal/store"
 )
 
-// serveMetrics serves the process's figures where the settings name an endpoint. Without one nothing is opened. A process
-// does its work without its figures, so a failure is logged and no more.
+// serveMetrics serves the metrics of the process where the settings name an endpoint. Without one nothing is opened. A process does
+// its work without metrics, so a failure is only logged.
 func (n *node) serveMetrics(sources ...metrics.Source) {
 	if n.settings.Metrics == "" {
 		return
 	}
 	endpoint, err := metrics.ParseEndpoint(n.settings.Metrics)
 	if err != nil {
-		n.log.Error("metrics", zap.Error(err))
+		n.log.Error("parse metrics endpoint failed", zap.String("endpoint", n.settings.Metrics), zap.Error(err))
 		return
 	}
 	server, err := metrics.Listen(n.settings.IP, endpoint)
 	if err != nil {
-		n.log.Error("metrics", zap.Error(err))
+		n.log.Error("listen for metrics failed", zap.String("endpoint", n.settings.Metrics), zap.Error(err))
 		return
 	}
 	server.Add(n.writeNode)
@@ -39,7 +39,7 @@
 	}
 	go func() {
 		if err := server.Serve(); err != nil {
-			n.log.Error("metrics", zap.Error(err))
+			n.log.Error("serve metrics failed", zap.Error(err))
 		}
 	}()
 }
@@ -58,8 +58,8 @@
 	}
 }
 
-// poolFigures writes the figures of the admission pools.
-func poolFigures(state *nodestate.State) metrics.Source {
+// poolMetrics returns the source of the metrics of the admission pools.
+func poolMetrics(state *nodestate.State) metrics.Source {
 	return func(w *metrics.Writer) {
 		pools := state.Pools()
 		for _, service := range slices.Sorted(maps.Keys(pools)) {
@@ -76,7 +76,7 @@
 	w.Gauge("nickelline_first_part_smoothed_seconds", stats.Latency.Seconds(), service)
 	w.Gauge("nickelline_first_part_uncrowded_seconds", stats.Uncrowded.Seconds(), service)
 	w.Gauge("nickelline_live_slots_part", stats.LiveFraction, service)
-	w.Gauge("nickelline_loads_shared", figureOf(stats.Shared), service)
+	w.Gauge("nickelline_loads_shared", gaugeOf(stats.Shared), service)
 	for i := range stats.Classes {
 		writeClass(w, service, &stats.Classes[i])
 	}
@@ -116,8 +116,8 @@
 	w.Counter(name+"_count", total, labels...)
 }
 
-// proxyFigures returns the source of the figures of a proxy and of its quota leases.
-func proxyFigures(p *proxy.Proxy, limiter *quota.Limiter) metrics.Source {
+// proxyMetrics returns the source of the metrics of a proxy and of its quota leases.
+func proxyMetrics(p *proxy.Proxy, limiter *quota.Limiter) metrics.Source {
 	return func(w *metrics.Writer) {
 		writeRequests(w, p.Stats())
 		writeLeases(w, limiter.Stats(time.Now()))
@@ -139,8 +139,8 @@
 	w.Gauge("nickelline_quota_waiting", float64(leases.Waiting))
 }
 
-// storeFigures returns the source of the figures of the batch items that a store runs.
-func storeFigures(role *store.Service) metrics.Source {
+// storeMetrics returns the source of the metrics of the batch items that a store runs.
+func storeMetrics(role *store.Service) metrics.Source {
 	return func(w *metrics.Writer) { writeItems(w, role.Stats()) }
 }
 
@@ -155,8 +155,8 @@
 	}
 }
 
-// figureOf gives 1 for true.
-func figureOf(is bool) float64 {
+// gaugeOf returns 1 for true and 0 for false.
+func gaugeOf(is bool) float64 {
 	if is {
 		return 1
 	}
--- a/cmd/nickelline/node.go
+++ b/cmd/nickelline/node.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	leaveTime           = 300 * time.Millisecond // for telling the others of the own end
-	longestHeartbeat    = 1200 * time.Millisecond
-	heartbeatOfApplying = 0.5 // of the time in which a configuration has to be in force
+	leaveTime           = 300 * time.Millisecond // for announcing the own end to the others
+	maxHeartbeat        = 1200 * time.Millisecond
+	heartbeatApplyShare = 0.5 // of the time in which a configuration has to be in force
 )
 
 // node is what the processes of all roles have in common: the transport, the table of members and gossip.
@@ -74,11 +74,11 @@
 // heartbeat is the period of digests: well within the time in which a configuration has to be in force.
 func (n *node) heartbeat() time.Duration {
 	period := n.settings.Heartbeat()
-	applying := time.Duration(n.settings.Bounds.ConfigApplyMs * heartbeatOfApplying * float64(time.Millisecond))
+	applying := time.Duration(n.settings.Bounds.ConfigApplyMs * heartbeatApplyShare * float64(time.Millisecond))
 	if applying > 0 {
 		period = min(period, applying)
 	}
-	return min(period, longestHeartbeat)
+	return min(period, maxHeartbeat)
 }
 
 // newState makes the state that gossip keeps up to date here.
@@ -115,12 +115,12 @@
 	return nil
 }
 
-// leaveSoon tells the others that this process is about to end, while it still serves.
+// leaveSoon announces to the others that this process is about to end, while it still serves.
 func (n *node) leaveSoon() {
 	n.members.UpdateSelf(func(self *member.Member) { self.Leaving = true })
 }
 
-// leave tells the others that this process ends, and closes its connections.
+// leave announces to the others that this process ends, and closes its connections.
 func (n *node) leave() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTime)
 	defer cancel()
@@ -153,7 +153,7 @@
 	return b.gossip.Exchange(ctx, node)
 }
 
-// ranks gives this node's place among the control processes.
+// ranks returns this node's rank among the control processes.
 type ranks struct {
 	members *member.Service
 	self    netip.AddrPort
@@ -161,9 +161,9 @@
 
 func (r ranks) Rank() (rank int, control bool, members int) {
 	table := r.members.Table()
-	for place, m := range table.ByRole(roleControl) {
+	for rank, m := range table.ByRole(roleControl) {
 		if m.Address == r.self {
-			return place, true, len(table.Alive())
+			return rank, true, len(table.Alive())
 		}
 	}
 	return 0, false, len(table.Alive())
@@ -179,7 +179,7 @@
 	return peers
 }
 
-// controlNodes gives the internal addresses of the control processes that run, those of the own zone first.
+// controlNodes returns the internal addresses of the control processes that run, those of the own zone first.
 func (n *node) controlNodes() []netip.AddrPort {
 	var near, far []netip.AddrPort
 	for _, m := range n.members.Table().ByRole(roleControl) {
@@ -197,9 +197,9 @@
 func (n *node) reload(caught *signals) {
 	for range caught.reload {
 		if _, err := settings.Load(); err != nil {
-			n.log.Error("SIGHUP: the settings file cannot be used, the present settings stay", zap.Error(err))
+			n.log.Error("check settings file failed, the present settings stay", zap.Error(err))
 			continue
 		}
-		n.log.Info("SIGHUP: the settings file is in order and counts from the next start")
+		n.log.Info("settings file is valid and counts from the next start")
 	}
 }
--- a/cmd/nickelline/operator_test.go
+++ b/cmd/nickelline/operator_test.go
@@ -84,22 +84,22 @@
 	}
 }
 
-// controlNode is a fake node of the control API.
-type controlNode struct {
+// fakeControlNode is a fake node of the control API.
+type fakeControlNode struct {
 	mutex  sync.Mutex
 	calls  []string
 	answer map[string]string // by method and path
 	status map[string]int
 }
 
-func newControlNode(t *testing.T) (*controlNode, string) {
-	n := &controlNode{answer: map[string]string{}, status: map[string]int{}}
+func newFakeControlNode(t *testing.T) (*fakeControlNode, string) {
+	n := &fakeControlNode{answer: map[string]string{}, status: map[string]int{}}
 	server := httptest.NewServer(n)
 	t.Cleanup(server.Close)
 	return n, strings.TrimPrefix(server.URL, "http://")
 }
 
-func (n *controlNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (n *fakeControlNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -112,7 +112,7 @@
 }
 
 func TestConfigGet(t *testing.T) {
-	n, address := newControlNode(t)
+	n, address := newFakeControlNode(t)
 	n.answer["GET /-/configuration"] = `{"version":9,"text":"<&>"}`
 	output, err := runCommand(t, "config", "get", "--node", address, "--no-indent")
 	if err != nil || output != "{\"version\":9,\"text\":\"<&>\"}\n" {
@@ -129,7 +129,7 @@
 }
 
 func TestConfigPutAndPatch(t *testing.T) {
-	n, address := newControlNode(t)
+	n, address := newFakeControlNode(t)
 	n.answer["GET /-/configuration"] = validDocument
 	n.answer["PATCH /-/configuration"] = `{"version":11}`
 	output, err := runCommand(t, "config", "patch", "--node", address, writeFile(t, validPatch))
@@ -150,7 +150,7 @@
 }
 
 func TestConfigPutOfTheFirst(t *testing.T) {
-	n, address := newControlNode(t)
+	n, address := newFakeControlNode(t)
 	n.status["GET /-/configuration"] = http.StatusNotFound
 	n.answer["PUT /-/configuration"] = `{"version":9}`
 	if _, err := runCommand(t, "config", "put", "--node", address, writeFile(t, validDocument)); err != nil {
@@ -162,7 +162,7 @@
 }
 
 func TestInvalidFilesAreNotSent(t *testing.T) {
-	n, address := newControlNode(t)
+	n, address := newFakeControlNode(t)
 	_, err := runCommand(t, "config", "put", "--node", address, writeFile(t, `{"version":9}`))
 	wantExitCode(t, err, exitInvalid)
 	_, err = runCommand(t, "config", "patch", "--node", address, writeFile(t, `{"upsert":{}}`))
@@ -173,7 +173,7 @@
 }
 
 func TestRefusedOrder(t *testing.T) {
-	n, address := newControlNode(t)
+	n, address := newFakeControlNode(t)
 	n.status["PUT /-/configuration"] = http.StatusPreconditionFailed
 	n.answer["PUT /-/configuration"] = `{"error":"version 5 is current"}`
 	_, err := runCommand(t, "config", "put", "--node", address, "--match", "4", writeFile(t, validDocument))
@@ -206,7 +206,7 @@
 }
 
 func TestRetireWaits(t *testing.T) {
-	n, address := newControlNode(t)
+	n, address := newFakeControlNode(t)
 	n.answer["POST /-/retire/s-1"] = `{"state":"in_progress"}`
 	n.answer["GET /-/retire/s-1"] = `{"state":"completed"}`
 	output, err := runCommand(t, "retire", "s-1", "--node", address, "--duration", "10s")
@@ -223,7 +223,7 @@
 }
 
 func TestStatusTable(t *testing.T) {
-	n, address := newControlNode(t)
+	n, address := newFakeControlNode(t)
 	n.answer["GET /-/status"] = `{"node":"f-1","configuration":{"version":7,"routes":2},"chain":{"epoch":3,"replicas":["f-1","f-2"]},
 		"placement":{"version":4,"partitions":[{"partition":0,"epoch":2,"stores":["s-1","s-2"]}]},
 		"retirements":[{"node":"s-3","state":"in_progress"}],
--- a/cmd/nickelline/proxy.go
+++ b/cmd/nickelline/proxy.go
@@ -31,65 +31,109 @@
 	if err != nil {
 		return err
 	}
-	clients, err := listen(p.settings.Listen.Frontend)
+	n, err := newProxyNode(p)
 	if err != nil {
 		return err
 	}
-	readiness, err := listen(p.settings.Listen.Readiness)
-	if err != nil {
+	ctx, stop := context.WithCancel(context.Background())
+	defer stop()
+	if err := n.run(ctx, caught); err != nil {
 		return err
 	}
-	n, err := newNode(p, roleProxy, p.settings.ProxyInternal(), 0)
+	err = n.serve(ctx, caught)
+	n.leave()
+	return err
+}
+
+// proxyNode is a node with the proxy role.
+type proxyNode struct {
+	*node
+	state    *nodestate.State
+	sender   *forward.Client
+	limiter  *quota.Limiter
+	renewing *limiterRun // from run on
+	proxy    *proxy.Proxy
+}
+
+// newProxyNode binds all addresses. Nothing is received or sent before run.
+func newProxyNode(p *process) (*proxyNode, error) {
+	clients, err := listen(p.settings.Listen.Frontend)
 	if err != nil {
-		return err
+		return nil, err
+	}
+	readiness, err := listen(p.settings.Listen.Readiness)
+	if err != nil {
+		return nil, err
+	}
+	n := &proxyNode{}
+	if n.node, err = newNode(p, roleProxy, p.settings.ProxyInternal(), 0); err != nil {
+		return nil, err
 	}
-	state := n.newState()
-	limiter := quota.NewLimiter(quota.PolicyOf(&p.settings.Bounds), n.transport, n.controlNodes, p.log)
-	limiter.HandleAnnouncements(n.transport)
-	sender := forward.NewClient(forward.Options{
+	n.state = n.newState()
+	n.limiter = quota.NewLimiter(quota.PolicyOf(&p.settings.Bounds), n.transport, n.controlNodes, p.log)
+	n.limiter.HandleAnnouncements(n.transport)
+	n.sender = forward.NewClient(forward.Options{
 		Connections: int(serverDescriptors * float64(p.settings.Limits.FileDescriptors)),
 		Log:         p.log,
 	})
-	state.OnBackends(sender.SetBackends)
-	serving := proxy.New(clients, readiness, proxy.Options{
-		Configuration: state.Configuration,
-		ProofAge:      state.ConfigurationAge,
-		MaxProofAge:   maxProofAge(p.settings),
-		BackendsKnown: func() bool { return state.Backends() != nil },
-		Pick:          proxy.PickFrom(state.Pool),
+	n.state.OnBackends(n.sender.SetBackends)
+	n.proxy = proxy.New(clients, readiness, n.proxyOptions())
+	return n, nil
+}
+
+func (n *proxyNode) proxyOptions() proxy.Options {
+	return proxy.Options{
+		Configuration: n.state.Configuration,
+		ProofAge:      n.state.ConfigurationAge,
+		MaxProofAge:   maxProofAge(n.settings),
+		BackendsKnown: func() bool { return n.state.Backends() != nil },
+		Pick:          proxy.PickFrom(n.state.Pool),
 		Loads:         n.loads,
-		Sender:        sender,
-		Quota:         limiter,
-		Batch:         newBatchClient(n, state),
-		Grace:         settings.Seconds(p.settings.Bounds.GracePeriodS),
-		Connections:   int(clientDescriptors * float64(p.settings.Limits.FileDescriptors)),
-		Log:           p.log,
-	})
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
+		Sender:        n.sender,
+		Quota:         n.limiter,
+		Batch:         newBatchClient(n.node, n.state),
+		Grace:         settings.Seconds(n.settings.Bounds.GracePeriodS),
+		Connections:   int(clientDescriptors * float64(n.settings.Limits.FileDescriptors)),
+		Log:           n.log,
+	}
+}
+
+// run starts all services of the node but the serving of clients. They end with ctx or with leave.
+func (n *proxyNode) run(ctx context.Context, caught *signals) error {
 	n.start()
-	n.serveMetrics(poolFigures(state), proxyFigures(serving, limiter))
-	go sender.Run(ctx)
+	n.serveMetrics(poolMetrics(n.state), proxyMetrics(n.proxy, n.limiter))
+	go n.sender.Run(ctx)
 	go n.loads.Run(ctx)
-	renewing := runLimiter(ctx, limiter)
+	n.renewing = runLimiter(ctx, n.limiter)
 	if err := n.pollBackends(ctx); err != nil {
 		return err
 	}
 	go n.reload(caught)
+	return nil
+}
+
+// serve serves clients until that fails, or until the process is told to end: then it drains the requests under way and gives up the
+// quota leases.
+func (n *proxyNode) serve(ctx context.Context, caught *signals) error {
 	served := make(chan error, 1)
-	go func() { served <- serving.Serve() }()
-	p.log.Info("proxy serves", zap.Stringer("clients", p.settings.Listen.Frontend))
+	go func() { served <- n.proxy.Serve() }()
+	n.log.Info("proxy serves", zap.Stringer("clients", n.settings.Listen.Frontend))
 	select {
-	case err = <-served:
+	case err := <-served:
+		return err
 	case <-caught.terminate:
-		n.leaveSoon()
-		drainContext, cancel := context.WithTimeout(ctx, settings.Seconds(p.settings.Bounds.GracePeriodS))
-		serving.Drain(drainContext)
-		cancel()
-		renewing.leave(ctx)
 	}
-	n.leave()
-	return err
+	n.leaveSoon()
+	n.drain(ctx)
+	n.renewing.leave(ctx)
+	return nil
+}
+
+// drain waits for the requests under way, for the grace period at most.
+func (n *proxyNode) drain(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, settings.Seconds(n.settings.Bounds.GracePeriodS))
+	defer cancel()
+	n.proxy.Drain(ctx)
 }
 
 // limiterRun is a limiter whose leases are being renewed.
--- a/cmd/nickelline/store.go
+++ b/cmd/nickelline/store.go
@@ -30,91 +30,124 @@
 	if err != nil {
 		return err
 	}
-	fileSystem := segment.OperatingSystem{}
-	replica, _, err := view.LoadIdentity(fileSystem, p.settings.DataDirectory)
+	n, err := newStoreNode(p)
 	if err != nil {
 		return err
 	}
-	n, err := newNode(p, roleStore, p.settings.StoreInternal(), uint64(replica))
-	if err != nil {
+	ctx, stop := context.WithCancel(context.Background())
+	defer stop()
+	if err := n.run(ctx, caught); err != nil {
 		return err
 	}
-	state := n.newState()
-	sender := forward.NewClient(forward.Options{
+	err = p.awaitEnd(n.diskFailed, caught, n.fileSystem)
+	n.handOver()
+	return err
+}
+
+// storeNode is a node with the store role.
+type storeNode struct {
+	*node
+	state      *nodestate.State
+	sender     *forward.Client
+	store      *store.Service
+	replica    view.ReplicaID
+	fileSystem segment.OperatingSystem
+	diskFailed chan error // receives the first failure of a disk
+}
+
+// newStoreNode opens the store's partitions. Nothing is received or sent before run.
+func newStoreNode(p *process) (*storeNode, error) {
+	n := &storeNode{diskFailed: make(chan error, 1)}
+	var err error
+	if n.replica, _, err = view.LoadIdentity(n.fileSystem, p.settings.DataDirectory); err != nil {
+		return nil, err
+	}
+	if n.node, err = newNode(p, roleStore, p.settings.StoreInternal(), uint64(n.replica)); err != nil {
+		return nil, err
+	}
+	n.state = n.newState()
+	n.sender = forward.NewClient(forward.Options{
 		Connections: int(storeDescriptors * float64(p.settings.Limits.FileDescriptors)),
 		Log:         p.log,
 	})
-	state.OnBackends(sender.SetBackends)
-	failed := make(chan error, 1) // the first failure counts
-	role, err := store.New(store.Options{
+	n.state.OnBackends(n.sender.SetBackends)
+	if n.store, err = store.New(n.storeOptions()); err != nil {
+		return nil, err
+	}
+	return n, nil
+}
+
+func (n *storeNode) storeOptions() store.Options {
+	return store.Options{
 		Self: view.Member{
-			Replica: replica,
-			Name:    p.settings.NodeName,
-			Zone:    p.settings.Zone,
+			Replica: n.replica,
+			Name:    n.settings.NodeName,
+			Zone:    n.settings.Zone,
 			Address: n.transport.Address(),
 		},
 		Transport:       n.transport,
-		Registry:        chain.NewRegistry(n.transport, p.log),
-		FileSystem:      fileSystem,
-		Directory:       p.settings.DataDirectory,
-		MinimumReplicas: p.settings.FaultTolerance.Losses() + 1,
-		Bounds:          p.settings.Bounds,
-		MemoryMB:        p.settings.Limits.MemoryMB,
-		Admission:       store.PoolAdmission(state.Pool),
-		Sender:          sender,
-		Configuration:   provenConfiguration(state, maxProofAge(p.settings)),
+		Registry:        chain.NewRegistry(n.transport, n.log),
+		FileSystem:      n.fileSystem,
+		Directory:       n.settings.DataDirectory,
+		MinimumReplicas: n.settings.FaultTolerance.Losses() + 1,
+		Bounds:          n.settings.Bounds,
+		MemoryMB:        n.settings.Limits.MemoryMB,
+		Admission:       store.PoolAdmission(n.state.Pool),
+		Sender:          n.sender,
+		Configuration:   provenConfiguration(n.state, maxProofAge(n.settings)),
 		ControlNodes:    n.controlNodes,
 		ReportInterval:  reportInterval,
-		OnFailure:       diskFailure(failed),
-		Log:             p.log,
-	})
-	if err != nil {
-		return err
+		OnFailure:       diskFailure(n.diskFailed),
+		Log:             n.log,
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	state.OnPlacement(role.SetPlacement)
+}
+
+// run starts all services of the node, which end with ctx or with handOver.
+func (n *storeNode) run(ctx context.Context, caught *signals) error {
+	n.state.OnPlacement(n.store.SetPlacement)
 	n.start()
-	n.serveMetrics(poolFigures(state), storeFigures(role))
-	go sender.Run(ctx)
+	n.serveMetrics(poolMetrics(n.state), storeMetrics(n.store))
+	go n.sender.Run(ctx)
 	go n.loads.Run(ctx)
-	go role.Run(ctx)
+	go n.store.Run(ctx)
 	if err := n.pollBackends(ctx); err != nil {
 		return err
 	}
 	go n.reload(caught)
-	err = p.awaitEnd(failed, caught, fileSystem)
+	return nil
+}
+
+// handOver waits until other stores have taken over the partitions, or for a limited time, and closes the node.
+func (n *storeNode) handOver() {
 	n.leaveSoon()
-	awaitPlaceless(state, replica, handOverTime(p.settings))
-	role.Close()
+	awaitUnplaced(n.state, n.replica, handOverTime(n.settings))
+	n.store.Close()
 	n.leave()
-	return err
 }
 
-// awaitPlaceless returns once no view names a replica any more, or after a time: then its chains have to notice that it
-// is gone.
-func awaitPlaceless(state *nodestate.State, replica view.ReplicaID, limit time.Duration) {
-	placeless := make(chan struct{})
+// awaitUnplaced returns once no view names a replica any longer, or after a limit: then its chains have to detect that it is gone.
+func awaitUnplaced(state *nodestate.State, replica view.ReplicaID, limit time.Duration) {
+	unplaced := make(chan struct{})
 	var once sync.Once
 	state.OnPlacement(func(table *placement.Table) {
 		if !isMember(table, replica) {
-			once.Do(func() { close(placeless) })
+			once.Do(func() { close(unplaced) })
 		}
 	})
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
-	case <-placeless:
+	case <-unplaced:
 	case <-timer.C:
 	}
 }
 
-// isMember tells whether the view of any partition names a replica.
+// isMember reports whether the view of any partition names a replica.
 func isMember(table *placement.Table, replica view.ReplicaID) bool {
 	return slices.ContainsFunc(table.Partitions, func(p placement.Partition) bool { return p.View.Has(replica) })
 }
 
-// provenConfiguration gives the configuration and whether it is proven to be current.
+// provenConfiguration returns the configuration, and whether it is proven to be current.
 func provenConfiguration(state *nodestate.State, maxAge time.Duration) func() (*configuration.Snapshot, bool) {
 	return func() (*configuration.Snapshot, bool) {
 		proven := maxAge == 0 || state.ConfigurationAge() <= maxAge
--- a/cmd/nickelline/store_test.go
+++ b/cmd/nickelline/store_test.go
@@ -53,7 +53,7 @@
 		began := time.Now()
 		go func() {
 			defer close(done)
-			awaitPlaceless(state, 7, time.Minute)
+			awaitUnplaced(state, 7, time.Minute)
 		}()
 		synctest.Wait()
 		select {
@@ -74,7 +74,7 @@
 		source, state := newFakeState()
 		source.place(t, 1, 7, 8)
 		began := time.Now()
-		awaitPlaceless(state, 7, time.Minute)
+		awaitUnplaced(state, 7, time.Minute)
 		if waited := time.Since(began); waited != time.Minute {
 			t.Errorf("waited %v", waited)
 		}
