--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -40,55 +40,55 @@
 
 // bucket returns a tenant's bucket, filled up to now.
 func (b *leasedBuckets) bucket(now time.Time, tenant string) *leasedBucket {
-	t := b.byTenant[tenant]
-	if t == nil {
-		t = &leasedBucket{filledAt: now, demandUpdatedAt: now, lastArrivalAt: now, demand: 1 / firstDemandSpan.Seconds()}
-		b.byTenant[tenant] = t
+	bucket := b.byTenant[tenant]
+	if bucket == nil {
+		bucket = &leasedBucket{filledAt: now, demandUpdatedAt: now, lastArrivalAt: now, demand: 1 / firstDemandSpan.Seconds()}
+		b.byTenant[tenant] = bucket
 	}
-	t.fill(now)
-	return t
+	bucket.fill(now)
+	return bucket
 }
 
 // fill adds what the lease has given since the last call, up to its depth. An expired lease gives nothing and empties
 // the bucket.
-func (t *leasedBucket) fill(now time.Time) {
-	if !now.Before(t.expiresAt) {
-		t.lease = Share{}
-		t.tokens, t.surplus = 0, 0
-		t.filledAt = now
+func (bucket *leasedBucket) fill(now time.Time) {
+	if !now.Before(bucket.expiresAt) {
+		bucket.lease = Share{}
+		bucket.tokens, bucket.surplus = 0, 0
+		bucket.filledAt = now
 		return
 	}
-	t.tokens += t.lease.Rate * max(0, now.Sub(t.filledAt).Seconds())
-	t.filledAt = now
-	if over := t.tokens - t.lease.Depth; over > 0 {
-		t.tokens = t.lease.Depth
-		t.surplus = min(t.surplus+over, t.lease.Rate*surplusSpan.Seconds())
+	bucket.tokens += bucket.lease.Rate * max(0, now.Sub(bucket.filledAt).Seconds())
+	bucket.filledAt = now
+	if over := bucket.tokens - bucket.lease.Depth; over > 0 {
+		bucket.tokens = bucket.lease.Depth
+		bucket.surplus = min(bucket.surplus+over, bucket.lease.Rate*surplusSpan.Seconds())
 	}
 }
 
 // takeOnArrival counts a request and takes a token for it. It reports whether there was one.
 func (b *leasedBuckets) takeOnArrival(now time.Time, tenant string) bool {
-	t := b.bucket(now, tenant)
-	t.arrivals++
-	t.lastArrivalAt = now
-	return t.take()
+	bucket := b.bucket(now, tenant)
+	bucket.arrivals++
+	bucket.lastArrivalAt = now
+	return bucket.take()
 }
 
 // take takes a token, from the surplus first. It reports whether there was one.
-func (t *leasedBucket) take() bool {
-	if t.tokens+t.surplus < 1 {
+func (bucket *leasedBucket) take() bool {
+	if bucket.tokens+bucket.surplus < 1 {
 		return false
 	}
-	fromSurplus := min(t.surplus, 1)
-	t.surplus -= fromSurplus
-	t.tokens -= 1 - fromSurplus
+	fromSurplus := min(bucket.surplus, 1)
+	bucket.surplus -= fromSurplus
+	bucket.tokens -= 1 - fromSurplus
 	return true
 }
 
 // refund puts back the token of a request that was not sent.
 func (b *leasedBuckets) refund(now time.Time, tenant string) {
-	t := b.bucket(now, tenant)
-	t.tokens = min(t.tokens+1, t.lease.Depth)
+	bucket := b.bucket(now, tenant)
+	bucket.tokens = min(bucket.tokens+1, bucket.lease.Depth)
 }
 
 // exhaustedFor returns how much longer the allocator has nothing for the tenant, by its last answer.
@@ -103,21 +103,21 @@
 
 // tokenAfter returns when a tenant's lease will have given a token, after one for each request that waits.
 func (b *leasedBuckets) tokenAfter(now time.Time, tenant string, waiting int) time.Duration {
-	t := b.bucket(now, tenant)
-	if t.lease.Rate <= 0 {
+	bucket := b.bucket(now, tenant)
+	if bucket.lease.Rate <= 0 {
 		return maxTokenWait
 	}
-	missing := float64(waiting+1) - t.tokens - t.surplus
-	seconds := max(0, missing) / t.lease.Rate
+	missing := float64(waiting+1) - bucket.tokens - bucket.surplus
+	seconds := max(0, missing) / bucket.lease.Rate
 	return time.Duration(min(seconds, maxTokenWait.Seconds()) * float64(time.Second))
 }
 
 // endLeases gives up all leases.
 func (b *leasedBuckets) endLeases() {
-	for _, t := range b.byTenant {
-		t.expiresAt = time.Time{}
-		t.lease = Share{}
-		t.tokens, t.surplus = 0, 0
+	for _, bucket := range b.byTenant {
+		bucket.expiresAt = time.Time{}
+		bucket.lease = Share{}
+		bucket.tokens, bucket.surplus = 0, 0
 	}
 }
 
@@ -125,34 +125,34 @@
 // grants. It forgets tenants without recent requests.
 func (b *leasedBuckets) renewalEntries(now time.Time, needs map[string]int, all bool) []Entry {
 	var entries []Entry
-	for tenant, t := range b.byTenant {
+	for tenant, bucket := range b.byTenant {
 		need := needs[tenant]
 		if !all && need == 0 {
 			continue
 		}
-		if need == 0 && now.Sub(t.lastArrivalAt) > idleTimeout {
+		if need == 0 && now.Sub(bucket.lastArrivalAt) > idleTimeout {
 			delete(b.byTenant, tenant)
 			continue
 		}
-		t.fill(now)
-		t.updateDemand(now)
-		entry := Entry{Tenant: tenant, Held: t.lease, Demand: t.demand, Need: need, Returned: t.surplus}
-		t.surplus = 0 // also if the message is lost
+		bucket.fill(now)
+		bucket.updateDemand(now)
+		entry := Entry{Tenant: tenant, Held: bucket.lease, Demand: bucket.demand, Need: need, Returned: bucket.surplus}
+		bucket.surplus = 0 // also if the message is lost
 		entries = append(entries, entry)
 	}
 	return entries
 }
 
 // updateDemand adds the arrivals since the last call to the smoothed demand.
-func (t *leasedBucket) updateDemand(now time.Time) {
-	span := now.Sub(t.demandUpdatedAt)
+func (bucket *leasedBucket) updateDemand(now time.Time) {
+	span := now.Sub(bucket.demandUpdatedAt)
 	if span <= 0 {
 		return
 	}
 	gain := span.Seconds() / (span + demandTimeConstant).Seconds()
-	t.demand += gain * (t.arrivals/span.Seconds() - t.demand)
-	t.arrivals = 0
-	t.demandUpdatedAt = now
+	bucket.demand += gain * (bucket.arrivals/span.Seconds() - bucket.demand)
+	bucket.arrivals = 0
+	bucket.demandUpdatedAt = now
 }
 
 // apply takes over the grants for entries that were sent at askedAt. It returns how many waiting requests each tenant
@@ -160,19 +160,19 @@
 func (b *leasedBuckets) apply(now, askedAt time.Time, entries []Entry, grants []Grant) map[string]int {
 	granted := make(map[string]int)
 	for i, entry := range entries {
-		t := b.byTenant[entry.Tenant]
-		if t == nil {
+		bucket := b.byTenant[entry.Tenant]
+		if bucket == nil {
 			continue
 		}
 		grant := grants[i]
-		t.fill(now)
-		t.expiresAt = askedAt.Add(b.policy.Lease)
-		t.lease = grant.Lease
-		t.fill(now)
+		bucket.fill(now)
+		bucket.expiresAt = askedAt.Add(b.policy.Lease)
+		bucket.lease = grant.Lease
+		bucket.fill(now)
 		granted[entry.Tenant] = grant.Granted
 		if grant.Granted < entry.Need {
-			t.exhaustedUntil = now.Add(min(grant.RetryAfter, maxExhaustedTime))
-			t.nextGrantAt = now.Add(grant.RetryAfter)
+			bucket.exhaustedUntil = now.Add(min(grant.RetryAfter, maxExhaustedTime))
+			bucket.nextGrantAt = now.Add(grant.RetryAfter)
 		}
 	}
 	return granted
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -57,5 +57,5 @@
 //   - allocator.go, account.go, leaseholders.go: sharing out, grace period, expiry
 //   - registry.go, activation.go, service.go: the allocator at a control node
 //   - bucket.go: the token buckets of a proxy
-//   - limiter.go, renewal.go, take.go: the limiter of a proxy
+//   - limiter.go, take.go, waiting.go, renewal.go: the limiter of a proxy
 package quota
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -38,7 +38,7 @@
 
 	mutex       sync.Mutex
 	buckets     *leasedBuckets
-	waiting     map[string][]*waiter
+	waiting     map[string][]*waitingRequest
 	failedAt    time.Time
 	allocator   netip.AddrPort
 	epoch       uint64 // the newest that is known
@@ -58,7 +58,7 @@
 		generation:   rand.Uint64(),
 		wake:         make(chan struct{}, 1),
 		buckets:      newLeasedBuckets(p),
-		waiting:      make(map[string][]*waiter),
+		waiting:      make(map[string][]*waitingRequest),
 		mustReclaim:  true,
 	}
 }
--- a/internal/quota/renewal.go
+++ b/internal/quota/renewal.go
@@ -14,7 +14,7 @@
 
 // renewalRound is one renewal, and the requests that wait for its answer.
 type renewalRound struct {
-	waiters  map[string][]*waiter
+	requests map[string][]*waitingRequest
 	entries  []Entry
 	complete bool
 	leaving  bool
@@ -47,13 +47,13 @@
 func (l *Limiter) startRound(now time.Time, all bool) (round renewalRound, needed bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	round.waiters = l.waiting
+	round.requests = l.waiting
 	round.complete = all || l.mustReclaim
-	l.waiting = make(map[string][]*waiter)
-	needs := make(map[string]int, len(round.waiters))
-	for tenant, list := range round.waiters {
-		for _, w := range list {
-			if !w.abandoned {
+	l.waiting = make(map[string][]*waitingRequest)
+	needs := make(map[string]int, len(round.requests))
+	for tenant, requests := range round.requests {
+		for _, request := range requests {
+			if !request.abandoned {
 				needs[tenant]++
 			}
 		}
@@ -161,8 +161,8 @@
 	l.failedAt = time.Time{}
 	l.updateReclaim(round, answer)
 	tokens := l.buckets.apply(now, askedAt, round.entries, answer.grants)
-	for tenant, list := range round.waiters {
-		l.resolveWaiters(now, tenant, list, tokens[tenant], exhausted)
+	for tenant, requests := range round.requests {
+		l.resolveRequests(now, tenant, requests, tokens[tenant], exhausted)
 	}
 }
 
@@ -184,7 +184,7 @@
 	defer l.mutex.Unlock()
 	now := time.Now()
 	l.failedAt = now
-	for tenant, list := range round.waiters {
-		l.resolveWaiters(now, tenant, list, 0, unreachable)
+	for tenant, requests := range round.requests {
+		l.resolveRequests(now, tenant, requests, 0, unreachable)
 	}
 }
--- a/internal/quota/stats_test.go
+++ b/internal/quota/stats_test.go
@@ -15,7 +15,7 @@
 		"two":  {lease: Share{Rate: 4}, expiresAt: now.Add(time.Second)},
 		"late": {lease: Share{Rate: 9}, expiresAt: now},
 	}
-	l.waiting["one"] = []*waiter{{}, {}}
+	l.waiting["one"] = []*waitingRequest{{}, {}}
 	if stats := l.Stats(now); stats != (Stats{Leases: 2, Waiting: 2, Rate: 7}) {
 		t.Errorf("Stats: got %+v", stats)
 	}
