--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/binary"
 	"io"
-	"net/netip"
 	"time"
 
 	"capnproto.org/go/capnp/v3"
@@ -44,7 +43,7 @@
 	case helloFrame:
 		root.SetHello()
 		root.Hello().SetLife(f.generation)
-		if err := root.Hello().SetAddress(encodeAddress(f.address)); err != nil {
+		if err := root.Hello().SetAddress(capnpcodec.EncodeAddress(f.address)); err != nil {
 			return err
 		}
 	case requestFrame:
@@ -115,18 +114,8 @@
 	if err != nil {
 		return err
 	}
-	if len(data) != addressSize {
-		return merry.Errorf("address of %d bytes", len(data))
-	}
-	ip := netip.AddrFrom4([addressIPBytes]byte(data[:addressIPBytes]))
-	f.address = netip.AddrPortFrom(ip, binary.BigEndian.Uint16(data[addressIPBytes:]))
-	return nil
-}
-
-// encodeAddress returns the four bytes of the IPv4 address and the two of the port, in network order.
-func encodeAddress(address netip.AddrPort) []byte {
-	ip := address.Addr().As4()
-	return binary.BigEndian.AppendUint16(ip[:], address.Port())
+	f.address, err = capnpcodec.DecodeAddress(data)
+	return err
 }
 
 // readFrame reads the next frame of a connection into memory of its own.
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -16,10 +16,8 @@
 	// frameFields is what a frame needs beside its body: the root pointer, the struct, the address of a hello.
 	frameFields = 128
 
-	wordSize       = 8
-	streamHeader   = 8 // number of segments less one, words in the first segment
-	addressSize    = 6 // four bytes of the IPv4 number, two of the port
-	addressIPBytes = 4
+	wordSize     = 8
+	streamHeader = 8 // number of segments less one, words in the first segment
 )
 
 type frameType uint8
--- a/internal/quota/codec.go
+++ b/internal/quota/codec.go
@@ -1,8 +1,6 @@
 package quota
 
 import (
-	"encoding/binary"
-	"net/netip"
 	"time"
 
 	"github.com/ansel1/merry/v2"
@@ -93,7 +91,7 @@
 		root.SetEpoch(answer.epoch)
 		root.SetUnheard(answer.mustReclaim)
 		if answer.allocator.IsValid() {
-			if err := root.SetAllocator(addressBytes(answer.allocator)); err != nil {
+			if err := root.SetAllocator(capnpcodec.EncodeAddress(answer.allocator)); err != nil {
 				return err
 			}
 		}
@@ -130,9 +128,10 @@
 	if err != nil {
 		return nil, merry.Prepend(err, "decode quota answer")
 	}
+	allocator, _ := capnpcodec.DecodeAddress(address) // invalid: not known
 	return &renewalAnswer{
 		moved:       root.Moved(),
-		allocator:   addressOf(address),
+		allocator:   allocator,
 		epoch:       root.Epoch(),
 		mustReclaim: root.Unheard(),
 		grants:      grants,
@@ -174,17 +173,3 @@
 	}
 	return root.Epoch(), nil
 }
-
-const addressLength = 6
-
-func addressBytes(a netip.AddrPort) []byte {
-	ip := a.Addr().As4()
-	return binary.BigEndian.AppendUint16(ip[:], a.Port())
-}
-
-func addressOf(data []byte) netip.AddrPort {
-	if len(data) != addressLength {
-		return netip.AddrPort{}
-	}
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte(data[:4])), binary.BigEndian.Uint16(data[4:]))
-}
