--- a/internal/load/doc.go
+++ b/internal/load/doc.go
@@ -11,9 +11,9 @@
 //
 // # Guarantees
 //
-// Totals are approximate: messages are datagrams, which may be lost, and state is in memory only. A collector that is
-// replaced loses nothing that the next one does not know after one report of each node. Reports and summaries expire
-// after a few intervals without renewal, so that a node without a collector is left with its own requests.
+// Totals are approximate: messages are datagrams, which may be lost, and state is in memory only. When a collector is
+// replaced, the next one has complete totals after one report of each node. Reports and summaries expire after a few
+// intervals without renewal, so that a node without a collector is left with its own requests.
 //
 // The messages of a node grow with the backends that it uses, of which there are few in a large service (package
 // admission); the work of a collector grows with the nodes of its zone.
--- a/internal/quota/policy.go
+++ b/internal/quota/policy.go
@@ -11,9 +11,11 @@
 
 // Policy holds the times and tolerances of the rule. Proxies and allocators have to use the same.
 type Policy struct {
-	// Window is the span in which the rule counts requests.
+	// Window is the span in which the rule counts requests. Default: defaultWindow.
 	Window time.Duration
-	// Lease is how long a lease lasts unless it is renewed.
+	// Lease is how long a lease lasts unless it is renewed: the window, within minLease and maxLease. It also bounds the
+	// grace period of a new allocator, so a longer lease bears longer failures of the control nodes but makes the shares of
+	// lost proxies unusable for longer.
 	Lease time.Duration
 	// Overshoot and Allowance are what the rule tolerates beyond the limit: a fraction of it, and a number of requests.
 	Overshoot, Allowance float64
