--- a/internal/discovery/platform.go
+++ b/internal/discovery/platform.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// Listing is the result of a complete poll.
+// Listing is the result of a poll; List is nil unless the poll was complete.
 type Listing struct {
 	List *List
 	// Pages is how many pages arrived.
