--- a/internal/segment/log.go
+++ b/internal/segment/log.go
@@ -14,7 +14,8 @@
 	retainedSnapshots = 2
 )
 
-// Entry is a numbered element of a log. Its data must not be changed after it was appended.
+// Entry is a numbered element of a log. The sequence numbers of a log rise by one from entry to entry. The epoch is stored for the
+// caller. The data must not be changed after the entry was appended.
 type Entry struct {
 	Epoch    uint64
 	Sequence uint64
--- a/internal/segment/recovery.go
+++ b/internal/segment/recovery.go
@@ -25,6 +25,8 @@
 	lastOrdinal uint64
 }
 
+// read reads the snapshot and the segments after it. After an error the result is what could be read before the damage, without
+// entries that may have been truncated by frames that are missing.
 func (r *recovery) read() error {
 	if err := r.readSnapshot(); err != nil {
 		return err
@@ -76,6 +78,7 @@
 	return r.snapshots[len(r.snapshots)-1].firstSegment
 }
 
+// readSegments replays the segments after the snapshot, which must be there without a gap.
 func (r *recovery) readSegments() error {
 	next := r.firstSegment()
 	for i, name := range r.found.segments {
@@ -96,36 +99,45 @@
 	return nil
 }
 
+// readSegment replays the frames of a segment. Only the last segment may have a torn tail.
 func (r *recovery) readSegment(name segmentName, last bool) error {
 	contents, err := r.fileSystem.ReadFile(joinPath(r.directory, name.String()))
 	if err != nil {
 		return err
 	}
 	r.segments = append(r.segments, segmentState{index: name.index})
-	offset := 0
-	for offset < len(contents) {
-		f, ok := decodeFrame(contents[offset:])
+	size, err := r.replayFrames(contents)
+	if err != nil {
+		return err
+	}
+	r.segments[len(r.segments)-1].size = int64(size)
+	tail := contents[size:]
+	if len(tail) == 0 {
+		return nil
+	}
+	if !last || showsSynced(tail, r.lastOrdinal+1) {
+		return merry.Prependf(ErrDamaged, "after entry %d at offset %d", r.lastSequence, size)
+	}
+	r.result.TruncatedBytes = len(tail)
+	return nil
+}
+
+// replayFrames replays the frames at the start of the contents up to the first that is torn or damaged, and returns their size.
+func (r *recovery) replayFrames(contents []byte) (size int, err error) {
+	for size < len(contents) {
+		f, ok := decodeFrame(contents[size:])
 		if !ok || !r.isNext(f) {
 			break
 		}
 		if err := r.replay(f); err != nil {
-			return err
+			return size, err
 		}
-		offset += f.size()
-	}
-	r.segments[len(r.segments)-1].size = int64(offset)
-	rest := contents[offset:]
-	if len(rest) == 0 {
-		return nil
-	}
-	if !last || showsSynced(rest, r.lastOrdinal+1) {
-		return merry.Prependf(ErrDamaged, "after entry %d at offset %d", r.lastSequence, offset)
+		size += f.size()
 	}
-	r.result.TruncatedBytes = len(rest)
-	return nil
+	return size, nil
 }
 
-// follows reports whether the frame is the next one. The first that is read may be any.
+// isNext reports whether a frame may follow the last one that was read. The first one may be any.
 func (r *recovery) isNext(f frame) bool {
 	return r.lastOrdinal == 0 || f.ordinal == r.lastOrdinal+1
 }
@@ -150,20 +162,22 @@
 	return nil
 }
 
+// truncate removes the recovered entries after a sequence number.
 func (r *recovery) truncate(sequence uint64) error {
 	covered := r.snapshotSequence()
 	if sequence > covered+uint64(len(r.result.Entries)) {
 		return merry.Prependf(ErrDamaged, "truncation to %d follows entry %d", sequence, r.lastSequence)
 	}
 	r.lastSequence = sequence
-	keep := 0
+	remaining := 0
 	if sequence > covered {
-		keep = int(sequence - covered)
+		remaining = int(sequence - covered)
 	}
-	r.result.Entries = r.result.Entries[:keep]
+	r.result.Entries = r.result.Entries[:remaining]
 	return nil
 }
 
+// snapshotSequence returns the sequence number of the snapshot that was read, 0 if there is none.
 func (r *recovery) snapshotSequence() uint64 {
 	if r.result.Snapshot == nil {
 		return 0
