--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -1,16 +1,8 @@
-// Package batch is the replicated state of the batch jobs of one partition: a deterministic state machine that a chain
-// applies committed commands to. It does no I/O, starts no goroutines and reads no clock.
-//
-// Invariants:
-//   - a job is taken once: the same identifier of the same tenant again is answered as taken;
-//   - an item stands at one position of its job at most, and a position never changes;
-//   - what is listed stays listed until the job is dropped, and a job is dropped only when it is closed;
-//   - the tokens of a tenant's waiting items on a route are within the bound that the command named when a job was taken.
 package batch
 
 import "time"
 
-// Key identifies a job: identifiers of different tenants are apart.
+// Key identifies a job. Each tenant has identifiers of its own.
 type Key struct {
 	Tenant     string
 	Identifier string
@@ -31,7 +23,7 @@
 	Tokens     int64
 }
 
-// Job is a set of items that are submitted together.
+// Job is a sequence of items that are submitted together.
 type Job struct {
 	Key   Key
 	Route string
@@ -39,7 +31,7 @@
 	Items []Item
 }
 
-// Tokens is the sum of the tokens of the job's items.
+// Tokens returns the sum of the tokens of the job's items.
 func (j *Job) Tokens() int64 {
 	var sum int64
 	for i := range j.Items {
@@ -48,35 +40,39 @@
 	return sum
 }
 
-// State is how far an item has come.
+// State is the progress of an item.
 type State uint8
 
 // The states of an item.
 const (
+	// Waiting items are queued or running.
 	Waiting State = iota
+	// Completed items have a result.
 	Completed
+	// Abandoned items are given up, and have none.
 	Abandoned
 )
 
-// Result is the end of an item, to be listed at the next position of its job, or a checkpoint of one that runs.
+// Result is the result of an item, to be listed at the next position of its job, or a checkpoint of one that runs.
 type Result struct {
 	Key     Key
 	Index   uint32 // of the item in its job
 	State   State  // Completed or Abandoned; Waiting for a checkpoint
-	Content []byte // a block of package deflated: the text behind the first From events
-	From    uint32 // how many events of earlier checkpoints the text continues behind
-	// Events and LastEvent tell of a checkpoint how many events the text has, and the id of the last one.
-	Events    uint32
+	Content []byte // a block of package deflated: the text after the first From events
+	From    uint32 // number of events in the checkpoints that the text continues
+	// Events is the number of events in the text up to a checkpoint.
+	Events uint32
+	// LastEvent is the id of the last event up to a checkpoint.
 	LastEvent string
 }
 
-// ClockReading is what a steady clock shows: the time since its source began. Readings of different sources are not compared.
+// ClockReading is the time of a monotonic clock since its source began. Readings of different sources cannot be compared.
 type ClockReading struct {
 	Source  uint64
 	Elapsed time.Duration
 }
 
-// Command is a change of the state. Exactly one of its pointers and lists is set, or none: that only moves the clock.
+// Command is a change of the state. At most one of its pointers and lists is set. A command without any only advances the clock.
 type Command struct {
 	Clock  ClockReading
 	Submit *Submit
@@ -85,25 +81,25 @@
 	Drop   []Key
 }
 
-// Submit is the command to take a job.
+// Submit is the command to accept a job.
 type Submit struct {
 	Job Job
-	// MaxQueuedTokens is what the tenant may have waiting on the route, this job included. 0 sets no limit.
+	// MaxQueuedTokens limits the tokens that the tenant may have queued on the route, this job included. 0 sets no limit.
 	MaxQueuedTokens int64
 }
 
-// Offer is what has to be known of a job to tell whether it would be taken.
+// Offer describes a job that may be submitted, as far as its acceptance depends on it.
 type Offer struct {
 	Key    Key
 	Route  string
 	Tokens int64
-	// MaxQueuedTokens is what the tenant may have waiting on the route, this job included. 0 sets no limit.
+	// MaxQueuedTokens limits the tokens that the tenant may have queued on the route, this job included. 0 sets no limit.
 	MaxQueuedTokens int64
 }
 
-// Offer is the offer of the job that is to be taken.
-func (t *Submit) Offer() Offer {
-	return Offer{Key: t.Job.Key, Route: t.Job.Route, Tokens: t.Job.Tokens(), MaxQueuedTokens: t.MaxQueuedTokens}
+// Offer returns the offer of the job.
+func (s *Submit) Offer() Offer {
+	return Offer{Key: s.Job.Key, Route: s.Job.Route, Tokens: s.Job.Tokens(), MaxQueuedTokens: s.MaxQueuedTokens}
 }
 
 // Outcome is the result of a command.
@@ -111,22 +107,22 @@
 
 // The outcomes of commands.
 const (
-	// Done is the outcome of every command that is not refused.
+	// Done is the outcome of every command that was applied.
 	Done Outcome = iota
-	// QuotaExceeded refuses a job: nothing of it was taken.
+	// QuotaExceeded rejects a job because of its tokens. It changed nothing.
 	QuotaExceeded
-	// Malformed is a command that could not be read. It changed nothing.
+	// Malformed is the outcome of a command that could not be decoded. It changed nothing.
 	Malformed
 )
 
-// Observer is told what a command changed, while it is applied.
+// Observer is notified of changes while a command is applied. Its methods must not call the machine.
 type Observer interface {
-	// Submitted is told that a job's items wait.
+	// Submitted is called when a job was accepted: its items are to be run.
 	Submitted(key Key)
-	// Listed is told that results were added to a job.
+	// Listed is called when results of a job were listed.
 	Listed(key Key)
-	// Ended is told that a job was ended: none of its items may run.
+	// Ended is called when a job was ended: none of its items may run.
 	Ended(key Key)
-	// Restored is told that the whole state was replaced.
+	// Restored is called when the whole state was replaced.
 	Restored()
 }
--- a/internal/batch/batchcall/codec_test.go
+++ b/internal/batch/batchcall/codec_test.go
@@ -11,7 +11,7 @@
 
 var testKey = batch.Key{Tenant: "acme", Identifier: "7c41"}
 
-func TestRequestsSurviveTheWire(t *testing.T) {
+func TestRequestRoundTrip(t *testing.T) {
 	submit := &SubmitRequest{Partition: 3, MaxQueuedTokens: 9, Job: batch.Job{
 		Key: testKey, Route: "reports", Host: "a.example",
 		Items: []batch.Item{{
@@ -24,39 +24,39 @@
 		t.Fatal(err)
 	}
 	if got, err := DecodeSubmitRequest(message.Body); err != nil || !reflect.DeepEqual(got, submit) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("decoded submit request: got %+v, %v, want %+v", got, err, submit)
 	}
 	offer := &OfferRequest{Partition: 3, Offer: batch.Offer{Key: testKey, Route: "reports", Tokens: 7, MaxQueuedTokens: 9}}
 	if message, err = offer.Encode(); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := DecodeOfferRequest(message.Body); err != nil || !reflect.DeepEqual(got, offer) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("decoded offer request: got %+v, %v, want %+v", got, err, offer)
 	}
 	results := &ResultsRequest{Partition: 3, Key: testKey, StartAfter: 12, Wait: time.Second, MaxBytes: 1 << 20}
 	if message, err = results.Encode(); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := DecodeResultsRequest(message.Body); err != nil || !reflect.DeepEqual(got, results) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("decoded results request: got %+v, %v, want %+v", got, err, results)
 	}
 	body := &BodyRequest{Partition: 3, Key: testKey, Identifier: "e5"}
 	if message, err = body.Encode(); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := DecodeBodyRequest(message.Body); err != nil || !reflect.DeepEqual(got, body) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("decoded body request: got %+v, %v, want %+v", got, err, body)
 	}
 	end := &EndRequest{Partition: 3, Key: testKey}
 	if message, err = end.Encode(); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := DecodeEndRequest(message.Body); err != nil || !reflect.DeepEqual(got, end) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("decoded end request: got %+v, %v, want %+v", got, err, end)
 	}
 }
 
-func TestRepliesSurviveTheWire(t *testing.T) {
+func TestReplyRoundTrip(t *testing.T) {
 	for _, reply := range []*Reply{
 		{},
 		{Redirect: &Redirect{Epoch: 7}},
@@ -69,18 +69,18 @@
 			t.Fatal(err)
 		}
 		if got, err := DecodeReply(message.Body); err != nil || !reflect.DeepEqual(got, reply) {
-			t.Errorf("%+v, %v, want %+v", got, err, reply)
+			t.Errorf("decoded reply: got %+v, %v, want %+v", got, err, reply)
 		}
 	}
 }
 
-func TestDamagedMessagesAreErrors(t *testing.T) {
+func TestMalformedMessagesAreErrors(t *testing.T) {
 	for _, body := range [][]byte{nil, {1}, {0, 0, 0, 0, 9, 0, 0, 0}} {
 		if _, err := DecodeSubmitRequest(body); err == nil {
-			t.Errorf("submission %v was read", body)
+			t.Errorf("decode submission %v: got no error, want one", body)
 		}
 		if _, err := DecodeReply(body); err == nil {
-			t.Errorf("reply %v was read", body)
+			t.Errorf("decode reply %v: got no error, want one", body)
 		}
 	}
 }
--- a/internal/batch/batchcall/codec.go
+++ b/internal/batch/batchcall/request_codec.go
@@ -1,7 +1,6 @@
 package batchcall
 
 import (
-	"net/netip"
 	"time"
 
 	"capnproto.org/go/capnp/v3"
@@ -13,16 +12,16 @@
 	"nickelline/internal/peer"
 )
 
-// messageBytes bounds what a message takes beside keys, jobs, results and bodies.
+// messageBytes is an upper bound of the bytes of a message without its keys, jobs, results and bodies.
 const messageBytes = 256
 
-// marshal makes the message of a kind.
+// marshal returns the message of a kind.
 func marshal[T any](kind peer.Kind, size int, newRoot func(*capnp.Segment) (T, error), fill func(T) error) (peer.Message, error) {
 	body, err := capnpcodec.Marshal(size, newRoot, fill)
 	return peer.Message{Kind: kind, Body: body}, err
 }
 
-// Encode writes a submission.
+// Encode returns the message of the submission.
 func (r *SubmitRequest) Encode() (peer.Message, error) {
 	return marshal(KindSubmit, messageBytes+batch.JobSize(&r.Job), batchcallwire.NewRootSubmitRequest, func(root batchcallwire.SubmitRequest) error {
 		root.SetPartition(r.Partition)
@@ -35,7 +34,7 @@
 	})
 }
 
-// DecodeSubmitRequest reads a submission. Bodies are parts of the message.
+// DecodeSubmitRequest decodes a submission. Its bodies share the memory of the message.
 func DecodeSubmitRequest(body []byte) (*SubmitRequest, error) {
 	root, err := capnpcodec.Unmarshal(body, batchcallwire.ReadRootSubmitRequest)
 	if err != nil {
@@ -52,7 +51,7 @@
 	return &SubmitRequest{Partition: root.Partition(), Job: job, MaxQueuedTokens: root.MaxQueuedTokens()}, nil
 }
 
-// Encode writes an offer.
+// Encode returns the message of the offer.
 func (r *OfferRequest) Encode() (peer.Message, error) {
 	offer := &r.Offer
 	size := messageBytes + batch.KeySize(offer.Key) + len(offer.Route)
@@ -67,7 +66,7 @@
 	})
 }
 
-// DecodeOfferRequest reads an offer.
+// DecodeOfferRequest decodes an offer.
 func DecodeOfferRequest(body []byte) (*OfferRequest, error) {
 	root, err := capnpcodec.Unmarshal(body, batchcallwire.ReadRootOfferRequest)
 	if err != nil {
@@ -84,7 +83,7 @@
 	return r, err
 }
 
-// Encode writes a request for results.
+// Encode returns the message of the request.
 func (r *ResultsRequest) Encode() (peer.Message, error) {
 	return marshal(KindResults, messageBytes+batch.KeySize(r.Key), batchcallwire.NewRootResultsRequest, func(root batchcallwire.ResultsRequest) error {
 		root.SetPartition(r.Partition)
@@ -111,7 +110,7 @@
 	return batch.DecodeKey(key)
 }
 
-// DecodeResultsRequest reads a request for results.
+// DecodeResultsRequest decodes a request for results.
 func DecodeResultsRequest(body []byte) (*ResultsRequest, error) {
 	root, err := capnpcodec.Unmarshal(body, batchcallwire.ReadRootResultsRequest)
 	if err != nil {
@@ -127,7 +126,7 @@
 	}, err
 }
 
-// Encode writes a request for a body.
+// Encode returns the message of the request.
 func (r *BodyRequest) Encode() (peer.Message, error) {
 	return marshal(KindBody, messageBytes+batch.KeySize(r.Key)+len(r.Identifier), batchcallwire.NewRootBodyRequest, func(root batchcallwire.BodyRequest) error {
 		root.SetPartition(r.Partition)
@@ -138,7 +137,7 @@
 	})
 }
 
-// DecodeBodyRequest reads a request for a body.
+// DecodeBodyRequest decodes a request for a body.
 func DecodeBodyRequest(body []byte) (*BodyRequest, error) {
 	root, err := capnpcodec.Unmarshal(body, batchcallwire.ReadRootBodyRequest)
 	if err != nil {
@@ -152,7 +151,7 @@
 	return &BodyRequest{Partition: root.Partition(), Key: key, Identifier: identifier}, err
 }
 
-// Encode writes a request to end a job.
+// Encode returns the message of the request.
 func (r *EndRequest) Encode() (peer.Message, error) {
 	return marshal(KindEnd, messageBytes+batch.KeySize(r.Key), batchcallwire.NewRootEndRequest, func(root batchcallwire.EndRequest) error {
 		root.SetPartition(r.Partition)
@@ -160,7 +159,7 @@
 	})
 }
 
-// DecodeEndRequest reads a request to end a job.
+// DecodeEndRequest decodes a request to end a job.
 func DecodeEndRequest(body []byte) (*EndRequest, error) {
 	root, err := capnpcodec.Unmarshal(body, batchcallwire.ReadRootEndRequest)
 	if err != nil {
@@ -169,128 +168,3 @@
 	key, err := decodeKey(root.Key)
 	return &EndRequest{Partition: root.Partition(), Key: key}, err
 }
-
-// Encode writes the answer to a request of a kind.
-func (r *Reply) Encode(kind peer.Kind) (peer.Message, error) {
-	return marshal(kind, r.size(), batchcallwire.NewRootReply, r.fill)
-}
-
-func (r *Reply) size() int {
-	size := messageBytes + len(r.Body)
-	if r.Page != nil {
-		for i := range r.Page.Results {
-			size += batch.ListedSize(&r.Page.Results[i])
-		}
-	}
-	return size
-}
-
-func (r *Reply) fill(root batchcallwire.Reply) error {
-	switch {
-	case r.Redirect != nil:
-		return encodeRedirect(root, r.Redirect)
-	case r.Page != nil:
-		return encodePage(root, r.Page)
-	case r.Body != nil:
-		return root.SetBody(r.Body)
-	}
-	root.SetDone()
-	return nil
-}
-
-func encodeRedirect(root batchcallwire.Reply, r *Redirect) error {
-	redirect, err := root.NewRedirect()
-	if err != nil {
-		return err
-	}
-	redirect.SetEpoch(r.Epoch)
-	if !r.Head.IsValid() {
-		return nil
-	}
-	redirect.SetHeadPort(r.Head.Port())
-	return redirect.SetHeadIp(r.Head.Addr().AsSlice())
-}
-
-func encodePage(root batchcallwire.Reply, p *batch.Page) error {
-	page, err := root.NewPage()
-	if err != nil {
-		return err
-	}
-	page.SetTotal(uint32(p.Total))
-	page.SetNext(uint32(p.Next))
-	results, err := page.NewResults(int32(len(p.Results)))
-	if err != nil {
-		return err
-	}
-	for i := range p.Results {
-		result := results.At(i)
-		result.SetState(batchwire.State(p.Results[i].State))
-		if err := result.SetIdentifier(p.Results[i].Identifier); err != nil {
-			return err
-		}
-		if err := result.SetContent(p.Results[i].Content); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// DecodeReply reads an answer. Contents and body are parts of the message.
-func DecodeReply(body []byte) (*Reply, error) {
-	root, err := capnpcodec.Unmarshal(body, batchcallwire.ReadRootReply)
-	if err != nil {
-		return nil, err
-	}
-	r := &Reply{}
-	switch root.Which() {
-	case batchcallwire.Reply_Which_redirect:
-		r.Redirect, err = decodeRedirect(root)
-	case batchcallwire.Reply_Which_page:
-		r.Page, err = decodePage(root)
-	case batchcallwire.Reply_Which_body:
-		r.Body, err = root.Body()
-	}
-	return r, err
-}
-
-func decodeRedirect(root batchcallwire.Reply) (*Redirect, error) {
-	redirect, err := root.Redirect()
-	if err != nil {
-		return nil, err
-	}
-	r := &Redirect{Epoch: redirect.Epoch()}
-	ip, err := redirect.HeadIp()
-	if err != nil {
-		return nil, err
-	}
-	if address, ok := netip.AddrFromSlice(ip); ok {
-		r.Head = netip.AddrPortFrom(address, redirect.HeadPort())
-	}
-	return r, nil
-}
-
-func decodePage(root batchcallwire.Reply) (*batch.Page, error) {
-	page, err := root.Page()
-	if err != nil {
-		return nil, err
-	}
-	results, err := page.Results()
-	if err != nil {
-		return nil, err
-	}
-	if err := capnpcodec.CheckLength(results); err != nil {
-		return nil, err
-	}
-	p := &batch.Page{Total: int(page.Total()), Next: int(page.Next()), Results: make([]batch.ListedResult, results.Len())}
-	for i := range p.Results {
-		result := results.At(i)
-		p.Results[i].State = batch.State(result.State())
-		if p.Results[i].Identifier, err = result.Identifier(); err != nil {
-			return nil, err
-		}
-		if p.Results[i].Content, err = result.Content(); err != nil {
-			return nil, err
-		}
-	}
-	return p, nil
-}
--- a/internal/batch/checkpoint.go
+++ b/internal/batch/checkpoint.go
@@ -6,17 +6,17 @@
 	"nickelline/internal/batch/deflated"
 )
 
-// checkpoint is a piece of the text of an item that runs.
+// checkpoint is a chunk of the text of an item that runs.
 type checkpoint struct {
-	events    uint32 // of the text up to the end of this piece
+	events    uint32 // of the text up to the end of this chunk
 	lastEvent string // the id of the last of them
 	content   []byte // a block of package deflated
 }
 
-// checkpoints are the pieces of an item's text in their order. A further run continues behind the last one.
+// checkpoints are the chunks of an item's text in order. A further run continues after the last one.
 type checkpoints []checkpoint
 
-// events is how many events the text has.
+// events returns how many events the text has.
 func (c checkpoints) events() uint32 {
 	if len(c) == 0 {
 		return 0
@@ -24,7 +24,7 @@
 	return c[len(c)-1].events
 }
 
-// lastEvent is the id of the text's last event, empty if there is none.
+// lastEvent returns the id of the text's last event, empty if there is none.
 func (c checkpoints) lastEvent() string {
 	if len(c) == 0 {
 		return ""
@@ -32,34 +32,34 @@
 	return c[len(c)-1].lastEvent
 }
 
-// truncate drops what comes behind a number of events: a checkpoint may be appended twice, and a text begun anew. It is
-// false, and nothing is dropped, if no piece ends there.
+// truncate removes the chunks after a number of events: a checkpoint may be appended twice, and a text begun again. It reports
+// whether a chunk ends there, and removes nothing otherwise.
 func (c *checkpoints) truncate(events uint32) bool {
 	if events == 0 {
 		*c = nil
 		return true
 	}
-	at := slices.IndexFunc(*c, func(one checkpoint) bool { return one.events == events })
-	if at < 0 {
+	last := slices.IndexFunc(*c, func(one checkpoint) bool { return one.events == events })
+	if last < 0 {
 		return false
 	}
-	*c = (*c)[:at+1]
+	*c = (*c)[:last+1]
 	return true
 }
 
-// add keeps a piece behind the others.
+// add appends the chunk of a checkpoint.
 func (c *checkpoints) add(r *Result) {
-	*c = append(*c, checkpoint{events: r.Events, lastEvent: r.LastEvent, content: copied(r.Content)})
+	*c = append(*c, checkpoint{events: r.Events, lastEvent: r.LastEvent, content: clone(r.Content)})
 }
 
-// whole gives the whole text, of which the last part is handed in.
-func (c checkpoints) whole(rest []byte) []byte {
+// join returns a block with the whole text, which ends with the given rest.
+func (c checkpoints) join(rest []byte) []byte {
 	if len(c) == 0 {
-		return copied(rest)
+		return clone(rest)
 	}
 	blocks := make([][]byte, 0, len(c)+1)
-	for _, piece := range c {
-		blocks = append(blocks, piece.content)
+	for _, chunk := range c {
+		blocks = append(blocks, chunk.content)
 	}
 	return deflated.Join(append(blocks, rest)...)
 }
--- a/internal/batch/command_decoding.go
+++ b/internal/batch/command_decoding.go
@@ -8,7 +8,7 @@
 	"nickelline/internal/capnpcodec"
 )
 
-// DecodeCommand reads a command. Bodies and contents may be parts of the encoded bytes.
+// DecodeCommand decodes a command. Its bodies and contents may share the memory of the block.
 func DecodeCommand(block []byte) (*Command, error) {
 	encoded, err := deflated.Expand(block)
 	if err != nil {
@@ -24,8 +24,10 @@
 
 func decodeChange(root batchwire.Command, c *Command) error {
 	switch root.Which() {
+	case batchwire.Command_Which_tick:
+		return nil
 	case batchwire.Command_Which_take:
-		return decodeTake(root, c)
+		return decodeSubmit(root, c)
 	case batchwire.Command_Which_append:
 		return decodeResults(root, c)
 	case batchwire.Command_Which_end:
@@ -36,7 +38,7 @@
 	return nil
 }
 
-func decodeTake(root batchwire.Command, c *Command) error {
+func decodeSubmit(root batchwire.Command, c *Command) error {
 	take, err := root.Take()
 	if err != nil {
 		return err
--- a/internal/batch/command_encoding.go
+++ b/internal/batch/command_encoding.go
@@ -6,11 +6,11 @@
 	"nickelline/internal/capnpcodec"
 )
 
-// compressFrom is the size from which on it is worth the time to compress a job.
+// compressFrom is the size in bytes from which it is worth the time to compress a job.
 const compressFrom = 4 << 10
 
-// EncodeCommand writes a command as a Cap'n Proto message, in a block that is compressed where it holds bodies: items of a job
-// share much. Contents of results come compressed.
+// EncodeCommand returns a command as a Cap'n Proto message in a block of package deflated. A large submission is compressed,
+// because the items of a job share much; the contents of results are blocks already.
 func EncodeCommand(c *Command) ([]byte, error) {
 	encoded, err := capnpcodec.Marshal(commandSize(c), batchwire.NewRootCommand, func(root batchwire.Command) error {
 		root.SetClockSource(c.Clock.Source)
@@ -29,7 +29,7 @@
 func encodeChange(root batchwire.Command, c *Command) error {
 	switch {
 	case c.Submit != nil:
-		return encodeTake(root, c.Submit)
+		return encodeSubmit(root, c.Submit)
 	case c.End != nil:
 		key, err := root.NewEnd()
 		if err != nil {
@@ -45,17 +45,17 @@
 	return nil
 }
 
-func encodeTake(root batchwire.Command, t *Submit) error {
+func encodeSubmit(root batchwire.Command, s *Submit) error {
 	take, err := root.NewTake()
 	if err != nil {
 		return err
 	}
-	take.SetMaxQueuedTokens(t.MaxQueuedTokens)
+	take.SetMaxQueuedTokens(s.MaxQueuedTokens)
 	job, err := take.NewJob()
 	if err != nil {
 		return err
 	}
-	return EncodeJob(job, &t.Job)
+	return EncodeJob(job, &s.Job)
 }
 
 func encodeResults(root batchwire.Command, results []Result) error {
--- a/internal/batch/deflated/deflated.go
+++ b/internal/batch/deflated/deflated.go
@@ -1,22 +1,25 @@
-// Package deflated compresses texts and bodies that are kept and sent between machines. What does not get smaller is kept as
-// it is. The size of the original is told without expanding it.
+// Package deflated compresses texts and bodies that are stored and sent between machines.
+//
+// A block begins with the size of its original as a varint, shifted left by one bit. The lowest bit is set if the rest of the
+// block is compressed: one or more streams of RFC 1951, each with a part of the original in order. An original that would not
+// become smaller is not compressed. The empty block is that of the empty original.
 package deflated
 
 import (
 	"bytes"
 	"compress/flate"
 	"encoding/binary"
+	"errors"
 	"io"
 	"sync"
 
 	"nickelline/internal/fault"
 )
 
-// A block begins with the size of the original, shifted by one bit that tells whether the rest is compressed: one or more
-// streams of RFC 1951, each with a part of the original. No bytes at all are the block of no bytes.
+// compressedBit is the bit of the number at the beginning of a block that marks it as compressed.
 const compressedBit = 1
 
-// sizeLimit bounds the size that a block may claim, against damaged ones.
+// sizeLimit is the greatest size of an original in bytes. It bounds the memory that a damaged block can claim.
 const sizeLimit = 64 << 20
 
 var writers = sync.Pool{New: func() any {
@@ -26,13 +29,13 @@
 
 var readers = sync.Pool{New: func() any { return flate.NewReader(nil) }}
 
-// Compress makes a block.
+// Compress returns the block of an original, compressed unless that makes it larger.
 func Compress(original []byte) []byte {
 	if len(original) == 0 {
 		return nil
 	}
 	block := bytes.NewBuffer(make([]byte, 0, len(original)+binary.MaxVarintLen64))
-	block.Write(head(len(original), compressedBit))
+	block.Write(blockHeader(len(original), compressedBit))
 	writer := writers.Get().(*flate.Writer)
 	defer writers.Put(writer)
 	writer.Reset(block)
@@ -44,99 +47,99 @@
 	return bytes.Clone(block.Bytes())
 }
 
-// Wrap makes a block that is not compressed.
+// Wrap returns the block of an original without compressing it.
 func Wrap(original []byte) []byte {
 	if len(original) == 0 {
 		return nil
 	}
-	return append(head(len(original), 0), original...)
+	return append(blockHeader(len(original), 0), original...)
 }
 
-// Join makes a block whose original is those of other blocks, in their order, without expanding them.
+// Join returns the block of the originals of other blocks, one after the other, without expanding them.
 func Join(blocks ...[]byte) []byte {
 	size, bytes := 0, binary.MaxVarintLen64
 	for _, block := range blocks {
 		size += Size(block)
-		bytes += len(block) + storedOverhead
+		bytes += len(block) + storedHeaderSize
 	}
 	if size == 0 {
 		return nil
 	}
-	joined := append(make([]byte, 0, bytes), head(size, compressedBit)...)
+	joined := append(make([]byte, 0, bytes), blockHeader(size, compressedBit)...)
 	for _, block := range blocks {
 		joined = appendStream(joined, block)
 	}
 	return joined
 }
 
-// appendStream appends a block without its head, as a stream.
+// appendStream appends the streams of a block without its header.
 func appendStream(joined, block []byte) []byte {
-	told, length := binary.Uvarint(block)
+	header, length := binary.Uvarint(block)
 	switch {
 	case length <= 0:
 		return joined
-	case told&compressedBit != 0:
+	case header&compressedBit != 0:
 		return append(joined, block[length:]...)
 	}
 	return appendStored(joined, block[length:])
 }
 
 const (
-	// storedMost is the most that one stored part of a stream holds, and storedHead what stands before it.
-	storedMost = 0xffff
-	storedHead = 5
-	// storedOverhead is what stored parts add to a small block.
-	storedOverhead = storedHead
+	// maximumStoredSize is the greatest size of the data of a stored block of RFC 1951, in bytes.
+	maximumStoredSize = 0xffff
+	// storedHeaderSize is the size of the header of a stored block.
+	storedHeaderSize = 5
 )
 
-// appendStored appends a stream of parts that are not compressed, by section 3.2.4 of RFC 1951.
+// appendStored appends a stream of stored blocks, see section 3.2.4 of RFC 1951.
 func appendStored(joined, original []byte) []byte {
 	for {
-		part := original[:min(len(original), storedMost)]
-		original = original[len(part):]
+		chunk := original[:min(len(original), maximumStoredSize)]
+		original = original[len(chunk):]
 		final := byte(0)
 		if len(original) == 0 {
 			final = 1
 		}
 		joined = append(joined, final)
-		joined = binary.LittleEndian.AppendUint16(joined, uint16(len(part)))
-		joined = binary.LittleEndian.AppendUint16(joined, ^uint16(len(part)))
-		joined = append(joined, part...)
+		joined = binary.LittleEndian.AppendUint16(joined, uint16(len(chunk)))
+		joined = binary.LittleEndian.AppendUint16(joined, ^uint16(len(chunk)))
+		joined = append(joined, chunk...)
 		if final == 1 {
 			return joined
 		}
 	}
 }
 
-func head(size int, bit uint64) []byte { return binary.AppendUvarint(nil, uint64(size)<<1|bit) }
+// blockHeader returns the header of a block.
+func blockHeader(size int, bit uint64) []byte { return binary.AppendUvarint(nil, uint64(size)<<1|bit) }
 
-// Size is the size of a block's original, 0 for what is no block.
+// Size returns the size of a block's original in bytes, 0 if the block has no valid header.
 func Size(block []byte) int {
-	told, length := binary.Uvarint(block)
-	if length <= 0 || told>>1 > sizeLimit {
+	header, length := binary.Uvarint(block)
+	if length <= 0 || header>>1 > sizeLimit {
 		return 0
 	}
-	return int(told >> 1)
+	return int(header >> 1)
 }
 
-// Expand gives the original of a block. That of a block that is not compressed is a part of it.
+// Expand returns the original of a block. That of a block that is not compressed shares its memory.
 func Expand(block []byte) ([]byte, error) {
 	if len(block) == 0 {
 		return nil, nil
 	}
-	told, length := binary.Uvarint(block)
-	if length <= 0 || told>>1 > sizeLimit {
+	header, length := binary.Uvarint(block)
+	if length <= 0 || header>>1 > sizeLimit {
 		return nil, fault.New(fault.Internal, "block of %d bytes has no size", len(block))
 	}
-	size := int(told >> 1)
+	size := int(header >> 1)
 	rest := block[length:]
-	if told&compressedBit == 0 {
+	if header&compressedBit == 0 {
 		return plain(rest, size)
 	}
 	return inflate(rest, size)
 }
 
-// inflate expands streams that have an original of some size in all.
+// inflate expands streams whose originals have a size in all.
 func inflate(streams []byte, size int) ([]byte, error) {
 	original := make([]byte, size)
 	reader := readers.Get().(io.Reader)
@@ -156,10 +159,10 @@
 	return original, nil
 }
 
-// inflateStream expands one stream to its end. It is an error if that does not fit.
+// inflateStream expands one stream to its end, and returns the size of its original. It fails if that is larger than the space.
 func inflateStream(reader io.Reader, original []byte) (int, error) {
 	count, err := io.ReadFull(reader, original)
-	if err == io.EOF || err == io.ErrUnexpectedEOF {
+	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return count, streamEnd(reader)
 	}
 	if err != nil {
@@ -168,18 +171,19 @@
 	return count, streamEnd(reader)
 }
 
-// streamEnd looks whether a stream has ended properly.
+// streamEnd returns an error unless the stream has ended.
 func streamEnd(reader io.Reader) error {
 	var surplus [1]byte
-	if _, err := reader.Read(surplus[:]); err != io.EOF {
+	if _, err := reader.Read(surplus[:]); !errors.Is(err, io.EOF) {
 		return fault.New(fault.Internal, "a compressed block does not end with its original")
 	}
 	return nil
 }
 
+// plain returns the original of a block that is not compressed.
 func plain(rest []byte, size int) ([]byte, error) {
 	if len(rest) != size {
-		return nil, fault.New(fault.Internal, "block of %d bytes tells %d", len(rest), size)
+		return nil, fault.New(fault.Internal, "block of %d bytes has a header for %d", len(rest), size)
 	}
 	return rest, nil
 }
--- a/internal/batch/deflated/deflated_test.go
+++ b/internal/batch/deflated/deflated_test.go
@@ -16,7 +16,7 @@
 	return data
 }
 
-func TestBlocksGiveTheOriginal(t *testing.T) {
+func TestExpandReturnsOriginal(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, original := range [][]byte{
 		nil, []byte("x"), randomBytes(random, 100), randomBytes(random, 70000), bytes.Repeat([]byte("text "), 20000),
@@ -25,10 +25,10 @@
 			block := make(original)
 			got, err := Expand(block)
 			if err != nil || !bytes.Equal(got, original) || Size(block) != len(original) {
-				t.Errorf("%s block of %d bytes: %v, size %d", name, len(original), err, Size(block))
+				t.Errorf("%s block: got %d bytes (%v) and size %d, want the original of %d", name, len(got), err, Size(block), len(original))
 			}
 			if len(block) > len(original)+5 {
-				t.Errorf("%s block of %d bytes takes %d", name, len(original), len(block))
+				t.Errorf("size of the %s block: got %d, want at most %d", name, len(block), len(original)+5)
 			}
 		}
 	}
@@ -38,42 +38,42 @@
 	whole := Compress([]byte(strings.Repeat("some text ", 100)))
 	for cut := 1; cut < len(whole); cut++ {
 		if _, err := Expand(whole[:cut]); err == nil {
-			t.Fatalf("a block cut at %d of %d bytes was read", cut, len(whole))
+			t.Fatalf("expand block truncated to %d of %d bytes: got no error, want one", cut, len(whole))
 		}
 	}
 	for _, block := range [][]byte{{0x80}, {0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f}, {4}, Wrap([]byte("abc"))[:2]} {
 		if _, err := Expand(block); err == nil {
-			t.Errorf("block %v was read", block)
+			t.Errorf("expand block %v: got no error, want one", block)
 		}
 	}
 }
 
-func TestJoinedBlocksGiveTheOriginals(t *testing.T) {
+func TestJoinReturnsBlockOfAllOriginals(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
-	parts := [][]byte{
+	originals := [][]byte{
 		[]byte(strings.Repeat("some text ", 50)), nil, []byte("short"), randomBytes(random, 1<<17), []byte(strings.Repeat("more ", 40)),
 	}
 	var blocks [][]byte
-	for _, part := range parts {
-		blocks = append(blocks, Compress(part))
+	for _, original := range originals {
+		blocks = append(blocks, Compress(original))
 	}
-	want := bytes.Join(parts, nil)
+	want := bytes.Join(originals, nil)
 	joined := Join(blocks...)
 	got, err := Expand(joined)
 	if err != nil || !bytes.Equal(got, want) || Size(joined) != len(want) {
-		t.Fatalf("%d bytes of %d, size %d: %v", len(got), len(want), Size(joined), err)
+		t.Fatalf("joined block: got %d bytes (%v) and size %d, want %d bytes", len(got), err, Size(joined), len(want))
 	}
 	again, err := Expand(Join(joined, blocks[0]))
-	if err != nil || !bytes.Equal(again, append(want, parts[0]...)) {
-		t.Errorf("joined twice: %d bytes, %v", len(again), err)
+	if err != nil || !bytes.Equal(again, append(want, originals[0]...)) {
+		t.Errorf("block joined twice: got %d bytes, %v, want %d", len(again), err, len(want)+len(originals[0]))
 	}
 	if Join(nil, nil) != nil {
-		t.Error("blocks of no bytes make a block")
+		t.Error("join of empty blocks: got a block, want none")
 	}
 	small := Join(blocks[0], blocks[2], blocks[4])
 	for cut := 1; cut < len(small); cut++ {
 		if _, err := Expand(small[:cut]); err == nil {
-			t.Fatalf("a joined block cut at %d of %d bytes was read", cut, len(small))
+			t.Fatalf("expand joined block truncated to %d of %d bytes: got no error, want one", cut, len(small))
 		}
 	}
 }
--- /dev/null
+++ b/internal/batch/doc.go
@@ -0,0 +1,33 @@
+// Package batch is the replicated state of the batch jobs of one partition: a deterministic state machine to which a chain
+// applies committed commands. It does no I/O, starts no goroutines and reads no clock.
+//
+// # Invariants
+//
+//   - A job is accepted once: the same identifier of the same tenant again is answered as accepted.
+//   - An item has at most one position in the results of its job, and a position never changes.
+//   - A listed result stays until the job is dropped, and only a closed job is dropped.
+//   - The tokens of a tenant's waiting items on a route are within the bound of each submission at the time of that submission.
+//
+// # Crash and recovery
+//
+// The state is in memory only. The chain keeps the committed commands and the snapshots on disk, and a replica that starts
+// again restores the last snapshot and applies the commands after it. All replicas that applied the same commands have equal
+// snapshots. The text of an item that was running is lost back to its last checkpoint.
+//
+// # Duties of the caller
+//
+// The methods of Machine are not safe for concurrent use. Commands have to be applied in the order in which they were
+// committed. Bodies and contents that a method returns are shared with the state and must not be changed.
+//
+// # Files in reading order
+//
+//   - batch.go: jobs, commands and outcomes
+//   - machine.go, job.go, checkpoint.go: the state and the effect of each command
+//   - clock.go: the time of the partition, by which jobs age
+//   - read.go: what can be read from the state
+//   - command_encoding.go, command_decoding.go, job_codec.go, outcome_codec.go: the encoding of commands
+//   - snapshot.go, snapshot_encoding.go, snapshot_decoding.go: the encoding of the state
+//   - size.go: bounds of the size of messages
+//
+// The packages batchcall (requests of proxies to stores) and deflated (compressed blocks) belong to it.
+package batch
--- a/internal/batch/golden_test.go
+++ b/internal/batch/golden_test.go
@@ -77,13 +77,13 @@
 	}
 }
 
-// goldenMachine returns a state with a running job, an ended one, and one that was ended before it was taken.
+// goldenMachine returns a state with a running job, an ended one, and one that was ended before it was submitted.
 func goldenMachine() *Machine {
 	m := New(nil)
 	m.clock = clock{now: 0x1112131415161718, last: ClockReading{Source: 0x2122232425262728, Elapsed: 0x3132333435363738}}
 	m.ordinal = 0x4142434445464748
 	running := &job{
-		key: goldenKey(1), route: "route 1", host: "host-1.example", ordinal: 0x5152535455565758, born: 0x6162636465666768, taken: true,
+		key: goldenKey(1), route: "route 1", host: "host-1.example", ordinal: 0x5152535455565758, submittedAt: 0x6162636465666768, submitted: true,
 		items: []item{
 			{Item: goldenItem(1), checkpoints: checkpoints{
 				{events: 0x71727374, lastEvent: "event 1", content: []byte("checkpoint 1")},
@@ -95,11 +95,11 @@
 		positions: []uint32{2, 1},
 	}
 	ended := &job{
-		key: goldenKey(2), route: "route 2", host: "host-2.example", ordinal: 0x5152535455565759, born: 3 * time.Second,
-		taken: true, ended: true, items: []item{{Item: Item{Identifier: "ended", Tokens: 7}}}, positions: []uint32{},
+		key: goldenKey(2), route: "route 2", host: "host-2.example", ordinal: 0x5152535455565759, submittedAt: 3 * time.Second,
+		submitted: true, ended: true, items: []item{{Item: Item{Identifier: "ended", Tokens: 7}}}, positions: []uint32{},
 	}
 	endedBefore := &job{
-		key: goldenKey(3), ordinal: 0x515253545556575a, born: 4 * time.Second, ended: true, items: []item{}, positions: []uint32{},
+		key: goldenKey(3), ordinal: 0x515253545556575a, submittedAt: 4 * time.Second, ended: true, items: []item{}, positions: []uint32{},
 	}
 	for _, one := range []*job{running, ended, endedBefore} {
 		m.jobs[one.key] = one
--- a/internal/batch/history_test.go
+++ b/internal/batch/history_test.go
@@ -11,16 +11,16 @@
 )
 
 // history plays random commands through a log to replicas that crash and come back from a snapshot and the log behind it,
-// and keeps beside them what clients were told.
+// and keeps what clients were answered.
 type history struct {
-	t        *testing.T
-	random   *rand.Rand
-	log      [][]byte
-	replicas []*replica
-	told     map[Key]*told
-	now      time.Duration // real time
-	head     ClockReading  // the present head's clock; its source began at headStart
-	start    time.Duration
+	t            *testing.T
+	random       *rand.Rand
+	log          [][]byte
+	replicas     []*replica
+	acknowledged map[Key]*acknowledgedJob
+	now          time.Duration // real time
+	head         ClockReading  // the present head's clock; its source began at headStart
+	start        time.Duration
 }
 
 type replica struct {
@@ -30,12 +30,12 @@
 	covered  int // commands that the snapshot holds
 }
 
-// told is what clients know of a job: it must never be taken back.
-type told struct {
-	taken  bool
-	ended  bool
-	born   time.Duration
-	listed []ListedResult
+// acknowledgedJob is what clients were answered about a job: it must never be revoked.
+type acknowledgedJob struct {
+	submitted   bool
+	ended       bool
+	submittedAt time.Duration
+	listed      []ListedResult
 }
 
 const (
@@ -46,7 +46,7 @@
 )
 
 func newHistory(t *testing.T, seed uint64) *history {
-	h := &history{t: t, random: rand.New(rand.NewPCG(seed, 1)), told: map[Key]*told{}}
+	h := &history{t: t, random: rand.New(rand.NewPCG(seed, 1)), acknowledged: map[Key]*acknowledgedJob{}}
 	for range historyReplicas {
 		h.replicas = append(h.replicas, &replica{machine: New(nil)})
 	}
@@ -106,7 +106,7 @@
 	other := h.replicas[1+h.random.IntN(historyReplicas-1)]
 	switch h.random.IntN(12) {
 	case 0, 1, 2:
-		h.take(key)
+		h.submit(key)
 	case 3, 4, 5:
 		h.appendResults(key)
 	case 10, 11:
@@ -119,11 +119,12 @@
 		h.catchUp(other)
 		h.save(other)
 	case 9:
-		h.trouble(other)
+		h.injectFault(other)
 	}
 }
 
-func (h *history) trouble(other *replica) {
+// injectFault restarts a replica or changes the head.
+func (h *history) injectFault(other *replica) {
 	switch h.random.IntN(3) {
 	case 0:
 		h.crash(other)
@@ -135,20 +136,20 @@
 	}
 }
 
-func (h *history) take(key Key) {
+func (h *history) submit(key Key) {
 	job := testJob(key, 1+h.random.IntN(6))
 	before := h.replicas[0].machine.QueuedTokens(key.Tenant, testRoute)
 	outcome := h.commit(&Command{Submit: &Submit{Job: job, MaxQueuedTokens: historyQuota}})
-	known := h.told[key]
+	known := h.acknowledged[key]
 	switch {
 	case known != nil && outcome != Done:
-		h.t.Fatalf("%v: taken or ended before, now %v", key, outcome)
+		h.t.Fatalf("%v: outcome of a known job: got %v, want Done", key, outcome)
 	case known == nil && (before+job.Tokens() > historyQuota) != (outcome == QuotaExceeded):
-		h.t.Fatalf("%v: %d tokens beside %d: %v", key, job.Tokens(), before, outcome)
+		h.t.Fatalf("%v: outcome for %d tokens beside %d queued: got %v", key, job.Tokens(), before, outcome)
 	case known == nil && outcome == Done:
-		h.told[key] = &told{taken: true, born: h.now}
+		h.acknowledged[key] = &acknowledgedJob{submitted: true, submittedAt: h.now}
 	case known != nil:
-		known.taken = true
+		known.submitted = true
 	}
 }
 
@@ -162,7 +163,7 @@
 	h.remember(key)
 }
 
-// historyEvents is how many events the text of an item has that is run in pieces.
+// historyEvents is how many events the text of an item has that is run in steps.
 const historyEvents = 9
 
 func eventLine(identifier string, number uint32) string {
@@ -181,11 +182,11 @@
 		from = 0
 	}
 	until := min(from+1+uint32(h.random.IntN(4)), historyEvents)
-	var piece bytes.Buffer
+	var chunk bytes.Buffer
 	for number := from + 1; number <= until; number++ {
-		piece.WriteString(eventLine(item.Identifier, number))
+		chunk.WriteString(eventLine(item.Identifier, number))
 	}
-	result := Result{Key: key, Index: item.Index, Content: deflated.Compress(piece.Bytes()), From: from}
+	result := Result{Key: key, Index: item.Index, Content: deflated.Compress(chunk.Bytes()), From: from}
 	if until == historyEvents {
 		result.State = Completed
 	} else {
@@ -204,7 +205,7 @@
 		now, _ := h.replicas[0].machine.PendingJob(key)
 		for _, one := range now.Items {
 			if one.Index == item.Index && (one.Events != result.Events || one.LastEvent != result.LastEvent) {
-				h.t.Fatalf("%v: item %d continues behind event %q (%d), want %d", key, item.Index, one.LastEvent, one.Events, result.Events)
+				h.t.Fatalf("%v: last event of item %d: got %q (number %d), want number %d", key, item.Index, one.LastEvent, one.Events, result.Events)
 			}
 		}
 		return
@@ -216,53 +217,53 @@
 	page, _ := h.replicas[0].machine.Results(key, 0, 1<<30)
 	for _, listed := range page.Results {
 		if listed.Identifier == item.Identifier && original(h.t, listed.Content) != want {
-			h.t.Fatalf("%v: %s has the text %q", key, item.Identifier, original(h.t, listed.Content))
+			h.t.Fatalf("%v: text of %s: got %q, want %q", key, item.Identifier, original(h.t, listed.Content), want)
 		}
 	}
 }
 
-// remember compares a job with what clients were told and keeps what is new.
+// remember compares a job with what clients were answered before and records what is new.
 func (h *history) remember(key Key) {
 	page, ok := h.replicas[0].machine.Results(key, 0, 1<<30)
-	known := h.told[key]
-	if known == nil || !known.taken {
+	known := h.acknowledged[key]
+	if known == nil || !known.submitted {
 		if ok {
-			h.t.Fatalf("%v: listed though it was never taken", key)
+			h.t.Fatalf("%v: got results, want none for a job that was not submitted", key)
 		}
 		return
 	}
 	if !ok {
-		h.t.Fatalf("%v: gone", key)
+		h.t.Fatalf("%v: got no results, want those of a known job", key)
 	}
 	h.compare(key, known.listed, page.Results)
 	if known.ended && len(page.Results) != len(known.listed) {
-		h.t.Fatalf("%v: listed %d after its end, %d before", key, len(page.Results), len(known.listed))
+		h.t.Fatalf("%v: results after its end: got %d, want %d", key, len(page.Results), len(known.listed))
 	}
 	known.listed = page.Results
 }
 
 func (h *history) compare(key Key, before, after []ListedResult) {
 	if len(after) < len(before) {
-		h.t.Fatalf("%v: %d results, had %d", key, len(after), len(before))
+		h.t.Fatalf("%v: results: got %d, want at least %d", key, len(after), len(before))
 	}
 	seen := map[string]bool{}
 	for i, result := range after {
 		if seen[result.Identifier] {
-			h.t.Fatalf("%v: %s stands twice", key, result.Identifier)
+			h.t.Fatalf("%v: got %s twice, want it once", key, result.Identifier)
 		}
 		seen[result.Identifier] = true
 		if i < len(before) && (before[i].Identifier != result.Identifier || !bytes.Equal(before[i].Content, result.Content)) {
-			h.t.Fatalf("%v: position %d changed", key, i)
+			h.t.Fatalf("%v: got another result at position %d, want the former one", key, i)
 		}
 	}
 }
 
 func (h *history) end(key Key) {
 	h.commit(&Command{End: &key})
-	known := h.told[key]
+	known := h.acknowledged[key]
 	if known == nil {
-		known = &told{born: h.now}
-		h.told[key] = known
+		known = &acknowledgedJob{submittedAt: h.now}
+		h.acknowledged[key] = known
 	}
 	known.ended = true
 }
@@ -271,10 +272,10 @@
 	const kept = 60 * time.Second
 	keys := h.replicas[0].machine.Expired(h.reading(), kept)
 	for _, key := range keys {
-		if age := h.now - h.told[key].born; age < kept {
-			h.t.Fatalf("%v: overdue at %v", key, age)
+		if age := h.now - h.acknowledged[key].submittedAt; age < kept {
+			h.t.Fatalf("%v: expired at the age of %v, want at least %v", key, age, kept)
 		}
-		delete(h.told, key)
+		delete(h.acknowledged, key)
 	}
 	h.commit(&Command{Drop: keys})
 }
@@ -291,10 +292,10 @@
 			}
 		}
 		if got := h.replicas[0].machine.QueuedTokens(tenant, testRoute); got != sum || got > historyQuota {
-			h.t.Fatalf("%s has %d tokens queued, its open items %d", tenant, got, sum)
+			h.t.Fatalf("queued tokens of %s: got %d, want %d as of its pending items", tenant, got, sum)
 		}
 	}
-	for key := range h.told {
+	for key := range h.acknowledged {
 		h.remember(key)
 	}
 }
@@ -319,12 +320,12 @@
 	for i, r := range h.replicas {
 		h.catchUp(r)
 		if !bytes.Equal(r.machine.Snapshot(), want) {
-			h.t.Fatalf("replica %d differs", i)
+			h.t.Fatalf("replica %d: got a state that differs from the head's, want an equal one", i)
 		}
 		h.save(r)
 		h.crash(r)
 		if !bytes.Equal(r.machine.Snapshot(), want) {
-			h.t.Fatalf("replica %d differs from its snapshot", i)
+			h.t.Fatalf("replica %d: got another state from its snapshot, want an equal one", i)
 		}
 	}
 }
--- /dev/null
+++ b/internal/batch/job.go
@@ -0,0 +1,52 @@
+package batch
+
+import "time"
+
+// job is the state of a job.
+type job struct {
+	key         Key
+	route       string
+	host        string
+	ordinal     uint64 // jobs are numbered in the order in which they were added
+	submittedAt time.Duration
+	submitted   bool // false if only its end has been committed
+	ended       bool
+	items       []item
+	positions   []uint32 // index of the item at each position, in the order of listing
+}
+
+// item is an item and, once it is listed, its result. Path, headers, body and checkpoints are released then.
+type item struct {
+	Item
+	state       State
+	content     []byte
+	checkpoints checkpoints
+}
+
+func (j *job) account() account { return account{tenant: j.key.Tenant, route: j.route} }
+
+// closed reports whether no item of the job will run or be listed any more.
+func (j *job) closed() bool { return j.ended || j.submitted && len(j.positions) == len(j.items) }
+
+// fill copies a submitted job. Of one that was ended before it was submitted, only what reads return is retained.
+func (j *job) fill(submitted *Job) {
+	j.submitted = true
+	j.route = submitted.Route
+	j.host = submitted.Host
+	j.items = make([]item, len(submitted.Items))
+	for i := range submitted.Items {
+		j.items[i].Item = submitted.Items[i]
+		j.items[i].Body = clone(submitted.Items[i].Body)
+		if j.ended {
+			j.items[i].release()
+		}
+	}
+}
+
+// release removes the fields that only a run of the item needs.
+func (i *item) release() {
+	i.Path = ""
+	i.Headers = nil
+	i.Body = nil
+	i.checkpoints = nil
+}
--- a/internal/batch/job_codec.go
+++ b/internal/batch/job_codec.go
@@ -5,7 +5,7 @@
 	"nickelline/internal/capnpcodec"
 )
 
-// EncodeJob writes a job into a message.
+// EncodeJob encodes a job into a message.
 func EncodeJob(job batchwire.Job, j *Job) error {
 	key, err := job.NewKey()
 	if err != nil {
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// EncodeKey writes a key into a message.
+// EncodeKey encodes a key into a message.
 func EncodeKey(key batchwire.Key, k Key) error {
 	if err := key.SetTenant(k.Tenant); err != nil {
 		return err
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// DecodeJob reads a job from a message. Bodies are parts of the message.
+// DecodeJob decodes a job from a message. Its bodies share the memory of the message.
 func DecodeJob(job batchwire.Job) (Job, error) {
 	var j Job
 	key, err := job.Key()
@@ -90,7 +90,7 @@
 		return j, err
 	}
 	j.Items = make([]Item, items.Len())
-	names := interned{}
+	names := interner{}
 	for i := range j.Items {
 		if err := decodeItem(items.At(i), &j.Items[i], names); err != nil {
 			return j, err
@@ -99,7 +99,7 @@
 	return j, nil
 }
 
-// DecodeKey reads a key from a message.
+// DecodeKey decodes a key from a message.
 func DecodeKey(key batchwire.Key) (k Key, err error) {
 	if k.Tenant, err = key.Tenant(); err != nil {
 		return k, err
@@ -108,19 +108,20 @@
 	return k, err
 }
 
-// interned keeps one copy of strings that many items of a job share, such as the names of headers.
-type interned map[string]string
+// interner holds one copy of strings that many items of a job share, such as the names of headers.
+type interner map[string]string
 
-func (n interned) keep(text []byte) string {
-	if kept, ok := n[string(text)]; ok {
-		return kept
-	}
-	kept := string(text)
-	n[kept] = kept
-	return kept
+// intern returns the copy of a text.
+func (n interner) intern(text []byte) string {
+	if known, ok := n[string(text)]; ok {
+		return known
+	}
+	added := string(text)
+	n[added] = added
+	return added
 }
 
-func decodeItem(item batchwire.Item, i *Item, names interned) (err error) {
+func decodeItem(item batchwire.Item, i *Item, names interner) (err error) {
 	i.Tokens = item.Tokens()
 	if i.Identifier, err = item.Identifier(); err != nil {
 		return err
@@ -150,12 +151,12 @@
 	return nil
 }
 
-func decodeHeader(header batchwire.Header, h *Header, names interned) error {
+func decodeHeader(header batchwire.Header, h *Header, names interner) error {
 	name, err := header.NameBytes()
 	if err != nil {
 		return err
 	}
-	h.Name = names.keep(name)
+	h.Name = names.intern(name)
 	h.Value, err = header.Value()
 	return err
 }
--- a/internal/batch/machine_test.go
+++ b/internal/batch/machine_test.go
@@ -38,7 +38,7 @@
 	return DecodeOutcome(m.Apply(0, encoded))
 }
 
-func take(t testing.TB, m *Machine, job Job, most int64) Outcome {
+func submit(t testing.TB, m *Machine, job Job, most int64) Outcome {
 	t.Helper()
 	return apply(t, m, &Command{Submit: &Submit{Job: job, MaxQueuedTokens: most}})
 }
@@ -58,85 +58,85 @@
 	return string(expanded)
 }
 
-func TestTakeOnce(t *testing.T) {
+func TestSubmitOnce(t *testing.T) {
 	m := New(nil)
 	job := testJob(testKey(1), 3)
 	for range 2 {
-		if got := take(t, m, job, 30); got != Done {
-			t.Fatalf("take: %v", got)
+		if got := submit(t, m, job, 30); got != Done {
+			t.Fatalf("outcome: got %v, want Done", got)
 		}
 	}
 	if got := m.QueuedTokens("acme", testRoute); got != 30 {
-		t.Errorf("queued tokens %d, want 30", got)
+		t.Errorf("queued tokens: got %d, want 30", got)
 	}
 	page, ok := m.Results(job.Key, 0, 1<<20)
 	if !ok || page.Total != 3 || page.Next != 0 || page.Closed {
-		t.Errorf("page %+v, %v", page, ok)
+		t.Errorf("page: got %+v, %v", page, ok)
 	}
 }
 
-func TestTakeOverQuotaLeavesNothing(t *testing.T) {
+func TestRejectedSubmissionChangesNothing(t *testing.T) {
 	m := New(nil)
-	take(t, m, testJob(testKey(1), 3), 50)
+	submit(t, m, testJob(testKey(1), 3), 50)
 	second := testJob(testKey(2), 3)
 	if m.Fits(offer(second, 50)) || !m.Fits(offer(second, 60)) || !m.Fits(offer(testJob(testKey(1), 3), 1)) {
-		t.Error("what fits is not what is taken")
+		t.Error("Fits: got another answer than a submission would get")
 	}
-	if got := take(t, m, second, 50); got != QuotaExceeded {
-		t.Fatalf("take over the quota: %v", got)
+	if got := submit(t, m, second, 50); got != QuotaExceeded {
+		t.Fatalf("outcome over the quota: got %v, want QuotaExceeded", got)
 	}
 	if _, ok := m.Results(second.Key, 0, 1); ok {
-		t.Error("a refused job is known")
+		t.Error("results of a rejected job: got a page, want none")
 	}
 	apply(t, m, &Command{Append: []Result{completed(testKey(1), 2, "x")}})
-	if got := take(t, m, second, 50); got != Done {
-		t.Errorf("take of the refused job once it fits: %v", got)
+	if got := submit(t, m, second, 50); got != Done {
+		t.Errorf("outcome of the rejected job once it fits: got %v, want Done", got)
 	}
 }
 
 func TestTokensAreCountedByTenantAndRoute(t *testing.T) {
 	m := New(nil)
-	take(t, m, testJob(testKey(1), 3), 30)
+	submit(t, m, testJob(testKey(1), 3), 30)
 	other := testJob(Key{Tenant: "bolt", Identifier: "job-1"}, 3)
-	if got := take(t, m, other, 30); got != Done {
-		t.Errorf("take of another tenant: %v", got)
+	if got := submit(t, m, other, 30); got != Done {
+		t.Errorf("outcome for another tenant: got %v, want Done", got)
 	}
 	otherRoute := testJob(testKey(2), 3)
 	otherRoute.Route = "letters"
-	if got := take(t, m, otherRoute, 30); got != Done {
-		t.Errorf("take on another route: %v", got)
+	if got := submit(t, m, otherRoute, 30); got != Done {
+		t.Errorf("outcome on another route: got %v, want Done", got)
 	}
 }
 
-func TestPositionsAreFixedByOrderOfAppend(t *testing.T) {
+func TestResultsAreListedInOrderOfAppend(t *testing.T) {
 	m := New(nil)
 	key := testKey(1)
-	take(t, m, testJob(key, 3), 0)
+	submit(t, m, testJob(key, 3), 0)
 	apply(t, m, &Command{Append: []Result{completed(key, 2, "two"), completed(key, 0, "zero")}})
 	apply(t, m, &Command{Append: []Result{completed(key, 2, "again"), {Key: key, Index: 1, State: Abandoned}}})
 	page, _ := m.Results(key, 0, 1<<20)
 	want := []string{"job-1-item-2 1 two", "job-1-item-0 1 zero", "job-1-item-1 2 "}
 	for i, result := range page.Results {
 		if got := fmt.Sprintf("%s %d %s", result.Identifier, result.State, original(t, result.Content)); got != want[i] {
-			t.Errorf("position %d: %q, want %q", i, got, want[i])
+			t.Errorf("result at position %d: got %q, want %q", i, got, want[i])
 		}
 	}
 	if len(page.Results) != 3 || !page.Closed || page.Next != 3 {
-		t.Errorf("page %+v", page)
+		t.Errorf("page: got %+v, want 3 results and closed", page)
 	}
 }
 
 func TestPageIsBoundedButNeverEmpty(t *testing.T) {
 	m := New(nil)
 	key := testKey(1)
-	take(t, m, testJob(key, 3), 0)
+	submit(t, m, testJob(key, 3), 0)
 	for i := range uint32(3) {
 		apply(t, m, &Command{Append: []Result{completed(key, i, "0123456789")}})
 	}
 	for _, c := range []struct{ from, bytes, count int }{{0, 5, 1}, {0, 20, 2}, {1, 100, 2}, {3, 100, 0}, {9, 100, 0}} {
 		page, _ := m.Results(key, c.from, c.bytes)
 		if len(page.Results) != c.count || page.Next != c.from+c.count {
-			t.Errorf("from %d, %d bytes: %d results, next %d", c.from, c.bytes, len(page.Results), page.Next)
+			t.Errorf("page from %d with %d bytes: got %d results, next %d, want %d results", c.from, c.bytes, len(page.Results), page.Next, c.count)
 		}
 	}
 }
@@ -145,39 +145,39 @@
 	m := New(nil)
 	key := testKey(1)
 	job := testJob(key, 3)
-	take(t, m, job, 0)
+	submit(t, m, job, 0)
 	body, ok := m.Body(key, "job-1-item-1")
 	if !ok || !bytes.Equal(body, job.Items[1].Body) {
-		t.Fatalf("body %q, %v", body, ok)
+		t.Fatalf("body: got %q, %v, want %q", body, ok, job.Items[1].Body)
 	}
 	apply(t, m, &Command{Append: []Result{completed(key, 1, "x")}})
 	if _, ok := m.Body(key, "job-1-item-1"); ok {
-		t.Error("body of a listed item")
+		t.Error("body of a listed item: got one, want none")
 	}
 	apply(t, m, &Command{End: &key})
 	if _, ok := m.Body(key, "job-1-item-0"); ok {
-		t.Error("body of an ended job's item")
+		t.Error("body of an item of an ended job: got one, want none")
 	}
 }
 
 func TestEndReleasesTokensAndKeepsWhatIsListed(t *testing.T) {
 	m := New(nil)
 	key := testKey(1)
-	take(t, m, testJob(key, 3), 0)
+	submit(t, m, testJob(key, 3), 0)
 	apply(t, m, &Command{Append: []Result{completed(key, 1, "x")}})
 	for range 2 {
 		apply(t, m, &Command{End: &key})
 	}
 	apply(t, m, &Command{Append: []Result{completed(key, 0, "late")}})
 	if got := m.QueuedTokens("acme", testRoute); got != 0 {
-		t.Errorf("queued tokens %d after the end", got)
+		t.Errorf("queued tokens after the end: got %d, want 0", got)
 	}
 	page, ok := m.Results(key, 0, 1<<20)
 	if !ok || page.Total != 3 || len(page.Results) != 1 || !page.Closed {
-		t.Errorf("page %+v, %v", page, ok)
+		t.Errorf("page: got %+v, %v", page, ok)
 	}
 	if _, ok := m.PendingJob(key); ok {
-		t.Error("an ended job is open")
+		t.Error("ended job: got pending items, want none")
 	}
 }
 
@@ -186,17 +186,17 @@
 	key := testKey(1)
 	apply(t, m, &Command{End: &key})
 	if _, ok := m.Results(key, 0, 1); ok {
-		t.Error("a job that was only ended has results")
+		t.Error("results of a job that was only ended: got a page, want none")
 	}
-	take(t, m, testJob(key, 3), 1)
+	submit(t, m, testJob(key, 3), 1)
 	if _, ok := m.PendingJob(key); ok {
-		t.Error("the job runs")
+		t.Error("job submitted after its end: got pending items, want none")
 	}
 	if page, ok := m.Results(key, 0, 1); !ok || page.Total != 3 {
-		t.Errorf("page %+v, %v", page, ok)
+		t.Errorf("page: got %+v, %v", page, ok)
 	}
 	if got := m.QueuedTokens("acme", testRoute); got != 0 {
-		t.Errorf("queued tokens %d", got)
+		t.Errorf("queued tokens: got %d, want 0", got)
 	}
 }
 
@@ -208,67 +208,69 @@
 	job := testJob(testKey(1), 1)
 	apply(t, m, &Command{Clock: reading(1, 100), Submit: &Submit{Job: job}})
 	apply(t, m, &Command{Clock: reading(1, 104)})
-	apply(t, m, &Command{Clock: reading(1, 102)}) // overtaken by the one before
+	apply(t, m, &Command{Clock: reading(1, 102)}) // arrives after a later one
 	apply(t, m, &Command{Clock: reading(2, 50)})  // a new head: what passed in between is not known
 	apply(t, m, &Command{Clock: reading(2, 53)})
 	open, _ := m.PendingJob(job.Key)
 	if age := m.Now(reading(2, 54)) - open.SubmittedAt; age != 8*time.Second {
-		t.Errorf("age %v, want 8s", age)
+		t.Errorf("age: got %v, want 8s", age)
 	}
 	if age := m.Now(reading(3, 500)) - open.SubmittedAt; age != 7*time.Second {
-		t.Errorf("age for a reading of a new source %v, want 7s", age)
+		t.Errorf("age for a reading of a new source: got %v, want 7s", age)
 	}
 }
 
 func TestDropOnlyClosedJobs(t *testing.T) {
 	m := New(nil)
 	first, second := testKey(1), testKey(2)
-	take(t, m, testJob(first, 1), 0)
-	take(t, m, testJob(second, 1), 0)
+	submit(t, m, testJob(first, 1), 0)
+	submit(t, m, testJob(second, 1), 0)
 	apply(t, m, &Command{End: &second})
 	late := ClockReading{Elapsed: time.Minute}
-	if overdue := m.Expired(late, time.Minute); len(overdue) != 1 || overdue[0] != second {
-		t.Errorf("overdue %v", overdue)
+	if got := m.Expired(late, time.Minute); len(got) != 1 || got[0] != second {
+		t.Errorf("expired jobs: got %v, want only %v", got, second)
 	}
 	apply(t, m, &Command{Drop: []Key{first, second}})
 	if _, ok := m.Results(first, 0, 1); !ok {
-		t.Error("an open job was dropped")
+		t.Error("pending job: got it dropped, want it retained")
 	}
 	if _, ok := m.Results(second, 0, 1); ok {
-		t.Error("a closed job was kept")
+		t.Error("closed job: got it retained, want it dropped")
 	}
 }
 
-func TestUnreadableCommandChangesNothing(t *testing.T) {
+func TestMalformedCommandChangesNothing(t *testing.T) {
 	m := New(nil)
 	if got := DecodeOutcome(m.Apply(1, []byte{1, 2, 3})); got != Malformed {
-		t.Errorf("outcome %v", got)
+		t.Errorf("outcome: got %v, want Malformed", got)
 	}
 }
 
-func TestUnreadableSnapshotChangesNothing(t *testing.T) {
+func TestMalformedSnapshotChangesNothing(t *testing.T) {
 	m := New(nil)
-	take(t, m, testJob(testKey(1), 2), 0)
+	submit(t, m, testJob(testKey(1), 2), 0)
 	before := m.Snapshot()
 	for cut := range len(before) {
 		if err := m.Restore(before[:cut]); err == nil {
-			t.Fatalf("a snapshot cut at %d of %d was taken", cut, len(before))
+			t.Fatalf("restore of a snapshot truncated to %d of %d bytes: got no error, want one", cut, len(before))
 		}
 	}
 	if !bytes.Equal(m.Snapshot(), before) {
-		t.Error("the state changed")
+		t.Error("state after a failed restore: got another one, want the former")
 	}
 }
 
-func piece(key Key, from, events uint32, content string) Result {
+// checkpointResult returns a checkpoint of the first item of a job.
+func checkpointResult(key Key, from, events uint32, content string) Result {
 	return Result{Key: key, From: from, Events: events, LastEvent: fmt.Sprint(events), Content: deflated.Compress([]byte(content))}
 }
 
-func openItem(t *testing.T, m *Machine, key Key) PendingItem {
+// pendingItem returns the only pending item of a job.
+func pendingItem(t *testing.T, m *Machine, key Key) PendingItem {
 	t.Helper()
 	open, ok := m.PendingJob(key)
 	if !ok || len(open.Items) != 1 {
-		t.Fatalf("%d items wait", len(open.Items))
+		t.Fatalf("pending items: got %d, want 1", len(open.Items))
 	}
 	return open.Items[0]
 }
@@ -276,52 +278,52 @@
 func TestTextIsJoinedFromCheckpoints(t *testing.T) {
 	m := New(nil)
 	key := testKey(1)
-	take(t, m, testJob(key, 1), 0)
-	first := piece(key, 0, 2, "one two ")
-	apply(t, m, &Command{Append: []Result{first, first}}) // appended twice, as its fate was not known
-	apply(t, m, &Command{Append: []Result{piece(key, 2, 3, "three "), piece(key, 7, 9, "lost ")}})
-	if item := openItem(t, m, key); item.Events != 3 || item.LastEvent != "3" {
-		t.Errorf("a further run continues behind event %q, %d events", item.LastEvent, item.Events)
+	submit(t, m, testJob(key, 1), 0)
+	first := checkpointResult(key, 0, 2, "one two ")
+	apply(t, m, &Command{Append: []Result{first, first}}) // appended twice, as its outcome was not known
+	apply(t, m, &Command{Append: []Result{checkpointResult(key, 2, 3, "three "), checkpointResult(key, 7, 9, "lost ")}})
+	if item := pendingItem(t, m, key); item.Events != 3 || item.LastEvent != "3" {
+		t.Errorf("checkpoint: got event %q as number %d, want number 3", item.LastEvent, item.Events)
 	}
 	if page, _ := m.Results(key, 0, 1000); len(page.Results) != 0 || page.Closed {
-		t.Errorf("a checkpoint is listed: %+v", page)
+		t.Errorf("page after a checkpoint: got %+v, want no result", page)
 	}
 	apply(t, m, &Command{Append: []Result{{Key: key, State: Completed, From: 3, Content: deflated.Compress([]byte("four"))}}})
 	page, _ := m.Results(key, 0, 1000)
 	if len(page.Results) != 1 || original(t, page.Results[0].Content) != "one two three four" {
-		t.Errorf("%+v", page)
+		t.Errorf("page: got %+v, want the joined text", page)
 	}
 	if m.QueuedTokens(key.Tenant, testRoute) != 0 {
-		t.Error("tokens stay queued")
+		t.Error("queued tokens: got some, want none")
 	}
 }
 
-func TestTextBegunAnewReplacesCheckpoints(t *testing.T) {
+func TestRestartedTextReplacesCheckpoints(t *testing.T) {
 	m := New(nil)
 	key := testKey(1)
-	take(t, m, testJob(key, 1), 0)
-	apply(t, m, &Command{Append: []Result{piece(key, 0, 2, "one two "), piece(key, 0, 1, "uno ")}})
-	if item := openItem(t, m, key); item.Events != 1 {
-		t.Errorf("%d events", item.Events)
+	submit(t, m, testJob(key, 1), 0)
+	apply(t, m, &Command{Append: []Result{checkpointResult(key, 0, 2, "one two "), checkpointResult(key, 0, 1, "uno ")}})
+	if item := pendingItem(t, m, key); item.Events != 1 {
+		t.Errorf("events: got %d, want 1", item.Events)
 	}
 	apply(t, m, &Command{Append: []Result{completed(key, 0, "all of it")}})
 	if page, _ := m.Results(key, 0, 1000); original(t, page.Results[0].Content) != "all of it" {
-		t.Errorf("%+v", page)
+		t.Errorf("page: got %+v, want only the last text", page)
 	}
 }
 
-func TestCheckpointsAreDroppedWithTheItem(t *testing.T) {
+func TestCheckpointsAreReleasedWithTheItem(t *testing.T) {
 	for name, command := range map[string]*Command{
 		"ended":     {End: &Key{Tenant: "acme", Identifier: "job-1"}},
 		"abandoned": {Append: []Result{{Key: testKey(1), State: Abandoned}}},
 	} {
 		m := New(nil)
-		take(t, m, testJob(testKey(1), 1), 0)
-		apply(t, m, &Command{Append: []Result{piece(testKey(1), 0, 2, "one two ")}})
+		submit(t, m, testJob(testKey(1), 1), 0)
+		apply(t, m, &Command{Append: []Result{checkpointResult(testKey(1), 0, 2, "one two ")}})
 		apply(t, m, command)
-		apply(t, m, &Command{Append: []Result{piece(testKey(1), 2, 3, "three ")}})
+		apply(t, m, &Command{Append: []Result{checkpointResult(testKey(1), 2, 3, "three ")}})
 		if left := m.jobs[testKey(1)].items[0]; left.checkpoints != nil || len(left.content) != 0 {
-			t.Errorf("%s: %+v stays", name, left)
+			t.Errorf("%s item: got %+v, want neither checkpoints nor content", name, left)
 		}
 	}
 }
--- a/internal/batch/outcome_codec.go
+++ b/internal/batch/outcome_codec.go
@@ -1,9 +1,9 @@
 package batch
 
-// EncodeOutcome writes an outcome.
+// EncodeOutcome returns an encoded outcome.
 func EncodeOutcome(o Outcome) []byte { return []byte{byte(o)} }
 
-// DecodeOutcome reads an outcome.
+// DecodeOutcome decodes an outcome. What is not an encoded outcome is Malformed.
 func DecodeOutcome(encoded []byte) Outcome {
 	if len(encoded) != 1 {
 		return Malformed
--- a/internal/batch/read.go
+++ b/internal/batch/read.go
@@ -7,14 +7,14 @@
 	"nickelline/internal/batch/deflated"
 )
 
-// ListedResult is a result as it is shown to clients.
+// ListedResult is a result as clients read it.
 type ListedResult struct {
 	Identifier string
 	State      State
 	Content    []byte // a block of package deflated
 }
 
-// Page is a run of a job's results.
+// Page is a sequence of a job's results.
 type Page struct {
 	Total   int // items of the job
 	Results []ListedResult
@@ -22,19 +22,19 @@
 	Closed  bool // no further result will be listed
 }
 
-// Results reads a job's results from a position onward, up to a number of bytes of the original contents but one at least if
-// there is one. It is false if there is no such job. Contents must not be changed.
+// Results returns a job's results from a position onward, with at most maxBytes of original contents, but at least one result if
+// there is any. It reports false if there is no such job. The contents must not be changed.
 func (m *Machine) Results(key Key, from int, maxBytes int) (Page, bool) {
 	found := m.jobs[key]
-	if found == nil || !found.taken {
+	if found == nil || !found.submitted {
 		return Page{}, false
 	}
 	page := Page{Total: len(found.items), Next: from, Closed: found.closed()}
-	bytes := 0
+	size := 0
 	for position := max(from, 0); position < len(found.positions); position++ {
 		listed := &found.items[found.positions[position]]
-		bytes += deflated.Size(listed.content)
-		if bytes > maxBytes && len(page.Results) > 0 {
+		size += deflated.Size(listed.content)
+		if size > maxBytes && len(page.Results) > 0 {
 			break
 		}
 		page.Results = append(page.Results, ListedResult{Identifier: listed.Identifier, State: listed.state, Content: listed.content})
@@ -43,7 +43,7 @@
 	return page, true
 }
 
-// Body reads the body of an item that is not listed yet, of a job that is not ended.
+// Body returns the body of an item that is not listed yet, of a job that is not ended. It must not be changed.
 func (m *Machine) Body(key Key, identifier string) ([]byte, bool) {
 	found := m.jobs[key]
 	if found == nil || found.ended {
@@ -57,10 +57,10 @@
 	return nil, false
 }
 
-// Fits tells whether a job would be taken now: it was before, or its tokens are within what the tenant may have waiting on
-// its route.
+// Fits reports whether a job would be accepted now: either it has been, or its tokens are within what the tenant may have queued
+// on its route.
 func (m *Machine) Fits(o Offer) bool {
-	return m.jobs[o.Key] != nil || !m.exceeds(o)
+	return m.jobs[o.Key] != nil || !m.exceedsQuota(o)
 }
 
 // PendingJob is a job that has items to run.
@@ -72,49 +72,50 @@
 	Items       []PendingItem
 }
 
-// PendingItem is an item that waits, and its index in its job. Its body must not be changed.
+// PendingItem is an item that is neither listed nor ended, with its index in its job. Its body must not be changed.
 type PendingItem struct {
 	Index uint32
 	Item
-	// Events is how many events of the text the checkpoints hold, and LastEvent the id of the last one.
-	Events    uint32
+	// Events is the number of events in the checkpoints of the text.
+	Events uint32
+	// LastEvent is the id of the last of these events, empty if there are none.
 	LastEvent string
 }
 
-// PendingJob lists what is left to run of a job. It is false if there is nothing.
+// PendingJob returns the items of a job that are to be run. It reports false if there are none.
 func (m *Machine) PendingJob(key Key) (PendingJob, bool) {
 	found := m.jobs[key]
-	if found == nil || !found.taken || found.closed() {
+	if found == nil || !found.submitted || found.closed() {
 		return PendingJob{}, false
 	}
-	open := PendingJob{Key: found.key, Route: found.route, Host: found.host, SubmittedAt: found.born}
+	pending := PendingJob{Key: found.key, Route: found.route, Host: found.host, SubmittedAt: found.submittedAt}
 	for i := range found.items {
 		waiting := &found.items[i]
 		if waiting.state != Waiting {
 			continue
 		}
-		open.Items = append(open.Items, PendingItem{
+		pending.Items = append(pending.Items, PendingItem{
 			Index:     uint32(i),
 			Item:      waiting.Item,
 			Events:    waiting.checkpoints.events(),
 			LastEvent: waiting.checkpoints.lastEvent(),
 		})
 	}
-	return open, true
+	return pending, true
 }
 
-// PendingJobs lists the jobs that have items to run, in the order in which they were taken.
+// PendingJobs returns the jobs that have items to run, in the order in which they were submitted.
 func (m *Machine) PendingJobs() []PendingJob {
-	var open []PendingJob
+	var pending []PendingJob
 	for _, ordered := range m.ordered() {
 		if job, ok := m.PendingJob(ordered.key); ok {
-			open = append(open, job)
+			pending = append(pending, job)
 		}
 	}
-	return open
+	return pending
 }
 
-// ordered lists all jobs in the order in which they were taken.
+// ordered returns all jobs in the order in which they were added.
 func (m *Machine) ordered() []*job {
 	all := make([]*job, 0, len(m.jobs))
 	for _, one := range m.jobs {
@@ -124,8 +125,8 @@
 	return all
 }
 
-// Now is what the partition's clock shows at a reading of the head: what passed between two of its values is at most what
-// really passed.
+// Now returns the time of the partition's clock at a reading of the head. The difference of two such times is at most the time
+// that has really passed.
 func (m *Machine) Now(r ClockReading) time.Duration { return m.clock.at(r) }
 
 // Expired lists the closed jobs that are as old as a bound, by the partition's clock at a reading.
@@ -133,17 +134,17 @@
 	var keys []Key
 	now := m.clock.at(r)
 	for _, candidate := range m.ordered() {
-		if candidate.closed() && now-candidate.born >= bound {
+		if candidate.closed() && now-candidate.submittedAt >= bound {
 			keys = append(keys, candidate.key)
 		}
 	}
 	return keys
 }
 
-// Jobs is the number of jobs that are kept.
+// Jobs returns the number of jobs that have not been dropped.
 func (m *Machine) Jobs() int { return len(m.jobs) }
 
-// QueuedTokens is the number of tokens that a tenant has waiting on a route.
+// QueuedTokens returns the number of tokens that a tenant has queued on a route.
 func (m *Machine) QueuedTokens(tenant, route string) int64 {
 	return m.queued[account{tenant: tenant, route: route}]
 }
--- a/internal/batch/size.go
+++ b/internal/batch/size.go
@@ -1,6 +1,7 @@
 package batch
 
-// The functions here bound from above what parts of a message take, so that one segment of that size holds the message.
+// The functions in this file return upper bounds of the size of messages in bytes, so that one segment of Cap'n Proto holds the
+// whole message. The constants are bounds of the size of each kind of object.
 const (
 	messageBytes = 128 // of a message, its root pointer and root struct
 	structBytes  = 64  // of any other struct
@@ -12,10 +13,10 @@
 
 func dataSize(data []byte) int { return len(data) + wordBytes }
 
-// KeySize is the most that a key takes in a message.
+// KeySize returns an upper bound of the bytes of a key in a message.
 func KeySize(k Key) int { return structBytes + textSize(k.Tenant) + textSize(k.Identifier) }
 
-// JobSize is the most that a job takes in a message.
+// JobSize returns an upper bound of the bytes of a job in a message.
 func JobSize(j *Job) int {
 	size := structBytes + KeySize(j.Key) + textSize(j.Route) + textSize(j.Host) + pointerBytes
 	for i := range j.Items {
@@ -32,7 +33,7 @@
 	return size
 }
 
-// ListedSize is the most that a result takes in an answer.
+// ListedSize returns an upper bound of the bytes of a listed result in a message.
 func ListedSize(l *ListedResult) int {
 	return structBytes + textSize(l.Identifier) + dataSize(l.Content)
 }
@@ -80,9 +81,9 @@
 }
 
 func snapshotSize(jobs []*job) int {
-	size := messageBytes + frameHead
+	size := messageBytes + frameLengthSize
 	for _, one := range jobs {
-		size += jobStateSize(one) + frameHead
+		size += jobStateSize(one) + frameLengthSize
 	}
 	return size
 }
--- a/internal/batch/size_test.go
+++ b/internal/batch/size_test.go
@@ -59,11 +59,11 @@
 		command := randomCommand(random)
 		data, err := EncodeCommand(command)
 		if err != nil {
-			t.Fatalf("%v: %+v", err, command)
+			t.Fatalf("encode %+v: %v", command, err)
 		}
 		decoded, err := DecodeCommand(data)
 		if err != nil || !reflect.DeepEqual(decoded, command) {
-			t.Fatalf("%v: decoded differs from %+v", err, command)
+			t.Fatalf("decoded: got another command (%v), want %+v", err, command)
 		}
 		if command.Submit != nil {
 			command.Submit.MaxQueuedTokens = 0
@@ -76,6 +76,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(restored.Snapshot(), snapshot) {
-		t.Error("restored state differs")
+		t.Error("restored state: got another one, want the one that was saved")
 	}
 }
--- a/internal/batch/snapshot.go
+++ b/internal/batch/snapshot.go
@@ -8,12 +8,14 @@
 	"nickelline/internal/fault"
 )
 
-// A snapshot is a header and one message for each job, in the order in which they were taken, each behind its length. So a
-// message stays as small as a job, and equal states have equal snapshots.
+// A snapshot is a sequence of frames. A frame is the length of a message in four bytes, little-endian, and the message. The
+// first message is the header; one for each job follows, in the order in which they were added, so that no message is larger
+// than a job and equal states have equal snapshots.
 
-const frameHead = 4
+// frameLengthSize is the size of the length of a frame in bytes.
+const frameLengthSize = 4
 
-// Snapshot writes the whole state.
+// Snapshot returns the encoded state.
 func (m *Machine) Snapshot() []byte {
 	jobs := m.ordered()
 	encoded := make([]byte, 0, snapshotSize(jobs))
@@ -26,7 +28,7 @@
 	return encoded
 }
 
-// Restore replaces the whole state by that of a snapshot. A snapshot that cannot be read changes nothing.
+// Restore replaces the state by that of a snapshot. If the snapshot cannot be decoded, the state is unchanged.
 func (m *Machine) Restore(snapshot []byte) error {
 	restored := New(m.observer)
 	frame, rest, err := nextFrame(snapshot)
@@ -50,31 +52,32 @@
 	return nil
 }
 
-// frameWriter appends what is written to it.
+// frameWriter is an io.Writer that appends to a slice.
 type frameWriter struct{ data []byte }
 
 // Write implements io.Writer.
-func (w *frameWriter) Write(part []byte) (int, error) {
-	w.data = append(w.data, part...)
-	return len(part), nil
+func (w *frameWriter) Write(chunk []byte) (int, error) {
+	w.data = append(w.data, chunk...)
+	return len(chunk), nil
 }
 
-// appendFrame appends a message behind its length.
+// appendFrame appends the frame of a message.
 func appendFrame(encoded []byte, message *capnp.Message) []byte {
-	begin := len(encoded) + frameHead
+	begin := len(encoded) + frameLengthSize
 	w := &frameWriter{data: binary.LittleEndian.AppendUint32(encoded, 0)}
 	_, err := message.WriteTo(w)
 	mustEncode(err)
-	binary.LittleEndian.PutUint32(w.data[begin-frameHead:], uint32(len(w.data)-begin))
+	binary.LittleEndian.PutUint32(w.data[begin-frameLengthSize:], uint32(len(w.data)-begin))
 	return w.data
 }
 
+// nextFrame splits the first message off.
 func nextFrame(encoded []byte) (frame, rest []byte, err error) {
-	if len(encoded) < frameHead {
+	if len(encoded) < frameLengthSize {
 		return nil, nil, fault.New(fault.Internal, "snapshot of batch jobs ends early")
 	}
 	size := binary.LittleEndian.Uint32(encoded)
-	encoded = encoded[frameHead:]
+	encoded = encoded[frameLengthSize:]
 	if uint64(size) > uint64(len(encoded)) {
 		return nil, nil, fault.New(fault.Internal, "snapshot of batch jobs ends within a job")
 	}
--- a/internal/batch/snapshot_decoding.go
+++ b/internal/batch/snapshot_decoding.go
@@ -9,29 +9,29 @@
 )
 
 func decodeCheckpoints(state batchwire.ItemState) (checkpoints, error) {
-	pieces, err := state.Pieces()
-	if err != nil || pieces.Len() == 0 {
+	chunks, err := state.Pieces()
+	if err != nil || chunks.Len() == 0 {
 		return nil, err
 	}
-	if err := capnpcodec.CheckLength(pieces); err != nil {
+	if err := capnpcodec.CheckLength(chunks); err != nil {
 		return nil, err
 	}
-	c := make(checkpoints, pieces.Len())
+	c := make(checkpoints, chunks.Len())
 	for i := range c {
-		if err := decodeCheckpoint(pieces.At(i), &c[i]); err != nil {
+		if err := decodeCheckpoint(chunks.At(i), &c[i]); err != nil {
 			return nil, err
 		}
 	}
 	return c, nil
 }
 
-func decodeCheckpoint(piece batchwire.Piece, c *checkpoint) (err error) {
-	c.events = piece.Events()
-	if c.lastEvent, err = piece.LastEvent(); err != nil {
+func decodeCheckpoint(chunk batchwire.Piece, c *checkpoint) (err error) {
+	c.events = chunk.Events()
+	if c.lastEvent, err = chunk.LastEvent(); err != nil {
 		return err
 	}
-	content, err := piece.Content()
-	c.content = copied(content)
+	content, err := chunk.Content()
+	c.content = clone(content)
 	return err
 }
 
@@ -69,10 +69,10 @@
 
 func decodeJobState(root batchwire.JobState) (*job, error) {
 	j := &job{
-		ordinal: root.Ordinal(),
-		born:    time.Duration(root.Born()),
-		taken:   root.Taken(),
-		ended:   root.Ended(),
+		ordinal:     root.Ordinal(),
+		submittedAt: time.Duration(root.Born()),
+		submitted:   root.Taken(),
+		ended:       root.Ended(),
 	}
 	key, err := root.Key()
 	if err != nil {
@@ -102,7 +102,7 @@
 		return err
 	}
 	j.items = make([]item, states.Len())
-	names := interned{}
+	names := interner{}
 	for i := range j.items {
 		if err := decodeItemState(states.At(i), &j.items[i], names); err != nil {
 			return err
@@ -111,13 +111,13 @@
 	return nil
 }
 
-func decodeItemState(state batchwire.ItemState, i *item, names interned) error {
+func decodeItemState(state batchwire.ItemState, i *item, names interner) error {
 	i.state = State(state.State())
 	content, err := state.Content()
 	if err != nil {
 		return err
 	}
-	i.content = copied(content)
+	i.content = clone(content)
 	if i.checkpoints, err = decodeCheckpoints(state); err != nil {
 		return err
 	}
@@ -128,12 +128,12 @@
 	if err := decodeItem(encoded, &i.Item, names); err != nil {
 		return err
 	}
-	i.Body = copied(i.Body)
+	i.Body = clone(i.Body)
 	return nil
 }
 
-// copied keeps bytes beyond the message that holds them.
-func copied(part []byte) []byte { return append([]byte(nil), part...) }
+// clone copies bytes, so that the message that holds them can be released. It returns nil for no bytes.
+func clone(data []byte) []byte { return append([]byte(nil), data...) }
 
 func decodePositions(root batchwire.JobState, j *job) error {
 	positions, err := root.Positions()
--- a/internal/batch/snapshot_encoding.go
+++ b/internal/batch/snapshot_encoding.go
@@ -19,15 +19,15 @@
 	return message
 }
 
-// mustEncode ends the process if a message cannot be written to memory: its size is over what Cap'n Proto allows, and a
-// snapshot that lacks a job must not be kept.
+// mustEncode ends the process if a message cannot be encoded in memory: its size is over the limit of Cap'n Proto, and a
+// snapshot without one of the jobs must not be saved.
 func mustEncode(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-// encodeJobState writes a job in memory that is large enough.
+// encodeJobState encodes a job into memory of sufficient capacity.
 func encodeJobState(j *job, memory []byte) *capnp.Message {
 	message, segment, err := capnp.NewMessage(capnp.SingleSegment(memory))
 	mustEncode(err)
@@ -39,8 +39,8 @@
 	mustEncode(root.SetRoute(j.route))
 	mustEncode(root.SetHost(j.host))
 	root.SetOrdinal(j.ordinal)
-	root.SetBorn(int64(j.born))
-	root.SetTaken(j.taken)
+	root.SetBorn(int64(j.submittedAt))
+	root.SetTaken(j.submitted)
 	root.SetEnded(j.ended)
 	encodeItemStates(root, j)
 	return message
@@ -69,12 +69,12 @@
 	if len(c) == 0 {
 		return
 	}
-	pieces, err := state.NewPieces(int32(len(c)))
+	chunks, err := state.NewPieces(int32(len(c)))
 	mustEncode(err)
 	for i := range c {
-		piece := pieces.At(i)
-		piece.SetEvents(c[i].events)
-		mustEncode(piece.SetLastEvent(c[i].lastEvent))
-		mustEncode(piece.SetContent(c[i].content))
+		chunk := chunks.At(i)
+		chunk.SetEvents(c[i].events)
+		mustEncode(chunk.SetLastEvent(c[i].lastEvent))
+		mustEncode(chunk.SetContent(c[i].content))
 	}
 }
