--- a/internal/chain/stored_record_test.go
+++ b/internal/chain/stored_record_test.go
@@ -1,10 +1,9 @@
 package chain
 
 import (
-	"os"
-	"path/filepath"
 	"testing"
 
+	"nickelline/internal/golden"
 	"nickelline/internal/segment"
 )
 
@@ -21,10 +20,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			directory := filepath.Join(t.TempDir(), "copy")
-			if err := os.CopyFS(directory, os.DirFS(test.directory)); err != nil {
-				t.Fatal(err)
-			}
+			directory := golden.CopyDirectory(t, test.directory)
 			got, err := loadRecord(Options{FileSystem: segment.OperatingSystem{}, Directory: directory})
 			if err != nil {
 				t.Fatalf("load record: %v", err)
--- a/internal/control/stored_data_test.go
+++ b/internal/control/stored_data_test.go
@@ -9,7 +9,6 @@
 	"net/netip"
 	"os"
 	"path"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
@@ -283,37 +282,16 @@
 	}
 }
 
-// fileNames lists the files below a directory.
-func fileNames(t *testing.T, directory string) string {
-	t.Helper()
-	var names strings.Builder
-	err := filepath.WalkDir(directory, func(name string, entry os.DirEntry, err error) error {
-		if err != nil || entry.IsDir() {
-			return err
-		}
-		relative, err := filepath.Rel(directory, name)
-		fmt.Fprintln(&names, filepath.ToSlash(relative))
-		return err
-	})
-	if err != nil {
-		t.Fatalf("list files: %v", err)
-	}
-	return names.String()
-}
-
 func TestStoredReplicaOfAnEarlierVersion(t *testing.T) {
 	if _, err := os.Stat(storedDirectory); golden.Updating() && errors.Is(err, fs.ErrNotExist) {
 		writeStoredReplica(t)
 	}
-	directory := filepath.Join(t.TempDir(), "replica")
-	if err := os.CopyFS(directory, os.DirFS(storedDirectory)); err != nil {
-		t.Fatalf("copy stored replica: %v", err)
-	}
-	golden.Text(t, "stored/replica-files.txt", fileNames(t, directory))
+	directory := golden.CopyDirectory(t, storedDirectory)
+	golden.Text(t, "stored/replica-files.txt", golden.FileNames(t, directory))
 
 	s := openStoredReplica(t, directory, testAddress, false)
 	golden.Text(t, "stored/replica.txt", s.describe())
-	golden.Text(t, "stored/replica-files.txt", fileNames(t, directory))
+	golden.Text(t, "stored/replica-files.txt", golden.FileNames(t, directory))
 	for _, taken := range []*Command{put(0, documentText(3, 10)), patch(3, patchText(5, 20)), patch(5, patchText(9, 30))} {
 		s.propose(taken, Repeated)
 	}
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"bytes"
+	"os"
+	"path/filepath"
 	"testing"
 )
 
@@ -23,3 +25,23 @@
 		t.Errorf("got %x, want %x", got, want)
 	}
 }
+
+func TestCopyDirectory(t *testing.T) {
+	source := t.TempDir()
+	for _, name := range []string{"b", "a/c"} {
+		path := filepath.Join(source, name)
+		if err := os.MkdirAll(filepath.Dir(path), directoryMode); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte("content of "+name), fileMode); err != nil {
+			t.Fatal(err)
+		}
+	}
+	target := CopyDirectory(t, source)
+	if got, want := FileNames(t, target), "a/c\nb\n"; got != want {
+		t.Errorf("file names: got %q, want %q", got, want)
+	}
+	if got, err := os.ReadFile(filepath.Join(target, "a", "c")); err != nil || string(got) != "content of a/c" {
+		t.Errorf("copied file: got %q, %v, want its content", got, err)
+	}
+}
--- a/internal/store/stored_data_test.go
+++ b/internal/store/stored_data_test.go
@@ -8,7 +8,6 @@
 	"net/netip"
 	"os"
 	"path"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
@@ -350,37 +349,16 @@
 	return born.String()
 }
 
-// storedFileNames lists the files below a directory.
-func storedFileNames(t *testing.T, directory string) string {
-	t.Helper()
-	var names strings.Builder
-	err := filepath.WalkDir(directory, func(name string, entry os.DirEntry, err error) error {
-		if err != nil || entry.IsDir() {
-			return err
-		}
-		relative, err := filepath.Rel(directory, name)
-		fmt.Fprintln(&names, filepath.ToSlash(relative))
-		return err
-	})
-	if err != nil {
-		t.Fatalf("list files: %v", err)
-	}
-	return names.String()
-}
-
 func TestStoredPartitionOfAnEarlierVersion(t *testing.T) {
 	if _, err := os.Stat(storedDirectory); golden.Updating() && errors.Is(err, fs.ErrNotExist) {
 		writeStoredStore(t)
 	}
-	directory := filepath.Join(t.TempDir(), "store")
-	if err := os.CopyFS(directory, os.DirFS(storedDirectory)); err != nil {
-		t.Fatalf("copy stored data: %v", err)
-	}
-	golden.Text(t, "stored/store-files.txt", storedFileNames(t, directory))
+	directory := golden.CopyDirectory(t, storedDirectory)
+	golden.Text(t, "stored/store-files.txt", golden.FileNames(t, directory))
 
 	s := openStoredStore(t, directory)
 	golden.Text(t, "stored/store.txt", s.describe())
-	golden.Text(t, "stored/store-files.txt", storedFileNames(t, directory))
+	golden.Text(t, "stored/store-files.txt", golden.FileNames(t, directory))
 	s.checkClock()
 	s.propose(&batch.Command{Append: []batch.Result{
 		completedItem(runningJob, 7, 6, "and completed by this version"),
