--- a/internal/store/attempt.go
+++ b/internal/store/attempt.go
@@ -143,15 +143,15 @@
 		return
 	}
 	switch result.next {
-	case completeItem:
+	case stepComplete:
 		r.completeItem(a.runnerContext, a.item, batch.Result{
 			State:   batch.Completed,
 			Content: result.content,
 			From:    result.checkpointEvents,
 		})
-	case abandonItem:
+	case stepAbandon:
 		r.abandonItem(a.runnerContext, a.item)
-	case retryItem:
+	case stepRetry:
 		r.schedule.DelayItem(a.item, time.Now().Add(result.backoff))
 	}
 }
--- a/internal/store/attempt_result.go
+++ b/internal/store/attempt_result.go
@@ -15,12 +15,12 @@
 type nextStep uint8
 
 const (
-	// retryItem: the item is not done.
-	retryItem nextStep = iota
-	// completeItem: the item's text is whole.
-	completeItem
-	// abandonItem: the item can never be done, or has failed too often.
-	abandonItem
+	// stepRetry: the item is not done.
+	stepRetry nextStep = iota
+	// stepComplete: the item's text is whole.
+	stepComplete
+	// stepAbandon: the item can never be done, or has failed too often.
+	stepAbandon
 )
 
 // attemptResult is how an attempt ended, for the item and for the backend.
@@ -36,7 +36,7 @@
 // failed is the result of an attempt that brought no answer, or whose stream failed.
 func (a *attempt) failed(f *forward.Failure) attemptResult {
 	return attemptResult{
-		next:    retryItem,
+		next:    stepRetry,
 		outcome: a.outcomeOf(f),
 		load:    f.Load,
 		backoff: a.item.Backoff(a.backend.ID),
@@ -60,13 +60,13 @@
 
 // rejected is the result of an answer by which the item can never be done.
 func (a *attempt) rejected(response *forward.Response) attemptResult {
-	return answered(response, abandonItem)
+	return answered(response, stepAbandon)
 }
 
 // serverError is the result of an internal server error. The item is abandoned after as many as the route allows.
 func (a *attempt) serverError(response *forward.Response) attemptResult {
 	if !a.item.CountServerError(a.route.MaxAttempts) {
-		return answered(response, abandonItem)
+		return answered(response, stepAbandon)
 	}
 	return a.retryAfterAnswer(response)
 }
@@ -74,7 +74,7 @@
 // retryAfterAnswer is the result of an answer that is no stream of events, after which the item is tried again.
 func (a *attempt) retryAfterAnswer(response *forward.Response) attemptResult {
 	backoff := a.item.Backoff(a.backend.ID)
-	result := answered(response, retryItem)
+	result := answered(response, stepRetry)
 	result.backoff = backoff
 	return result
 }
@@ -98,7 +98,7 @@
 	}
 	content, checkpointEvents := a.item.Text.Tail()
 	return attemptResult{
-		next:             completeItem,
+		next:             stepComplete,
 		content:          deflated.Compress(content),
 		checkpointEvents: checkpointEvents,
 		outcome:          admission.OK,
--- a/internal/store/runner_config.go
+++ b/internal/store/runner_config.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// A confirmation that this store is the head has to be younger than this share of the time within which an ended job must
-	// stop.
-	sendConfirmationShare = 3
+	// A confirmation that this store is the head has to be younger than the time within which an ended job must
+	// stop, divided by this.
+	sendConfirmationDivisor = 3
 	// Cancellation bound and status interval where the deployment sets none.
 	defaultCancellation   = 3 * time.Second
 	defaultStatusInterval = 120 * time.Second
@@ -23,10 +23,10 @@
 	checkpointInterval = 1500 * time.Millisecond
 	// statusMargin is kept on top of the time for which closed jobs are kept.
 	statusMargin = 5 * time.Second
-	// The items that run at one time may take one in itemMemoryShare bytes of the memory, at itemMemory bytes each.
-	itemMemory      = 128 << 10
-	itemMemoryShare = 4
-	maxRunningItems = 1000
+	// The items that run at one time may take the memory divided by itemMemoryDivisor, at itemMemory bytes each.
+	itemMemory        = 128 << 10
+	itemMemoryDivisor = 4
+	maxRunningItems   = 1000
 )
 
 // runnerConfig is what the runners of all partitions of a store share: collaborators, limits, and the parts of the scheduler
@@ -58,7 +58,7 @@
 		admission:           o.Admission,
 		sender:              o.Sender,
 		configuration:       currentOnlyIfKnown(o.Configuration),
-		sendConfirmationAge: cancellation / sendConfirmationShare,
+		sendConfirmationAge: cancellation / sendConfirmationDivisor,
 		stepDownAfter:       cancellation,
 		statusInterval:      status + statusMargin,
 		checkpointInterval:  checkpointInterval,
@@ -71,7 +71,7 @@
 
 // runningItems returns how many items may run at one time with an amount of memory.
 func runningItems(memoryMB int) int {
-	fitting := memoryMB << 20 / itemMemoryShare / itemMemory
+	fitting := memoryMB << 20 / itemMemoryDivisor / itemMemory
 	return max(min(fitting, maxRunningItems), 1)
 }
 
--- a/internal/store/service.go
+++ b/internal/store/service.go
@@ -22,8 +22,8 @@
 const (
 	// partitionDirectoryPrefix begins the name of the directory of a partition.
 	partitionDirectoryPrefix = "partition-"
-	// A confirmation for reads has to be younger than this share of the time within which what is committed has to show.
-	readConfirmationShare = 3
+	// A confirmation for reads has to be younger than the time within which what is committed has to show, divided by this.
+	readConfirmationDivisor = 3
 	// defaultSettlement is that time where the deployment sets none.
 	defaultSettlement = time.Second
 )
@@ -55,7 +55,7 @@
 	s := &Service{
 		options:             options,
 		runnerConfig:        newRunnerConfig(&options),
-		readConfirmationAge: settlement / readConfirmationShare,
+		readConfirmationAge: settlement / readConfirmationDivisor,
 		partitions:          map[uint32]*hostedPartition{},
 		placed:              map[uint32]*placement.Partition{},
 		changed:             make(chan struct{}, 1),
