--- a/internal/chain/head_barriers.go
+++ b/internal/chain/head_barriers.go
@@ -15,20 +15,21 @@
 
 // advanceBarrier answers the barriers of a round that has come back, and begins the next round if more wait.
 func (r *Replica) advanceBarrier() {
-	if r.head.barriers.callers != nil && r.roundReturned() {
-		for _, id := range r.head.barriers.callers {
-			r.out.Barriers = append(r.out.Barriers, BarrierResult{Barrier: id, Sequence: r.head.barriers.sequence})
+	barriers := &r.head.barriers
+	if barriers.callers != nil && r.roundReturned() {
+		for _, id := range barriers.callers {
+			r.out.Barriers = append(r.out.Barriers, BarrierResult{Barrier: id, Sequence: barriers.sequence})
 		}
-		r.head.barriers.callers = nil
+		barriers.callers = nil
 	}
-	if r.head.barriers.callers != nil || len(r.head.barriers.waiting) == 0 {
+	if barriers.callers != nil || len(barriers.waiting) == 0 {
 		return
 	}
-	r.head.barriers.rounds++
-	r.head.barriers.round = r.generation<<generationShift | r.head.barriers.rounds
-	r.head.barriers.callers = r.head.barriers.waiting
-	r.head.barriers.waiting = nil
-	r.head.barriers.sequence = max(r.committed, r.head.priorCommitBound)
+	barriers.rounds++
+	barriers.round = r.generation<<generationShift | barriers.rounds
+	barriers.callers = barriers.waiting
+	barriers.waiting = nil
+	barriers.sequence = max(r.committed, r.head.priorCommitBound)
 	if r.roundReturned() {
 		r.advanceBarrier()
 	}
