--- a/cmd/nickelline/store.go
+++ b/cmd/nickelline/store.go
@@ -86,7 +86,7 @@
 			Address: n.transport.Address(),
 		},
 		Transport:       n.transport,
-		Registry:        chain.NewRegistry(n.transport, n.log),
+		Registry:        chain.NewDispatcher(n.transport, n.log),
 		FileSystem:      n.fileSystem,
 		Directory:       n.settings.DataDirectory,
 		MinimumReplicas: n.settings.FaultTolerance.Losses() + 1,
--- a/internal/chain/applier.go
+++ b/internal/chain/applier.go
@@ -18,7 +18,7 @@
 // applier applies committed entries to the state machine of a node, in order, and takes its snapshots.
 type applier struct {
 	node         *Node
-	stateMachine Machine
+	stateMachine StateMachine
 	wake         chan struct{}
 	quit         chan struct{}
 	done         chan struct{}
@@ -47,7 +47,7 @@
 func newApplier(n *Node, state Recovered, snapshot *segment.Snapshot) *applier {
 	a := &applier{
 		node:         n,
-		stateMachine: n.options.Machine,
+		stateMachine: n.options.StateMachine,
 		wake:         make(chan struct{}, 1),
 		quit:         make(chan struct{}),
 		done:         make(chan struct{}),
--- a/internal/chain/cluster_test.go
+++ b/internal/chain/cluster_test.go
@@ -117,10 +117,10 @@
 	m.machine = &sum{}
 	m.node, err = Open(Options{
 		Self:            m.self,
-		Registry:        NewRegistry(transport, zap.NewNop()),
+		Dispatcher:      NewDispatcher(transport, zap.NewNop()),
 		FileSystem:      fileSystem,
 		Directory:       m.directory + "/chain",
-		Machine:         m.machine,
+		StateMachine:    m.machine,
 		MinimumReplicas: c.policy.MinimumMembers,
 		SnapshotBytes:   4 << 10,
 		Log:             zap.NewNop(),
--- a/internal/chain/dispatcher.go
+++ b/internal/chain/dispatcher.go
@@ -12,8 +12,8 @@
 	"nickelline/internal/peer"
 )
 
-// Registry passes the messages of one transport to the chains of the process.
-type Registry struct {
+// Dispatcher passes the messages of one transport to the chains of the process.
+type Dispatcher struct {
 	transport *peer.Transport
 	log       *zap.Logger
 
@@ -22,9 +22,9 @@
 	reconfigurers map[uint32]*Reconfigurer
 }
 
-// NewRegistry returns a dispatcher and sets its handlers on a transport that has not been started.
-func NewRegistry(transport *peer.Transport, log *zap.Logger) *Registry {
-	d := &Registry{
+// NewDispatcher returns a dispatcher and sets its handlers on a transport that has not been started.
+func NewDispatcher(transport *peer.Transport, log *zap.Logger) *Dispatcher {
+	d := &Dispatcher{
 		transport:     transport,
 		log:           log,
 		nodes:         make(map[uint32]*Node),
@@ -38,7 +38,7 @@
 }
 
 // add registers a node. A chain can be open once only.
-func (d *Registry) add(n *Node) error {
+func (d *Dispatcher) add(n *Node) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.nodes[n.options.Chain] != nil {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-func (d *Registry) remove(n *Node) {
+func (d *Dispatcher) remove(n *Node) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.nodes[n.options.Chain] == n {
@@ -57,14 +57,14 @@
 	}
 }
 
-func (d *Registry) addReconfigurer(chain uint32, reconfigurer *Reconfigurer) {
+func (d *Dispatcher) addReconfigurer(chain uint32, reconfigurer *Reconfigurer) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.reconfigurers[chain] = reconfigurer
 }
 
 // node returns the node of a chain, or fault.NotReady if the chain is not open here.
-func (d *Registry) node(chain uint32) (*Node, error) {
+func (d *Dispatcher) node(chain uint32) (*Node, error) {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
 	if n := d.nodes[chain]; n != nil {
@@ -74,7 +74,7 @@
 }
 
 // reconfigurer returns the reconfigurer of a chain, or fault.NotReady if there is none here.
-func (d *Registry) reconfigurer(chain uint32) (*Reconfigurer, error) {
+func (d *Dispatcher) reconfigurer(chain uint32) (*Reconfigurer, error) {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
 	if reconfigurer := d.reconfigurers[chain]; reconfigurer != nil {
@@ -84,7 +84,7 @@
 }
 
 // receive handles a one-way message between replicas. One for a chain that is not open here is dropped.
-func (d *Registry) receive(from netip.AddrPort, m peer.Message) {
+func (d *Dispatcher) receive(from netip.AddrPort, m peer.Message) {
 	e, err := decodeEnvelope(m.Body)
 	if err != nil {
 		d.log.Warn("bad message of a chain", zap.Stringer("from", from), zap.Error(err))
@@ -96,7 +96,7 @@
 }
 
 // propose handles a proposal that another replica forwarded to the head.
-func (d *Registry) propose(ctx context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
+func (d *Dispatcher) propose(ctx context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
 	request, err := decodeProposeRequest(m.Body)
 	if err != nil {
 		return peer.Message{}, fault.Wrap(fault.NotReady, err)
@@ -114,7 +114,7 @@
 }
 
 // barrier handles a barrier request of another replica to the head.
-func (d *Registry) barrier(ctx context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
+func (d *Dispatcher) barrier(ctx context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
 	request, err := decodeBarrierRequest(m.Body)
 	if err != nil {
 		return peer.Message{}, fault.Wrap(fault.NotReady, err)
@@ -132,7 +132,7 @@
 }
 
 // agreement handles a request of the agreement on views.
-func (d *Registry) agreement(_ context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
+func (d *Dispatcher) agreement(_ context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
 	request, err := decodeAgreementRequest(m.Body)
 	if err != nil {
 		return peer.Message{}, fault.Wrap(fault.BadRequest, err)
--- a/internal/chain/node.go
+++ b/internal/chain/node.go
@@ -67,14 +67,14 @@
 	state := Recovered{Record: record, Entries: recovered.Entries}
 	if recovered.Snapshot != nil {
 		state.Snapshot = *recovered.Snapshot
-		if err := options.Machine.Restore(recovered.Snapshot.Data); err != nil {
+		if err := options.StateMachine.Restore(recovered.Snapshot.Data); err != nil {
 			return nil, merry.Prependf(err, "snapshot of chain %d", options.Chain)
 		}
 		state.Snapshot.Data = nil
 	}
 	n := &Node{
 		options:   options,
-		transport: options.Registry.transport,
+		transport: options.Dispatcher.transport,
 		began:     time.Now().Add(-time.Nanosecond),
 		proposals: make(map[uint64]*proposalCall),
 		accepted:  make(map[uint64]*proposalCall),
@@ -84,7 +84,7 @@
 	n.replica = NewReplica(options.Chain, options.Self, options.MinimumReplicas, state)
 	n.disk = newDiskWriter(n, log, options.OnStall)
 	n.applier = newApplier(n, state, recovered.Snapshot)
-	if err := options.Registry.add(n); err != nil {
+	if err := options.Dispatcher.add(n); err != nil {
 		return nil, err
 	}
 	n.disk.start()
@@ -97,7 +97,7 @@
 func (n *Node) Close() {
 	n.fail(fault.New(fault.NotReady, "chain %d is closed", n.options.Chain), false)
 	n.closing.Do(func() {
-		n.options.Registry.remove(n)
+		n.options.Dispatcher.remove(n)
 		n.applier.stop()
 		n.disk.stop()
 	})
--- a/internal/chain/options.go
+++ b/internal/chain/options.go
@@ -13,13 +13,13 @@
 	Chain uint32
 	// Self identifies the replica and gives the address at which its peers reach it.
 	Self view.Member
-	// Registry passes the messages of its transport to the chains of this process.
-	Registry *Registry
+	// Dispatcher passes the messages of its transport to the chains of this process.
+	Dispatcher *Dispatcher
 	// FileSystem and Directory locate the files of the replica. No other chain uses the directory.
 	FileSystem segment.FileSystem
 	Directory  string
-	// Machine is the replicated state. It is called from one goroutine.
-	Machine Machine
+	// StateMachine is the replicated state. It is called from one goroutine.
+	StateMachine StateMachine
 	// MinimumReplicas is the least number of disks that an entry is on before it is committed. A view with fewer members
 	// commits nothing.
 	MinimumReplicas int
--- a/internal/chain/reconfigurer.go
+++ b/internal/chain/reconfigurer.go
@@ -92,7 +92,7 @@
 		unlisted: make(map[view.ReplicaID]time.Duration),
 	}
 	options.Node.OnView(func(view.View) { notify(r.wake) })
-	options.Node.options.Registry.addReconfigurer(options.Node.options.Chain, r)
+	options.Node.options.Dispatcher.addReconfigurer(options.Node.options.Chain, r)
 	return r, nil
 }
 
--- a/internal/chain/state_machine.go
+++ b/internal/chain/state_machine.go
@@ -1,8 +1,8 @@
 package chain
 
-// Machine is the state that a chain replicates. Its methods are called from one goroutine, Apply only for
+// StateMachine is the state that a chain replicates. Its methods are called from one goroutine, Apply only for
 // committed entries and in order.
-type Machine interface {
+type StateMachine interface {
 	// Apply executes a command and returns its result, which must depend on nothing but the state and the command.
 	Apply(sequence uint64, command []byte) (result []byte)
 	// Snapshot returns the whole state.
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 )
 
-// Machine is the replicated state machine of the control state (a chain.Machine). It is deterministic: what a command does
+// Machine is the replicated state machine of the control state (a chain.StateMachine). It is deterministic: what a command does
 // depends on the commands before it only. Apply, Snapshot and Restore are called from one goroutine; the other methods may be
 // called at any time.
 type Machine struct {
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -26,10 +26,10 @@
 	node, err := chain.Open(chain.Options{
 		Chain:           controlChain,
 		Self:            c.self(),
-		Registry:        chain.NewRegistry(o.Transport, o.Log),
+		Dispatcher:      chain.NewDispatcher(o.Transport, o.Log),
 		FileSystem:      o.FileSystem,
 		Directory:       path.Join(o.Settings.DataDirectory, chainDirectory),
-		Machine:         c.machine,
+		StateMachine:    c.machine,
 		MinimumReplicas: losses + 1,
 		OnFailure:       o.OnFailure,
 		Log:             o.Log,
--- a/internal/store/cluster_test.go
+++ b/internal/store/cluster_test.go
@@ -90,7 +90,7 @@
 	s.service, err = New(Options{
 		Self:            s.self,
 		Transport:       transport,
-		Registry:        chain.NewRegistry(transport, zap.NewNop()),
+		Registry:        chain.NewDispatcher(transport, zap.NewNop()),
 		FileSystem:      segment.OperatingSystem{},
 		Directory:       path.Join(s.directory, "store"),
 		MinimumReplicas: 2,
--- a/internal/store/options.go
+++ b/internal/store/options.go
@@ -20,7 +20,7 @@
 	// Self names this store's replica, with the identity on its disk.
 	Self      view.Member
 	Transport *peer.Transport
-	Registry  *chain.Registry
+	Registry  *chain.Dispatcher
 	// FileSystem and Directory are where the partitions are kept.
 	FileSystem segment.FileSystem
 	Directory  string
--- a/internal/store/service.go
+++ b/internal/store/service.go
@@ -119,10 +119,10 @@
 	node, err := chain.Open(chain.Options{
 		Chain:           number,
 		Self:            s.options.Self,
-		Registry:        s.options.Registry,
+		Dispatcher:      s.options.Registry,
 		FileSystem:      s.options.FileSystem,
 		Directory:       s.directoryOf(number),
-		Machine:         hosted.partition.state,
+		StateMachine:    hosted.partition.state,
 		MinimumReplicas: s.options.MinimumReplicas,
 		OnFailure:       s.options.OnFailure,
 		OnStall:         s.reportSoon,
--- a/internal/store/state.go
+++ b/internal/store/state.go
@@ -48,7 +48,7 @@
 func (c *changeCollector) Ended(key batch.Key)     { c.changes.ended = append(c.changes.ended, key) }
 func (c *changeCollector) Restored()               { c.changes.restored = true }
 
-// Apply implements chain.Machine.
+// Apply implements chain.StateMachine.
 func (s *state) Apply(sequence uint64, command []byte) []byte {
 	s.mutex.Lock()
 	result := s.machine.Apply(sequence, command)
@@ -56,14 +56,14 @@
 	return result
 }
 
-// Snapshot implements chain.Machine.
+// Snapshot implements chain.StateMachine.
 func (s *state) Snapshot() []byte {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	return s.machine.Snapshot()
 }
 
-// Restore implements chain.Machine.
+// Restore implements chain.StateMachine.
 func (s *state) Restore(snapshot []byte) error {
 	s.mutex.Lock()
 	err := s.machine.Restore(snapshot)
--- a/internal/store/stored_data_test.go
+++ b/internal/store/stored_data_test.go
@@ -184,10 +184,10 @@
 	node, err := chain.Open(chain.Options{
 		Chain:           storedChain,
 		Self:            storedSelf(),
-		Registry:        chain.NewRegistry(transport, zap.NewNop()),
+		Dispatcher:      chain.NewDispatcher(transport, zap.NewNop()),
 		FileSystem:      segment.OperatingSystem{},
 		Directory:       storedPartitionDirectory(),
-		Machine:         state,
+		StateMachine:    state,
 		MinimumReplicas: 1,
 	})
 	if err != nil {
@@ -250,7 +250,7 @@
 	service, err := New(Options{
 		Self:            self,
 		Transport:       transport,
-		Registry:        chain.NewRegistry(transport, zap.NewNop()),
+		Registry:        chain.NewDispatcher(transport, zap.NewNop()),
 		FileSystem:      segment.OperatingSystem{},
 		Directory:       directory,
 		MinimumReplicas: 1,
