--- a/internal/forward/client_test.go
+++ b/internal/forward/client_test.go
@@ -147,13 +147,13 @@
 	}
 	body, err := response.ReadAll()
 	if err != nil || string(body) != "answer" || response.Status != 200 {
-		t.Errorf("answer %d %q, %v", response.Status, body, err)
+		t.Errorf("answer: got %d %q, %v", response.Status, body, err)
 	}
 	if response.Header.Get(HeaderResponseSeal) != "s" || response.Header.Get("X-More") != "m" {
 		t.Errorf("fields of the answer are missing: %v", response.Header)
 	}
 	if response.Load == nil || *response.Load != (admission.Load{Running: 3, Waiting: 0, Slots: 8}) {
-		t.Errorf("load %v", response.Load)
+		t.Errorf("load: got %v", response.Load)
 	}
 	got := <-b.requests
 	if got.Method != r.Method || got.RequestURI != r.Target || got.Host != r.Host || got.body != "body" {
@@ -164,7 +164,7 @@
 		"Authorization": "", "Connection": "", "X-Hop": "", "Keep-Alive": "", "Te": "", "Transfer-Encoding": "",
 	} {
 		if values := strings.Join(got.Header[name], ","); values != want {
-			t.Errorf("%s: %q, want %q", name, values, want)
+			t.Errorf("%s: got %q, want %q", name, values, want)
 		}
 	}
 	left, err := time.ParseDuration(got.Header.Get(HeaderDeadline) + "ms")
@@ -195,13 +195,13 @@
 			b := startBackend(t, c.script)
 			_, failure := testClient(t, 0, b).Do(t.Context(), b.Backend, testRequest())
 			if failure == nil || failure.Outcome != c.want {
-				t.Errorf("failure %v, want %v", failure, c.want)
+				t.Errorf("failure: got %v, want %v", failure, c.want)
 			}
 		})
 	}
 }
 
-func TestAnswerIsPassedOnOnlyWhole(t *testing.T) {
+func TestOnlyWholeAnswersAreReturned(t *testing.T) {
 	for name, text := range map[string]string{
 		"cut short":                    answer("200 OK", "Content-Length: 10\r\n\r\nhalf"),
 		"cut short within a chunk":     answer("200 OK", "Transfer-Encoding: chunked\r\n\r\n9\r\nhalf"),
@@ -265,7 +265,7 @@
 	}
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	ok := whole("200 OK", "", "a")
 	for _, c := range []struct {
 		name   string
@@ -299,13 +299,13 @@
 				}
 			}
 			if n := b.connections.Load(); n != c.want {
-				t.Errorf("%d connections, want %d", n, c.want)
+				t.Errorf("connections: got %d, want %d", n, c.want)
 			}
 		})
 	}
 }
 
-func TestSilenceLastsToTheDeadline(t *testing.T) {
+func TestAttemptTimesOutAtTheDeadline(t *testing.T) {
 	b := startBackend(t, " ") // not even a whole line
 	r := testRequest()
 	r.Deadline = time.Now().Add(50 * time.Millisecond)
@@ -314,7 +314,7 @@
 		t.Errorf("failure %+v", failure)
 	}
 	if time.Now().Before(r.Deadline) {
-		t.Error("given up before the deadline")
+		t.Error("failed before the deadline")
 	}
 }
 
--- a/internal/forward/connection.go
+++ b/internal/forward/connection.go
@@ -6,36 +6,35 @@
 	"net/http"
 	"strconv"
 	"strings"
-	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"nickelline/internal/upstream"
 )
 
 const (
-	// userTimeout is for how long what was written may stay without an acknowledgement: a machine without power is silent.
+	// userTimeout is how long written bytes may stay without an acknowledgement: a machine without power does not respond.
 	userTimeout = 800 * time.Millisecond
-	// Probes of a quiet connection tell a machine without power from a backend that works. The system counts in seconds.
+	// Probes of a quiet connection distinguish a machine without power from a backend that works. The system counts in seconds.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveProbes   = 2
-	// keepAliveReserve is kept from the time for which a backend says that it keeps an idle connection.
+	// keepAliveReserve is subtracted from the time for which a backend says that it keeps an idle connection.
 	keepAliveReserve = 250 * time.Millisecond
-	keepAliveLimit   = time.Hour
+	// keepAliveLimit bounds that time.
+	keepAliveLimit = time.Hour
 )
 
 // backendConn is a connection that knows for how long the backend keeps it open.
 type backendConn struct {
 	*net.TCPConn
-	// idleLimit is how long it may be idle, if limited.
-	idleLimit time.Duration
-	limited   bool
+	// maxIdle is how long it may be idle, if limited.
+	maxIdle time.Duration
+	limited bool
 }
 
+// dial connects to a backend.
 func dial(ctx context.Context, network, address string, deadline time.Time) (net.Conn, error) {
-	d := net.Dialer{
+	dialer := net.Dialer{
 		Deadline: deadline,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
@@ -43,45 +42,34 @@
 			Interval: keepAliveInterval,
 			Count:    keepAliveProbes,
 		},
-		Control: setUserTimeout,
+		Control: upstream.UserTimeoutControl(userTimeout),
 	}
-	conn, err := d.DialContext(ctx, network, address)
+	conn, err := dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
 	return &backendConn{TCPConn: conn.(*net.TCPConn)}, nil
 }
 
-func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
-	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
-	})
-	if err != nil {
-		return err
-	}
-	return failed
-}
-
-// expired tells whether a connection has been idle for longer than its backend keeps it.
+// expired reports whether a connection has been idle for longer than its backend keeps it.
 func expired(c *upstream.Conn, now time.Time) bool {
 	b, ok := c.Conn.(*backendConn)
-	return ok && b.limited && now.Sub(c.IdleSince()) >= b.idleLimit
+	return ok && b.limited && now.Sub(c.IdleSince()) >= b.maxIdle
 }
 
-// noteKeepAlive keeps what an answer tells of the time for which its connection may be idle.
+// recordKeepAlive keeps the time for which, by an answer, its connection may be idle.
 func recordKeepAlive(c *upstream.Conn, header http.Header) {
 	b, ok := c.Conn.(*backendConn)
 	if !ok {
 		return
 	}
-	if limit, told := keepAliveTimeout(header.Get("Keep-Alive")); told {
-		b.idleLimit = max(limit-keepAliveReserve, 0)
+	if limit, stated := keepAliveTimeout(header.Get("Keep-Alive")); stated {
+		b.maxIdle = max(limit-keepAliveReserve, 0)
 		b.limited = true
 	}
 }
 
-// keepAliveTimeout reads the time-out of a Keep-Alive field.
+// keepAliveTimeout returns the timeout of a Keep-Alive field, and whether there is one.
 func keepAliveTimeout(field string) (time.Duration, bool) {
 	for part := range strings.SplitSeq(field, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/forward/encode.go
+++ b/internal/forward/encode.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// largestPooled is the greatest buffer that is kept for another request.
+	// maxPooledBuffer is the size of the largest buffer that is kept for another request, in bytes.
 	maxPooledBuffer = 64 << 10
 	protocolEnd     = " HTTP/1.1\r\n"
 	lineEnd         = "\r\n"
@@ -35,8 +35,8 @@
 	buffers.Put(b)
 }
 
-// replacedFields are left out of what a client sent: they concern one connection, are the client's secret, or are set by
-// the system. Keys are canonical.
+// omittedFields of a client's request are not sent: they concern one connection, are the client's secret, or are set by the
+// system. Keys are canonical.
 var omittedFields = map[string]bool{
 	"Authorization":     true,
 	"Connection":        true,
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// appendClientFields writes the client's fields but for those that are replaced.
+// appendClientFields writes the client's fields, except those that are omitted.
 func appendClientFields(b *bytes.Buffer, r *Request) error {
 	named := hopByHopFields(r.Header)
 	for name, values := range r.Header {
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// hasBody tells whether a request of a method says how long its body is even if it is empty.
+// hasBody reports whether a request of a method states the length of its body even if that is empty.
 func hasBody(method string) bool {
 	switch method {
 	case http.MethodPost, http.MethodPut, http.MethodPatch:
@@ -140,8 +140,8 @@
 	return false
 }
 
-// connectionFields gives the names of the fields that Connection says concern the connection only. The id of the attempt
-// and the tenant are set by the system and not left out.
+// hopByHopFields returns the names of the fields that Connection says concern the connection only. The id of the attempt and
+// the tenant are set by the system and not omitted.
 func hopByHopFields(header http.Header) map[string]bool {
 	values := header["Connection"]
 	if len(values) == 0 {
@@ -156,7 +156,7 @@
 	return named
 }
 
-// endToEnd gives the fields of a backend's answer that are for the client. It keeps the header.
+// endToEnd returns the fields of a backend's answer that are for the client. It changes the header in place.
 func endToEnd(header http.Header) http.Header {
 	for name := range hopByHopFields(header) {
 		if name != HeaderResponseSeal && name != HeaderAttemptID {
@@ -174,7 +174,7 @@
 
 const tokenSymbols = "!#$%&'*+-.^_`|~"
 
-// validToken tells whether a text may be a method or the name of a field.
+// validToken reports whether a text may be a method or the name of a field.
 func validToken(text string) bool {
 	for _, c := range []byte(text) {
 		letter := 'a' <= c|0x20 && c|0x20 <= 'z'
@@ -186,7 +186,7 @@
 	return text != ""
 }
 
-// validTarget tells whether a text may stand in a request line.
+// validTarget reports whether a text may stand in a request line.
 func validTarget(text string) bool {
 	for _, c := range []byte(text) {
 		if c <= ' ' || c == 0x7f {
@@ -196,7 +196,7 @@
 	return strings.HasPrefix(text, "/")
 }
 
-// validValue tells whether a text may be the value of a field.
+// validValue reports whether a text may be the value of a field.
 func validValue(text string) bool {
 	for _, c := range []byte(text) {
 		if c < ' ' && c != '\t' || c == 0x7f {
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	// eventBuffer is the size of the buffers that streams are read into.
-	eventBuffer = 4 << 10
-	// eventLimit bounds one event.
-	eventLimit = 4 << 20
+	// eventBufferSize is the first size of the buffers that streams are read into.
+	eventBufferSize = 4 << 10
+	// maxEventBytes bounds one event.
+	maxEventBytes = 4 << 20
 )
 
 var eventBuffers = sync.Pool{New: func() any {
-	b := make([]byte, 0, eventBuffer)
+	b := make([]byte, 0, eventBufferSize)
 	return &b
 }}
 
-// eventReader cuts what it reads into events, each of which ends with an empty line.
+// eventReader splits what it reads into events, each of which ends with an empty line.
 type eventReader struct {
 	source    io.Reader
 	pooled    *[]byte
-	buffer    []byte // what was read and is not yet passed on begins at start
+	buffer    []byte // read and not yet returned from start on
 	start     int
-	lineStart int // where the line begins that has not been looked at whole
+	lineStart int // where the first line begins that is not known to be whole
 	joined    []byte
 	err       error
 }
 
-// next gives the next event. What it gave before is no longer valid.
+// next returns the next event. The one before is no longer valid.
 func (r *eventReader) next() (Event, error) {
 	for {
 		if end := r.eventEnd(); end > 0 {
@@ -44,10 +44,10 @@
 	}
 }
 
-// ready tells whether a whole event has been read that has not been passed on, or the end.
+// ready reports whether a whole event, or the end, has been read and not yet returned.
 func (r *eventReader) ready() bool { return r.err != nil || r.eventEnd() > 0 }
 
-// find gives the end of the first event in the buffer, 0 if it is not whole.
+// eventEnd returns the end of the first event in the buffer, 0 if the event is not whole.
 func (r *eventReader) eventEnd() int {
 	r.lineStart = max(r.lineStart, r.start)
 	for {
@@ -64,7 +64,7 @@
 	}
 }
 
-// rest gives what stands behind the last event of a stream that ended properly, and then the end.
+// remainder returns what follows the last event of a stream that ended properly, and then the end.
 func (r *eventReader) remainder() (Event, error) {
 	if r.err != io.EOF || r.start == len(r.buffer) {
 		return Event{}, r.err
@@ -84,7 +84,7 @@
 	}
 }
 
-// makeRoom moves what is left to the beginning of the buffer, and enlarges the buffer if it is full.
+// makeRoom moves what is unread to the beginning of the buffer, and enlarges the buffer if it is full.
 func (r *eventReader) makeRoom() {
 	if r.pooled == nil {
 		r.pooled = eventBuffers.Get().(*[]byte)
@@ -99,13 +99,13 @@
 	if len(r.buffer) < cap(r.buffer) {
 		return
 	}
-	if len(r.buffer) >= eventLimit {
+	if len(r.buffer) >= maxEventBytes {
 		r.err = errTooLarge
 	}
 	r.buffer = append(make([]byte, 0, 2*cap(r.buffer)), r.buffer...)
 }
 
-// release gives the buffer back. Nothing may be read any more.
+// release returns the buffer to the pool. Nothing may be read any more.
 func (r *eventReader) release() {
 	if r.pooled == nil {
 		return
@@ -134,7 +134,7 @@
 	return event
 }
 
-// join adds a line to the data of an event. The first one is not copied.
+// joinData adds a line to the data of an event. The first one is not copied.
 func (r *eventReader) joinData(data, value []byte, lines int) []byte {
 	if lines == 0 {
 		return value
--- a/internal/forward/events_test.go
+++ b/internal/forward/events_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-func TestEventsAreCutAtEmptyLines(t *testing.T) {
+func TestEventsEndAtEmptyLines(t *testing.T) {
 	const text = "id: 1\ndata: a\n\nid:2\r\ndata: b\r\ndata:c\r\ndata:\r\n\r\nversions: 3\nid: 3\ndata: d\n\n"
 	for name, source := range map[string]io.Reader{
 		"at once":      strings.NewReader(text),
@@ -23,7 +23,7 @@
 			for _, want := range []Event{{ID: "1", Data: []byte("a")}, {ID: "2", Data: []byte("b\nc\n")}, {ID: "3", Data: []byte("d")}} {
 				got, err := r.next()
 				if err != nil || got.ID != want.ID || string(got.Data) != string(want.Data) {
-					t.Errorf("event %q %q, %v; want %q %q", got.ID, got.Data, err, want.ID, want.Data)
+					t.Errorf("event: got %q %q, %v; want %q %q", got.ID, got.Data, err, want.ID, want.Data)
 				}
 				raw.Write(got.Raw)
 			}
@@ -42,11 +42,11 @@
 	r := eventReader{source: strings.NewReader("data: a\n\ndata: " + data + "\n\n")}
 	r.next()
 	if event, err := r.next(); err != nil || string(event.Data) != data {
-		t.Errorf("event of %d bytes, %v", len(event.Data), err)
+		t.Errorf("large event: got %d bytes, %v", len(event.Data), err)
 	}
-	r = eventReader{source: strings.NewReader(strings.Repeat("x", 2*eventLimit))}
+	r = eventReader{source: strings.NewReader(strings.Repeat("x", 2*maxEventBytes))}
 	if _, err := r.next(); !errors.Is(err, errTooLarge) {
-		t.Errorf("an event without an end: %v", err)
+		t.Errorf("event without an end: got %v, want %v", err, errTooLarge)
 	}
 }
 
@@ -74,7 +74,7 @@
 				t.Fatal(failure)
 			}
 			if !response.Streaming {
-				t.Error("not taken for a stream")
+				t.Error("Streaming: got false, want true")
 			}
 			var got strings.Builder
 			event, err := response.Next()
@@ -83,7 +83,7 @@
 				event, err = response.Next()
 			}
 			if got.String() != c.want {
-				t.Errorf("events %q, want %q", got.String(), c.want)
+				t.Errorf("events: got %q, want %q", got.String(), c.want)
 			}
 			if whole := err == io.EOF; whole != c.whole {
 				t.Errorf("end %v", err)
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestReadyTellsOfWholeEvents(t *testing.T) {
+func TestReadyReportsWholeEvents(t *testing.T) {
 	const first, second = "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"
 	b := startBackend(t, answer("200 OK", streamFields+chunk(first+second+"id: 3")+closeAfter))
 	response, failure := testClient(t, 0, b).Do(t.Context(), b.Backend, testRequest())
@@ -104,15 +104,15 @@
 	}
 	response.Next()
 	if !response.Ready() {
-		t.Error("the second event is there")
+		t.Error("Ready: got false though the second event has come")
 	}
 	response.Next()
 	if response.Ready() {
-		t.Error("the third event is not whole")
+		t.Error("Ready: got true though the third event is not whole")
 	}
 }
 
-func TestReadyTellsOfTheEnd(t *testing.T) {
+func TestReadyReportsTheEnd(t *testing.T) {
 	b := startBackend(t, answer("200 OK", streamFields+chunk("id: 1\ndata: a\n\n")+lastChunk))
 	response, failure := testClient(t, 0, b).Do(t.Context(), b.Backend, testRequest())
 	if failure != nil {
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestParseLoad(t *testing.T) {
+func TestParseServerLoad(t *testing.T) {
 	for text, want := range map[string]*admission.Load{
 		"3,0,8":            {Running: 3, Waiting: 0, Slots: 8},
 		" 3 , 1 , 8 ":      {Running: 3, Waiting: 1, Slots: 8},
@@ -142,7 +142,7 @@
 	} {
 		got := parseServerLoad(text)
 		if (got == nil) != (want == nil) || got != nil && *got != *want {
-			t.Errorf("%q: %v, want %v", text, got, want)
+			t.Errorf("parseServerLoad(%q): got %v, want %v", text, got, want)
 		}
 	}
 }
@@ -152,9 +152,9 @@
 		"timeout=5": 5 * time.Second, "max=3, Timeout=2": 2 * time.Second, "timeout=0": 0, "timeout=1e30": keepAliveLimit,
 		"": -1, "max=3": -1, "timeout=x": -1, "timeout=-1": -1,
 	} {
-		got, told := keepAliveTimeout(text)
-		if told != (want >= 0) || told && got != want {
-			t.Errorf("%q: %v, %v", text, got, told)
+		got, stated := keepAliveTimeout(text)
+		if stated != (want >= 0) || stated && got != want {
+			t.Errorf("keepAliveTimeout(%q): got %v, %v, want %v", text, got, stated, want)
 		}
 	}
 }
--- /dev/null
+++ b/internal/forward/headers.go
@@ -0,0 +1,16 @@
+package forward
+
+// Names of the header fields of the protocol, in canonical form.
+const (
+	HeaderAttemptID    = "Nickelline-Attempt-Id"
+	HeaderDeadline     = "Nickelline-Deadline-Remaining-Ms"
+	HeaderExpected     = "Nickelline-Expected-Instance"
+	HeaderLastEventID  = "Last-Event-Id"
+	HeaderNotExecuted  = "Nickelline-Not-Executed"
+	HeaderResponseSeal = "Nickelline-Response-Seal"
+	HeaderServerLoad   = "Nickelline-Server-Load"
+	HeaderTenant       = "Nickelline-Tenant-Name"
+)
+
+// EventStream is the media type of a stream of events.
+const EventStream = "text/event-stream"
--- a/internal/forward/load.go
+++ b/internal/forward/serverload.go
@@ -8,11 +8,11 @@
 	"nickelline/internal/admission"
 )
 
-// mostLoad is more than any figure of a load can be.
+// maxLoadFigure is more than any figure of a load can be.
 const maxLoadFigure = 1 << 20
 
-// parseLoad reads what a backend tells of itself: requests running, requests waiting and slots. What makes no sense in
-// all its parts is nothing.
+// parseServerLoad reads the load that a backend reports: requests running, requests waiting, and slots. It returns nil
+// unless all three are valid.
 func parseServerLoad(field string) *admission.Load {
 	running, rest, _ := strings.Cut(field, ",")
 	waiting, slots, found := strings.Cut(rest, ",")
@@ -20,20 +20,20 @@
 		return nil
 	}
 	var load admission.Load
-	for _, part := range [...]struct {
+	for _, figure := range [...]struct {
 		text  string
 		value *int
 	}{{running, &load.Running}, {waiting, &load.Waiting}, {slots, &load.Slots}} {
-		value, err := strconv.Atoi(strings.TrimSpace(part.text))
+		value, err := strconv.Atoi(strings.TrimSpace(figure.text))
 		if err != nil || value < 0 || value > maxLoadFigure {
 			return nil
 		}
-		*part.value = value
+		*figure.value = value
 	}
 	return &load
 }
 
-// isStream tells whether an answer is a stream of events.
+// isStream reports whether an answer is a stream of events.
 func isStream(header http.Header) bool {
 	media, _, _ := strings.Cut(header.Get("Content-Type"), ";")
 	return strings.EqualFold(strings.TrimSpace(media), EventStream)
--- a/internal/forward/unreliable_test.go
+++ b/internal/forward/unreliable_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// react answers a request, and tells whether the connection goes on.
+// react answers a request, and reports whether the connection goes on.
 func (b *unreliableBackend) react(socket *net.TCPConn, id, earlier string) bool {
 	b.mutex.Lock()
 	b.received[id]++
@@ -160,7 +160,7 @@
 	}
 	t.Logf("%d answered, %d may have run", answered, unknown)
 	if answered == 0 || unknown == 0 {
-		t.Error("that tests too little")
+		t.Error("too few outcomes occurred for a test of them all")
 	}
 }
 
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -45,11 +45,11 @@
 func newTransport(c *Config, limit int, log *slog.Logger) *transport {
 	count := &stats{}
 	pool := upstream.New[decide.BackendID](upstream.Options{
-		Limit:       limit,
-		IdleLimit:   time.Duration(float64(c.Settings.ConnIdle) * idleShare),
-		Rest:        minRest,
-		DialTimeout: c.Settings.ConnectTimeout,
-		Counters:    &count.Counters,
+		MaxConnections: limit,
+		MaxIdle:        time.Duration(float64(c.Settings.ConnIdle) * idleShare),
+		MinIdle:        minRest,
+		DialTimeout:    c.Settings.ConnectTimeout,
+		Counters:       &count.Counters,
 	})
 	return &transport{
 		Pool:          pool,
@@ -140,7 +140,7 @@
 		return result{code: decide.NotSent, err: errClientGone}
 	case ctx.Err() != nil:
 		return result{code: decide.Cancelled, err: ctx.Err()}
-	case errors.Is(err, upstream.ErrTooMany): // not the backend's fault
+	case errors.Is(err, upstream.ErrTooManyConnections): // not the backend's fault
 		return result{code: decide.NotSent, err: err}
 	}
 	return result{code: decide.ConnectFailed, err: err}
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -264,7 +264,7 @@
 // outcomeOf tells admission of a failure what it has to know of the backend.
 func outcomeOf(f *forward.Failure) admission.Outcome {
 	switch {
-	case f.Cancelled, errors.Is(f.Err, upstream.ErrTooMany), errors.Is(f.Err, upstream.ErrClosed):
+	case f.Cancelled, errors.Is(f.Err, upstream.ErrTooManyConnections), errors.Is(f.Err, upstream.ErrClosed):
 		return admission.Cancelled
 	case f.Outcome == forward.NotExecuted && f.Status != http.StatusMisdirectedRequest:
 		return admission.Full
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -8,51 +8,51 @@
 	"time"
 )
 
-// unreadPart is how much Unread gives of what lies on a connection: enough to tell the beginning of an HTTP/1 answer.
-const unreadPrefix = len("HTTP/1.")
+// unreadPrefixLength is how many unread bytes Unread returns: enough to recognize the beginning of an HTTP/1 answer.
+const unreadPrefixLength = len("HTTP/1.")
 
-// Conn is a connection to a backend. It carries one request at a time, and belongs to its holder until it is released.
+// Conn is a connection to a backend. It carries one request at a time, and belongs to who acquired it until its release.
 type Conn struct {
 	net.Conn
-	// Reader reads what the backend sends, up to the bound that Allow has set.
+	// Reader reads what the backend sends, up to the limit that SetReadLimit has set.
 	Reader *bufio.Reader
 
 	backend   *Backend
-	readLimit *io.LimitedReader // under Reader
-	idleSince time.Time         // made, or idle since
+	readLimit *io.LimitedReader // below Reader
+	idleSince time.Time         // creation or last release
 	createdAt time.Time
-	requests  int // requests that were written to it
+	requests  int // that were written to it
 }
 
-// Facts tell what a connection had been through by the time that a request was written to it.
+// ConnHistory describes a connection at the time that a request is written to it.
 type ConnHistory struct {
-	Requests int           // requests before
-	Age      time.Duration // since it was made
-	Idle     time.Duration // since its last request ended
+	Requests int           // before this one
+	Age      time.Duration // since the connection was made
+	Idle     time.Duration // since the last request ended
 }
 
-// Use counts a request that is about to be written, and tells what the connection has been through.
+// Use counts a request that is about to be written, and returns the history of the connection before it.
 func (c *Conn) Use(now time.Time) ConnHistory {
-	facts := ConnHistory{Requests: c.requests, Age: now.Sub(c.createdAt), Idle: now.Sub(c.idleSince)}
+	history := ConnHistory{Requests: c.requests, Age: now.Sub(c.createdAt), Idle: now.Sub(c.idleSince)}
 	c.requests++
-	return facts
+	return history
 }
 
-// Allow sets how many more bytes may be taken from the network. On a new connection it is none. Beyond the bound, Reader
-// gives io.EOF.
+// SetReadLimit sets how many more bytes may be read from the network; none on a new connection. Beyond the limit, Reader
+// returns io.EOF.
 func (c *Conn) SetReadLimit(bytes int64) { c.readLimit.N = bytes }
 
-// Allowed is how many more bytes may be taken from the network.
+// ReadLimit returns how many more bytes may be read from the network.
 func (c *Conn) ReadLimit() int64 { return c.readLimit.N }
 
-// IdleSince tells when the connection was made or given back.
+// IdleSince returns when the connection was made or last released.
 func (c *Conn) IdleSince() time.Time { return c.idleSince }
 
-// Unread gives the beginning of what has come on a connection beyond what was read, and tells whether the connection is
-// open. After a whole answer that text belongs to no request, and would be taken for the next one's answer.
+// Unread returns the beginning of what has come on the connection and was not read, and whether the connection is open.
+// After a whole answer that text belongs to no request, and would be taken for the answer to the next one.
 func (c *Conn) Unread() (text string, open bool) {
 	if n := c.Reader.Buffered(); n > 0 {
-		next, _ := c.Reader.Peek(min(n, unreadPrefix))
+		next, _ := c.Reader.Peek(min(n, unreadPrefixLength))
 		return string(next), true
 	}
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
@@ -60,7 +60,7 @@
 		return "", false
 	}
 	err = raw.Read(func(fd uintptr) bool {
-		var next [unreadPrefix]byte
+		var next [unreadPrefixLength]byte
 		n, _, err := syscall.Recvfrom(int(fd), next[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		text, open = string(next[:max(0, n)]), n > 0 || err == syscall.EAGAIN
 		return true
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -9,22 +9,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// DialFunc makes a connection by a deadline. What it returns has to be a syscall.Conn, as those of package net are.
+// DialFunc dials a connection by a deadline. What it returns must be a syscall.Conn, as connections of package net are.
 type DialFunc func(ctx context.Context, network, address string, deadline time.Time) (net.Conn, error)
 
-// dialTCP makes TCP connections, with TCP_NODELAY set as package net does. A user timeout of zero leaves it to the system
-// for how long what was written may stay without an acknowledgement.
+// dialTCP returns a DialFunc of TCP connections, with TCP_NODELAY as package net sets it. A user timeout of zero leaves it
+// to the system.
 func dialTCP(timeout, userTimeout time.Duration) DialFunc {
 	return func(ctx context.Context, network, address string, deadline time.Time) (net.Conn, error) {
-		d := net.Dialer{Timeout: timeout, Deadline: deadline}
+		dialer := net.Dialer{Timeout: timeout, Deadline: deadline}
 		if userTimeout > 0 {
-			d.Control = setUserTimeout(userTimeout)
+			dialer.Control = UserTimeoutControl(userTimeout)
 		}
-		return d.DialContext(ctx, network, address)
+		return dialer.DialContext(ctx, network, address)
 	}
 }
 
-func setUserTimeout(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
+// UserTimeoutControl returns a net.Dialer Control function that sets TCP_USER_TIMEOUT: how long written bytes may stay without
+// an acknowledgement before the connection fails.
+func UserTimeoutControl(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var failed error
 		err := raw.Control(func(fd uintptr) {
--- a/internal/upstream/idle_test.go
+++ b/internal/upstream/idlehistory_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestIdleLimitIsLearnt(t *testing.T) {
+func TestIdleLimitIsLearned(t *testing.T) {
 	const most = 4 * time.Second
 	for _, c := range []struct {
 		name   string
@@ -38,10 +38,10 @@
 				r.record(now, idle, c.broken(random.Float64(), idle))
 			}
 			if got := r.limit(now, most); got < c.least || got > c.want {
-				t.Errorf("limit %v, want %v to %v", got, c.least, c.want)
+				t.Errorf("limit: got %v, want %v to %v", got, c.least, c.want)
 			}
 			if got := r.limit(now.Add(time.Minute), most); got != most {
-				t.Errorf("a minute later the limit is %v still, want %v: longer times are to be tried again", got, most)
+				t.Errorf("limit a minute later: got %v, want %v", got, most)
 			}
 		})
 	}
@@ -59,18 +59,18 @@
 		t.Fatal(err)
 	}
 	defer tcp.Close()
-	b := New[int](Options{IdleLimit: time.Hour})
+	b := New[int](Options{MaxIdle: time.Hour})
 	old := &Conn{Conn: tcp, Reader: bufio.NewReader(tcp), idleSince: time.Now().Add(-time.Minute)}
 	if !b.isUsable(old) {
-		t.Error("a connection that is open and within the limit of the settings is said not to be usable")
+		t.Error("isUsable: got false for an open connection within the configured limit")
 	}
 	for range 10 {
 		b.RecordReuse(30*time.Second, true)
 	}
 	if b.isUsable(old) {
-		t.Error("a connection that has been idle for longer than those that broke is said to be usable")
+		t.Error("isUsable: got true for a connection that has been idle for longer than those that broke")
 	}
 	if fresh := (&Conn{Conn: tcp, Reader: bufio.NewReader(tcp), idleSince: time.Now()}); !b.isUsable(fresh) {
-		t.Error("a connection that has just been used is said not to be usable")
+		t.Error("isUsable: got false for a connection that has just been used")
 	}
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -47,17 +47,17 @@
 	return c
 }
 
-// closed tells whether the other side has closed a connection.
+// closed reports whether the other side has closed a connection.
 func closed(c net.Conn) bool {
 	c.SetReadDeadline(time.Now().Add(patient))
 	_, err := c.Read(make([]byte, 1))
 	return errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed)
 }
 
-func TestRest(t *testing.T) {
+func TestMinIdle(t *testing.T) {
 	address, _ := listener(t)
 	const rest = time.Hour
-	p := New[string](Options{Limit: 10, IdleLimit: 10 * rest, Rest: rest})
+	p := New[string](Options{MaxConnections: 10, MaxIdle: 10 * rest, MinIdle: rest})
 	p.Update(true, []Entry[string]{ready("a", address)})
 	for _, c := range []struct {
 		rested time.Duration
@@ -69,22 +69,22 @@
 		open := p.Open()
 		conn := acquire(t, p, "a")
 		if p.Open() != c.open {
-			t.Errorf("rested %v: %d open, want %d", c.rested, p.Open(), c.open)
+			t.Errorf("idle for %v: got %d open, want %d", c.rested, p.Open(), c.open)
 		}
 		if fresh := conn.Use(time.Now()).Requests == 0; fresh != (p.Open() > open) {
-			t.Errorf("rested %v: new %v, connections %d and then %d", c.rested, fresh, open, p.Open())
+			t.Errorf("idle for %v: new connection %v, got %d connections and then %d", c.rested, fresh, open, p.Open())
 		}
 		p.Release(conn, true)
 	}
 	p.Update(true, nil)
 	if p.Open() != 0 {
-		t.Errorf("%d connections left", p.Open())
+		t.Errorf("open connections: got %d, want 0", p.Open())
 	}
 }
 
 func TestUnreadBytesRetireAConnection(t *testing.T) {
 	address, accepted := listener(t)
-	p := New[string](Options{Limit: 10})
+	p := New[string](Options{MaxConnections: 10})
 	p.Update(true, []Entry[string]{ready("a", address)})
 	first := acquire(t, p, "a")
 	server := <-accepted
@@ -97,13 +97,13 @@
 		t.Error("a connection with unread bytes is used again")
 	}
 	if retired := p.counters.Retired.Load(); retired != 1 {
-		t.Errorf("%d retired, want 1", retired)
+		t.Errorf("retired: got %d, want 1", retired)
 	}
 }
 
 func TestClosedConnectionIsNotUsedAgain(t *testing.T) {
 	address, accepted := listener(t)
-	p := New[string](Options{Limit: 10})
+	p := New[string](Options{MaxConnections: 10})
 	p.Update(true, []Entry[string]{ready("a", address)})
 	first := acquire(t, p, "a")
 	p.Release(first, true)
@@ -118,14 +118,14 @@
 func TestLimitClosesTheLongestIdle(t *testing.T) {
 	address, accepted := listener(t)
 	other, _ := listener(t)
-	p := New[string](Options{Limit: 2})
+	p := New[string](Options{MaxConnections: 2})
 	p.Update(true, []Entry[string]{ready("a", address), ready("b", other)})
 	older, newer := acquire(t, p, "a"), acquire(t, p, "a")
 	p.Release(older, true)
 	p.Release(newer, true)
 	held := acquire(t, p, "b")
 	if p.Open() != 2 {
-		t.Errorf("%d open, want 2", p.Open())
+		t.Errorf("open connections: got %d, want 2", p.Open())
 	}
 	if idle := p.Idle(p.Find("a")); len(idle) != 1 || idle[0] != newer {
 		t.Errorf("%d idle connections left, want the newer one", len(idle))
@@ -136,21 +136,21 @@
 	if taken := acquire(t, p, "a"); taken != newer {
 		t.Error("the idle connection is not used")
 	}
-	if _, err := p.Acquire(t.Context(), p.Find("b"), time.Now().Add(patient)); !errors.Is(err, ErrTooMany) {
-		t.Errorf("beyond the limit: %v, want %v", err, ErrTooMany)
+	if _, err := p.Acquire(t.Context(), p.Find("b"), time.Now().Add(patient)); !errors.Is(err, ErrTooManyConnections) {
+		t.Errorf("Acquire beyond the limit: got %v, want %v", err, ErrTooManyConnections)
 	}
 	p.Release(held, false)
 	p.Release(newer, false)
 	if p.Open() != 0 {
-		t.Errorf("%d connections left", p.Open())
+		t.Errorf("open connections: got %d, want 0", p.Open())
 	}
 }
 
-// A machine that says nothing when connected to takes a part of the limit only, and a connection that nobody waits for
-// any more is kept for others.
-func TestDialsInTheMaking(t *testing.T) {
+// A machine that does not answer to dials takes a share of the limit only, and a connection that nobody waits for any more is
+// kept for others.
+func TestDialsUnderWay(t *testing.T) {
 	address, _ := listener(t)
-	p := New[string](Options{Limit: 16})
+	p := New[string](Options{MaxConnections: 16})
 	p.Update(true, []Entry[string]{ready("a", address)})
 	began, proceed := make(chan struct{}, 2), make(chan struct{})
 	dial := p.SetDial(nil)
@@ -169,15 +169,15 @@
 		})
 		<-began
 	}
-	if _, err := p.Acquire(t.Context(), p.Find("a"), time.Now().Add(patient)); !errors.Is(err, ErrTooMany) {
-		t.Errorf("a third connection in the making: %v, want %v", err, ErrTooMany)
+	if _, err := p.Acquire(t.Context(), p.Find("a"), time.Now().Add(patient)); !errors.Is(err, ErrTooManyConnections) {
+		t.Errorf("third dial under way: got %v, want %v", err, ErrTooManyConnections)
 	}
 	cancel()
 	waiting.Wait()
 	close(proceed)
 	p.Wait()
 	if idle := len(p.Idle(p.Find("a"))); idle != 2 || p.Open() != 2 {
-		t.Errorf("%d of %d connections idle, want both of 2", idle, p.Open())
+		t.Errorf("idle connections: got %d of %d, want 2 of 2", idle, p.Open())
 	}
 }
 
@@ -202,17 +202,17 @@
 		"its address is taken":   {false, []Entry[string]{ready("b", address)}, true, true},
 		"an older one's address": {false, []Entry[string]{started("b", -1)}, false, true},
 	} {
-		p := New[string](Options{Limit: 10})
+		p := New[string](Options{MaxConnections: 10})
 		p.Update(true, []Entry[string]{ready("a", address)})
 		before := p.Find("a")
 		idle, held := acquire(t, p, "a"), acquire(t, p, "a")
 		p.Release(idle, true)
 		p.Update(c.full, c.entries)
 		if p.Closed(before) != c.closed {
-			t.Errorf("%s: closed %v, want %v", name, p.Closed(before), c.closed)
+			t.Errorf("%s: Closed: got %v, want %v", name, p.Closed(before), c.closed)
 		}
 		if known := p.Find("a") != nil; known != c.known {
-			t.Errorf("%s: known %v, want %v", name, known, c.known)
+			t.Errorf("%s: found: got %v, want %v", name, known, c.known)
 		}
 		if kept := len(p.Idle(before)) == 1; kept == c.closed {
 			t.Errorf("%s: the idle connection is kept: %v", name, kept)
@@ -231,7 +231,7 @@
 
 func TestRunClosesAll(t *testing.T) {
 	address, accepted := listener(t)
-	p := New[string](Options{Limit: 10, SweepEvery: time.Millisecond, IdleLimit: time.Nanosecond})
+	p := New[string](Options{MaxConnections: 10, SweepInterval: time.Millisecond, MaxIdle: time.Nanosecond})
 	p.Update(true, []Entry[string]{ready("a", address)})
 	old, held := acquire(t, p, "a"), acquire(t, p, "a")
 	p.Release(old, true)
@@ -245,14 +245,14 @@
 	<-ended
 	p.Release(held, true)
 	if p.Open() != 0 {
-		t.Errorf("%d connections left", p.Open())
+		t.Errorf("open connections: got %d, want 0", p.Open())
 	}
 }
 
-// Bytes are readable as they come, up to the bound that was set.
+// Bytes are readable as they come, up to the limit that was set.
 func TestReaderIsIncrementalAndBounded(t *testing.T) {
 	address, accepted := listener(t)
-	p := New[string](Options{Limit: 10, UserTimeout: 5 * time.Second})
+	p := New[string](Options{MaxConnections: 10, UserTimeout: 5 * time.Second})
 	p.Update(true, []Entry[string]{ready("a", address)})
 	c := acquire(t, p, "a")
 	server := <-accepted
@@ -264,18 +264,18 @@
 		}
 	}
 	if c.ReadLimit() != 0 {
-		t.Errorf("%d bytes are still allowed", c.ReadLimit())
+		t.Errorf("read limit: got %d, want 0", c.ReadLimit())
 	}
 	io.WriteString(server, "more\n")
 	if got, err := c.Reader.ReadString('\n'); got != "" || err != io.EOF {
-		t.Errorf("beyond the bound: %q, %v", got, err)
+		t.Errorf("read beyond the limit: got %q, %v, want io.EOF", got, err)
 	}
 }
 
-func TestSilentClosesIdleUnlessHeard(t *testing.T) {
+func TestCloseUnresponsiveUnlessAnswered(t *testing.T) {
 	address, _ := listener(t)
 	for heard, want := range map[bool]int{false: 0, true: 1} {
-		p := New[string](Options{Limit: 10})
+		p := New[string](Options{MaxConnections: 10})
 		p.Update(true, []Entry[string]{ready("a", address)})
 		began := time.Now()
 		p.Release(acquire(t, p, "a"), true)
@@ -284,7 +284,7 @@
 		}
 		p.CloseUnresponsive(p.Find("a"), began)
 		if kept := len(p.Idle(p.Find("a"))); kept != want {
-			t.Errorf("heard %v: %d idle connections kept, want %d", heard, kept, want)
+			t.Errorf("answered %v: got %d idle connections, want %d", heard, kept, want)
 		}
 		p.Update(true, nil)
 	}
