--- a/cmd/nickelline/proxy.go
+++ b/cmd/nickelline/proxy.go
@@ -87,7 +87,7 @@
 		ProofAge:      n.state.ConfigurationAge,
 		MaxProofAge:   maxProofAge(n.settings),
 		BackendsKnown: func() bool { return n.state.Backends() != nil },
-		Pick:          proxy.PickFrom(n.state.Pool),
+		Selector:      proxy.PoolSelector(n.state.Pool),
 		Loads:         n.loads,
 		Sender:        n.sender,
 		Quota:         n.limiter,
--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -16,7 +16,7 @@
 
 // body reads the body of an answer, and releases the connection at its end.
 type body struct {
-	exchange *exchange
+	roundTrip *roundTrip
 	source   io.ReadCloser
 	// length of the body in bytes; -1: not known.
 	length int64
@@ -28,9 +28,9 @@
 	events   eventReader
 }
 
-func newBody(x *exchange, head *http.Response) *body {
+func newBody(rt *roundTrip, head *http.Response) *body {
 	b := &body{
-		exchange: x,
+		roundTrip: rt,
 		source:   head.Body,
 		length:   head.ContentLength,
 		framed:   head.ContentLength >= 0 || len(head.TransferEncoding) > 0,
@@ -58,18 +58,18 @@
 		return
 	}
 	b.done = true
-	b.exchange.release(b.reusable)
+	b.roundTrip.release(b.reusable)
 	b.events.release()
 }
 
 // fail closes the connection because of an error.
 func (b *body) fail(err error) *Failure {
 	if b.done {
-		return &Failure{Backend: b.exchange.backendID, Outcome: MayHaveRun, Err: err}
+		return &Failure{Backend: b.roundTrip.backendID, Outcome: MayHaveRun, Err: err}
 	}
 	b.done = true
 	b.events.release()
-	return b.exchange.breakOff(err)
+	return b.roundTrip.breakOff(err)
 }
 
 // drain reads a short body that nobody needs, so that its connection can be used again.
@@ -78,7 +78,7 @@
 		b.abandon()
 		return
 	}
-	b.exchange.conn.SetReadLimit(maxDrainBytes)
+	b.roundTrip.conn.SetReadLimit(maxDrainBytes)
 	if _, err := io.CopyN(io.Discard, b, b.length); err != nil {
 		b.abandon()
 		return
@@ -92,7 +92,7 @@
 		return
 	}
 	b.done = true
-	b.exchange.release(false)
+	b.roundTrip.release(false)
 	b.events.release()
 }
 
@@ -101,7 +101,7 @@
 	if b.length > maxBodyBytes {
 		return nil, errTooLarge
 	}
-	b.exchange.conn.SetReadLimit(maxBodyBytes + framingAllowance)
+	b.roundTrip.conn.SetReadLimit(maxBodyBytes + framingAllowance)
 	if b.length >= 0 {
 		data := make([]byte, b.length)
 		_, err := io.ReadFull(b, data)
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, &Failure{Backend: b.ID, Outcome: NotSent, Err: err, Cancelled: ctx.Err() != nil}
 	}
-	x := &exchange{
+	rt := &roundTrip{
 		client:    c,
 		backendID: b.ID,
 		backend:   backend,
@@ -86,10 +86,10 @@
 		startedAt: time.Now(),
 		deadline:  r.Deadline,
 	}
-	if failure := x.send(r); failure != nil {
+	if failure := rt.send(r); failure != nil {
 		return nil, failure
 	}
-	return x.receive(r)
+	return rt.receive(r)
 }
 
 // acquire takes an idle connection that the backend still keeps open, or dials one.
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -13,7 +13,7 @@
 var pastDeadline = time.Unix(1, 0)
 
 // exchange is one request and its answer on one connection.
-type exchange struct {
+type roundTrip struct {
 	client    *Client
 	backendID string
 	backend   *upstream.Backend
@@ -28,60 +28,60 @@
 }
 
 // send writes the request, unless it must no longer be sent after the time that the connection took.
-func (x *exchange) send(r *Request) *Failure {
+func (rt *roundTrip) send(r *Request) *Failure {
 	now := time.Now()
 	switch {
-	case x.ctx.Err() != nil:
-		return x.releaseUnsent(x.ctx.Err(), true)
-	case x.client.pool.Closed(x.backend):
-		return x.releaseUnsent(upstream.ErrClosed, false)
+	case rt.ctx.Err() != nil:
+		return rt.releaseUnsent(rt.ctx.Err(), true)
+	case rt.client.pool.Closed(rt.backend):
+		return rt.releaseUnsent(upstream.ErrClosed, false)
 	case !now.Before(r.Deadline):
-		return x.releaseUnsent(errDeadline, true)
+		return rt.releaseUnsent(errDeadline, true)
 	}
 	buffer := getBuffer()
 	defer putBuffer(buffer)
-	if err := appendRequest(buffer, x.backendID, r, now); err != nil {
-		return x.releaseUnsent(err, true)
+	if err := appendRequest(buffer, rt.backendID, r, now); err != nil {
+		return rt.releaseUnsent(err, true)
 	}
-	x.history = x.conn.Use(now)
-	x.conn.SetDeadline(r.Deadline)
-	x.stopWatch = context.AfterFunc(x.ctx, func() { x.conn.SetDeadline(pastDeadline) })
-	if _, err := x.conn.Write(buffer.Bytes()); err != nil {
-		x.release(false)
-		return x.failure(NotSent, err) // the last byte was not written
+	rt.history = rt.conn.Use(now)
+	rt.conn.SetDeadline(r.Deadline)
+	rt.stopWatch = context.AfterFunc(rt.ctx, func() { rt.conn.SetDeadline(pastDeadline) })
+	if _, err := rt.conn.Write(buffer.Bytes()); err != nil {
+		rt.release(false)
+		return rt.failure(NotSent, err) // the last byte was not written
 	}
 	return nil
 }
 
 // releaseUnsent releases the connection before anything was written to it.
-func (x *exchange) releaseUnsent(err error, keep bool) *Failure {
-	x.client.pool.Release(x.conn, keep)
-	return x.failure(NotSent, err)
+func (rt *roundTrip) releaseUnsent(err error, keep bool) *Failure {
+	rt.client.pool.Release(rt.conn, keep)
+	return rt.failure(NotSent, err)
 }
 
-func (x *exchange) failure(outcome Outcome, err error) *Failure {
-	return &Failure{Backend: x.backendID, Outcome: outcome, Err: err, Cancelled: x.ctx.Err() != nil}
+func (rt *roundTrip) failure(outcome Outcome, err error) *Failure {
+	return &Failure{Backend: rt.backendID, Outcome: outcome, Err: err, Cancelled: rt.ctx.Err() != nil}
 }
 
 // receive reads the head of the answer.
-func (x *exchange) receive(r *Request) (*Response, *Failure) {
-	x.conn.SetReadLimit(maxHeadBytes)
-	head, err := readHead(x.conn.Reader, r.Method)
-	if x.history.Requests > 0 && x.ctx.Err() == nil {
-		x.client.pool.RecordReuse(x.history.Idle, err != nil && x.conn.ReadLimit() == maxHeadBytes)
+func (rt *roundTrip) receive(r *Request) (*Response, *Failure) {
+	rt.conn.SetReadLimit(maxHeadBytes)
+	head, err := readHead(rt.conn.Reader, r.Method)
+	if rt.history.Requests > 0 && rt.ctx.Err() == nil {
+		rt.client.pool.RecordReuse(rt.history.Idle, err != nil && rt.conn.ReadLimit() == maxHeadBytes)
 	}
 	if err != nil {
-		return nil, x.breakOff(err)
+		return nil, rt.breakOff(err)
 	}
-	x.client.pool.RecordAnswer(x.backend, time.Now())
+	rt.client.pool.RecordAnswer(rt.backend, time.Now())
 	id := head.Header.Get(HeaderAttemptID)
 	notExecuted := reportsNotExecuted(head)
 	// An answer without an id is taken as the answer to the request only if it says that nothing ran, and its connection is
 	// not used again: a second answer to an earlier request would carry the id of that one.
 	if id != r.AttemptID && !(id == "" && notExecuted) {
-		return nil, x.breakOff(errOtherAnswer)
+		return nil, rt.breakOff(errOtherAnswer)
 	}
-	response := x.response(head)
+	response := rt.response(head)
 	response.body.reusable = response.body.reusable && id != ""
 	if notExecuted {
 		return nil, response.notExecutedFailure()
@@ -95,13 +95,13 @@
 }
 
 // response returns the response of the head of an answer.
-func (x *exchange) response(head *http.Response) *Response {
-	recordKeepAlive(x.conn, head.Header)
+func (rt *roundTrip) response(head *http.Response) *Response {
+	recordKeepAlive(rt.conn, head.Header)
 	return &Response{
 		Status:    head.StatusCode,
 		Load:      parseServerLoad(head.Header.Get(HeaderServerLoad)),
 		Streaming: isStream(head.Header),
-		body:      newBody(x, head),
+		body:      newBody(rt, head),
 		Header:    endToEnd(head.Header),
 	}
 }
@@ -110,7 +110,7 @@
 func (r *Response) notExecutedFailure() *Failure {
 	r.body.drain()
 	return &Failure{
-		Backend: r.body.exchange.backendID,
+		Backend: r.body.roundTrip.backendID,
 		Outcome: NotExecuted,
 		Err:     errNotExecuted,
 		Status:  r.Status,
@@ -119,21 +119,21 @@
 }
 
 // breakOff closes the connection of a request that was sent, and returns why as a failure.
-func (x *exchange) breakOff(err error) *Failure {
-	f := x.failure(MayHaveRun, err)
-	f.TimedOut = !f.Cancelled && !time.Now().Before(x.deadline)
-	x.release(false)
+func (rt *roundTrip) breakOff(err error) *Failure {
+	f := rt.failure(MayHaveRun, err)
+	f.TimedOut = !f.Cancelled && !time.Now().Before(rt.deadline)
+	rt.release(false)
 	if f.TimedOut {
-		x.client.pool.CloseUnresponsive(x.backend, x.startedAt)
+		rt.client.pool.CloseUnresponsive(rt.backend, rt.startedAt)
 	}
 	return f
 }
 
 // release gives the connection back, to be kept only if the end of the context has not changed its deadline.
-func (x *exchange) release(keep bool) {
-	untouched := x.stopWatch()
-	keep = keep && untouched && x.conn.Reader.Buffered() == 0
-	x.client.pool.Release(x.conn, keep)
+func (rt *roundTrip) release(keep bool) {
+	untouched := rt.stopWatch()
+	keep = keep && untouched && rt.conn.Reader.Buffered() == 0
+	rt.client.pool.Release(rt.conn, keep)
 }
 
 // readHead reads the head of the final answer.
--- a/internal/forward/response.go
+++ b/internal/forward/response.go
@@ -35,7 +35,7 @@
 // Next returns the next whole event of a stream. It returns io.EOF after the last event of a stream that ended properly, and
 // a *Failure if the stream broke off. Bytes after the last event of a stream that ended properly are an event of their own.
 func (r *Response) Next() (Event, error) {
-	r.body.exchange.conn.SetReadLimit(math.MaxInt64)
+	r.body.roundTrip.conn.SetReadLimit(math.MaxInt64)
 	event, err := r.body.events.next()
 	switch {
 	case err == nil:
--- a/internal/proxy/batch.go
+++ b/internal/proxy/batch.go
@@ -20,20 +20,20 @@
 	itemPrefix = "/-/items/"
 
 	headerWait = "Nickelline-Wait-Timeout-Ms"
-	// longestWait bounds how long a read of results is held until there is one.
+	// maxResultsWait bounds how long a read of results waits for the first one.
 	maxResultsWait = time.Second
-	// batchPatience is how long a call about a batch job may take, where the client does not tell.
+	// batchPatience is how long a call about a batch job may take if the client does not say.
 	batchPatience = 2 * time.Second
 )
 
-// BatchAPI takes and answers the calls about batch jobs. Errors are of package fault: NotFound where there is no such thing,
-// QuotaExceeded, Overloaded and NotReady where nothing was taken, Unclear where that is not known.
+// BatchAPI serves the calls about batch jobs. Errors are of package fault: NotFound if the job or item does not exist,
+// QuotaExceeded, Overloaded and NotReady if nothing was taken, Unclear if that is not known.
 type BatchAPI interface {
-	// Submit takes a job, whose body is as the client sent it. It returns nil once the job is the system's to keep.
+	// Submit takes a job, whose body is as the client sent it. It returns nil once the job is stored durably.
 	Submit(ctx context.Context, tenant string, route *configuration.Route, job string, body []byte) error
-	// Results reads results from a position onward. It waits up to a time for the first one.
+	// Results returns results after a position. It waits up to a time for the first one.
 	Results(ctx context.Context, tenant, job string, startAfter int, wait time.Duration) (batch.Page, error)
-	// ItemBody gives the body of an item that is not listed yet.
+	// ItemBody returns the body of an item that is not listed yet.
 	ItemBody(ctx context.Context, tenant, job, item string) ([]byte, error)
 	// End ends a job. It is no error if that was ended before.
 	End(ctx context.Context, tenant, job string) error
@@ -57,6 +57,7 @@
 	stateAbandoned = "abandoned"
 )
 
+// encodeResults returns a page of results as JSON.
 func encodeResults(page batch.Page) ([]byte, error) {
 	answer := resultsAnswer{Total: page.Total, NextToken: page.Next, Results: make([]resultAnswer, 0, len(page.Results))}
 	for _, listed := range page.Results {
@@ -73,12 +74,12 @@
 	return json.Marshal(answer)
 }
 
-// isBatchCall tells whether a path belongs to the calls about jobs that were submitted before.
+// isBatchCall reports whether a path belongs to the calls about jobs that were submitted before.
 func isBatchCall(path string) bool {
 	return strings.HasPrefix(path, jobPrefix) || strings.HasPrefix(path, itemPrefix)
 }
 
-// batchCall answers a call about a job that was submitted before.
+// serveBatchCall answers a call about a job that was submitted before.
 func (p *Proxy) serveBatchCall(ctx context.Context, r *request, w *responseWriter) {
 	snapshot, err := p.snapshot()
 	if err != nil {
@@ -116,6 +117,7 @@
 	}
 }
 
+// serveResults answers a read of results.
 func (p *Proxy) serveResults(ctx context.Context, r *request, w *responseWriter, tenant, job string, query url.Values) {
 	startAfter := 0
 	if text := query.Get("startAfter"); text != "" {
@@ -139,6 +141,7 @@
 	w.writeJSON(http.StatusOK, body)
 }
 
+// serveItemBody answers a read of the body of an item.
 func (p *Proxy) serveItemBody(ctx context.Context, r *request, w *responseWriter, tenant, job string, query url.Values) {
 	if r.method != http.MethodGet {
 		w.writeError(fault.New(fault.BadRequest, "no such call"))
@@ -152,6 +155,7 @@
 	w.write(http.StatusOK, http.Header{"Content-Type": {"application/octet-stream"}}, body)
 }
 
+// serveEnd ends a job.
 func (p *Proxy) serveEnd(ctx context.Context, w *responseWriter, tenant, job string) {
 	if err := p.options.Batch.End(ctx, tenant, job); err != nil {
 		w.writeError(err)
@@ -160,7 +164,7 @@
 	w.writeJSON(http.StatusOK, []byte("{}"))
 }
 
-// submit takes a batch job.
+// serveSubmission takes a batch job.
 func (p *Proxy) serveSubmission(ctx context.Context, r *request, w *responseWriter, route *configuration.Route, tenant string) {
 	if p.options.Batch == nil {
 		w.writeError(fault.New(fault.NotReady, "batch jobs are not served"))
@@ -179,7 +183,7 @@
 	w.writeJSON(http.StatusAccepted, []byte("{}"))
 }
 
-// wait is how long the client wants a read of results to be held.
+// resultsWait returns how long a read of results may wait for the first one.
 func (r *request) resultsWait() time.Duration {
 	ms, err := strconv.ParseFloat(r.header.Get(headerWait), 64)
 	if err != nil || !(ms > 0) {
@@ -188,11 +192,11 @@
 	return min(milliseconds(ms), maxResultsWait)
 }
 
-// patience is how long the client waits, or a default if it does not tell.
-func (r *request) patience(otherwise time.Duration) time.Duration {
+// patience returns how long the client waits, or a default if it does not say.
+func (r *request) patience(fallback time.Duration) time.Duration {
 	ms, err := strconv.ParseFloat(r.header.Get(forward.HeaderDeadline), 64)
 	if err != nil || !(ms >= 0) {
-		return otherwise
+		return fallback
 	}
 	return milliseconds(ms)
 }
--- a/internal/proxy/batch_test.go
+++ b/internal/proxy/batch_test.go
@@ -12,7 +12,7 @@
 	"nickelline/internal/fault"
 )
 
-// fakeBatch notes the last call, and fails with an error if that is set.
+// fakeBatch records the last call, and fails with an error if that is set.
 type fakeBatch struct {
 	call string
 	fail error
@@ -52,12 +52,12 @@
 	}{
 		{"submit", requestText("/batch/7c", "", "{}"), "submit t1 r-batch " + testID + " {}", nil, 202, "{}"},
 		{"no room", requestText("/batch/7c", "", "{}"), "submit t1 r-batch " + testID + " {}", fault.New(fault.QuotaExceeded, "x"), 429, ""},
-		{"fate not known", requestText("/batch/7c", "", "{}"), "submit t1 r-batch " + testID + " {}", fault.New(fault.Unclear, "x"), 504, ""},
+		{"unclear whether taken", requestText("/batch/7c", "", "{}"), "submit t1 r-batch " + testID + " {}", fault.New(fault.Unclear, "x"), 504, ""},
 		{"submit by GET", get("/batch/7c", ""), "", nil, 400, ""},
 		{"results", get("/-/lots/7c?startAfter=12", "Nickelline-Wait-Timeout-Ms: 1000\r\n"), "results t1 7c 12 1s", nil, 200,
 			`{"total":40,"nextToken":14,"results":[{"identifier":"e5","state":"completed","content":"a\n\u003cb\u003e"},{"identifier":"e6","state":"abandoned","content":""}]}`},
 		{"results from the start", get("/-/lots/7c", ""), "results t1 7c 0 0s", nil, 200, ""},
-		{"results from nowhere", get("/-/lots/7c?startAfter=-1", ""), "", nil, 400, ""},
+		{"results from an invalid position", get("/-/lots/7c?startAfter=-1", ""), "", nil, 400, ""},
 		{"no such job", get("/-/lots/7c", ""), "results t1 7c 0 0s", fault.New(fault.NotFound, "x"), 404, ""},
 		{"not sure", get("/-/lots/7c", ""), "results t1 7c 0 0s", fault.New(fault.NotReady, "x"), 503, ""},
 		{"body", get("/-/items/7c?identifier=e5", ""), "body t1 7c e5", nil, 200, "\x00\xff"},
@@ -71,10 +71,10 @@
 			s := startTier(t, func(o *Options) { o.Batch = api })
 			a := s.ask(t, c.text)
 			if a.StatusCode != c.status || c.body != "" && a.body != c.body {
-				t.Errorf("answer %d %q, want %d %q", a.StatusCode, a.body, c.status, c.body)
+				t.Errorf("answer: got %d %q, want %d %q", a.StatusCode, a.body, c.status, c.body)
 			}
 			if api.call != c.call {
-				t.Errorf("call %q, want %q", api.call, c.call)
+				t.Errorf("call: got %q, want %q", api.call, c.call)
 			}
 		})
 	}
@@ -85,6 +85,6 @@
 	s := startTier(t, func(o *Options) { o.Batch = api })
 	s.setProofAge(time.Minute)
 	if a := s.post(t, "/batch/7c"); a.StatusCode != 503 || api.call != "" {
-		t.Errorf("answer %d, call %q", a.StatusCode, api.call)
+		t.Errorf("got status %d and call %q, want 503 and no call", a.StatusCode, api.call)
 	}
 }
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -10,39 +10,39 @@
 )
 
 const (
-	// bodyRate is the least speed, in bytes a second, at which a request has to come once its time for the header is over.
+	// minBodyRate is the least rate, in bytes a second, at which a request must arrive after the time for its header.
 	minBodyRate = 64 << 10
-	// idleReserve is the part of the idle time-out, and mostIdleReserve the greatest time, by which a connection is kept for longer: a
-	// client may send a request just before its time is over, and that must not meet the close.
+	// A connection is kept longer than its idle timeout by idleReserveFraction of it, and at most by maxIdleReserve: a client
+	// may send a request just before the timeout, which must not meet the close.
 	idleReserveFraction = 0.1
 	maxIdleReserve      = time.Second
-	// hangUpLimit bounds the bytes that are thrown away when a connection is closed over a request that was not read.
+	// maxDiscarded bounds the bytes that are discarded when a connection is closed with a request that was not read.
 	maxDiscarded = 256 << 10
-	// writeWait is how long a client may take to read what it is sent.
+	// writeTimeout is how long a client may take to read what it is sent.
 	writeTimeout = 5 * time.Second
 )
 
-// connState is what a connection is about.
+// connState is what a connection is doing.
 type connState uint8
 
 const (
-	// waiting: nothing of a request has been read that is not answered.
+	// stateIdle: nothing of an unanswered request has been read.
 	stateIdle connState = iota
-	// reading: a part of a request has been read.
+	// stateReading: a request has been read in part.
 	stateReading
-	// serving: a request has been read, and its answer is not written whole.
+	// stateServing: a request has been read, and its answer is not yet written whole.
 	stateServing
-	// shut: nothing is read any more.
+	// stateClosed: nothing is read any more.
 	stateClosed
 )
 
-// longPast is the deadline by which hertz ends the read that senses whether a client leaves.
+// pastDeadline is the deadline by which hertz ends the read that detects whether a client leaves.
 var pastDeadline = time.Unix(1, 0)
 
-// clientConn is the connection of a client. It takes over the deadlines that hertz sets: what hertz asks for tells what the
-// connection is about, and how long that may take is decided here, by the configuration in force.
+// clientConn is the connection of a client. It interprets the deadlines that hertz sets: they show what the connection is
+// doing. How long that may take is decided here, by the configuration in force.
 //
-// Reads and changes of state are made under one lock, so that whoever closes a waiting connection knows that nothing of a
+// Reads and changes of state are made under one mutex, so that whoever closes an idle connection knows that nothing of a
 // request has been read from it.
 type clientConn struct {
 	*net.TCPConn
@@ -52,14 +52,15 @@
 
 	mutex            sync.Mutex
 	state            connState
-	stateSince       time.Time // of the state
-	bytesRead        int64     // bytes read in the state reading
-	requestStartedAt time.Time // of the request that is read or served
-	readAhead        bool      // something of the next request was read while serving
-	// aborting: the read that senses whether the client leaves is being ended.
+	stateSince       time.Time // when the state began
+	bytesRead        int64     // bytes read in stateReading
+	requestStartedAt time.Time // first bytes of the request that is read or served
+	readAhead        bool      // something of the next request was read in stateServing
+	// aborting: the read that detects whether the client leaves is being ended.
 	aborting bool
 }
 
+// newClientConn returns an idle connection.
 func newClientConn(tcp *net.TCPConn, owner *server) (*clientConn, error) {
 	raw, err := tcp.SyscallConn()
 	if err != nil {
@@ -70,26 +71,26 @@
 	return c, nil
 }
 
-// Read reads what has come, or waits for it.
+// Read reads what has come, or waits until something comes or the deadline of the state passes.
 func (c *clientConn) Read(p []byte) (n int, err error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
-	waited := c.raw.Read(func(fd uintptr) bool {
+	waitErr := c.raw.Read(func(fd uintptr) bool {
 		n, err = c.readNow(int(fd), p)
 		return err != syscall.EAGAIN
 	})
-	if waited != nil && c.expectsNothing() {
-		return 0, io.EOF // hertz would answer what nobody asked
+	if waitErr != nil && c.endedIdle() {
+		return 0, io.EOF // hertz would answer a request that nobody sent
 	}
-	if waited != nil {
-		return 0, waited
+	if waitErr != nil {
+		return 0, waitErr
 	}
 	return n, err
 }
 
-// idle tells whether a read has ended because no request came.
-func (c *clientConn) expectsNothing() bool {
+// endedIdle reports whether a read has ended because no request came.
+func (c *clientConn) endedIdle() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return !c.aborting && (c.state == stateIdle || c.state == stateClosed)
@@ -117,7 +118,7 @@
 	}
 }
 
-// heard notes that something of a request was read.
+// recordRead counts bytes that were read of a request.
 func (c *clientConn) recordRead(n int) {
 	switch c.state {
 	case stateIdle:
@@ -131,6 +132,7 @@
 	}
 }
 
+// setState begins a state.
 func (c *clientConn) setState(state connState) {
 	c.state = state
 	c.stateSince = time.Now()
@@ -141,7 +143,7 @@
 }
 
 // SetReadDeadline is called by hertz: without a deadline when it has read a request and watches whether the client leaves,
-// with one long past when it has answered, and with others when it waits for a request or its parts.
+// with pastDeadline when it has answered, and with others when it waits for a request or the rest of one.
 func (c *clientConn) SetReadDeadline(deadline time.Time) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -161,7 +163,7 @@
 	return nil
 }
 
-// answered goes on to the next request, of which something may have been read. If not, and no more are served, the
+// finishRequest goes on to the next request, of which something may have been read. If not, and the server is finishing, the
 // connection is closed.
 func (c *clientConn) finishRequest() {
 	switch {
@@ -175,17 +177,17 @@
 	c.readAhead = false
 }
 
-// setReadDeadline sets how long the next part of a request may take.
+// setReadDeadline sets how long the next bytes of a request may take.
 func (c *clientConn) setReadDeadline() {
 	limits := c.server.limits()
-	wait := limits.IdleTimeout + min(time.Duration(idleReserveFraction*float64(limits.IdleTimeout)), maxIdleReserve)
+	timeout := limits.IdleTimeout + min(time.Duration(idleReserveFraction*float64(limits.IdleTimeout)), maxIdleReserve)
 	if c.state == stateReading {
-		wait = limits.HeaderTimeout + time.Duration(c.bytesRead)*time.Second/minBodyRate
+		timeout = limits.HeaderTimeout + time.Duration(c.bytesRead)*time.Second/minBodyRate
 	}
-	c.TCPConn.SetReadDeadline(c.stateSince.Add(wait))
+	c.TCPConn.SetReadDeadline(c.stateSince.Add(timeout))
 }
 
-// closeIfWaiting closes a connection of which nothing of a request has been read that is not answered.
+// closeIfIdle closes a connection unless something of an unanswered request has been read. It reports whether it did.
 func (c *clientConn) closeIfIdle() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -193,18 +195,18 @@
 		return false
 	}
 	c.state = stateClosed
-	c.TCPConn.SetReadDeadline(pastDeadline) // whoever waits for a request closes the connection
+	c.TCPConn.SetReadDeadline(pastDeadline) // the goroutine that waits for a request closes the connection
 	return true
 }
 
-// waitingSince tells since when nothing is open on the connection, if so.
+// idleSince returns since when the connection has been idle, and whether it is.
 func (c *clientConn) idleSince() (time.Time, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.stateSince, c.state == stateIdle
 }
 
-// requestBegan tells when the first bytes of the request that is being served came.
+// requestStarted returns when the first bytes of the present request came.
 func (c *clientConn) requestStarted() time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -224,24 +226,25 @@
 	return err
 }
 
-// discardUnread ends the sending side and throws away what has come: a close over unread bytes is a reset, which may
-// overtake the answer that tells why. Nobody waits for more.
+// discardUnread ends the sending side and discards what has come: a close with unread bytes is a reset, which may overtake the
+// answer that explains it. It does not wait for more bytes.
 func (c *clientConn) discardUnread() {
 	c.TCPConn.CloseWrite()
 	c.raw.Control(func(fd uintptr) {
 		var rest [4 << 10]byte
-		for thrown := 0; thrown < maxDiscarded; {
+		for discarded := 0; discarded < maxDiscarded; {
 			n, _, err := syscall.Recvfrom(int(fd), rest[:], syscall.MSG_DONTWAIT)
 			if n <= 0 && err != syscall.EINTR {
 				return
 			}
-			thrown += max(0, n)
+			discarded += max(0, n)
 		}
 	})
 }
 
 type connKey struct{}
 
+// withConn returns the context of a connection, from which connOf returns the connection.
 func withConn(c *clientConn) context.Context {
 	return context.WithValue(context.Background(), connKey{}, c)
 }
--- /dev/null
+++ b/internal/proxy/connections.go
@@ -0,0 +1,150 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"net"
+	"time"
+
+	"go.uber.org/zap"
+)
+
+const (
+	// acceptRetryDelay is the pause after a connection could not be accepted, as when file descriptors run out.
+	acceptRetryDelay = 50 * time.Millisecond
+
+	// readinessConnections bounds the connections of the platform's readiness checks.
+	readinessConnections = 64
+
+	// connectionRefusal is the answer to a connection beyond the bound.
+	connectionRefusal        = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.25\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+	connectionRefusalTimeout = 20 * time.Millisecond
+)
+
+// listener accepts connections for hertz.
+type listener struct {
+	*net.TCPListener
+	server *server
+}
+
+// Accept returns the next connection that there is room for.
+func (l *listener) Accept() (net.Conn, error) {
+	for {
+		tcp, err := l.AcceptTCP()
+		switch {
+		case errors.Is(err, net.ErrClosed):
+			return nil, err
+		case err != nil:
+			l.server.log.Warn("accept connection failed", zap.Error(err))
+			l.server.evict()
+			time.Sleep(acceptRetryDelay)
+			continue
+		}
+		if c := l.server.addConnection(tcp); c != nil {
+			return c, nil
+		}
+		refuseConnection(tcp)
+	}
+}
+
+// addConnection returns a new connection, nil if there is no room for it.
+func (s *server) addConnection(tcp *net.TCPConn) *clientConn {
+	if s.isFull() && !s.evict() {
+		return nil
+	}
+	c, err := newClientConn(tcp, s)
+	if err != nil {
+		return nil
+	}
+	s.mutex.Lock()
+	s.conns[c] = struct{}{}
+	s.mutex.Unlock()
+	if s.finishing.Load() {
+		c.closeIfIdle()
+	}
+	return c
+}
+
+// isFull reports whether there are as many connections as allowed.
+func (s *server) isFull() bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return len(s.conns) >= s.maxConnections
+}
+
+// evict closes the connection that has been idle longest, and reports whether there was one.
+func (s *server) evict() bool {
+	var oldest *clientConn
+	var oldestSince time.Time
+	for _, c := range s.connections() {
+		since, idle := c.idleSince()
+		if idle && (oldest == nil || since.Before(oldestSince)) {
+			oldest, oldestSince = c, since
+		}
+	}
+	return oldest != nil && oldest.closeIfIdle()
+}
+
+// connections returns all connections.
+func (s *server) connections() []*clientConn {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	all := make([]*clientConn, 0, len(s.conns))
+	for c := range s.conns {
+		all = append(all, c)
+	}
+	return all
+}
+
+// remove forgets a connection that has been closed.
+func (s *server) remove(c *clientConn) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	delete(s.conns, c)
+	if len(s.conns) == 0 && s.drained != nil {
+		close(s.drained)
+		s.drained = nil
+	}
+}
+
+// refuseConnection answers a connection that there is no room for, and closes it.
+func refuseConnection(tcp *net.TCPConn) {
+	tcp.SetWriteDeadline(time.Now().Add(connectionRefusalTimeout))
+	tcp.Write([]byte(connectionRefusal))
+	tcp.CloseWrite()
+	tcp.Close()
+}
+
+// drain accepts no more connections, closes the idle ones, and waits until the others have got their answers.
+func (s *server) drain(ctx context.Context) {
+	s.listener.Close()
+	s.finishing.Store(true)
+	for _, c := range s.connections() {
+		c.closeIfIdle()
+	}
+	select {
+	case <-s.allClosed():
+	case <-ctx.Done():
+	}
+}
+
+// allClosed returns a channel that is closed once there is no connection.
+func (s *server) allClosed() <-chan struct{} {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	none := make(chan struct{})
+	if len(s.conns) == 0 {
+		close(none)
+		return none
+	}
+	s.drained = none
+	return none
+}
+
+// close closes the listener and all connections.
+func (s *server) close() {
+	s.listener.Close()
+	for _, c := range s.connections() {
+		c.Close()
+	}
+}
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -7,14 +7,16 @@
 )
 
 const (
-	// drainNotice is how long the platform may take to send nobody any more: it asks once a second, and two misses count.
+	// defaultDrainNotice is how long the platform may take to stop sending clients: it checks once a second, and acts on the
+	// second failed check.
 	defaultDrainNotice = 2500 * time.Millisecond
-	// drainReserve is kept from the grace period, and no more than a part of it: all has ended by then.
+	// drainReserve is kept from the grace period for the end of the process, but no more than the grace period divided by
+	// drainReserveDivisor.
 	drainReserve        = time.Second
 	drainReserveDivisor = 4
 )
 
-// answerReadiness answers the platform's question whether the node takes new connections.
+// answerReadiness answers the platform's check whether the node takes new connections.
 func (p *Proxy) answerReadiness(_ context.Context, _ *request, w *responseWriter) {
 	if !p.Ready() {
 		w.write(http.StatusServiceUnavailable, nil, nil)
@@ -23,9 +25,9 @@
 	w.write(http.StatusOK, nil, nil)
 }
 
-// Drain ends the proxy in order: it is no longer ready at once, but serves what arrives until the platform has had the time
-// to notice; then it closes what is idle, waits for the answers that are being given, and returns. That takes no longer than
-// the grace period allows.
+// Drain ends the proxy in order. It is no longer ready at once, but serves new requests until the platform has had the time to
+// notice. Then it closes idle connections, waits for the answers under way, and returns. That takes no longer than the grace
+// period allows.
 func (p *Proxy) Drain(ctx context.Context) {
 	grace := p.options.Grace
 	ctx, cancel := context.WithTimeout(ctx, grace-min(drainReserve, grace/drainReserveDivisor))
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -43,7 +43,7 @@
 	} {
 		set(c.change)
 		if got := s.ready(t); got != c.want {
-			t.Errorf("%s: %d, want %d", c.name, got, c.want)
+			t.Errorf("%s: status: got %d, want %d", c.name, got, c.want)
 		}
 	}
 }
@@ -55,7 +55,7 @@
 	}
 }
 
-// drain begins a drain whose time for the platform to notice ends when the test says so.
+// drain begins a drain with a notice time.
 func (t *tier) drain(test *testing.T, notice time.Duration) (ended chan struct{}) {
 	test.Helper()
 	t.Proxy.drainNotice = notice
@@ -88,7 +88,7 @@
 	test.Fatal("nothing is read")
 }
 
-func TestDrainServesWhatArrives(t *testing.T) {
+func TestDrainServesNewRequests(t *testing.T) {
 	b := startBackend(t, ok("a"))
 	s := startTier(t, nil, b)
 	kept := s.connect(t)
@@ -106,7 +106,7 @@
 	kept.expectClosed(t)
 	select {
 	case <-ended:
-		t.Error("the drain has ended")
+		t.Error("the drain ended before the notice was over")
 	default:
 	}
 }
@@ -142,7 +142,7 @@
 	}
 	wait(t, ended, "end of the drain")
 	if _, err := net.Dial("tcp", s.address); err == nil {
-		t.Error("a connection is accepted still")
+		t.Error("a connection was accepted after the drain")
 	}
 }
 
@@ -176,8 +176,8 @@
 	wait(t, b.requests, "request")
 	began := time.Now()
 	wait(t, s.drain(t, time.Millisecond), "end of the drain")
-	if took := time.Since(began); took > time.Second {
-		t.Errorf("the drain took %v", took)
+	if elapsed := time.Since(began); elapsed > time.Second {
+		t.Errorf("the drain took %v", elapsed)
 	}
 	c.expectClosed(t)
 }
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -73,10 +73,10 @@
 			s := startTier(t, nil, backends...)
 			a := s.post(t, c.path)
 			if a.StatusCode != c.status || a.err != nil {
-				t.Errorf("answer %d %q %v, want %d", a.StatusCode, a.body, a.err, c.status)
+				t.Errorf("answer: got %d %q %v, want %d", a.StatusCode, a.body, a.err, c.status)
 			}
 			if counts := s.counts(); !slices.Equal(counts, c.counts) {
-				t.Errorf("requests by backend: %v, want %v", counts, c.counts)
+				t.Errorf("requests by backend: got %v, want %v", counts, c.counts)
 			}
 			sealed := a.Header.Get(forward.HeaderResponseSeal) != ""
 			if sealed != (c.body != "") || sealed && a.body != c.body {
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestAdmissionIsTold(t *testing.T) {
+func TestOutcomesAndLoadsAreReportedToAdmission(t *testing.T) {
 	full := startBackend(t, text(whole(503, notRun+loadField, "")))
 	broken := startBackend(t, breakOff)
 	good := startBackend(t, text(whole(200, sealField+"Nickelline-Server-Load: 1,0,8\r\n", "")))
@@ -101,22 +101,22 @@
 	s.ask(t, requestText("/many/x", "Nickelline-Token-Usage: 1460,80\r\nNickelline-Prompt-Prefix: 5c:800, 91:410,e4:250\r\n", ""))
 	want := []admission.Outcome{admission.Full, admission.Failed, admission.OK}
 	if !slices.Equal(s.outcomes, want) {
-		t.Errorf("outcomes %v, want %v", s.outcomes, want)
+		t.Errorf("outcomes: got %v, want %v", s.outcomes, want)
 	}
 	loads := []admission.Load{{Running: 8, Waiting: 2, Slots: 8}, {Running: 1, Waiting: 0, Slots: 8}}
 	if !slices.Equal(s.loads, loads) {
-		t.Errorf("loads %v, want %v", s.loads, loads)
+		t.Errorf("loads: got %v, want %v", s.loads, loads)
 	}
 	asked := s.asked[0]
 	if asked.Tokens != 1540 || asked.Priority != 0 || asked.Batch || asked.Prefix != nil {
-		t.Errorf("asked for %+v", asked)
+		t.Errorf("admission request: got %+v", asked)
 	}
 }
 
-func TestPromptParts(t *testing.T) {
+func TestPromptSegments(t *testing.T) {
 	for text, want := range map[string][]string{"": nil, "5c:800, 91:410,e4:250": {"5c", "91", "e4"}, "5c": {"5c"}} {
 		if got := promptSegments(text); !slices.Equal(got, want) {
-			t.Errorf("%q: %v, want %v", text, got, want)
+			t.Errorf("promptSegments(%q): got %v, want %v", text, got, want)
 		}
 	}
 }
@@ -141,8 +141,8 @@
 func TestDeadline(t *testing.T) {
 	for _, path := range []string{"/once/x", "/many/x", "/stream/x", "/resume/x"} {
 		t.Run(path, func(t *testing.T) {
-			silent := startBackend(t, hold(""))
-			s := startTier(t, nil, silent, startBackend(t, ok("")))
+			unresponsive := startBackend(t, hold(""))
+			s := startTier(t, nil, unresponsive, startBackend(t, ok("")))
 			began := time.Now()
 			a := s.ask(t, requestText(path, "Nickelline-Deadline-Remaining-Ms: 80\r\n", ""))
 			if took := time.Since(began); a.StatusCode != 504 || took > time.Second {
@@ -151,9 +151,9 @@
 			if counts := s.counts(); !slices.Equal(counts, []int{1, 0}) {
 				t.Errorf("requests by backend: %v", counts)
 			}
-			told, _ := strconv.Atoi((<-silent.requests).Header.Get(forward.HeaderDeadline))
-			if told <= 0 || told > 80 {
-				t.Errorf("the backend was told %d ms", told)
+			remaining, _ := strconv.Atoi((<-unresponsive.requests).Header.Get(forward.HeaderDeadline))
+			if remaining <= 0 || remaining > 80 {
+				t.Errorf("%s: got %d, want 1 to 80", forward.HeaderDeadline, remaining)
 			}
 		})
 	}
@@ -177,7 +177,7 @@
 	}
 }
 
-func TestNoSecondRunThatCannotBeInTime(t *testing.T) {
+func TestNoRetryThatCannotBeInTime(t *testing.T) {
 	s := startTier(t, nil, startBackend(t, breakOff), startBackend(t, ok("")))
 	if a := s.ask(t, requestText("/many/x", "Nickelline-Deadline-Remaining-Ms: 90\r\n", "")); a.StatusCode != 504 {
 		t.Errorf("answer %d", a.StatusCode)
@@ -187,7 +187,7 @@
 	}
 }
 
-func TestWhoMayAsk(t *testing.T) {
+func TestAuthentication(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		text   string
@@ -213,21 +213,21 @@
 			s := startTier(t, nil, b)
 			s.setProofAge(c.age)
 			if a := s.ask(t, c.text); a.StatusCode != c.status {
-				t.Errorf("answer %d, want %d", a.StatusCode, c.status)
+				t.Errorf("status: got %d, want %d", a.StatusCode, c.status)
 			}
 			if sent := len(b.requests) > 0; sent != (c.status == 200) {
 				t.Fatalf("sent: %v", sent)
 			}
 			if c.status == 200 {
 				if tenant := (<-b.requests).Header.Get(forward.HeaderTenant); tenant != c.tenant {
-					t.Errorf("tenant %q, want %q", tenant, c.tenant)
+					t.Errorf("tenant: got %q, want %q", tenant, c.tenant)
 				}
 			}
 		})
 	}
 }
 
-func TestProofIsLookedAtBeforeEachAttempt(t *testing.T) {
+func TestProofIsCheckedBeforeEachAttempt(t *testing.T) {
 	var s *tier
 	full := startBackend(t, func(b *backend, r received, conn net.Conn) bool {
 		s.setProofAge(time.Minute)
@@ -240,7 +240,7 @@
 	}
 }
 
-func TestEventsAreForwardedAsTheyCome(t *testing.T) {
+func TestEventsAreDeliveredAsTheyCome(t *testing.T) {
 	next := make(chan string)
 	b := startBackend(t, func(b *backend, r received, conn net.Conn) bool {
 		hold(streamHead)(b, r, conn)
@@ -268,7 +268,7 @@
 			}
 		}
 		if string(got) != want {
-			t.Errorf("read %q, want %q", got, want)
+			t.Errorf("events: got %q, want %q", got, want)
 		}
 	}
 	read(firstEvent)
@@ -292,7 +292,7 @@
 	continued := func(t *testing.T, after, answer string) reply {
 		return func(b *backend, r received, conn net.Conn) bool {
 			if got := r.Header.Get("Last-Event-Id"); got != after {
-				t.Errorf("asked to continue after %q, want %q", got, after)
+				t.Errorf("asked to continue after: got %q, want %q", got, after)
 			}
 			return text(answer)(b, r, conn)
 		}
@@ -361,13 +361,13 @@
 			s := startTier(t, nil, backends...)
 			a := s.post(t, c.path)
 			if a.StatusCode != c.status || a.body != c.body {
-				t.Errorf("answer %d %q, want %d %q", a.StatusCode, a.body, c.status, c.body)
+				t.Errorf("answer: got %d %q, want %d %q", a.StatusCode, a.body, c.status, c.body)
 			}
 			if (a.err != nil) != c.cut {
-				t.Errorf("the body ends with %v; want it cut: %v", a.err, c.cut)
+				t.Errorf("end of the body: got %v, want it incomplete: %v", a.err, c.cut)
 			}
 			if counts := s.counts(); !slices.Equal(counts, c.counts) {
-				t.Errorf("requests by backend: %v, want %v", counts, c.counts)
+				t.Errorf("requests by backend: got %v, want %v", counts, c.counts)
 			}
 			if seal := a.Header.Get(forward.HeaderResponseSeal); c.status == 200 && seal != testSeal {
 				t.Errorf("seal %q is not that of the first backend", seal)
@@ -466,7 +466,7 @@
 	}
 }
 
-func TestRetryAfterIsSpread(t *testing.T) {
+func TestRetryAfterIsRandomized(t *testing.T) {
 	seen := map[string]bool{}
 	for range 100 {
 		text := formatRetryAfter(200 * time.Millisecond)
@@ -477,10 +477,10 @@
 		seen[text] = true
 	}
 	if len(seen) < 20 {
-		t.Errorf("%d values only", len(seen))
+		t.Errorf("distinct values of Retry-After: got %d", len(seen))
 	}
 	err := fmt.Errorf("wrapped: %w", &retryAfterError{errors.New("x"), time.Second})
 	if after := retryAfter(err); after != time.Second {
-		t.Errorf("%v", after)
+		t.Errorf("retryAfter: got %v, want 1s", after)
 	}
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -71,7 +71,7 @@
 	closed   chan struct{} // one for each connection that the other side has closed
 }
 
-// reply answers a request. It returns false to have the connection closed.
+// reply answers a request. It returns false if the connection is to be closed.
 type reply func(b *backend, r received, conn net.Conn) bool
 
 // text answers with a text, in which ID stands for the id of the request, and closes the connection.
@@ -82,7 +82,7 @@
 	}
 }
 
-// hold answers with a text, and then nothing more.
+// hold answers with a text, and keeps the connection open.
 func hold(answer string) reply {
 	return func(b *backend, r received, conn net.Conn) bool {
 		text(answer)(b, r, conn)
@@ -175,7 +175,7 @@
 	}
 }
 
-// tier is a proxy before backends, which are tried in their order.
+// tier is a proxy and its backends, which are tried in their order.
 type tier struct {
 	*Proxy
 	address   string
@@ -191,7 +191,7 @@
 	unknown  bool // whether the list of backends is not there
 }
 
-func (t *tier) pick(_ string, _ time.Time, r admission.Request) (discovery.Backend, Ticket, *admission.Refusal) {
+func (t *tier) selectBackend(_ string, _ time.Time, r admission.Request) (discovery.Backend, Ticket, *admission.Refusal) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.asked = append(t.asked, r)
@@ -252,7 +252,7 @@
 			defer s.mutex.Unlock()
 			return !s.unknown
 		},
-		Pick:        s.pick,
+		Selector:    SelectorFunc(s.selectBackend),
 		Sender:      client,
 		Grace:       testPatience,
 		Connections: 100,
@@ -292,7 +292,7 @@
 	return &client{conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
-// request gives the text of a request with the usual fields.
+// requestText returns the text of a request with the usual fields.
 func requestText(path, fields, body string) string {
 	return "POST " + path + " HTTP/1.1\r\nHost: " + testHost + "\r\nNickelline-Attempt-Id: " + testID +
 		"\r\nAuthorization: Bearer " + testKey + "\r\n" + fields + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
@@ -345,7 +345,7 @@
 	return s.ask(t, requestText(path, "", "body"))
 }
 
-// counts tells how many requests each backend has received.
+// counts returns how many requests each backend has received.
 func (s *tier) counts() []int {
 	var counts []int
 	for _, b := range s.backends {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -17,33 +17,33 @@
 const (
 	methodHead = http.MethodHead
 	bearer     = "Bearer "
-	// longestPatience bounds what a client may say that it waits.
+	// maxPatience bounds how long a client may say that it waits.
 	maxPatience = time.Hour
 )
 
 // request is a client's request as it was read, whole.
 type request struct {
 	method string
-	// target is the path and query exactly as received, path the part before the query.
+	// target is the path and query exactly as received, path what precedes the query.
 	target, path string
 	host         string
 	header       http.Header
 	// body is valid until the handler returns.
 	body      []byte
 	attemptID string
-	// began is when the first bytes of the request came.
+	// startedAt is when the first bytes of the request came.
 	startedAt time.Time
-	// closing: the client wants the connection to be closed behind the answer.
+	// closeConnection: the client wants the connection to be closed after the answer.
 	closeConnection bool
 }
 
-// query is the target's part behind the question mark.
+// query returns what follows the question mark in the target.
 func (r *request) query() string {
 	_, query, _ := strings.Cut(r.target, "?")
 	return query
 }
 
-// key is the API key that the request carries, empty if none.
+// key returns the API key that the request carries, empty if none.
 func (r *request) key() string {
 	field := r.header.Get("Authorization")
 	if len(field) < len(bearer) || !strings.EqualFold(field[:len(bearer)], bearer) {
@@ -52,9 +52,9 @@
 	return strings.TrimSpace(field[len(bearer):])
 }
 
-// readRequest checks what hertz has read. A request whose end could be seen differently by others is refused: hertz takes
-// some that RFC 9112 leaves in doubt.
-func readRequest(h *protocol.Request, limits configuration.Limits, began time.Time) (*request, error) {
+// readRequest checks what hertz has read. A request whose end others could see differently is refused: hertz accepts some
+// that RFC 9112 leaves in doubt.
+func readRequest(h *protocol.Request, limits configuration.Limits, startedAt time.Time) (*request, error) {
 	raw := h.Header.RawHeaders()
 	if len(raw) > limits.MaxHeaderBytes {
 		return nil, fault.New(fault.HeaderTooLarge, "the header has %d bytes", len(raw))
@@ -80,7 +80,7 @@
 		header:          header,
 		body:            body,
 		attemptID:       header.Get(forward.HeaderAttemptID),
-		startedAt:       began,
+		startedAt:       startedAt,
 		closeConnection: h.Header.ConnectionClose() || hasToken(header["Connection"], "close"),
 	}
 	r.path, _, _ = strings.Cut(r.target, "?")
@@ -135,11 +135,11 @@
 	return len(name) > 0
 }
 
-// hasToken tells whether a list of words in a field holds a word.
-func hasToken(values []string, word string) bool {
+// hasToken reports whether a field with a list of tokens contains a token.
+func hasToken(values []string, token string) bool {
 	for _, value := range values {
-		for part := range strings.SplitSeq(value, ",") {
-			if strings.EqualFold(strings.TrimSpace(part), word) {
+		for element := range strings.SplitSeq(value, ",") {
+			if strings.EqualFold(strings.TrimSpace(element), token) {
 				return true
 			}
 		}
--- a/internal/proxy/answer.go
+++ b/internal/proxy/responsewriter.go
@@ -2,8 +2,6 @@
 
 import (
 	"bytes"
-	"errors"
-	"math/rand/v2"
 	"net/http"
 	"strconv"
 	"sync"
@@ -12,16 +10,16 @@
 
 	"nickelline/internal/fault"
 	"nickelline/internal/forward"
-	"nickelline/internal/quota"
 )
 
 const (
-	// retryAfter is what a client is told where nobody knows better.
+	// defaultRetryAfter is what a client is told if no better estimate is known.
 	defaultRetryAfter = 100 * time.Millisecond
-	// retrySpread is the part of a time to retry by which it is made longer or shorter at random.
+	// retryJitter is the fraction of a retry time by which it is made longer or shorter at random.
 	retryJitter = 0.25
-	// leastRetryAfter keeps clients from coming back before anything has changed.
-	minRetryAfter   = 10 * time.Millisecond
+	// minRetryAfter keeps clients from coming back before anything has changed.
+	minRetryAfter = 10 * time.Millisecond
+	// maxPooledBuffer is the size of the largest buffer that is kept for another answer, in bytes.
 	maxPooledBuffer = 64 << 10
 
 	lineEnd   = "\r\n"
@@ -30,15 +28,15 @@
 
 var responseBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// answerWriter writes the one answer to a request, and each part of it in one go. Hertz's own answer is not used.
+// responseWriter writes the one answer to a request, each part of it with one system call. Hertz's own answer is not used.
 type responseWriter struct {
 	conn      *clientConn
 	draining  *atomic.Bool
 	onError   func(fault.Kind) // nil: errors are not counted
 	attemptID string
-	// bodiless answers have no body: those to HEAD.
+	// omitBody: the request is HEAD, whose answer has no body.
 	omitBody bool
-	// closing: the connection is closed behind the answer.
+	// closeConnection: the connection is closed after the answer.
 	closeConnection bool
 	started         bool
 	finished        bool
@@ -46,7 +44,7 @@
 	pending         *bytes.Buffer
 }
 
-// whole writes a whole answer.
+// write writes a whole answer.
 func (w *responseWriter) write(status int, header http.Header, body []byte) {
 	b := responseBuffers.Get().(*bytes.Buffer)
 	w.appendHead(b, status, header)
@@ -64,59 +62,11 @@
 	w.finished = w.err == nil
 }
 
+// writeJSON writes a whole answer of JSON.
 func (w *responseWriter) writeJSON(status int, body []byte) {
 	w.write(status, http.Header{"Content-Type": {"application/json"}}, body)
 }
 
-// fault writes the answer to an error.
-func (w *responseWriter) writeError(err error) {
-	kind := fault.KindOf(err)
-	if w.onError != nil {
-		w.onError(kind)
-	}
-	answer := fault.AnswerOf(kind)
-	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
-	if answer.Status == http.StatusTooManyRequests || answer.Status == http.StatusServiceUnavailable {
-		header["Retry-After"] = []string{formatRetryAfter(retryAfter(err))}
-	}
-	w.write(answer.Status, header, []byte(http.StatusText(answer.Status)))
-}
-
-// faultIfUnbegun answers an error unless an answer has begun, which is then cut.
-func (w *responseWriter) writeErrorIfNotStarted(err error) {
-	if !w.started {
-		w.writeError(err)
-	}
-}
-
-// retryError is an error that tells when a new try has good prospects.
-type retryAfterError struct {
-	error
-	after time.Duration
-}
-
-// Unwrap gives the error itself.
-func (e *retryAfterError) Unwrap() error { return e.error }
-
-// retryAfterOf gives the time that an error tells, or a default.
-func retryAfter(err error) time.Duration {
-	var told *retryAfterError
-	if errors.As(err, &told) && told.after > 0 {
-		return told.after
-	}
-	if after := quota.RetryAfter(err); after > 0 {
-		return after
-	}
-	return defaultRetryAfter
-}
-
-// formatRetryAfter gives a time in seconds, made longer or shorter at random so that clients do not come back together.
-func formatRetryAfter(after time.Duration) string {
-	spread := 1 + retryJitter*(2*rand.Float64()-1)
-	after = max(time.Duration(float64(after)*spread), minRetryAfter)
-	return strconv.FormatFloat(after.Seconds(), 'f', 3, 64)
-}
-
 // beginStream prepares the head of a stream, which is written with the first events.
 func (w *responseWriter) beginStream(status int, header http.Header, deadline time.Time) {
 	w.started = true
@@ -126,14 +76,14 @@
 	w.conn.SetWriteDeadline(deadline)
 }
 
-// events writes more of a stream.
+// writeEvents writes more of a stream.
 func (w *responseWriter) writeEvents(events []byte) {
 	b := w.takePending()
 	appendChunk(b, events)
 	w.flush(b)
 }
 
-// endStream writes the last events of a stream that is whole, and its end.
+// endStream writes the last events of a whole stream, and its end.
 func (w *responseWriter) endStream(events []byte) {
 	b := w.takePending()
 	appendChunk(b, events)
@@ -142,7 +92,7 @@
 	w.finished = w.err == nil
 }
 
-// takePending gives the head of a stream that was not written yet, or an empty buffer.
+// takePending returns the head of a stream that was not written yet, or an empty buffer.
 func (w *responseWriter) takePending() *bytes.Buffer {
 	b := w.pending
 	w.pending = nil
@@ -152,6 +102,7 @@
 	return b
 }
 
+// appendChunk appends data in chunked transfer coding.
 func appendChunk(b *bytes.Buffer, data []byte) {
 	if len(data) == 0 {
 		return
@@ -163,7 +114,7 @@
 	b.WriteString(lineEnd)
 }
 
-// head writes the status line and the fields, but for those that tell how long the body is.
+// appendHead appends the status line and the fields, except those that state the length of the body.
 func (w *responseWriter) appendHead(b *bytes.Buffer, status int, header http.Header) {
 	if w.draining.Load() {
 		w.closeConnection = true
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -3,11 +3,8 @@
 import (
 	"context"
 	"math/rand/v2"
-	"strconv"
-	"strings"
 	"time"
 
-	"nickelline/internal/admission"
 	"nickelline/internal/configuration"
 	"nickelline/internal/fault"
 	"nickelline/internal/forward"
@@ -15,19 +12,15 @@
 )
 
 const (
-	headerTokenUsage   = "Nickelline-Token-Usage"
-	headerPromptPrefix = "Nickelline-Prompt-Prefix"
-
-	// answerReserve is kept from a client's patience: the answer has to get to it by then.
+	// answerReserve is subtracted from the time that a client waits: the answer has to reach it by then.
 	answerReserve = 5 * time.Millisecond
 
-	// quotaWaitPart is the part of a route's target latency for which a request may wait for its tenant's budget: a
-	// refusal that comes within a quarter costs less.
+	// quotaWaitFraction of a route's target latency is how long a request may wait for the quota of its tenant: a refusal
+	// within a quarter of the target costs less.
 	quotaWaitFraction = 0.2
 )
 
-// serve answers a client's request. All that may refuse it is looked at after it has been read whole, so that a process that
-// wakes from a freeze does not act on what it knew before.
+// serve answers a client's request, which has been read whole.
 func (p *Proxy) serve(ctx context.Context, r *request, w *responseWriter) {
 	if len(r.header["Host"]) != 1 {
 		w.closeConnection = true
@@ -38,29 +31,42 @@
 		p.serveBatchCall(ctx, r, w)
 		return
 	}
-	snapshot, err := p.snapshot()
+	route, tenant, err := p.routeRequest(r)
 	if err != nil {
 		w.writeError(err)
 		return
 	}
+	if route.Kind == configuration.Batch {
+		p.serveSubmission(ctx, r, w, route, tenantName(tenant))
+		return
+	}
+	p.serveWithinQuota(ctx, r, w, route, tenant)
+}
+
+// routeRequest returns the route of a request, and the tenant whose key it carries; nil where the route needs none.
+func (p *Proxy) routeRequest(r *request) (*configuration.Route, *configuration.Tenant, error) {
+	snapshot, err := p.snapshot()
+	if err != nil {
+		return nil, nil, err
+	}
 	route := snapshot.Match(r.host, r.path)
 	if route == nil {
-		w.writeError(p.ifCurrent(fault.New(fault.RouteNotFound, "no route for %s%s", r.host, r.path)))
-		return
+		return nil, nil, p.ifCurrent(fault.New(fault.RouteNotFound, "no route for %s%s", r.host, r.path))
 	}
 	tenant, err := p.tenantFor(snapshot, route, r)
 	if err != nil {
-		w.writeError(err)
-		return
+		return nil, nil, err
 	}
 	if r.attemptID == "" {
-		w.writeError(fault.New(fault.BadRequest, "%s is missing", forward.HeaderAttemptID))
-		return
-	}
-	if route.Kind == configuration.Batch {
-		p.serveSubmission(ctx, r, w, route, tenantName(tenant))
-		return
+		return nil, nil, fault.New(fault.BadRequest, "%s is missing", forward.HeaderAttemptID)
 	}
+	return route, tenant, nil
+}
+
+// serveWithinQuota serves a request once the quota of its tenant allows it.
+func (p *Proxy) serveWithinQuota(
+	ctx context.Context, r *request, w *responseWriter, route *configuration.Route, tenant *configuration.Tenant,
+) {
 	if tenant == nil || p.options.Quota == nil {
 		p.exchange(ctx, r, w, route, tenant)
 		return
@@ -70,12 +76,12 @@
 		w.writeError(err)
 		return
 	}
-	if ran := p.exchange(ctx, r, w, route, tenant); !ran {
+	if executed := p.exchange(ctx, r, w, route, tenant); !executed {
 		p.options.Quota.Refund(tenant)
 	}
 }
 
-// exchange passes a request to backends. It tells whether the request may have run.
+// exchange sends a request to backends and answers it. It reports whether the request may have run.
 func (p *Proxy) exchange(
 	ctx context.Context, r *request, w *responseWriter, route *configuration.Route, tenant *configuration.Tenant,
 ) bool {
@@ -106,7 +112,7 @@
 	return e.executed > 0
 }
 
-// snapshot gives the configuration in force.
+// snapshot returns the configuration in force.
 func (p *Proxy) snapshot() (*configuration.Snapshot, error) {
 	snapshot := p.options.Configuration()
 	if snapshot == nil {
@@ -115,59 +121,7 @@
 	return snapshot, nil
 }
 
-// tenantFor gives the tenant whose key a request carries; nil where the route needs none.
-func (p *Proxy) tenantFor(snapshot *configuration.Snapshot, route *configuration.Route, r *request) (*configuration.Tenant, error) {
-	if route.Public || !snapshot.RequiresKey() {
-		return nil, nil
-	}
-	return p.authenticate(snapshot, r)
-}
-
-// tenant gives the name of the tenant whose key a call about batch jobs carries.
-func (p *Proxy) callTenant(snapshot *configuration.Snapshot, r *request) (string, error) {
-	if !snapshot.RequiresKey() {
-		return "", nil
-	}
-	tenant, err := p.authenticate(snapshot, r)
-	return tenantName(tenant), err
-}
-
-// keyHolder finds the tenant of a key in a configuration that is proved to be current.
-func (p *Proxy) authenticate(snapshot *configuration.Snapshot, r *request) (*configuration.Tenant, error) {
-	if err := p.checkProof(); err != nil {
-		return nil, err
-	}
-	tenant := snapshot.Tenant(r.key())
-	if tenant == nil {
-		return nil, fault.New(fault.Unauthorized, "the key is not known")
-	}
-	return tenant, nil
-}
-
-// checkProof fails if the configuration may have been replaced too long ago for keys to be trusted.
-func (p *Proxy) checkProof() error {
-	if p.options.MaxProofAge <= 0 || p.options.ProofAge() <= p.options.MaxProofAge {
-		return nil
-	}
-	return fault.New(fault.NotReady, "the configuration is not known to be current")
-}
-
-// ifCurrent gives an error that the configuration is the reason for, if that is proved to be current.
-func (p *Proxy) ifCurrent(err error) error {
-	if stale := p.checkProof(); stale != nil {
-		return stale
-	}
-	return err
-}
-
-func tenantName(tenant *configuration.Tenant) string {
-	if tenant == nil {
-		return ""
-	}
-	return tenant.Name
-}
-
-// deadline is when the answer has to be complete, by the client's patience and the route's time-out.
+// deadline returns when the answer must be complete, by the time that the client waits and the timeout of the route.
 func (r *request) deadline(route *configuration.Route) time.Time {
 	patience := r.patience(maxPatience)
 	if route.Timeout > 0 {
@@ -175,41 +129,3 @@
 	}
 	return r.startedAt.Add(patience - answerReserve)
 }
-
-// admissionRequest tells admission of a request what it has to know.
-func admissionRequest(r *request, route *configuration.Route, tenant *configuration.Tenant) admission.Request {
-	a := admission.Request{Priority: route.Priority, Tokens: tokenCount(r.header.Get(headerTokenUsage))}
-	if tenant != nil && tenant.HasPriority {
-		a.Priority = tenant.Priority
-	}
-	if route.SessionAffinity {
-		a.Prefix = promptSegments(r.header.Get(headerPromptPrefix))
-	}
-	return a
-}
-
-// tokens sums the numbers of a token usage, 0 if they make no sense.
-func tokenCount(usage string) int {
-	sum := 0
-	for part := range strings.SplitSeq(usage, ",") {
-		n, err := strconv.Atoi(strings.TrimSpace(part))
-		if err != nil || n < 0 {
-			return 0
-		}
-		sum += n
-	}
-	return sum
-}
-
-// promptParts gives the ids of the parts of a prompt. The last one belongs to the request or its session alone.
-func promptSegments(prefix string) []string {
-	if prefix == "" {
-		return nil
-	}
-	parts := make([]string, 0, strings.Count(prefix, ",")+1)
-	for part := range strings.SplitSeq(prefix, ",") {
-		id, _, _ := strings.Cut(strings.TrimSpace(part), ":")
-		parts = append(parts, id)
-	}
-	return parts
-}
--- a/internal/proxy/ingress_test.go
+++ b/internal/proxy/server_test.go
@@ -38,7 +38,7 @@
 	c.send(t, requestText("/many/x", "", "one")+requestText("/many/x", "", "two")+requestText("/many/x", "", "three"))
 	for _, want := range []string{"one", "two", "three"} {
 		if a := c.read(t); a.StatusCode != 200 || a.body != want {
-			t.Errorf("answer %d %q, want %q", a.StatusCode, a.body, want)
+			t.Errorf("answer: got %d %q, want %q", a.StatusCode, a.body, want)
 		}
 	}
 }
@@ -109,11 +109,11 @@
 		}
 	}
 	if n := len(b.requests); n > 0 {
-		t.Errorf("%d requests were sent", n)
+		t.Errorf("requests sent: got %d, want 0", n)
 	}
 }
 
-func TestRequestsInDoubtAreRefused(t *testing.T) {
+func TestAmbiguousRequestsAreRefused(t *testing.T) {
 	b := startBackend(t, ok(""))
 	s := startTier(t, nil, b)
 	const line, usual = "POST /many/x HTTP/1.1\r\n", "Host: h.example\r\nNickelline-Attempt-Id: 1\r\nAuthorization: Bearer k1\r\n"
@@ -160,12 +160,12 @@
 		requestText("/many/x", "", strings.Repeat("x", 65537)):                   http.StatusRequestEntityTooLarge,
 	} {
 		if a := s.ask(t, text); a.StatusCode != want {
-			t.Errorf("answer %d, want %d", a.StatusCode, want)
+			t.Errorf("status: got %d, want %d", a.StatusCode, want)
 		}
 	}
 }
 
-func TestIdleConnectionIsClosedWithoutAWord(t *testing.T) {
+func TestIdleConnectionIsClosedWithoutAnAnswer(t *testing.T) {
 	s := startTier(t, nil, startBackend(t, hold(whole(200, sealField, ""))))
 	s.setLimits(func(l *configuration.Limits) { l.IdleTimeout = 50 * time.Millisecond })
 	fresh, used := s.connect(t), s.connect(t)
@@ -183,7 +183,7 @@
 	}
 }
 
-func TestFullProxyClosesTheConnectionThatHasWaitedLongest(t *testing.T) {
+func TestFullProxyClosesTheConnectionIdleLongest(t *testing.T) {
 	b := startBackend(t, hold(""))
 	s := startTier(t, func(o *Options) { o.Connections = 2 }, b)
 	busy, idle := s.connect(t), s.connect(t)
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -6,9 +6,9 @@
 	"nickelline/internal/fault"
 )
 
-// counters counts what became of clients' requests since the start.
+// counters count the outcomes of clients' requests since the start.
 type counters struct {
-	errors    map[fault.Kind]*atomic.Uint64 // own answers, by kind; the map does not change
+	errors    map[fault.Kind]*atomic.Uint64 // answers of the proxy itself, by kind; the map is not changed
 	delivered atomic.Uint64
 	attempts  atomic.Uint64
 	retries   atomic.Uint64
@@ -22,7 +22,7 @@
 	return c
 }
 
-// tried counts an attempt, the number of the request's attempts before it being given.
+// recordAttempt counts an attempt after some earlier ones of the same request.
 func (c *counters) recordAttempt(before int) {
 	c.attempts.Add(1)
 	if before > 0 {
@@ -30,17 +30,17 @@
 	}
 }
 
-// Stats are the figures of a proxy since its start.
+// Stats are the metrics of a proxy since its start.
 type Stats struct {
 	// Faults counts the proxy's own answers to requests, by kind.
 	Faults map[fault.Kind]uint64
-	// Passed counts answers of backends that were passed on.
+	// Passed counts answers of backends that clients got.
 	Passed uint64
 	// Attempts counts sends to backends, Retries those of them that were not the first for their request.
 	Attempts, Retries uint64
 }
 
-// Stats gives the proxy's figures.
+// Stats returns the metrics of the proxy.
 func (p *Proxy) Stats() Stats {
 	stats := Stats{
 		Faults:   make(map[fault.Kind]uint64, len(p.counters.errors)),
--- a/internal/proxy/stats_test.go
+++ b/internal/proxy/stats_test.go
@@ -13,34 +13,34 @@
 	"nickelline/internal/fault"
 )
 
-// recordedLoads notes in which order a request asks for loads, is admitted and is told of.
+// recordedLoads notes in which order a request asks for loads, is admitted and is announced.
 type recordedLoads struct {
 	mutex sync.Mutex
 	steps []string
 }
 
-func (l *recordedLoads) note(step string) {
+func (l *recordedLoads) record(step string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.steps = append(l.steps, step)
 }
 
-func (l *recordedLoads) Refresh(context.Context, string) { l.note("refresh") }
-func (l *recordedLoads) Announce(string)                 { l.note("tell") }
+func (l *recordedLoads) Refresh(context.Context, string) { l.record("refresh") }
+func (l *recordedLoads) Announce(string)                 { l.record("announce") }
 
-func TestLoadsAreAskedForBeforeEachPickAndToldAfterIt(t *testing.T) {
+func TestLoadsAreRefreshedBeforeEachSelectionAndAnnouncedAfterIt(t *testing.T) {
 	var loads recordedLoads
 	refuse := false
 	s := startTier(t, func(o *Options) {
-		pick := o.Pick
+		selector := o.Selector
 		o.Loads = &loads
-		o.Pick = func(service string, now time.Time, r admission.Request) (discovery.Backend, Ticket, *admission.Refusal) {
-			loads.note("pick")
+		o.Selector = SelectorFunc(func(service string, now time.Time, r admission.Request) (discovery.Backend, Ticket, *admission.Refusal) {
+			loads.record("select")
 			if refuse {
 				return discovery.Backend{}, nil, &admission.Refusal{}
 			}
-			return pick(service, now, r)
-		}
+			return selector.Select(service, now, r)
+		})
 	}, startBackend(t, ok("fine")))
 	if a := s.post(t, "/many/1"); a.StatusCode != http.StatusOK {
 		t.Fatalf("status %d", a.StatusCode)
@@ -49,12 +49,12 @@
 	if a := s.post(t, "/many/2"); a.StatusCode != http.StatusServiceUnavailable {
 		t.Fatalf("status %d", a.StatusCode)
 	}
-	if want := []string{"refresh", "pick", "tell", "refresh", "pick"}; !slices.Equal(loads.steps, want) {
-		t.Errorf("%v, want %v", loads.steps, want)
+	if want := []string{"refresh", "select", "announce", "refresh", "select"}; !slices.Equal(loads.steps, want) {
+		t.Errorf("steps: got %v, want %v", loads.steps, want)
 	}
 }
 
-func TestStatsTellWhatBecameOfRequests(t *testing.T) {
+func TestStatsCountRequests(t *testing.T) {
 	failing := startBackend(t, text(whole(http.StatusInternalServerError, sealField, "no")))
 	s := startTier(t, nil, failing, startBackend(t, ok("fine")))
 	if a := s.post(t, "/many/1"); a.StatusCode != http.StatusOK {
@@ -65,7 +65,7 @@
 	}
 	stats := s.Stats()
 	if stats.Attempts != 2 || stats.Retries != 1 || stats.Passed != 1 {
-		t.Errorf("%+v", stats)
+		t.Errorf("Stats: got %+v", stats)
 	}
 	for kind, count := range stats.Faults {
 		want := uint64(0)
@@ -73,7 +73,7 @@
 			want = 1
 		}
 		if count != want {
-			t.Errorf("%v: %d answers, want %d", kind, count, want)
+			t.Errorf("answers of kind %v: got %d, want %d", kind, count, want)
 		}
 	}
 }
--- a/internal/proxy/relay.go
+++ b/internal/proxy/streaming.go
@@ -11,15 +11,17 @@
 	"nickelline/internal/forward"
 )
 
-// eventBatch is how many bytes of events are gathered at most for one write.
+// maxEventBatch is the number of bytes of events from which on they are written, however many more have come.
 const maxEventBatch = 32 << 10
 
-// relay passes a stream on, event by event. It tells whether that was the end; if not, the stream broke off, and may be
-// continued at another backend behind the last event that was passed on.
+var errUnsealedStream = errors.New("the stream carries no seal of the backend")
+
+// stream passes a stream on, event by event. It reports whether that was the end; if not, the stream broke off, and may be
+// continued at another backend after the last event that was delivered.
 func (e *exchange) stream(ctx context.Context, a *attempt, w *responseWriter) bool {
 	defer a.response.Close()
 	if a.response.Header.Get(forward.HeaderResponseSeal) == "" {
-		e.recordBreakOff(a, errors.New("a stream without a seal"))
+		e.recordBreakOff(a, errUnsealedStream)
 		return false
 	}
 	e.resumedAfter = e.request.LastEventID
@@ -49,9 +51,9 @@
 	}
 }
 
-// begin begins the answer once there is something to pass on. The head of the first backend is that of the whole answer.
-func (e *exchange) beginAnswer(a *attempt, w *responseWriter, something bool) {
-	if !something || a.started {
+// beginAnswer begins the answer once there is something to deliver. The head of the first backend is that of the whole answer.
+func (e *exchange) beginAnswer(a *attempt, w *responseWriter, hasContent bool) {
+	if !hasContent || a.started {
 		return
 	}
 	a.started = true
@@ -61,8 +63,8 @@
 	}
 }
 
-// gather waits for the next event, and takes with it those that have come as well. Events that were passed on before are
-// left out.
+// nextEvents waits for the next event, and returns it with those that have come as well. Events that were delivered before
+// are left out.
 func (e *exchange) nextEvents(r *forward.Response, events []byte) ([]byte, error) {
 	for {
 		event, err := r.Next()
@@ -71,7 +73,7 @@
 		}
 		if !e.isRepeated(event.ID) {
 			events = append(events, event.Raw...)
-			if event.ID != "" || len(event.Data) > 0 { // behind data without an id nothing can be continued
+			if event.ID != "" || len(event.Data) > 0 { // a stream cannot be continued after data without an id
 				e.request.LastEventID = event.ID
 			}
 		}
@@ -81,7 +83,7 @@
 	}
 }
 
-// isRepeated tells whether an event of a continued stream was passed on before. Ids rise.
+// isRepeated reports whether an event of a continued stream was delivered before. Ids rise.
 func (e *exchange) isRepeated(id string) bool {
 	last, err := strconv.ParseInt(e.resumedAfter, 10, 64)
 	if err != nil {
