--- a/internal/batchapi/client.go
+++ b/internal/batchapi/client.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// maxPageBytes bounds the contents of one answer, which may take 1 MB with all that JSON adds.
+	// maxPageBytes bounds the contents of one page of results, which may be 1 MB with the overhead of JSON.
 	maxPageBytes = 750_000
-	// overshootPart is the part of the allowed overshoot of quotas by which the bound of waiting tokens is raised: a store
-	// counts an item a little longer than the backends do.
+	// overshootFraction of the allowed overshoot of quotas is added to the bound of waiting tokens, since a store counts an item
+	// a little longer than the backends do.
 	overshootFraction = 0.9
 )
 
@@ -29,29 +29,30 @@
 
 // Options set up a Client.
 type Options struct {
+	// Caller sends calls to stores.
 	Caller Caller
-	// Locate gives the newest known view of the partition that a tenant's jobs are in. Its Chain is the partition's number.
+	// Locate returns the newest known view of the partition that a tenant's jobs are in. Its Chain is the partition's number.
 	Locate func(tenant string) (view.View, bool)
 	// Zone is the own zone, whose replicas are preferred for reads.
 	Zone string
-	// QuotaOvershoot is the part by which a quota may be exceeded.
+	// QuotaOvershoot is the fraction by which a quota may be exceeded.
 	QuotaOvershoot float64
 }
 
-// Client calls the stores. It is safe for concurrent use.
+// Client calls the stores. It is safe for concurrent use, and starts no goroutine.
 type Client struct {
 	options Options
-	heads   headCache
+	heads   *headCache
 }
 
-// New makes a client.
+// New returns a client.
 func New(options Options) *Client {
-	return &Client{options: options, heads: headCache{redirects: map[uint32]redirectedHead{}, failedAt: map[netip.AddrPort]time.Time{}}}
+	return &Client{options: options, heads: newHeadCache()}
 }
 
-// Submit takes a job, whose body is as the client sent it. It returns nil once the job is the system's to keep. The head is
-// first asked whether it would take the job: one that does not fit is not sent, nor is one to a head that is gone, of which
-// it could not be told whether it was taken.
+// Submit takes a job, whose body is as the client sent it. It returns nil once the job is stored durably. The head is first
+// asked whether it would take the job. A job that does not fit is therefore not sent, nor is one to a head that is gone, of
+// which nobody could say whether it was taken.
 func (c *Client) Submit(ctx context.Context, tenant string, route *configuration.Route, job string, body []byte) error {
 	if !isToken(job) {
 		return fault.New(fault.BadRequest, "%q cannot identify a batch job", job)
@@ -72,13 +73,13 @@
 	if err := c.checkOffer(ctx, tenant, request); err != nil {
 		return err
 	}
-	return c.write(ctx, tenant, func(partition uint32) (peer.Message, error) {
+	return c.callHead(ctx, tenant, writeTimeout, func(partition uint32) (peer.Message, error) {
 		request.Partition = partition
 		return request.Encode()
 	})
 }
 
-// offer asks the head of a tenant's partition whether it would take a job. Any error promises that nothing was taken.
+// checkOffer asks the head of a tenant's partition whether it would take a job. Any error promises that nothing was taken.
 func (c *Client) checkOffer(ctx context.Context, tenant string, submission *batchcall.SubmitRequest) error {
 	take := batch.Submit{Job: submission.Job, MaxQueuedTokens: submission.MaxQueuedTokens}
 	request := &batchcall.OfferRequest{Offer: take.Offer()}
@@ -94,6 +95,7 @@
 	return err
 }
 
+// maxQueuedTokens returns how many tokens of a tenant may wait on a route.
 func (c *Client) maxQueuedTokens(route *configuration.Route) int64 {
 	return route.MaxQueuedTokens + int64(float64(route.MaxQueuedTokens)*c.options.QuotaOvershoot*overshootFraction)
 }
@@ -101,23 +103,23 @@
 // End ends a job. It is no error if that was ended before.
 func (c *Client) End(ctx context.Context, tenant, job string) error {
 	request := &batchcall.EndRequest{Key: batch.Key{Tenant: tenant, Identifier: job}}
-	return c.write(ctx, tenant, func(partition uint32) (peer.Message, error) {
+	return c.callHead(ctx, tenant, writeTimeout, func(partition uint32) (peer.Message, error) {
 		request.Partition = partition
 		return request.Encode()
 	})
 }
 
-// Results reads results from a position onward, with their original contents. It waits up to a time for the first one.
+// Results returns results after a position, with their original contents. It waits up to a time for the first one.
 func (c *Client) Results(ctx context.Context, tenant, job string, startAfter int, wait time.Duration) (batch.Page, error) {
 	request := &batchcall.ResultsRequest{
 		Key:        batch.Key{Tenant: tenant, Identifier: job},
 		StartAfter: startAfter,
 		MaxBytes:   maxPageBytes,
 	}
-	until := time.Now().Add(wait)
+	waitDeadline := time.Now().Add(wait)
 	reply, err := c.read(ctx, tenant, wait, func(partition uint32) (peer.Message, error) {
 		request.Partition = partition
-		request.Wait = max(time.Until(until), 0)
+		request.Wait = max(time.Until(waitDeadline), 0)
 		return request.Encode()
 	})
 	if err != nil {
@@ -129,7 +131,7 @@
 	return decompressPage(*reply.Page)
 }
 
-// expand gives a page with the original contents.
+// decompressPage returns a page with the original contents.
 func decompressPage(page batch.Page) (batch.Page, error) {
 	for i := range page.Results {
 		content, err := deflated.Expand(page.Results[i].Content)
@@ -141,7 +143,7 @@
 	return page, nil
 }
 
-// ItemBody gives the body of an item that is not listed yet.
+// ItemBody returns the body of an item that is not listed yet.
 func (c *Client) ItemBody(ctx context.Context, tenant, job, item string) ([]byte, error) {
 	request := &batchcall.BodyRequest{Key: batch.Key{Tenant: tenant, Identifier: job}, Identifier: item}
 	reply, err := c.read(ctx, tenant, 0, func(partition uint32) (peer.Message, error) {
--- a/internal/batchapi/client_test.go
+++ b/internal/batchapi/client_test.go
@@ -59,7 +59,7 @@
 	f.last = m
 	left := answers[to]
 	if len(left) == 0 {
-		return peer.Message{}, fault.New(fault.NotReady, "%v is silent", to)
+		return peer.Message{}, fault.New(fault.NotReady, "%v does not respond", to)
 	}
 	if len(left) > 1 {
 		answers[to] = left[1:]
@@ -75,6 +75,7 @@
 }}
 
 func newTestClient(t *testing.T, zone string, answers map[netip.AddrPort][]answer) (*Client, *fakeStores) {
+	t.Helper()
 	stores := &fakeStores{answers: answers}
 	return New(Options{
 		Caller:         stores,
@@ -98,7 +99,7 @@
 	return c.Submit(context.Background(), testTenant, testRoute, "7c41", []byte(testBody))
 }
 
-func TestSubmissionReachesTheHead(t *testing.T) {
+func TestSubmissionGoesToTheHead(t *testing.T) {
 	c, stores := newTestClient(t, "south", map[netip.AddrPort][]answer{first: {done()}})
 	if err := submit(c); err != nil {
 		t.Fatal(err)
@@ -110,15 +111,15 @@
 	item := request.Job.Items[0]
 	if request.Partition != 7 || request.MaxQueuedTokens != 1090 || request.Job.Host != "a.example" || request.Job.Route != "reports" ||
 		request.Job.Key != (batch.Key{Tenant: testTenant, Identifier: "7c41"}) {
-		t.Errorf("%+v", request)
+		t.Errorf("request: got %+v", request)
 	}
 	if item.Identifier != "e5" || item.Path != "/reports/1" || item.Tokens != 940 || string(item.Body) != "\xab\xcd\xef\x12\x34\x56\x78\x90" ||
 		len(item.Headers) != 2 || item.Headers[0] != (batch.Header{Name: "A", Value: "1"}) {
-		t.Errorf("%+v", item)
+		t.Errorf("item: got %+v", item)
 	}
 }
 
-// TestSubmissionPromises has stores answer in different ways, and looks at what the client is told.
+// TestSubmissionPromises has stores answer in different ways, and checks the error that the client gets.
 func TestSubmissionPromises(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -138,13 +139,13 @@
 		{"unclear, then over the quota", map[netip.AddrPort][]answer{first: {fails(fault.Unclear), fails(fault.QuotaExceeded)}}, false, fault.Unclear},
 		{"unclear, then not ready", map[netip.AddrPort][]answer{first: {fails(fault.Unclear), fails(fault.NotReady)}}, false, fault.Unclear},
 		{"not ready, then over the quota", map[netip.AddrPort][]answer{first: {fails(fault.NotReady), fails(fault.QuotaExceeded)}}, false, fault.QuotaExceeded},
-		{"silent", nil, false, fault.NotReady},
+		{"unresponsive", nil, false, fault.NotReady},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			client, _ := newTestClient(t, "north", c.answers)
 			err := submit(client)
 			if (err == nil) != c.taken || err != nil && fault.KindOf(err) != c.kind {
-				t.Errorf("%v of kind %d", err, fault.KindOf(err))
+				t.Errorf("got error %v of kind %v, want kind %v", err, fault.KindOf(err), c.kind)
 			}
 		})
 	}
@@ -166,23 +167,23 @@
 		{"over the quota", map[netip.AddrPort][]answer{first: {fails(fault.QuotaExceeded)}}, nil, fault.QuotaExceeded},
 		{"no answer, then over the quota", map[netip.AddrPort][]answer{first: {fails(fault.Unclear), fails(fault.QuotaExceeded)}}, nil, fault.NotReady},
 		{"no answer", map[netip.AddrPort][]answer{first: {fails(fault.Unclear)}}, nil, fault.NotReady},
-		{"silent", map[netip.AddrPort][]answer{second: {done()}}, nil, fault.NotReady},
+		{"unresponsive", map[netip.AddrPort][]answer{second: {done()}}, nil, fault.NotReady},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			client, stores := newTestClient(t, "north", map[netip.AddrPort][]answer{first: {done()}, second: {done()}})
 			stores.offers = c.offers
 			err := submit(client)
 			if (err == nil) != (c.kind == 0) || err != nil && fault.KindOf(err) != c.kind {
-				t.Errorf("%v of kind %d", err, fault.KindOf(err))
+				t.Errorf("got error %v of kind %v, want kind %v", err, fault.KindOf(err), c.kind)
 			}
 			if !slices.Equal(stores.calls, c.sentTo) {
-				t.Errorf("the job is sent to %v, want %v", stores.calls, c.sentTo)
+				t.Errorf("job sent to: got %v, want %v", stores.calls, c.sentTo)
 			}
 		})
 	}
 }
 
-func TestOfferTellsWhatTheJobTakes(t *testing.T) {
+func TestOfferStatesWhatTheJobTakes(t *testing.T) {
 	c, stores := newTestClient(t, "south", nil)
 	stores.offers = map[netip.AddrPort][]answer{first: {fails(fault.QuotaExceeded)}}
 	if err := submit(c); fault.KindOf(err) != fault.QuotaExceeded {
@@ -194,11 +195,11 @@
 	}
 	want := batch.Offer{Key: batch.Key{Tenant: testTenant, Identifier: "7c41"}, Route: "reports", Tokens: 940, MaxQueuedTokens: 1090}
 	if request.Partition != 7 || request.Offer != want {
-		t.Errorf("%+v, want %+v", request, want)
+		t.Errorf("offer: got %+v, want %+v in partition 7", request, want)
 	}
 }
 
-func TestNoPlacementIsNotReady(t *testing.T) {
+func TestUnknownPlacementIsNotReady(t *testing.T) {
 	c, _ := newTestClient(t, "north", nil)
 	c.options.Locate = func(string) (view.View, bool) { return view.View{}, false }
 	if err := submit(c); fault.KindOf(err) != fault.NotReady {
@@ -225,7 +226,7 @@
 		c, stores := newTestClient(t, "north", map[netip.AddrPort][]answer{first: {done()}})
 		err := c.Submit(context.Background(), testTenant, testRoute, "7c41", []byte(body))
 		if fault.KindOf(err) != fault.BadRequest || len(stores.calls) != 0 {
-			t.Errorf("%.60s: %v after %d calls", body, err, len(stores.calls))
+			t.Errorf("submit %.60s: got error %v after %d calls, want a bad request and no call", body, err, len(stores.calls))
 		}
 	}
 }
@@ -246,7 +247,7 @@
 			t.Errorf("%+v, %v", got, err)
 		}
 		if stores.calls[0] != want {
-			t.Errorf("zone %s read from %v", zone, stores.calls[0])
+			t.Errorf("zone %s: read from %v, want %v", zone, stores.calls[0], want)
 		}
 	}
 }
@@ -261,7 +262,7 @@
 			t.Error(err)
 		}
 		if len(stores.calls) != 3 || stores.calls[1] != first || stores.calls[2] != first {
-			t.Errorf("calls to %v", stores.calls)
+			t.Errorf("calls: got %v, want the second call and later ones to %v", stores.calls, first)
 		}
 	}
 }
@@ -277,7 +278,7 @@
 	}
 }
 
-func TestEndPromisesNothingThatIsNotKnown(t *testing.T) {
+func TestEndPromisesNothingUnknown(t *testing.T) {
 	c, _ := newTestClient(t, "north", map[netip.AddrPort][]answer{first: {fails(fault.Unclear)}})
 	if err := c.End(context.Background(), testTenant, "7c41"); fault.KindOf(err) != fault.Unclear {
 		t.Error(err)
@@ -296,6 +297,6 @@
 		t.Error(err)
 	}
 	if len(stores.calls) != 1 {
-		t.Errorf("%d calls", len(stores.calls))
+		t.Errorf("calls: got %d, want 1", len(stores.calls))
 	}
 }
--- a/internal/batchapi/heads.go
+++ b/internal/batchapi/headcache.go
@@ -9,7 +9,7 @@
 	"nickelline/internal/view"
 )
 
-// failureMemory is how long a store that did not answer a read is asked last.
+// failureMemory is how long a store that did not answer a read is asked after all others.
 const failureMemory = 2 * time.Second
 
 // redirectedHead is a head that a store named.
@@ -18,19 +18,23 @@
 	head  netip.AddrPort
 }
 
-// heads remembers what calls told of stores: heads that are newer than the placement known here, and failures.
+// headCache remembers what calls have shown of stores: heads of newer views than the placement known here, and failures.
 type headCache struct {
 	mutex     sync.Mutex
 	redirects map[uint32]redirectedHead
 	failedAt  map[netip.AddrPort]time.Time
 }
 
-// head gives the head of a partition by its newest view that is known.
+func newHeadCache() *headCache {
+	return &headCache{redirects: map[uint32]redirectedHead{}, failedAt: map[netip.AddrPort]time.Time{}}
+}
+
+// head returns the head of a partition by the newest view that is known.
 func (h *headCache) head(v view.View) netip.AddrPort {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if told, ok := h.redirects[v.Chain]; ok && told.epoch > v.Epoch {
-		return told.head
+	if redirected, ok := h.redirects[v.Chain]; ok && redirected.epoch > v.Epoch {
+		return redirected.head
 	}
 	delete(h.redirects, v.Chain)
 	if member, ok := v.Head(); ok {
@@ -39,7 +43,7 @@
 	return netip.AddrPort{}
 }
 
-// learn takes over a redirect if it is newer than what is known.
+// recordRedirect takes a redirect if it is newer than what is known.
 func (h *headCache) recordRedirect(partition uint32, r *batchcall.Redirect) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -48,14 +52,14 @@
 	}
 }
 
-// fail notes that a store did not answer.
+// recordFailure records that a store did not answer.
 func (h *headCache) recordFailure(address netip.AddrPort) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.failedAt[address] = time.Now()
 }
 
-// failedLately tells whether a store is better not asked first.
+// failedRecently reports whether a store is better not asked first.
 func (h *headCache) failedRecently(address netip.AddrPort) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/batchapi/submission.go
+++ b/internal/batchapi/submission.go
@@ -26,7 +26,7 @@
 	TokenCount int64             `json:"tokenCount"`
 }
 
-// decodeSubmission reads the items of a job. Unknown fields are ignored.
+// decodeSubmission returns the items of a job, after checking them. Unknown fields are ignored.
 func decodeSubmission(body []byte) ([]batch.Item, error) {
 	var submitted submission
 	if err := json.Unmarshal(body, &submitted); err != nil {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// isToken tells whether text may stand as a header's name, and as a value that needs no quotes.
+// isToken reports whether a text may be the name of a header field, and a value without quotes.
 func isToken(text string) bool {
 	const separators = `"(),/:;<=>?@[\]{}`
 	return text != "" && !strings.ContainsFunc(text, func(c rune) bool {
@@ -84,6 +84,7 @@
 
 func isControlOrSpace(c rune) bool { return c <= ' ' || c >= 0x7f }
 
+// convert returns the item as it is stored, its headers sorted by name.
 func (i *submittedItem) convert() batch.Item {
 	item := batch.Item{Identifier: i.Identifier, Path: i.Path, Body: i.Body, Tokens: i.TokenCount}
 	for _, name := range slices.Sorted(maps.Keys(i.Headers)) {
