--- a/internal/configuration/compile.go
+++ b/internal/configuration/compile.go
@@ -13,30 +13,30 @@
 	defaultIdleTimeout    = 60 * time.Second
 )
 
-// Check tells what is invalid in a document, whatever version is current. The error is of kind
-// fault.InvalidConfiguration.
+// Check returns an error of kind fault.InvalidConfiguration if a document is invalid, whatever version is current.
 func Check(d *Document) error {
 	_, err := Compile(d)
 	return err
 }
 
-// Compile checks a document and makes its snapshot.
+// Compile checks a document and returns its snapshot.
 func Compile(d *Document) (*Snapshot, error) {
 	snapshot, err := compile(d, &problemCollector{withoutPaths: true})
 	if err != nil {
-		// Once more, for the paths of the problems.
+		// A second pass finds the paths of the problems.
 		return compile(d, &problemCollector{})
 	}
 	return snapshot, nil
 }
 
-func compile(d *Document, r *problemCollector) (*Snapshot, error) {
-	c := newCompiler(d, r)
-	c.services()
-	c.routes()
-	c.tenants()
-	c.limits()
-	if err := r.error(); err != nil {
+// compile makes the snapshot of a document, and collects the problems of the document.
+func compile(d *Document, collector *problemCollector) (*Snapshot, error) {
+	c := newCompiler(d, collector)
+	c.compileServices()
+	c.compileRoutes()
+	c.compileTenants()
+	c.compileLimits()
+	if err := collector.error(); err != nil {
 		return nil, err
 	}
 	return c.snapshot, nil
@@ -48,9 +48,9 @@
 	snapshot *Snapshot
 }
 
-func newCompiler(d *Document, r *problemCollector) *compiler {
+func newCompiler(d *Document, collector *problemCollector) *compiler {
 	return &compiler{
-		root: node{collector: r, value: d.root},
+		root: node{collector: collector, value: d.root},
 		snapshot: &Snapshot{
 			Version:        d.version,
 			hosts:          map[string]*hostRoutes{},
@@ -62,23 +62,25 @@
 	}
 }
 
-// requiredList gives the elements of a top-level list that every document has.
+// requiredList returns the elements of a top-level list that every document has.
 func (c *compiler) requiredList(name string) []node {
 	list := c.root.field(name)
-	if list.absent() {
+	if list.isAbsent() {
 		list.addProblem("it is missing")
 	}
 	return list.list()
 }
 
-func (c *compiler) services() {
+// compileServices compiles the list of services.
+func (c *compiler) compileServices() {
 	for _, n := range c.requiredList(servicesField) {
-		if n.object() {
+		if n.requireObject() {
 			c.addService(n, readService(n))
 		}
 	}
 }
 
+// readService returns a service.
 func readService(n node) *Service {
 	return &Service{
 		Name:            n.field(nameField).requiredText(),
@@ -88,8 +90,9 @@
 	}
 }
 
+// readEngine returns the description of an engine, nil if absent.
 func readEngine(n node) *Engine {
-	if n.absent() || !n.object() {
+	if n.isAbsent() || !n.requireObject() {
 		return nil
 	}
 	engine := &Engine{
@@ -104,6 +107,7 @@
 	return engine
 }
 
+// addService adds a service unless its name is taken.
 func (c *compiler) addService(n node, s *Service) {
 	if c.snapshot.servicesByName[s.Name] != nil {
 		n.addProblem("two services are named %q", s.Name)
@@ -113,36 +117,39 @@
 	c.snapshot.Services = append(c.snapshot.Services, s)
 }
 
-func (c *compiler) routes() {
+// compileRoutes compiles the list of routes. Services must have been compiled.
+func (c *compiler) compileRoutes() {
 	for _, n := range c.requiredList(routesField) {
-		if n.object() {
+		if n.requireObject() {
 			c.addRoute(n, c.readRoute(n))
 		}
 	}
 }
 
+// readRoute returns a route.
 func (c *compiler) readRoute(n node) *Route {
 	r := &Route{
 		Name:             n.field(nameField).requiredText(),
-		Host:             normalHost(n.field("hostname").requiredText()),
+		Host:             normalizeHost(n.field("hostname").requiredText()),
 		Prefix:           readPrefix(n.field("pathPrefix")),
 		Kind:             kindNames[n.field("routeKind").text()],
 		TargetLatency:    n.field("targetLatencyMs").milliseconds(),
 		GapTarget:        n.field("gap_aim_ms").milliseconds(),
 		CompletionTarget: n.field("completionTargetMs").milliseconds(),
 		Retention:        n.field("retentionS").seconds(),
-		Priority:         int(n.field("priority").whole()),
+		Priority:         int(n.field("priority").integer()),
 		Split:            c.readSplit(n),
 		MaxAttempts:      max(1, int(n.field("maxAttempts").count())),
-		Public:           n.field("public").flag(),
-		SessionAffinity:  n.field("sessionAffinity").flag(),
-		Resumable:        n.field("resumable").flag(),
+		Public:           n.field("public").boolean(),
+		SessionAffinity:  n.field("sessionAffinity").boolean(),
+		Resumable:        n.field("resumable").boolean(),
 		MaxQueuedTokens:  n.field("maxQueuedTokens").count(),
 	}
 	r.Timeout = readTimeout(n.field("timeoutMs"), r.Kind)
 	return r
 }
 
+// readPrefix returns a path prefix, which starts and ends with a slash.
 func readPrefix(n node) string {
 	prefix := n.requiredText()
 	if prefix != "" && !(strings.HasPrefix(prefix, "/") && strings.HasSuffix(prefix, "/")) {
@@ -151,9 +158,9 @@
 	return prefix
 }
 
-// readTimeout reads a time-out, which must not be 0. Routes of batch jobs may have none: it does not apply to items.
+// readTimeout returns a timeout, which must not be 0. Routes of batch jobs may have none: it does not apply to items.
 func readTimeout(n node, kind Kind) time.Duration {
-	if n.absent() {
+	if n.isAbsent() {
 		if kind != Batch {
 			n.addProblem("it is missing")
 		}
@@ -166,20 +173,21 @@
 	return timeout
 }
 
-// readSplit reads the services of a route: one under "service", or several with weights under "trafficSplit", which
-// goes first where both are given.
+// readSplit returns the services of a route: one under "service", or several with weights under "trafficSplit", which takes
+// precedence where both are given.
 func (c *compiler) readSplit(n node) []WeightedService {
 	single := n.field("service")
-	parts := n.field("trafficSplit")
-	if !single.absent() {
+	split := n.field("trafficSplit")
+	if !single.isAbsent() {
 		service := c.readServiceName(single)
-		if len(parts.list()) == 0 {
+		if len(split.list()) == 0 {
 			return []WeightedService{{Service: service, Weight: 1}}
 		}
 	}
-	return c.readSplitList(parts)
+	return c.readSplitList(split)
 }
 
+// readServiceName returns the service that a field names.
 func (c *compiler) readServiceName(n node) *Service {
 	name := n.requiredText()
 	service := c.snapshot.servicesByName[name]
@@ -189,26 +197,28 @@
 	return service
 }
 
-func (c *compiler) readSplitList(parts node) []WeightedService {
+// readSplitList returns the services of a list with weights. Those of weight 0 are checked, and left out.
+func (c *compiler) readSplitList(list node) []WeightedService {
 	var split []WeightedService
 	total := 0.0
-	for _, part := range parts.list() {
-		if !part.object() {
+	for _, entry := range list.list() {
+		if !entry.requireObject() {
 			continue
 		}
-		service := c.readServiceName(part.field("service"))
-		weight := part.field("weight").number()
+		service := c.readServiceName(entry.field("service"))
+		weight := entry.field("weight").number()
 		total += weight
 		if weight > 0 {
 			split = append(split, WeightedService{Service: service, Weight: weight})
 		}
 	}
 	if total == 0 {
-		parts.addProblem("the weights sum to 0")
+		list.addProblem("the weights sum to 0")
 	}
 	return split
 }
 
+// addRoute adds a route unless its name, or its host and prefix, are taken.
 func (c *compiler) addRoute(n node, r *Route) {
 	if c.snapshot.routesByName[r.Name] != nil {
 		n.addProblem("two routes are named %q", r.Name)
@@ -228,22 +238,24 @@
 	c.snapshot.Routes = append(c.snapshot.Routes, r)
 }
 
-func (c *compiler) tenants() {
+// compileTenants compiles the list of tenants.
+func (c *compiler) compileTenants() {
 	list := c.root.field(tenantsField)
-	c.snapshot.tenantsDeclared = !list.absent()
+	c.snapshot.hasTenants = !list.isAbsent()
 	for _, n := range list.list() {
-		if n.object() {
+		if n.requireObject() {
 			c.addTenant(n, readTenant(n))
 		}
 	}
 }
 
+// readTenant returns a tenant.
 func readTenant(n node) *Tenant {
 	priority := n.field("priority")
 	t := &Tenant{
 		Name:          n.field(nameField).requiredText(),
-		Priority:      int(priority.whole()),
-		HasPriority:   !priority.absent(),
+		Priority:      int(priority.integer()),
+		HasPriority:   !priority.isAbsent(),
 		RatePerSecond: n.field("ratePerS").number(),
 		Burst:         n.field("burstSize").number(),
 	}
@@ -253,6 +265,7 @@
 	return t
 }
 
+// addTenant adds a tenant unless its name is taken.
 func (c *compiler) addTenant(n node, t *Tenant) {
 	if c.snapshot.tenantsByName[t.Name] != nil {
 		n.addProblem("two tenants are named %q", t.Name)
@@ -268,10 +281,11 @@
 	c.snapshot.Tenants = append(c.snapshot.Tenants, t)
 }
 
-func (c *compiler) limits() {
+// compileLimits compiles the limits of clients.
+func (c *compiler) compileLimits() {
 	n := c.root.field(limitsField)
-	if !n.absent() {
-		n.object()
+	if !n.isAbsent() {
+		n.requireObject()
 	}
 	c.snapshot.Limits = Limits{
 		MaxHeaderBytes: orDefault(int(n.field("maxHeaderBytes").count()), defaultMaxHeaderBytes),
@@ -281,6 +295,7 @@
 	}
 }
 
+// orDefault returns a value, or a fallback for 0.
 func orDefault[T int | time.Duration](value, fallback T) T {
 	if value == 0 {
 		return fallback
--- a/internal/configuration/document.go
+++ b/internal/configuration/document.go
@@ -25,8 +25,7 @@
 	root    map[string]any
 }
 
-// Parse decodes a whole configuration. It does not check more than that the document is one JSON object with a version:
-// see Check.
+// Parse decodes a whole configuration. It checks only that the document is one JSON object with a version: see Check.
 func Parse(body []byte) (*Document, error) {
 	root, err := decodeObject(body)
 	if err != nil {
@@ -39,10 +38,10 @@
 	return &Document{version: version, root: root}, nil
 }
 
-// Version is the version that the document carries.
+// Version returns the version that the document carries.
 func (d *Document) Version() uint64 { return d.version }
 
-// Encode gives the document as JSON, with all fields that the operator sent.
+// Encode returns the document as JSON, with all fields that the operator sent.
 func (d *Document) Encode() []byte {
 	var buffer bytes.Buffer
 	encoder := json.NewEncoder(&buffer)
@@ -53,32 +52,34 @@
 	return bytes.TrimSuffix(buffer.Bytes(), []byte("\n"))
 }
 
-// decodeObject decodes one JSON object and nothing after it. Numbers keep their text.
+// decodeObject decodes exactly one JSON object. Numbers keep their text.
 func decodeObject(body []byte) (map[string]any, error) {
 	if !utf8.Valid(body) {
-		return nil, unreadable("the text is not valid UTF-8")
+		return nil, unreadableError("the text is not valid UTF-8")
 	}
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.UseNumber()
 	var root map[string]any
 	if err := decoder.Decode(&root); err != nil {
-		return nil, unreadable("%v", err)
+		return nil, unreadableError("%v", err)
 	}
 	if root == nil {
-		return nil, unreadable("it is null")
+		return nil, unreadableError("it is null")
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, unreadable("more text follows the document")
+		return nil, unreadableError("more text follows the document")
 	}
 	return root, nil
 }
 
-func unreadable(format string, arguments ...any) error {
+// unreadableError returns the error of a document that is not JSON of the right form.
+func unreadableError(format string, arguments ...any) error {
 	return fault.New(fault.InvalidConfiguration, "the document cannot be read: "+format, arguments...)
 }
 
+// readVersion returns the version of a document.
 func readVersion(root map[string]any) (uint64, error) {
-	r := &problemCollector{}
-	version := node{collector: r, value: root}.version()
-	return version, r.error()
+	collector := &problemCollector{}
+	version := node{collector: collector, value: root}.version()
+	return version, collector.error()
 }
--- /dev/null
+++ b/internal/configuration/node.go
@@ -0,0 +1,104 @@
+package configuration
+
+import "strconv"
+
+// node is a value of the document and its path.
+type node struct {
+	collector *problemCollector
+	path      string
+	value     any
+}
+
+// addProblem records a problem of the value.
+func (n node) addProblem(format string, arguments ...any) {
+	n.collector.add(n.path, format, arguments...)
+}
+
+// field returns a member of an object. It is absent if the object lacks it, or it is null.
+func (n node) field(name string) node {
+	object, _ := n.value.(map[string]any)
+	return node{collector: n.collector, path: n.fieldPath(name), value: object[name]}
+}
+
+func (n node) fieldPath(name string) string {
+	switch {
+	case n.collector.withoutPaths:
+		return ""
+	case n.path == "":
+		return name
+	}
+	return n.path + "." + name
+}
+
+func (n node) elementPath(index int) string {
+	if n.collector.withoutPaths {
+		return ""
+	}
+	return n.path + "[" + strconv.Itoa(index) + "]"
+}
+
+// isAbsent reports whether there is no value.
+func (n node) isAbsent() bool { return n.value == nil }
+
+// requireObject reports whether the value is an object, and records a problem if not.
+func (n node) requireObject() bool {
+	if _, isObject := n.value.(map[string]any); !isObject {
+		n.addProblem("an object is needed")
+		return false
+	}
+	return true
+}
+
+// list returns the elements of a list; none for an absent one.
+func (n node) list() []node {
+	if n.isAbsent() {
+		return nil
+	}
+	values, isList := n.value.([]any)
+	if !isList {
+		n.addProblem("a list is needed")
+		return nil
+	}
+	elements := make([]node, len(values))
+	for i, value := range values {
+		elements[i] = node{collector: n.collector, path: n.elementPath(i), value: value}
+	}
+	return elements
+}
+
+// text returns a string; an empty one if absent.
+func (n node) text() string {
+	if n.isAbsent() {
+		return ""
+	}
+	text, isString := n.value.(string)
+	if !isString {
+		n.addProblem("a string is needed")
+	}
+	return text
+}
+
+// requiredText returns a string that must not be empty.
+func (n node) requiredText() string {
+	if n.isAbsent() {
+		n.addProblem("it is missing")
+		return ""
+	}
+	text := n.text()
+	if text == "" {
+		n.addProblem("it must not be empty")
+	}
+	return text
+}
+
+// boolean returns true or false; false if absent.
+func (n node) boolean() bool {
+	if n.isAbsent() {
+		return false
+	}
+	value, isBool := n.value.(bool)
+	if !isBool {
+		n.addProblem("true or false is needed")
+	}
+	return value
+}
--- a/internal/configuration/patch.go
+++ b/internal/configuration/patch.go
@@ -17,14 +17,14 @@
 // Patch is a decoded change of named items.
 type Patch struct {
 	version uint64
-	upsert  map[string][]item
+	upsert  map[string][]namedItem
 	remove  map[string][]string
 	// limits holds the fields of the limits that are replaced.
 	limits map[string]any
 }
 
-// item is an element of a collection, and the name that stands in it.
-type item struct {
+// namedItem is an element of a collection, and the name that stands in it.
+type namedItem struct {
 	name  string
 	value any
 }
@@ -35,15 +35,15 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &problemCollector{}
-	patch := readPatch(node{collector: r, value: root})
-	if err := r.error(); err != nil {
+	collector := &problemCollector{}
+	patch := readPatch(node{collector: collector, value: root})
+	if err := collector.error(); err != nil {
 		return nil, err
 	}
 	return patch, nil
 }
 
-// Version is the version of the document that the patch makes.
+// Version returns the version of the document that the patch makes.
 func (p *Patch) Version() uint64 { return p.version }
 
 // Patch merges a patch, given as JSON, into the document. The result has yet to be checked: see Check.
@@ -61,7 +61,7 @@
 	result := &Document{version: p.version, root: maps.Clone(d.root)}
 	result.root[versionField] = json.Number(strconv.FormatUint(p.version, 10))
 	for collection, names := range p.remove {
-		if items, is := result.root[collection].([]any); is {
+		if items, isList := result.root[collection].([]any); isList {
 			result.root[collection] = removeItems(items, names)
 		}
 	}
@@ -74,59 +74,62 @@
 	return result
 }
 
+// readPatch returns a patch.
 func readPatch(root node) *Patch {
 	p := &Patch{
 		version: root.version(),
-		upsert:  map[string][]item{},
+		upsert:  map[string][]namedItem{},
 		remove:  map[string][]string{},
 	}
-	if limits := root.field(limitsField); !limits.absent() && limits.object() {
+	if limits := root.field(limitsField); !limits.isAbsent() && limits.requireObject() {
 		p.limits = limits.value.(map[string]any)
 	}
-	for _, collection := range members(root.field(upsertField)) {
+	for _, collection := range fieldsOf(root.field(upsertField)) {
 		p.readUpsert(collection)
 	}
-	for _, collection := range members(root.field(removeField)) {
+	for _, collection := range fieldsOf(root.field(removeField)) {
 		p.remove[collection.name] = readNames(collection.node)
 	}
 	return p
 }
 
-// member is a field of an object, and its name.
-type member struct {
+// namedField is a field of an object, and its name.
+type namedField struct {
 	name string
 	node node
 }
 
-// members gives the fields of an object in the order of their names, null ones left out; none for an absent object.
-func members(n node) []member {
-	if n.absent() || !n.object() {
+// fieldsOf returns the fields of an object in the order of their names, null ones left out; none for an absent object.
+func fieldsOf(n node) []namedField {
+	if n.isAbsent() || !n.requireObject() {
 		return nil
 	}
-	var fields []member
+	var fields []namedField
 	for _, name := range slices.Sorted(maps.Keys(n.value.(map[string]any))) {
-		if field := n.field(name); !field.absent() {
-			fields = append(fields, member{name: name, node: field})
+		if field := n.field(name); !field.isAbsent() {
+			fields = append(fields, namedField{name: name, node: field})
 		}
 	}
 	return fields
 }
 
-func (p *Patch) readUpsert(m member) {
+// readUpsert takes the items of one collection that are to be added or replaced.
+func (p *Patch) readUpsert(m namedField) {
 	if m.name == limitsField {
-		if m.node.object() {
+		if m.node.requireObject() {
 			p.limits = m.node.value.(map[string]any)
 		}
 		return
 	}
 	for _, element := range m.node.list() {
-		if element.object() {
+		if element.requireObject() {
 			name := element.field(nameField).requiredText()
-			p.upsert[m.name] = append(p.upsert[m.name], item{name: name, value: element.value})
+			p.upsert[m.name] = append(p.upsert[m.name], namedItem{name: name, value: element.value})
 		}
 	}
 }
 
+// readNames returns the names of a list.
 func readNames(list node) []string {
 	var names []string
 	for _, element := range list.list() {
@@ -135,23 +138,23 @@
 	return names
 }
 
-// removeItems gives a collection without the items that have one of the names.
+// removeItems returns a collection without the items that have one of the names.
 func removeItems(items []any, names []string) []any {
-	unwanted := make(map[string]bool, len(names))
+	removed := make(map[string]bool, len(names))
 	for _, name := range names {
-		unwanted[name] = true
+		removed[name] = true
 	}
 	kept := make([]any, 0, len(items))
 	for _, value := range items {
-		if !unwanted[itemName(value)] {
+		if !removed[itemName(value)] {
 			kept = append(kept, value)
 		}
 	}
 	return kept
 }
 
-// upsertItems gives a collection with items replaced where they stand, or added at its end.
-func upsertItems(collection any, items []item) []any {
+// upsertItems returns a collection with items replaced where they stand, or added at its end.
+func upsertItems(collection any, items []namedItem) []any {
 	present, _ := collection.([]any)
 	result := slices.Clone(present)
 	positions := make(map[string]int, len(result))
@@ -170,7 +173,7 @@
 	return result
 }
 
-// mergeFields gives an object with some of its fields replaced.
+// mergeFields returns an object with some of its fields replaced.
 func mergeFields(object any, fields map[string]any) map[string]any {
 	present, _ := object.(map[string]any)
 	result := maps.Clone(present)
@@ -181,6 +184,7 @@
 	return result
 }
 
+// itemName returns the name of an item, empty if it has none.
 func itemName(value any) string {
 	object, _ := value.(map[string]any)
 	name, _ := object[nameField].(string)
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -26,7 +26,7 @@
 	"batch_processing": Batch,
 }
 
-// String gives the name that the kind has in the document.
+// String returns the name that the kind has in the document.
 func (k Kind) String() string {
 	for name, kind := range kindNames {
 		if kind == k {
@@ -45,15 +45,15 @@
 	Tenants  []*Tenant
 	Limits   Limits
 
-	hosts           map[string]*hostRoutes
-	routesByName    map[string]*Route
-	servicesByName  map[string]*Service
-	tenantsByKey    map[string]*Tenant
-	tenantsByName   map[string]*Tenant
-	tenantsDeclared bool
+	hosts          map[string]*hostRoutes
+	routesByName   map[string]*Route
+	servicesByName map[string]*Service
+	tenantsByKey   map[string]*Tenant
+	tenantsByName  map[string]*Tenant
+	hasTenants     bool
 }
 
-// Limits bound what a client may send and how long it may take or stay idle.
+// Limits bound what a client may send, in bytes, and how long it may take or stay idle.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
@@ -69,35 +69,35 @@
 	Kind   Kind
 	// Timeout is the longest a request may be held.
 	Timeout time.Duration
-	// TargetLatency is the time within which an answer (streams: the first event; batch jobs: the 202) is worth all.
+	// TargetLatency is the time within which an answer (of a stream the first event, of a batch job the 202) has full value.
 	TargetLatency time.Duration
-	// GapAim is the longest pause between the events of a stream that keeps it in time.
+	// GapTarget is the longest pause between the events of a stream that keeps it in time.
 	GapTarget time.Duration
 	// CompletionTarget is the time after the submission of a batch job by which its results are due.
 	CompletionTarget time.Duration
-	// Retention is the time after the submission of a batch job at which an item may be given up.
+	// Retention is the time after the submission of a batch job at which an item may be abandoned.
 	Retention time.Duration
 	// Priority is the rank of requests, 0 the highest. A tenant's own takes precedence.
 	Priority int
 	// Split holds the services with weights above 0.
 	Split []WeightedService
-	// MaxAttempts is the greatest number of backends that one try may be sent to, at least 1.
+	// MaxAttempts is the greatest number of backends that may run one request, at least 1.
 	MaxAttempts int
 	// Public routes take requests without a key.
 	Public          bool
 	SessionAffinity bool
 	// Resumable streams may be continued at another backend.
 	Resumable bool
-	// MaxQueuedTokens is how many tokens a tenant may have waiting on the route, 0 without a limit.
+	// MaxQueuedTokens is how many tokens a tenant may have waiting on the route; 0: no limit.
 	MaxQueuedTokens int64
 }
 
-// Repeatable tells whether requests of the route may run more than once.
+// Repeatable reports whether requests of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Batch || (r.Kind == Streaming && r.Resumable)
 }
 
-// Weighted is a service and its part of a route's requests.
+// WeightedService is a service and its share of a route's requests.
 type WeightedService struct {
 	Service *Service
 	Weight  float64
@@ -107,7 +107,7 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	// ConnectionLimit is how many connections a backend accepts from all callers together, 0 where it is not told.
+	// ConnectionLimit is how many connections a backend accepts from all callers together; 0: not known.
 	ConnectionLimit int
 	// Engine is nil for services that are no language models.
 	Engine *Engine
@@ -130,10 +130,10 @@
 	// Priority takes precedence over a route's where HasPriority is true.
 	Priority    int
 	HasPriority bool
-	// RatePerSecond is how many requests the tenant may send, 0 without a limit.
+	// RatePerSecond is how many requests the tenant may send; 0: no limit.
 	RatePerSecond float64
 	Burst         float64
 }
 
-// Limited tells whether the tenant's requests are counted.
+// Limited reports whether the tenant's requests are counted.
 func (t *Tenant) Limited() bool { return t.RatePerSecond > 0 }
