--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	document, err := Parse([]byte(text))
 	if err != nil {
-		t.Fatalf("the document is refused: %v", err)
+		t.Fatalf("document refused: %v", err)
 	}
 	return document
 }
@@ -42,12 +42,12 @@
 	t.Helper()
 	snapshot, err := Compile(mustParse(t, text))
 	if err != nil {
-		t.Fatalf("the document is refused: %v", err)
+		t.Fatalf("document refused: %v", err)
 	}
 	return snapshot
 }
 
-// decoded gives JSON text as maps, with numbers as they are written.
+// decoded returns JSON text as maps, with numbers as they are written.
 func decoded(t testing.TB, text []byte) any {
 	t.Helper()
 	decoder := json.NewDecoder(strings.NewReader(string(text)))
@@ -71,34 +71,34 @@
 		Split: []WeightedService{{Service: engine, Weight: 90}, {Service: plain, Weight: 10}},
 	}
 	if !reflect.DeepEqual(s.RouteByName("chat"), chat) {
-		t.Errorf("route chat: %+v", s.RouteByName("chat"))
+		t.Errorf("route chat: got %+v, want %+v", s.RouteByName("chat"), chat)
 	}
-	lots := &Route{
+	jobs := &Route{
 		Name: "lots", Host: "ficu95.example", Prefix: "/pule252/", Kind: Batch, TargetLatency: 400 * time.Millisecond,
 		CompletionTarget: 12 * time.Second, Retention: 40 * time.Second, MaxAttempts: 3, MaxQueuedTokens: 720000,
 		Priority: 2, Split: []WeightedService{{Service: engine, Weight: 1}},
 	}
-	if !reflect.DeepEqual(s.RouteByName("lots"), lots) {
-		t.Errorf("route lots: %+v", s.RouteByName("lots"))
+	if !reflect.DeepEqual(s.RouteByName("lots"), jobs) {
+		t.Errorf("route lots: got %+v, want %+v", s.RouteByName("lots"), jobs)
 	}
 	wantEngine := &Engine{CapacitySlots: 96, CacheTokenCapacity: 305000, TokenSizeBytes: 131072, Stride: 11, Models: []string{"m"}}
 	if !reflect.DeepEqual(engine, &Service{Name: "huvo11a", HealthPath: "/health", ConnectionLimit: 510, Engine: wantEngine}) {
-		t.Errorf("service huvo11a: %+v", engine)
+		t.Errorf("service huvo11a: got %+v with engine %+v", engine, engine.Engine)
 	}
 	wantLimits := Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 4194304, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 	if s.Limits != wantLimits {
-		t.Errorf("limits: %+v", s.Limits)
+		t.Errorf("limits: got %+v, want %+v", s.Limits, wantLimits)
 	}
 	wantTenant := &Tenant{Name: "huka270", Keys: []string{"key-1", "key-2"}, Priority: 1, HasPriority: true, RatePerSecond: 81, Burst: 81.5}
 	if !reflect.DeepEqual(s.Tenant("key-2"), wantTenant) || s.TenantByName("huka270") != s.Tenant("key-1") {
-		t.Errorf("tenant huka270: %+v", s.Tenant("key-2"))
+		t.Errorf("tenant huka270: got %+v, want %+v", s.Tenant("key-2"), wantTenant)
 	}
 	free := s.Tenant("key-3")
 	if free.HasPriority || free.Limited() || !wantTenant.Limited() || s.Tenant("key-4") != nil || s.Tenant("") != nil {
-		t.Errorf("tenant free: %+v", free)
+		t.Errorf("tenant free: got %+v", free)
 	}
 	if !s.RequiresKey() {
-		t.Error("a document with tenants needs keys")
+		t.Error("RequiresKey: got false for a document with tenants")
 	}
 }
 
@@ -126,12 +126,12 @@
 	}
 	for _, c := range cases {
 		if c.route.Repeatable() != c.want {
-			t.Errorf("%v, resumable %v: %v", c.route.Kind, c.route.Resumable, !c.want)
+			t.Errorf("Repeatable of %v, resumable %v: got %v, want %v", c.route.Kind, c.route.Resumable, !c.want, c.want)
 		}
 	}
 }
 
-// route makes the JSON text of a valid route, with fields changed.
+// route returns the JSON text of a valid route, with fields changed.
 func route(changes string) string {
 	return edited(`{"name":"r","hostname":"h","pathPrefix":"/p/","routeKind":"idempotent","timeoutMs":100,"service":"s"}`, changes)
 }
@@ -156,7 +156,7 @@
 	return string(text)
 }
 
-// whole makes the JSON text of a document.
+// whole returns the JSON text of a document.
 func whole(routes, tenants string) string {
 	return fmt.Sprintf(`{"version":3,"routes":[%s],"services":[{"name":"s"},{"name":"z"}],"limits":{},"tenants":[%s]}`, routes, tenants)
 }
@@ -208,10 +208,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			err := Check(mustParse(t, c.text))
 			if fault.KindOf(err) != fault.InvalidConfiguration {
-				t.Fatalf("got %v", err)
+				t.Fatalf("Check: got %v, want an error of kind %v", err, fault.InvalidConfiguration)
 			}
 			if !strings.Contains(err.Error(), c.problem) {
-				t.Errorf("%q does not tell %q", err, c.problem)
+				t.Errorf("Check: got %q, want it to contain %q", err, c.problem)
 			}
 		})
 	}
@@ -229,15 +229,15 @@
 	for _, text := range unreadableDocuments {
 		_, err := Parse([]byte(text))
 		if fault.KindOf(err) != fault.InvalidConfiguration {
-			t.Errorf("%.40q: %v", text, err)
+			t.Errorf("Parse(%.40q): got %v, want an error of kind %v", text, err, fault.InvalidConfiguration)
 		}
 	}
 }
 
-func TestEveryCutOfADocumentIsUnreadable(t *testing.T) {
+func TestEveryTruncatedDocumentIsUnreadable(t *testing.T) {
 	for end := range len(example) {
 		if _, err := Parse([]byte(example[:end])); err == nil {
-			t.Fatalf("a document cut after %d bytes is taken", end)
+			t.Fatalf("Parse of a document truncated after %d bytes: got no error", end)
 		}
 	}
 }
@@ -274,7 +274,7 @@
 	} {
 		document := mustParse(t, `{"version":`+text+`}`)
 		if document.Version() != want {
-			t.Errorf("%s is read as %d", text, document.Version())
+			t.Errorf("version %s: got %d, want %d", text, document.Version(), want)
 		}
 	}
 }
--- a/internal/configuration/match_test.go
+++ b/internal/configuration/match_test.go
@@ -98,10 +98,10 @@
 		t.Errorf("got %s", name)
 	}
 	if last := chat.Choose(1).Name; last != "wuno96b" {
-		t.Errorf("the end of the range gives %s", last)
+		t.Errorf("Choose at the end of the range: got %s", last)
 	}
 	if (&Route{}).Choose(0) != nil {
-		t.Error("a route without services gives one")
+		t.Error("Choose of a route without services: got one")
 	}
 }
 
@@ -110,7 +110,7 @@
 	r := mustCompile(t, text).Routes[0]
 	for _, u := range []float64{0, 0.5, 0.999999} {
 		if name := r.Choose(u).Name; name != "z" {
-			t.Errorf("%v gives %s", u, name)
+			t.Errorf("Choose(%v): got %s", u, name)
 		}
 	}
 }
--- a/internal/configuration/patch_test.go
+++ b/internal/configuration/patch_test.go
@@ -137,12 +137,12 @@
 	return fmt.Sprintf(`{"version":%d,%s}`, version, strings.Join(collections, ","))
 }
 
-// byName gives the collections of a document by the names of their items.
+// byName returns the collections of a document by the names of their items.
 func byName(t *testing.T, d *Document) map[string]map[string]any {
 	t.Helper()
 	result := map[string]map[string]any{}
 	for collection, value := range d.root {
-		if list, is := value.([]any); is {
+		if list, isList := value.([]any); isList {
 			result[collection] = map[string]any{}
 			for _, element := range list {
 				result[collection][itemName(element)] = element
@@ -174,7 +174,7 @@
 	}
 }
 
-// randomPatch changes the model and gives the patch that does the same.
+// randomPatch changes the model and returns the patch that does the same.
 func randomPatch(random *rand.Rand, m model, version int) string {
 	upsert, remove := map[string][]json.RawMessage{}, map[string][]string{}
 	for collection, items := range m {
--- a/internal/configuration/size_bench_test.go
+++ b/internal/configuration/size_bench_test.go
@@ -8,7 +8,7 @@
 	"nickelline/internal/measure"
 )
 
-// BenchmarkDocumentSize tells what a document takes as text and compiled, and how the time of reading it grows with
+// BenchmarkDocumentSize reports the size of a document as text and compiled, and how the time of reading it grows with
 // tenants and routes apart.
 func BenchmarkDocumentSize(b *testing.B) {
 	for _, size := range []struct{ routes, tenants int }{{10, 100}, {10, 940}, {200, 940}, {940, 940}} {
