--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -17,7 +17,7 @@
 // body reads the body of an answer, and releases the connection at its end.
 type body struct {
 	roundTrip *roundTrip
-	source   io.ReadCloser
+	source    io.ReadCloser
 	// length of the body in bytes; -1: not known.
 	length int64
 	// framed: the end of the body can be known other than by the end of the connection.
@@ -31,10 +31,10 @@
 func newBody(rt *roundTrip, head *http.Response) *body {
 	b := &body{
 		roundTrip: rt,
-		source:   head.Body,
-		length:   head.ContentLength,
-		framed:   head.ContentLength >= 0 || len(head.TransferEncoding) > 0,
-		reusable: !head.Close,
+		source:    head.Body,
+		length:    head.ContentLength,
+		framed:    head.ContentLength >= 0 || len(head.TransferEncoding) > 0,
+		reusable:  !head.Close,
 	}
 	if head.Body == http.NoBody { // also where the head states the length of a body that is not sent
 		b.length, b.framed = 0, true
--- a/internal/forward/events_test.go
+++ b/internal/forward/events_test.go
@@ -7,8 +7,9 @@
 	"testing"
 	"testing/iotest"
 
-	"nickelline/internal/admission"
 	"time"
+
+	"nickelline/internal/admission"
 )
 
 func TestEventsEndAtEmptyLines(t *testing.T) {
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -12,9 +12,9 @@
 )
 
 // ready asks the node whether it is ready, on a connection that is kept.
-func (t *tier) ready(test *testing.T) int {
+func (s *tier) ready(test *testing.T) int {
 	test.Helper()
-	response, err := http.Get("http://" + t.readiness + "/-/readiness")
+	response, err := http.Get("http://" + s.readiness + "/-/readiness")
 	if err != nil {
 		test.Fatal(err)
 	}
@@ -56,27 +56,27 @@
 }
 
 // drain begins a drain with a notice time.
-func (t *tier) drain(test *testing.T, notice time.Duration) (ended chan struct{}) {
+func (s *tier) drain(test *testing.T, notice time.Duration) (ended chan struct{}) {
 	test.Helper()
-	t.Proxy.drainNotice = notice
+	s.Proxy.drainNotice = notice
 	ended = make(chan struct{})
 	began := make(chan struct{})
 	go func() {
 		close(began)
-		t.Drain(test.Context())
+		s.Drain(test.Context())
 		close(ended)
 	}()
 	<-began
-	for t.ready(test) == 200 { // it fails at once, that is when Drain runs
+	for s.ready(test) == 200 { // it fails at once, that is when Drain runs
 	}
 	return ended
 }
 
 // waitForReading blocks until a part of a request has been read.
-func (t *tier) waitForReading(test *testing.T) {
+func (s *tier) waitForReading(test *testing.T) {
 	test.Helper()
 	for end := time.Now().Add(testPatience); time.Now().Before(end); runtime.Gosched() {
-		for _, c := range t.clients.connections() {
+		for _, c := range s.clients.connections() {
 			c.mutex.Lock()
 			state := c.state
 			c.mutex.Unlock()
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -191,30 +191,30 @@
 	unknown  bool // whether the list of backends is not there
 }
 
-func (t *tier) selectBackend(_ string, _ time.Time, r admission.Request) (discovery.Backend, Ticket, *admission.Refusal) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.asked = append(t.asked, r)
-	for _, b := range t.backends {
+func (s *tier) selectBackend(_ string, _ time.Time, r admission.Request) (discovery.Backend, Ticket, *admission.Refusal) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.asked = append(s.asked, r)
+	for _, b := range s.backends {
 		if r.Exclude == nil || !r.Exclude(b.ID) {
-			return b.Backend, &ticket{tier: t}, nil
+			return b.Backend, &ticket{tier: s}, nil
 		}
 	}
 	return discovery.Backend{}, nil, &admission.Refusal{RetryAfter: 300 * time.Millisecond}
 }
 
-func (t *tier) setProofAge(age time.Duration) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.proofAge = age
+func (s *tier) setProofAge(age time.Duration) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.proofAge = age
 }
 
-func (t *tier) setLimits(change func(*configuration.Limits)) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	changed := *t.snapshot
+func (s *tier) setLimits(change func(*configuration.Limits)) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	changed := *s.snapshot
 	change(&changed.Limits)
-	t.snapshot = &changed
+	s.snapshot = &changed
 }
 
 func listen(t testing.TB) *net.TCPListener {
