--- a/internal/forward/doc.go
+++ b/internal/forward/doc.go
@@ -17,7 +17,7 @@
 //   - client.go: the client, and an attempt at a backend
 //   - request.go, headers.go, encode.go: a request, and how it is written
 //   - connection.go: connections that know for how long a backend keeps them
-//   - exchange.go: a request and the head of its answer on one connection
+//   - roundtrip.go: a request and the head of its answer on one connection
 //   - response.go, serverload.go: an answer, and the load that its backend reports
 //   - body.go, events.go: the body of an answer, and the events of a stream
 //   - failure.go: why an attempt brought no answer
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -66,7 +66,8 @@
 
 // remainder returns what follows the last event of a stream that ended properly, and then the end.
 func (r *eventReader) remainder() (Event, error) {
-	if r.err != io.EOF || r.start == len(r.buffer) {
+	properEnd := r.err == io.EOF //nolint:errorlint // a reader returns io.EOF itself
+	if !properEnd || r.start == len(r.buffer) {
 		return Event{}, r.err
 	}
 	raw := r.buffer[r.start:]
--- a/internal/forward/events_test.go
+++ b/internal/forward/events_test.go
@@ -29,10 +29,10 @@
 				raw.Write(got.Raw)
 			}
 			if raw.String() != text {
-				t.Errorf("passed on %q", raw.String())
+				t.Errorf("raw events: got %q, want %q", raw.String(), text)
 			}
-			if _, err := r.next(); err != io.EOF {
-				t.Errorf("end %v", err)
+			if _, err := r.next(); err != io.EOF { //nolint:errorlint // the end is io.EOF itself
+				t.Errorf("end: got %v, want io.EOF", err)
 			}
 		})
 	}
@@ -86,8 +86,8 @@
 			if got.String() != c.want {
 				t.Errorf("events: got %q, want %q", got.String(), c.want)
 			}
-			if whole := err == io.EOF; whole != c.whole {
-				t.Errorf("end %v", err)
+			if whole := err == io.EOF; whole != c.whole { //nolint:errorlint // the end is io.EOF itself
+				t.Errorf("end: got %v, want io.EOF: %v", err, c.whole)
 			}
 			if !c.whole && (!errors.As(err, &failure) || failure.Outcome != MayHaveRun) {
 				t.Errorf("end %v", err)
@@ -122,8 +122,8 @@
 	if _, err := response.Next(); err != nil || !response.Ready() {
 		t.Errorf("%v, ready: %v", err, response.Ready())
 	}
-	if _, err := response.Next(); err != io.EOF {
-		t.Errorf("end %v", err)
+	if _, err := response.Next(); err != io.EOF { //nolint:errorlint // the end is io.EOF itself
+		t.Errorf("end: got %v, want io.EOF", err)
 	}
 }
 
--- a/internal/forward/response.go
+++ b/internal/forward/response.go
@@ -37,15 +37,14 @@
 func (r *Response) Next() (Event, error) {
 	r.body.roundTrip.conn.SetReadLimit(math.MaxInt64)
 	event, err := r.body.events.next()
-	switch {
-	case err == nil:
+	if err == nil {
 		return event, nil
-	case err == io.EOF:
+	}
+	if err == io.EOF { //nolint:errorlint // the end is io.EOF itself; a wrapped one is a failure
 		r.body.complete()
 		return Event{}, io.EOF
-	default:
-		return Event{}, r.body.fail(err)
 	}
+	return Event{}, r.body.fail(err)
 }
 
 // Ready reports whether Next will return without waiting: a whole event has come, or the end.
--- a/internal/forward/exchange.go
+++ b/internal/forward/roundtrip.go
@@ -12,7 +12,7 @@
 // pastDeadline is a deadline that has passed: reads and writes fail at once.
 var pastDeadline = time.Unix(1, 0)
 
-// exchange is one request and its answer on one connection.
+// roundTrip is one request and its answer on one connection.
 type roundTrip struct {
 	client    *Client
 	backendID string
@@ -66,7 +66,7 @@
 // receive reads the head of the answer.
 func (rt *roundTrip) receive(r *Request) (*Response, *Failure) {
 	rt.conn.SetReadLimit(maxHeadBytes)
-	head, err := readHead(rt.conn.Reader, r.Method)
+	head, err := readHead(rt.conn.Reader, r.Method) //nolint:bodyclose // the body reads and releases the connection
 	if rt.history.Requests > 0 && rt.ctx.Err() == nil {
 		rt.client.pool.RecordReuse(rt.history.Idle, err != nil && rt.conn.ReadLimit() == maxHeadBytes)
 	}
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"net"
 	"sync"
@@ -78,7 +79,7 @@
 	}
 	waitErr := c.raw.Read(func(fd uintptr) bool {
 		n, err = c.readNow(int(fd), p)
-		return err != syscall.EAGAIN
+		return !errors.Is(err, syscall.EAGAIN)
 	})
 	if waitErr != nil && c.endedIdle() {
 		return 0, io.EOF // hertz would answer a request that nobody sent
@@ -106,7 +107,7 @@
 	for {
 		n, err := syscall.Read(fd, p)
 		switch {
-		case err == syscall.EINTR:
+		case errors.Is(err, syscall.EINTR):
 			continue
 		case err != nil:
 			return 0, err
@@ -129,6 +130,7 @@
 		c.bytesRead += int64(n)
 	case stateServing:
 		c.readAhead = true
+	case stateClosed: // nothing is read any more
 	}
 }
 
@@ -184,7 +186,7 @@
 	if c.state == stateReading {
 		timeout = limits.HeaderTimeout + time.Duration(c.bytesRead)*time.Second/minBodyRate
 	}
-	c.TCPConn.SetReadDeadline(c.stateSince.Add(timeout))
+	_ = c.TCPConn.SetReadDeadline(c.stateSince.Add(timeout)) // a broken connection fails its next read
 }
 
 // closeIfIdle closes a connection unless something of an unanswered request has been read. It reports whether it did.
@@ -195,7 +197,7 @@
 		return false
 	}
 	c.state = stateClosed
-	c.TCPConn.SetReadDeadline(pastDeadline) // the goroutine that waits for a request closes the connection
+	_ = c.TCPConn.SetReadDeadline(pastDeadline) // the goroutine that waits for a request closes the connection
 	return true
 }
 
--- a/internal/proxy/connections.go
+++ b/internal/proxy/connections.go
@@ -109,10 +109,11 @@
 
 // refuseConnection answers a connection that there is no room for, and closes it.
 func refuseConnection(tcp *net.TCPConn) {
-	tcp.SetWriteDeadline(time.Now().Add(connectionRefusalTimeout))
-	tcp.Write([]byte(connectionRefusal))
-	tcp.CloseWrite()
-	tcp.Close()
+	// Errors do not matter: the connection ends in any case.
+	_ = tcp.SetWriteDeadline(time.Now().Add(connectionRefusalTimeout))
+	_, _ = tcp.Write([]byte(connectionRefusal))
+	_ = tcp.CloseWrite()
+	_ = tcp.Close()
 }
 
 // drain accepts no more connections, closes the idle ones, and waits until the others have got their answers.
@@ -145,6 +146,6 @@
 func (s *server) close() {
 	s.listener.Close()
 	for _, c := range s.connections() {
-		c.Close()
+		_ = c.Close() // it ends in any case
 	}
 }
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -25,46 +25,53 @@
 
 const loadField = "Nickelline-Server-Load: 8,2,8\r\n"
 
+// Replies of backends.
+var (
+	fullReply         = text(whole(503, notRun+loadField, "full"))
+	misdirectedReply  = text(whole(421, "", ""))
+	failedReply       = text(whole(500, sealField, "failed"))
+	lateReply         = text(whole(504, sealField, "late"))
+	unconfirmedReply  = text(whole(503, sealField, "not so"))
+	unsealedReply     = text(whole(200, "", "whose?"))
+	otherRequestReply = text(strings.ReplaceAll(whole(200, sealField, "another's"), "ID", "other"))
+	surplusReply      = text(strings.ReplaceAll(whole(200, sealField, "another's"), "ID", "other") + whole(200, sealField, "late"))
+	notFoundReply     = text(whole(404, sealField, "no such thing"))
+)
+
+// attemptCases are requests to backends that reply in different ways.
+var attemptCases = []struct {
+	name     string
+	path     string
+	backends []reply
+	status   int
+	body     string // of the backend; empty: the answer is the proxy's own
+	counts   []int
+}{
+	{"success", "/once/x", []reply{ok("a"), ok("b")}, 200, "a", []int{1, 0}},
+	{"full, then success", "/once/x", []reply{fullReply, ok("b")}, 200, "b", []int{1, 1}},
+	{"another backend at the address", "/once/x", []reply{misdirectedReply, ok("b")}, 200, "b", []int{1, 1}},
+	{"all full", "/once/x", []reply{fullReply, fullReply}, 503, "", []int{1, 1}},
+	{"full too often", "/once/x", []reply{fullReply, fullReply, ok("c")}, 503, "", []int{1, 1, 0}},
+	{"may have run, once", "/once/x", []reply{breakOff, ok("b")}, 502, "", []int{1, 0}},
+	{"may have run, repeatable", "/many/x", []reply{breakOff, ok("b")}, 200, "b", []int{1, 1}},
+	{"full, then may have run, once", "/once/x", []reply{fullReply, breakOff, ok("c")}, 502, "", []int{1, 1, 0}},
+	{"may have run, then all full", "/many/x", []reply{breakOff, fullReply}, 502, "", []int{1, 1}},
+	{"no more than the route allows", "/many/x", []reply{breakOff, breakOff, ok("c")}, 502, "", []int{1, 1, 0}},
+	{"error answer of a backend, once", "/once/x", []reply{failedReply, ok("b")}, 500, "failed", []int{1, 0}},
+	{"error answer of a backend, repeatable", "/many/x", []reply{failedReply, ok("b")}, 200, "b", []int{1, 1}},
+	{"error answers of backends", "/many/x", []reply{failedReply, lateReply, ok("c")}, 504, "late", []int{1, 1, 0}},
+	{"error answer of a backend, then all full", "/many/x", []reply{failedReply, fullReply}, 500, "failed", []int{1, 1}},
+	{"an error of the client", "/many/x", []reply{notFoundReply, ok("b")}, 404, "no such thing", []int{1, 0}},
+	{"an unconfirmed promise", "/once/x", []reply{unconfirmedReply, ok("b")}, 502, "", []int{1, 0}},
+	{"an unconfirmed promise, repeatable", "/many/x", []reply{unconfirmedReply, unconfirmedReply}, 502, "", []int{1, 1}},
+	{"a success without a seal", "/once/x", []reply{unsealedReply, ok("b")}, 502, "", []int{1, 0}},
+	{"an answer to another request", "/once/x", []reply{otherRequestReply, ok("b")}, 502, "", []int{1, 0}},
+	{"an answer to another request, repeatable", "/many/x", []reply{surplusReply, ok("b")}, 200, "b", []int{1, 1}},
+	{"no backends", "/many/x", nil, 503, "", nil},
+}
+
 func TestAttempts(t *testing.T) {
-	full := text(whole(503, notRun+loadField, "full"))
-	misdirected := text(whole(421, "", ""))
-	failed := text(whole(500, sealField, "failed"))
-	late := text(whole(504, sealField, "late"))
-	claimed := text(whole(503, sealField, "not so"))
-	unsealed := text(whole(200, "", "whose?"))
-	other := text(strings.ReplaceAll(whole(200, sealField, "another's"), "ID", "other"))
-	surplus := text(strings.ReplaceAll(whole(200, sealField, "another's"), "ID", "other") + whole(200, sealField, "late"))
-	unknown := text(whole(404, sealField, "no such thing"))
-	for _, c := range []struct {
-		name     string
-		path     string
-		backends []reply
-		status   int
-		body     string // of the backend; empty: the answer is the proxy's own
-		counts   []int
-	}{
-		{"success", "/once/x", []reply{ok("a"), ok("b")}, 200, "a", []int{1, 0}},
-		{"full, then success", "/once/x", []reply{full, ok("b")}, 200, "b", []int{1, 1}},
-		{"another backend at the address", "/once/x", []reply{misdirected, ok("b")}, 200, "b", []int{1, 1}},
-		{"all full", "/once/x", []reply{full, full}, 503, "", []int{1, 1}},
-		{"full too often", "/once/x", []reply{full, full, ok("c")}, 503, "", []int{1, 1, 0}},
-		{"may have run, once", "/once/x", []reply{breakOff, ok("b")}, 502, "", []int{1, 0}},
-		{"may have run, repeatable", "/many/x", []reply{breakOff, ok("b")}, 200, "b", []int{1, 1}},
-		{"full, then may have run, once", "/once/x", []reply{full, breakOff, ok("c")}, 502, "", []int{1, 1, 0}},
-		{"may have run, then all full", "/many/x", []reply{breakOff, full}, 502, "", []int{1, 1}},
-		{"no more than the route allows", "/many/x", []reply{breakOff, breakOff, ok("c")}, 502, "", []int{1, 1, 0}},
-		{"own failure of a backend, once", "/once/x", []reply{failed, ok("b")}, 500, "failed", []int{1, 0}},
-		{"own failure of a backend, repeatable", "/many/x", []reply{failed, ok("b")}, 200, "b", []int{1, 1}},
-		{"own failures of backends", "/many/x", []reply{failed, late, ok("c")}, 504, "late", []int{1, 1, 0}},
-		{"own failure of a backend, then all full", "/many/x", []reply{failed, full}, 500, "failed", []int{1, 1}},
-		{"a client's fault", "/many/x", []reply{unknown, ok("b")}, 404, "no such thing", []int{1, 0}},
-		{"a promise that nobody gave", "/once/x", []reply{claimed, ok("b")}, 502, "", []int{1, 0}},
-		{"a promise that nobody gave, repeatable", "/many/x", []reply{claimed, claimed}, 502, "", []int{1, 1}},
-		{"a success without a seal", "/once/x", []reply{unsealed, ok("b")}, 502, "", []int{1, 0}},
-		{"an answer to another request", "/once/x", []reply{other, ok("b")}, 502, "", []int{1, 0}},
-		{"an answer to another request, repeatable", "/many/x", []reply{surplus, ok("b")}, 200, "b", []int{1, 1}},
-		{"no backends", "/many/x", nil, 503, "", nil},
-	} {
+	for _, c := range attemptCases {
 		t.Run(c.name, func(t *testing.T) {
 			var backends []*backend
 			for _, answer := range c.backends {
@@ -288,71 +295,78 @@
 	}
 }
 
-func TestStreams(t *testing.T) {
-	continued := func(t *testing.T, after, answer string) reply {
-		return func(b *backend, r received, conn net.Conn) bool {
-			if got := r.Header.Get("Last-Event-Id"); got != after {
-				t.Errorf("asked to continue after: got %q, want %q", got, after)
-			}
-			return text(answer)(b, r, conn)
+// continued replies to a request that asks to continue a stream after an event.
+func continued(t *testing.T, after, answer string) reply {
+	t.Helper()
+	return func(b *backend, r received, conn net.Conn) bool {
+		if got := r.Header.Get("Last-Event-Id"); got != after {
+			t.Errorf("asked to continue after: got %q, want %q", got, after)
 		}
+		return text(answer)(b, r, conn)
 	}
-	full := text(whole(503, notRun, ""))
-	for _, c := range []struct {
-		name     string
-		path     string
-		backends func(t *testing.T) []reply
-		status   int
-		body     string
-		cut      bool
-		counts   []int
-	}{
-		{"whole", "/stream/x", func(*testing.T) []reply {
-			return []reply{text(streamHead + chunk(firstEvent+secondEvent) + lastChunk)}
-		}, 200, firstEvent + secondEvent, false, []int{1}},
-		{"without events", "/stream/x", func(*testing.T) []reply { return []reply{text(streamHead + lastChunk)} }, 200, "", false, []int{1}},
-		{"broken, not resumable", "/stream/x", func(*testing.T) []reply {
-			return []reply{text(streamHead + chunk(firstEvent) + chunk(partOfAnEvent)), ok("")}
-		}, 200, firstEvent, true, []int{1, 0}},
-		{"broken before an event, not resumable", "/stream/x", func(*testing.T) []reply {
-			return []reply{text(streamHead + chunk("id: 1")), ok("")}
-		}, 502, "Bad Gateway", false, []int{1, 0}},
-		{"broken, resumed", "/resume/x", func(t *testing.T) []reply {
-			return []reply{text(streamHead + chunk(firstEvent) + chunk(partOfAnEvent)), continued(t, "1", otherHead+chunk(secondEvent)+lastChunk)}
-		}, 200, firstEvent + secondEvent, false, []int{1, 1}},
-		{"resumed with an event that was passed on", "/resume/x", func(t *testing.T) []reply {
-			return []reply{text(streamHead + chunk(firstEvent)), continued(t, "1", otherHead+chunk(firstEvent+secondEvent)+lastChunk)}
-		}, 200, firstEvent + secondEvent, false, []int{1, 1}},
-		{"broken before an event, resumable", "/resume/x", func(t *testing.T) []reply {
-			return []reply{breakOff, continued(t, "", streamHead+chunk(firstEvent)+lastChunk)}
-		}, 200, firstEvent, false, []int{1, 1}},
-		{"broken, then full, then resumed", "/resume/x", func(t *testing.T) []reply {
-			return []reply{text(streamHead + chunk(firstEvent)), full, continued(t, "1", otherHead+chunk(secondEvent)+lastChunk)}
-		}, 200, firstEvent + secondEvent, false, []int{1, 1, 1}},
-		{"broken too often", "/resume/x", func(t *testing.T) []reply {
-			return []reply{text(streamHead + chunk(firstEvent)), continued(t, "1", otherHead+chunk(secondEvent)), ok("")}
-		}, 200, firstEvent + secondEvent, true, []int{1, 1, 0}},
-		{"broken, then a failure", "/resume/x", func(t *testing.T) []reply {
-			return []reply{text(streamHead + chunk(firstEvent)), text(whole(500, sealField, "failed"))}
-		}, 200, firstEvent, true, []int{1, 1}},
-		{"broken, then nobody", "/resume/x", func(t *testing.T) []reply {
-			return []reply{text(streamHead + chunk(firstEvent))}
-		}, 200, firstEvent, true, []int{1}},
-		{"events without ids cannot be continued", "/resume/x", func(t *testing.T) []reply {
-			return []reply{text(streamHead + chunk("data: a\n\n")), ok("")}
-		}, 200, "data: a\n\n", true, []int{1, 0}},
-		{"data without an id behind an event", "/resume/x", func(t *testing.T) []reply {
-			return []reply{text(streamHead + chunk(firstEvent) + chunk("data: a\n\n")), ok("")}
-		}, 200, firstEvent + "data: a\n\n", true, []int{1, 0}},
-		{"a comment behind an event", "/resume/x", func(t *testing.T) []reply {
-			return []reply{text(streamHead + chunk(firstEvent) + chunk(": b\n\n")), continued(t, "1", otherHead+chunk(secondEvent)+lastChunk)}
-		}, 200, firstEvent + ": b\n\n" + secondEvent, false, []int{1, 1}},
-		{"without a seal", "/stream/x", func(t *testing.T) []reply {
-			return []reply{text(strings.Replace(streamHead, sealField, "", 1) + chunk(firstEvent) + lastChunk)}
-		}, 502, "Bad Gateway", false, []int{1}},
-		{"full", "/stream/x", func(t *testing.T) []reply { return []reply{full} }, 503, "Service Unavailable", false, []int{1}},
-		{"a failure of the backend", "/stream/x", func(t *testing.T) []reply { return []reply{text(whole(500, sealField, "failed"))} }, 500, "failed", false, []int{1}},
-	} {
+}
+
+var fullStreamReply = text(whole(503, notRun, ""))
+
+// streamCases are requests for streams to backends that reply in different ways.
+var streamCases = []struct {
+	name       string
+	path       string
+	backends   func(t *testing.T) []reply
+	status     int
+	body       string
+	incomplete bool
+	counts     []int
+}{
+	{"whole", "/stream/x", func(*testing.T) []reply {
+		return []reply{text(streamHead + chunk(firstEvent+secondEvent) + lastChunk)}
+	}, 200, firstEvent + secondEvent, false, []int{1}},
+	{"without events", "/stream/x", func(*testing.T) []reply { return []reply{text(streamHead + lastChunk)} }, 200, "", false, []int{1}},
+	{"broken, not resumable", "/stream/x", func(*testing.T) []reply {
+		return []reply{text(streamHead + chunk(firstEvent) + chunk(partOfAnEvent)), ok("")}
+	}, 200, firstEvent, true, []int{1, 0}},
+	{"broken before an event, not resumable", "/stream/x", func(*testing.T) []reply {
+		return []reply{text(streamHead + chunk("id: 1")), ok("")}
+	}, 502, "Bad Gateway", false, []int{1, 0}},
+	{"broken, resumed", "/resume/x", func(t *testing.T) []reply {
+		return []reply{text(streamHead + chunk(firstEvent) + chunk(partOfAnEvent)), continued(t, "1", otherHead+chunk(secondEvent)+lastChunk)}
+	}, 200, firstEvent + secondEvent, false, []int{1, 1}},
+	{"resumed with an event that was passed on", "/resume/x", func(t *testing.T) []reply {
+		return []reply{text(streamHead + chunk(firstEvent)), continued(t, "1", otherHead+chunk(firstEvent+secondEvent)+lastChunk)}
+	}, 200, firstEvent + secondEvent, false, []int{1, 1}},
+	{"broken before an event, resumable", "/resume/x", func(t *testing.T) []reply {
+		return []reply{breakOff, continued(t, "", streamHead+chunk(firstEvent)+lastChunk)}
+	}, 200, firstEvent, false, []int{1, 1}},
+	{"broken, then full, then resumed", "/resume/x", func(t *testing.T) []reply {
+		return []reply{text(streamHead + chunk(firstEvent)), fullStreamReply, continued(t, "1", otherHead+chunk(secondEvent)+lastChunk)}
+	}, 200, firstEvent + secondEvent, false, []int{1, 1, 1}},
+	{"broken too often", "/resume/x", func(t *testing.T) []reply {
+		return []reply{text(streamHead + chunk(firstEvent)), continued(t, "1", otherHead+chunk(secondEvent)), ok("")}
+	}, 200, firstEvent + secondEvent, true, []int{1, 1, 0}},
+	{"broken, then a failure", "/resume/x", func(*testing.T) []reply {
+		return []reply{text(streamHead + chunk(firstEvent)), text(whole(500, sealField, "failed"))}
+	}, 200, firstEvent, true, []int{1, 1}},
+	{"broken, then nobody", "/resume/x", func(*testing.T) []reply {
+		return []reply{text(streamHead + chunk(firstEvent))}
+	}, 200, firstEvent, true, []int{1}},
+	{"events without ids cannot be continued", "/resume/x", func(*testing.T) []reply {
+		return []reply{text(streamHead + chunk("data: a\n\n")), ok("")}
+	}, 200, "data: a\n\n", true, []int{1, 0}},
+	{"data without an id behind an event", "/resume/x", func(*testing.T) []reply {
+		return []reply{text(streamHead + chunk(firstEvent) + chunk("data: a\n\n")), ok("")}
+	}, 200, firstEvent + "data: a\n\n", true, []int{1, 0}},
+	{"a comment behind an event", "/resume/x", func(t *testing.T) []reply {
+		return []reply{text(streamHead + chunk(firstEvent) + chunk(": b\n\n")), continued(t, "1", otherHead+chunk(secondEvent)+lastChunk)}
+	}, 200, firstEvent + ": b\n\n" + secondEvent, false, []int{1, 1}},
+	{"without a seal", "/stream/x", func(*testing.T) []reply {
+		return []reply{text(strings.Replace(streamHead, sealField, "", 1) + chunk(firstEvent) + lastChunk)}
+	}, 502, "Bad Gateway", false, []int{1}},
+	{"full", "/stream/x", func(*testing.T) []reply { return []reply{fullStreamReply} }, 503, "Service Unavailable", false, []int{1}},
+	{"a failure of the backend", "/stream/x", func(*testing.T) []reply { return []reply{text(whole(500, sealField, "failed"))} }, 500, "failed", false, []int{1}},
+}
+
+func TestStreams(t *testing.T) {
+	for _, c := range streamCases {
 		t.Run(c.name, func(t *testing.T) {
 			var backends []*backend
 			for _, answer := range c.backends(t) {
@@ -363,8 +377,8 @@
 			if a.StatusCode != c.status || a.body != c.body {
 				t.Errorf("answer: got %d %q, want %d %q", a.StatusCode, a.body, c.status, c.body)
 			}
-			if (a.err != nil) != c.cut {
-				t.Errorf("end of the body: got %v, want it incomplete: %v", a.err, c.cut)
+			if (a.err != nil) != c.incomplete {
+				t.Errorf("end of the body: got %v, want it incomplete: %v", a.err, c.incomplete)
 			}
 			if counts := s.counts(); !slices.Equal(counts, c.counts) {
 				t.Errorf("requests by backend: got %v, want %v", counts, c.counts)
--- a/internal/proxy/responsewriter.go
+++ b/internal/proxy/responsewriter.go
@@ -57,7 +57,7 @@
 	if !w.omitBody {
 		b.Write(body)
 	}
-	w.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_ = w.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // a broken connection fails its next write
 	w.flush(b)
 	w.finished = w.err == nil
 }
@@ -73,7 +73,7 @@
 	w.pending = responseBuffers.Get().(*bytes.Buffer)
 	w.appendHead(w.pending, status, header)
 	w.pending.WriteString("Transfer-Encoding: chunked\r\n\r\n")
-	w.conn.SetWriteDeadline(deadline)
+	_ = w.conn.SetWriteDeadline(deadline) // a broken connection fails its next write
 }
 
 // writeEvents writes more of a stream.
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -108,7 +108,7 @@
 // serveConnection serves the requests of one connection, until that ends.
 func (s *server) serveConnection(ctx context.Context, conn any) error {
 	client := connOf(ctx)
-	defer client.Close()
+	defer func() { _ = client.Close() }() // a broken connection ends in any case
 	err := s.hertz.Serve(ctx, conn.(network.Conn))
 	if err != nil && !errors.Is(err, hertzerrors.ErrShortConnection) && !errors.Is(err, hertzerrors.ErrIdleTimeout) {
 		client.discardUnread()
@@ -156,7 +156,7 @@
 // whether the client leaves goes on.
 func (s *server) endRequest(c *app.RequestContext, conn *clientConn, w *responseWriter) {
 	if !w.finished {
-		conn.Close()
+		_ = conn.Close() // it ends in any case
 	}
 	if w.closeConnection || !w.finished {
 		c.SetConnectionClose()
--- a/internal/proxy/streaming.go
+++ b/internal/proxy/streaming.go
@@ -29,9 +29,10 @@
 	for {
 		var err error
 		events, err = e.nextEvents(a.response, events[:0])
-		e.beginAnswer(a, w, len(events) > 0 || err == io.EOF)
+		ended := err == io.EOF //nolint:errorlint // the end is io.EOF itself; a Failure may wrap one
+		e.beginAnswer(a, w, len(events) > 0 || ended)
 		switch {
-		case err == io.EOF:
+		case ended:
 			e.executed++
 			a.end(admission.OK)
 			e.proxy.counters.delivered.Add(1)
