--- a/internal/configuration/doc.go
+++ b/internal/configuration/doc.go
@@ -15,7 +15,7 @@
 //
 //   - document.go: from bytes to a document and back
 //   - patch.go: changes of named items
-//   - compile.go: from a document to a snapshot, and the rules of the document
+//   - compile.go, compileroutes.go: from a document to a snapshot, and the rules of the document
 //   - node.go, numbers.go, problems.go: the values of a document, and what is wrong with them
 //   - snapshot.go: the compiled configuration
 //   - match.go: the route of a request, and the service of a route
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -67,7 +67,7 @@
 	Host   string // in lower case, without a port
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest a request may be held.
+	// Timeout is the longest that a request may take.
 	Timeout time.Duration
 	// TargetLatency is the time within which an answer (of a stream the first event, of a batch job the 202) has full value.
 	TargetLatency time.Duration
--- a/internal/forward/client_test.go
+++ b/internal/forward/client_test.go
@@ -31,7 +31,7 @@
 	body string
 }
 
-// backend is a server whose connections follow a script.
+// backend listens, and its connections follow a script.
 type backend struct {
 	discovery.Backend
 	connections atomic.Int64
@@ -203,11 +203,11 @@
 
 func TestOnlyWholeAnswersAreReturned(t *testing.T) {
 	for name, text := range map[string]string{
-		"cut short":                    answer("200 OK", "Content-Length: 10\r\n\r\nhalf"),
-		"cut short within a chunk":     answer("200 OK", "Transfer-Encoding: chunked\r\n\r\n9\r\nhalf"),
-		"without the last chunk":       answer("200 OK", "Transfer-Encoding: chunked\r\n\r\n"+chunk("half")),
-		"ends with its connection":     answer("200 OK", "\r\nhalf"),
-		"larger than what may be held": answer("200 OK", "Content-Length: 999999999999\r\n\r\nhalf"),
+		"cut short":                answer("200 OK", "Content-Length: 10\r\n\r\nhalf"),
+		"cut short within a chunk": answer("200 OK", "Transfer-Encoding: chunked\r\n\r\n9\r\nhalf"),
+		"without the last chunk":   answer("200 OK", "Transfer-Encoding: chunked\r\n\r\n"+chunk("half")),
+		"ends with its connection": answer("200 OK", "\r\nhalf"),
+		"larger than is allowed":   answer("200 OK", "Content-Length: 999999999999\r\n\r\nhalf"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := startBackend(t, text+closeAfter)
--- a/internal/forward/doc.go
+++ b/internal/forward/doc.go
@@ -7,7 +7,7 @@
 //   - Of a stream only whole events are returned. An answer that ends without the proper end of its body is an error, never
 //     a short answer.
 //   - A Failure states by its Outcome what is known: whether the request was sent, and whether it ran. That decides what the
-//     client may be told, and whether the request may be sent again.
+//     client may get, and whether the request may be sent again.
 //
 // Client.Run, which the owner of the Client starts, closes idle connections. A request runs in the goroutine of its caller;
 // an end of its context closes the connection to the backend.
--- a/internal/forward/unreliable_test.go
+++ b/internal/forward/unreliable_test.go
@@ -86,7 +86,7 @@
 	switch choice {
 	case 0: // not run
 		return send(socket, "HTTP/1.1 503 Full\r\n"+HeaderAttemptID+": "+id+"\r\n"+HeaderNotExecuted+": 1\r\nContent-Length: 0\r\n\r\n")
-	case 1: // silence
+	case 1: // no answer
 		return true
 	case 2: // a reset
 		_ = socket.SetLinger(0)
--- /dev/null
+++ b/internal/proxy/auth_test.go
@@ -0,0 +1,63 @@
+package proxy
+
+import (
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"nickelline/internal/forward"
+)
+
+func TestAuthentication(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		text   string
+		age    time.Duration // of the proof that the configuration is current
+		status int
+		tenant string
+	}{
+		{"key of a tenant", requestText("/many/x", "", ""), 0, 200, "t1"},
+		{"another key", strings.Replace(requestText("/many/x", "", ""), testKey, "k3", 1), 0, 200, "t2"},
+		{"unknown key", strings.Replace(requestText("/many/x", "", ""), testKey, "k9", 1), 0, 401, ""},
+		{"no key", strings.Replace(requestText("/many/x", "", ""), "Bearer "+testKey, "", 1), 0, 401, ""},
+		{"a tenant that the client names", requestText("/many/x", "Nickelline-Tenant-Name: t2\r\n", ""), 0, 200, "t1"},
+		{"public", strings.Replace(requestText("/open/x", "Nickelline-Tenant-Name: t2\r\n", ""), testKey, "k9", 1), 0, 200, ""},
+		{"no route", requestText("/none/x", "", ""), 0, 404, ""},
+		{"another host", strings.Replace(requestText("/many/x", "", ""), testHost, "other", 1), 0, 404, ""},
+		{"stale, key", requestText("/many/x", "", ""), time.Minute, 503, ""},
+		{"stale, unknown key", strings.Replace(requestText("/many/x", "", ""), testKey, "k9", 1), time.Minute, 503, ""},
+		{"stale, no route", requestText("/none/x", "", ""), time.Minute, 503, ""},
+		{"stale, public", requestText("/open/x", "", ""), time.Minute, 200, ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := startBackend(t, ok(""))
+			s := startTier(t, nil, b)
+			s.setProofAge(c.age)
+			if a := s.ask(t, c.text); a.StatusCode != c.status {
+				t.Errorf("status: got %d, want %d", a.StatusCode, c.status)
+			}
+			if sent := len(b.requests) > 0; sent != (c.status == 200) {
+				t.Fatalf("sent: %v", sent)
+			}
+			if c.status == 200 {
+				if tenant := (<-b.requests).Header.Get(forward.HeaderTenant); tenant != c.tenant {
+					t.Errorf("tenant: got %q, want %q", tenant, c.tenant)
+				}
+			}
+		})
+	}
+}
+
+func TestProofIsCheckedBeforeEachAttempt(t *testing.T) {
+	var s *tier
+	full := startBackend(t, func(b *backend, r received, conn net.Conn) bool {
+		s.setProofAge(time.Minute)
+		return text(whole(503, notRun, ""))(b, r, conn)
+	})
+	good := startBackend(t, ok(""))
+	s = startTier(t, nil, full, good)
+	if a := s.post(t, "/many/x"); a.StatusCode != 503 || len(good.requests) > 0 {
+		t.Errorf("answer %d, %d requests to the second backend", a.StatusCode, len(good.requests))
+	}
+}
--- a/internal/proxy/responsewriter.go
+++ b/internal/proxy/responsewriter.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// defaultRetryAfter is what a client is told if no better estimate is known.
+	// defaultRetryAfter is the Retry-After that a client gets if no better estimate is known.
 	defaultRetryAfter = 100 * time.Millisecond
 	// retryJitter is the fraction of a retry time by which it is made longer or shorter at random.
 	retryJitter = 0.25
--- a/internal/proxy/stats_test.go
+++ b/internal/proxy/stats_test.go
@@ -13,7 +13,7 @@
 	"nickelline/internal/fault"
 )
 
-// recordedLoads notes in which order a request asks for loads, is admitted and is announced.
+// recordedLoads records in which order a request has loads refreshed, is admitted and is announced.
 type recordedLoads struct {
 	mutex sync.Mutex
 	steps []string
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -123,7 +123,7 @@
 	older, newer := acquire(t, p, "a"), acquire(t, p, "a")
 	p.Release(older, true)
 	p.Release(newer, true)
-	held := acquire(t, p, "b")
+	inUse := acquire(t, p, "b")
 	if p.Open() != 2 {
 		t.Errorf("open connections: got %d, want 2", p.Open())
 	}
@@ -139,7 +139,7 @@
 	if _, err := p.Acquire(t.Context(), p.Find("b"), time.Now().Add(patient)); !errors.Is(err, ErrTooManyConnections) {
 		t.Errorf("Acquire beyond the limit: got %v, want %v", err, ErrTooManyConnections)
 	}
-	p.Release(held, false)
+	p.Release(inUse, false)
 	p.Release(newer, false)
 	if p.Open() != 0 {
 		t.Errorf("open connections: got %d, want 0", p.Open())
@@ -205,7 +205,7 @@
 		p := New[string](Options{MaxConnections: 10})
 		p.Update(true, []Entry[string]{ready("a", address)})
 		before := p.Find("a")
-		idle, held := acquire(t, p, "a"), acquire(t, p, "a")
+		idle, inUse := acquire(t, p, "a"), acquire(t, p, "a")
 		p.Release(idle, true)
 		p.Update(c.full, c.entries)
 		if p.Closed(before) != c.closed {
@@ -221,7 +221,7 @@
 		if errors.Is(err, ErrClosed) != c.closed {
 			t.Errorf("%s: acquire: %v", name, err)
 		}
-		p.Release(held, true)
+		p.Release(inUse, true)
 		if kept := p.Open() > 0; kept == c.closed {
 			t.Errorf("%s: %d connections open at the end", name, p.Open())
 		}
@@ -233,7 +233,7 @@
 	address, accepted := listener(t)
 	p := New[string](Options{MaxConnections: 10, SweepInterval: time.Millisecond, MaxIdle: time.Nanosecond})
 	p.Update(true, []Entry[string]{ready("a", address)})
-	old, held := acquire(t, p, "a"), acquire(t, p, "a")
+	old, inUse := acquire(t, p, "a"), acquire(t, p, "a")
 	p.Release(old, true)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -243,7 +243,7 @@
 	}
 	cancel()
 	<-ended
-	p.Release(held, true)
+	p.Release(inUse, true)
 	if p.Open() != 0 {
 		t.Errorf("open connections: got %d, want 0", p.Open())
 	}
