--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -88,7 +88,7 @@
 		{name: "header too large", request: replaced(closeField, closeField+"X: "+strings.Repeat("x", 17<<10)+"\r\n")},
 		{name: "body too large", request: closingRequest("POST", "/many/x", strings.Repeat("x", 65537))},
 		{name: "stale proof", request: valid, change: func(s *tier) { s.setProofAge(time.Minute) }},
-		{name: "no configuration", request: valid, change: func(s *tier) { s.snapshot = nil }},
+		{name: "no configuration", request: valid, change: (*tier).removeConfiguration},
 	} {
 		s := startTier(t, nil)
 		if c.change != nil {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -209,6 +209,12 @@
 	s.proofAge = age
 }
 
+func (s *tier) removeConfiguration() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.snapshot = nil
+}
+
 func (s *tier) setLimits(change func(*configuration.Limits)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
