--- a/cmd/nickelline/proxy.go
+++ b/cmd/nickelline/proxy.go
@@ -74,7 +74,6 @@
 	n.limiter.HandleAnnouncements(n.transport)
 	n.sender = forward.NewClient(forward.Options{
 		Connections: int(serverDescriptors * float64(p.settings.Limits.FileDescriptors)),
-		Log:         p.log,
 	})
 	n.state.OnBackends(n.sender.SetBackends)
 	n.proxy = proxy.New(clients, readiness, n.proxyOptions())
--- a/cmd/nickelline/store.go
+++ b/cmd/nickelline/store.go
@@ -68,7 +68,6 @@
 	n.state = n.newState()
 	n.sender = forward.NewClient(forward.Options{
 		Connections: int(storeDescriptors * float64(p.settings.Limits.FileDescriptors)),
-		Log:         p.log,
 	})
 	n.state.OnBackends(n.sender.SetBackends)
 	if n.store, err = store.New(n.storeOptions()); err != nil {
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -4,8 +4,6 @@
 	"context"
 	"time"
 
-	"go.uber.org/zap"
-
 	"nickelline/internal/discovery"
 	"nickelline/internal/upstream"
 )
@@ -30,13 +28,11 @@
 type Options struct {
 	// Connections is the greatest number of connections to backends at one time.
 	Connections int
-	Log         *zap.Logger
 }
 
 // Client sends requests to backends over a pool of connections. It is safe for concurrent use.
 type Client struct {
 	pool *upstream.Pool[string]
-	log  *zap.Logger
 }
 
 // NewClient returns a client. Run has to be called for it to close idle connections.
@@ -51,7 +47,7 @@
 		SweepInterval:  sweepInterval,
 		Dial:           dial,
 	})
-	return &Client{pool: pool, log: o.Log}
+	return &Client{pool: pool}
 }
 
 // Run closes idle connections as they grow old until ctx ends, and then closes them all.
--- a/internal/forward/client_test.go
+++ b/internal/forward/client_test.go
@@ -14,8 +14,6 @@
 	"testing"
 	"time"
 
-	"go.uber.org/zap"
-
 	"nickelline/internal/admission"
 	"nickelline/internal/discovery"
 )
@@ -88,9 +86,9 @@
 	b.closed <- err
 }
 
-func testClient(t *testing.T, rest time.Duration, backends ...*backend) *Client {
+func testClient(t *testing.T, minIdle time.Duration, backends ...*backend) *Client {
 	t.Helper()
-	c := newClient(Options{Connections: 100, Log: zap.NewNop()}, rest)
+	c := newClient(Options{Connections: 100}, minIdle)
 	list := make([]discovery.Backend, 0, len(backends))
 	for _, b := range backends {
 		list = append(list, b.Backend)
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -22,8 +22,8 @@
 //
 // # Goroutines
 //
-// Serve runs until Drain has ended or Close is called. It starts a goroutine for the readiness listener and waits for it;
-// hertz starts one for each connection, in which the requests of the connection are served. The context of a request ends
+// Serve runs until Drain has ended or Close is called. It starts a goroutine for the readiness listener, and waits for it
+// unless the listener for clients has failed; hertz starts one for each connection, in which the requests of the connection are served. The context of a request ends
 // when its client leaves.
 //
 // # Files, in the order of a request
