--- a/internal/forward/client_test.go
+++ b/internal/forward/client_test.go
@@ -254,7 +254,7 @@
 			}
 			_, failure := client.Do(c.ctx, c.backend.Backend, c.request)
 			if failure == nil || failure.Outcome != NotSent {
-				t.Errorf("failure %v", failure)
+				t.Errorf("failure: got %v, want outcome %v", failure, NotSent)
 			}
 			if len(b.requests) > 0 {
 				t.Error("the backend received a request")
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -189,7 +189,7 @@
 		strings.Replace(requestText("/-/lots/j", "", ""), "POST", "GET", 1),
 	} {
 		if a := s.ask(t, text); a.StatusCode != 503 {
-			t.Errorf("answer %d", a.StatusCode)
+			t.Errorf("status: got %d, want %d", a.StatusCode, 503)
 		}
 	}
 }
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -137,10 +137,10 @@
 	}
 	good := startBackend(t, ok("a"))
 	if a := startTier(t, nil, gone(), gone(), good).post(t, "/once/x"); a.StatusCode != 200 {
-		t.Errorf("answer %d", a.StatusCode)
+		t.Errorf("status: got %d, want %d", a.StatusCode, 200)
 	}
 	if a := startTier(t, nil, gone(), gone(), gone(), good).post(t, "/once/x"); a.StatusCode != 503 {
-		t.Errorf("answer %d", a.StatusCode)
+		t.Errorf("status: got %d, want %d", a.StatusCode, 503)
 	}
 }
 
@@ -155,7 +155,7 @@
 				t.Errorf("answer %d after %v", a.StatusCode, took)
 			}
 			if counts := s.counts(); !slices.Equal(counts, []int{1, 0}) {
-				t.Errorf("requests by backend: %v", counts)
+				t.Errorf("requests by backend: got %v, want %v", counts, []int{1, 0})
 			}
 			remaining, _ := strconv.Atoi((<-unresponsive.requests).Header.Get(forward.HeaderDeadline))
 			if remaining <= 0 || remaining > 80 {
@@ -168,7 +168,7 @@
 func TestRouteTimeout(t *testing.T) {
 	s := startTier(t, nil, startBackend(t, hold("")))
 	if a := s.ask(t, requestText("/short/x", "Nickelline-Deadline-Remaining-Ms: 9000\r\n", "")); a.StatusCode != 504 {
-		t.Errorf("answer %d", a.StatusCode)
+		t.Errorf("status: got %d, want %d", a.StatusCode, 504)
 	}
 }
 
@@ -176,7 +176,7 @@
 	b := startBackend(t, ok(""))
 	s := startTier(t, nil, b)
 	if a := s.ask(t, requestText("/many/x", "Nickelline-Deadline-Remaining-Ms: 3\r\n", "")); a.StatusCode != 503 {
-		t.Errorf("answer %d", a.StatusCode)
+		t.Errorf("status: got %d, want %d", a.StatusCode, 503)
 	}
 	if len(b.requests) > 0 {
 		t.Error("the request was sent")
@@ -186,10 +186,10 @@
 func TestNoRetryThatCannotBeInTime(t *testing.T) {
 	s := startTier(t, nil, startBackend(t, breakOff), startBackend(t, ok("")))
 	if a := s.ask(t, requestText("/many/x", "Nickelline-Deadline-Remaining-Ms: 90\r\n", "")); a.StatusCode != 504 {
-		t.Errorf("answer %d", a.StatusCode)
+		t.Errorf("status: got %d, want %d", a.StatusCode, 504)
 	}
 	if counts := s.counts(); !slices.Equal(counts, []int{1, 0}) {
-		t.Errorf("requests by backend: %v", counts)
+		t.Errorf("requests by backend: got %v, want %v", counts, []int{1, 0})
 	}
 }
 
@@ -250,7 +250,7 @@
 			quota := &fakeQuota{tokens: 1, returned: make(chan struct{}, 1)}
 			s := startTier(t, func(o *Options) { o.Quota = quota }, b)
 			if a := s.post(t, "/once/x"); a.StatusCode != c.status {
-				t.Errorf("answer %d", a.StatusCode)
+				t.Errorf("status: got %d, want %d", a.StatusCode, c.status)
 			}
 			if c.left > 0 {
 				wait(t, quota.returned, "token given back")
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -140,7 +140,7 @@
 			c := s.connect(t)
 			c.send(t, text)
 			if a := c.read(t); a.StatusCode != http.StatusBadRequest {
-				t.Errorf("answer %d", a.StatusCode)
+				t.Errorf("status: got %d, want %d", a.StatusCode, http.StatusBadRequest)
 			}
 			if n := len(b.requests); n > 0 {
 				t.Error("a request was sent")
@@ -179,7 +179,7 @@
 	s := startTier(t, nil, startBackend(t, ok("")))
 	s.setLimits(func(l *configuration.Limits) { l.HeaderTimeout = 50 * time.Millisecond })
 	if a := s.ask(t, "POST /many/x HTT"); a.StatusCode != http.StatusRequestTimeout {
-		t.Errorf("answer %d", a.StatusCode)
+		t.Errorf("status: got %d, want %d", a.StatusCode, http.StatusRequestTimeout)
 	}
 }
 
@@ -195,6 +195,6 @@
 	idle.expectClosed(t)
 	// Nothing waits now.
 	if a := s.ask(t, requestText("/many/x", "", "")); a.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("answer %d", a.StatusCode)
+		t.Errorf("status: got %d, want %d", a.StatusCode, http.StatusServiceUnavailable)
 	}
 }
--- a/internal/proxy/stats_test.go
+++ b/internal/proxy/stats_test.go
@@ -43,11 +43,11 @@
 		})
 	}, startBackend(t, ok("fine")))
 	if a := s.post(t, "/many/1"); a.StatusCode != http.StatusOK {
-		t.Fatalf("status %d", a.StatusCode)
+		t.Fatalf("status: got %d, want %d", a.StatusCode, http.StatusOK)
 	}
 	refuse = true
 	if a := s.post(t, "/many/2"); a.StatusCode != http.StatusServiceUnavailable {
-		t.Fatalf("status %d", a.StatusCode)
+		t.Fatalf("status: got %d, want %d", a.StatusCode, http.StatusServiceUnavailable)
 	}
 	if want := []string{"refresh", "select", "announce", "refresh", "select"}; !slices.Equal(loads.steps, want) {
 		t.Errorf("steps: got %v, want %v", loads.steps, want)
@@ -58,10 +58,10 @@
 	failing := startBackend(t, text(whole(http.StatusInternalServerError, sealField, "no")))
 	s := startTier(t, nil, failing, startBackend(t, ok("fine")))
 	if a := s.post(t, "/many/1"); a.StatusCode != http.StatusOK {
-		t.Fatalf("status %d", a.StatusCode)
+		t.Fatalf("status: got %d, want %d", a.StatusCode, http.StatusOK)
 	}
 	if a := s.post(t, "/nowhere/"); a.StatusCode != http.StatusNotFound {
-		t.Fatalf("status %d", a.StatusCode)
+		t.Fatalf("status: got %d, want %d", a.StatusCode, http.StatusNotFound)
 	}
 	stats := s.Stats()
 	if stats.Attempts != 2 || stats.Retries != 1 || stats.Passed != 1 {
--- a/internal/proxy/streaming_test.go
+++ b/internal/proxy/streaming_test.go
@@ -54,7 +54,7 @@
 	// The connection takes another request.
 	c.send(t, requestText("/none/x", "", ""))
 	if a := c.read(t); a.StatusCode != 404 {
-		t.Errorf("answer %d", a.StatusCode)
+		t.Errorf("status: got %d, want %d", a.StatusCode, 404)
 	}
 }
 
