--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -80,10 +80,10 @@
 	if b.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	switch {
-	case r.URL.Path == reportPath:
+	switch r.URL.Path {
+	case reportPath:
 		b.report(w)
-	case r.URL.Path == b.options.HealthPath:
+	case b.options.HealthPath:
 		b.health(w, r)
 	default:
 		b.request(w, r)
@@ -118,7 +118,7 @@
 		Active:        len(b.slots),
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(state)
+	_ = json.NewEncoder(w).Encode(state) // a client that has left cannot be answered
 }
 
 // health waits for a slot as a request does.
@@ -211,7 +211,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain")
-	io.WriteString(w, Answer(r.Method, r.URL.RequestURI(), body))
+	fmt.Fprint(w, Answer(r.Method, r.URL.RequestURI(), body))
 }
 
 // seal is a mark of this backend on its answer to an attempt.
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -99,7 +99,7 @@
 		from = n
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(l.page(query.Get("zone"), from))
+	_ = json.NewEncoder(w).Encode(l.page(query.Get("zone"), from))
 }
 
 // allow counts a call against the rate.
--- a/internal/tools/runtests/list.go
+++ b/internal/tools/runtests/list.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"os/exec"
 	"strings"
@@ -65,9 +66,9 @@
 	return text[:i], text[i+len(separator):], true
 }
 
-// modulePath is the path of the module in the current folder.
-func modulePath() (string, error) {
-	out, err := exec.Command("go", "list", "-m").Output()
+// modulePath returns the path of the module in the current directory.
+func modulePath(ctx context.Context) (string, error) {
+	out, err := exec.CommandContext(ctx, "go", "list", "-m").Output()
 	if err != nil {
 		return "", fmt.Errorf("go list -m: %w", err)
 	}
--- a/internal/tools/runtests/main.go
+++ b/internal/tools/runtests/main.go
@@ -11,6 +11,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -21,7 +22,7 @@
 const listPath = "KNOWN-RED.txt"
 
 func main() {
-	passed, err := run(os.Args[1:], os.Stdout)
+	passed, err := run(context.Background(), os.Args[1:], os.Stdout)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "runtests:", err)
 	}
@@ -30,17 +31,17 @@
 	}
 }
 
-// run calls go test with the arguments and tells whether the tests passed.
-func run(arguments []string, out io.Writer) (bool, error) {
+// run calls go test with the arguments and reports whether the tests passed.
+func run(ctx context.Context, arguments []string, out io.Writer) (bool, error) {
 	known, err := readList(listPath)
 	if err != nil {
 		return false, err
 	}
-	module, err := modulePath()
+	module, err := modulePath(ctx)
 	if err != nil {
 		return false, err
 	}
-	command := exec.Command("go", append([]string{"test", "-json"}, arguments...)...)
+	command := exec.CommandContext(ctx, "go", append([]string{"test", "-json"}, arguments...)...)
 	command.Stderr = os.Stderr
 	events, err := command.StdoutPipe()
 	if err != nil {
@@ -59,9 +60,9 @@
 	if endErr != nil && !errors.As(endErr, &exit) {
 		return false, endErr
 	}
-	verdict := results.judge(known, endErr == nil)
-	verdict.print(out)
-	return verdict.passed(), nil
+	summary := results.summarize(known, endErr == nil)
+	summary.print(out)
+	return summary.passed(), nil
 }
 
 // readList reads the list of known failures; a file that does not exist is an empty one.
--- a/internal/tools/runtests/results.go
+++ b/internal/tools/runtests/results.go
@@ -54,7 +54,7 @@
 	for {
 		line, err := lines.ReadBytes('\n')
 		if len(line) > 0 {
-			r.take(line)
+			r.handle(line)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -65,15 +65,16 @@
 	}
 }
 
-func (r *results) take(line []byte) {
+// handle handles one line of the output of go test -json.
+func (r *results) handle(line []byte) {
 	var e event
 	if json.Unmarshal(line, &e) != nil {
-		r.out.Write(line)
+		fmt.Fprintf(r.out, "%s", line)
 		return
 	}
 	switch e.Action {
 	case actionBuildOutput:
-		io.WriteString(r.out, e.Output)
+		fmt.Fprint(r.out, e.Output)
 	case actionOutput:
 		r.keep(e)
 	case actionPass, actionFail, actionSkip:
@@ -93,21 +94,21 @@
 		strings.HasPrefix(text, "exit status ") && text != failedTests || strings.HasPrefix(e.Output, "signal: ") {
 		r.aborted[e.Package] = text
 	}
-	if sign := r.aborted[e.Package]; sign != "" && stillRunning.MatchString(e.Output) {
-		r.aborted[e.Package] = sign + ", in " + text
+	if cause := r.aborted[e.Package]; cause != "" && stillRunning.MatchString(e.Output) {
+		r.aborted[e.Package] = cause + ", in " + text
 	}
 }
 
 func (r *results) end(e event) {
 	key := e.Package + " " + e.Test
 	if kept := r.output[key]; kept != nil && (e.Action == actionFail || e.Test == "") {
-		io.WriteString(r.out, kept.String())
+		fmt.Fprint(r.out, kept.String())
 	}
 	delete(r.output, key)
 	if e.Test == "" {
 		if e.Action == actionFail {
 			r.failed = append(r.failed, e.Package)
-			r.printUnended(e.Package)
+			r.printUnfinished(e.Package)
 		}
 		return
 	}
@@ -116,11 +117,11 @@
 	}
 }
 
-// printUnended prints the output of the tests of a failed package that never ended: a panic or a time-out stands there.
-func (r *results) printUnended(path string) {
+// printUnfinished prints the output of the tests of a failed package that never ended: a panic or a time-out stands there.
+func (r *results) printUnfinished(path string) {
 	for key, kept := range r.output {
 		if strings.HasPrefix(key, path+" ") {
-			io.WriteString(r.out, kept.String())
+			fmt.Fprint(r.out, kept.String())
 			delete(r.output, key)
 		}
 	}
@@ -131,31 +132,31 @@
 	return strings.TrimPrefix(strings.TrimPrefix(path, r.module), "/")
 }
 
-// verdict is what the results come to, given the list of known failures.
-type verdict struct {
+// summary is what the results amount to, given the list of known failures.
+type summary struct {
 	unexpected []string       // failures that are not listed, and listed tests that were not run
 	passedOver []knownFailure // listed tests that failed
 	mended     []knownFailure // listed tests that passed
 	skipped    []knownFailure
 }
 
-func (v verdict) passed() bool { return len(v.unexpected) == 0 }
+func (s summary) passed() bool { return len(s.unexpected) == 0 }
 
-// judge compares the results with the list. succeeded tells whether go test itself did.
-func (r *results) judge(known []knownFailure, succeeded bool) verdict {
-	var v verdict
+// summarize compares the results with the list. succeeded reports whether go test itself did.
+func (r *results) summarize(known []knownFailure, succeeded bool) summary {
+	var s summary
 	listed := map[string]bool{}
 	for _, k := range known {
 		listed[k.test] = true
 		switch r.tests[k.test] {
 		case actionFail:
-			v.passedOver = append(v.passedOver, k)
+			s.passedOver = append(s.passedOver, k)
 		case actionPass:
-			v.mended = append(v.mended, k)
+			s.mended = append(s.mended, k)
 		case actionSkip:
-			v.skipped = append(v.skipped, k)
+			s.skipped = append(s.skipped, k)
 		default:
-			v.unexpected = append(v.unexpected, k.test+" is listed and was not run")
+			s.unexpected = append(s.unexpected, k.test+" is listed and was not run")
 		}
 	}
 	explained := map[string]bool{} // packages with a failed test
@@ -166,38 +167,38 @@
 		folder, _, _ := cutLast(test, "/")
 		explained[folder] = true
 		if !listed[test] {
-			v.unexpected = append(v.unexpected, test)
+			s.unexpected = append(s.unexpected, test)
 		}
 	}
 	for _, path := range r.failed {
 		folder := r.folder(path)
-		if sign := r.aborted[path]; sign != "" {
-			v.unexpected = append(v.unexpected, fmt.Sprintf("%s ended early: %s", folder, sign))
+		if cause := r.aborted[path]; cause != "" {
+			s.unexpected = append(s.unexpected, fmt.Sprintf("%s ended early: %s", folder, cause))
 		} else if !explained[folder] {
-			v.unexpected = append(v.unexpected, folder+" failed outside of its tests")
+			s.unexpected = append(s.unexpected, folder+" failed outside of its tests")
 		}
 	}
-	if !succeeded && len(v.unexpected) == 0 && len(v.passedOver) == 0 {
-		v.unexpected = append(v.unexpected, "go test failed")
+	if !succeeded && len(s.unexpected) == 0 && len(s.passedOver) == 0 {
+		s.unexpected = append(s.unexpected, "go test failed")
 	}
 	if len(r.tests) == 0 {
-		v.unexpected = append(v.unexpected, "no test was run")
+		s.unexpected = append(s.unexpected, "no test was run")
 	}
-	slices.Sort(v.unexpected)
-	return v
+	slices.Sort(s.unexpected)
+	return s
 }
 
-func (v verdict) print(out io.Writer) {
-	for _, k := range v.passedOver {
+func (s summary) print(out io.Writer) {
+	for _, k := range s.passedOver {
 		fmt.Fprintf(out, "known failure, passed over: %s (%s; %s)\n", k.test, k.cause, k.issue)
 	}
-	for _, k := range v.mended {
+	for _, k := range s.mended {
 		fmt.Fprintf(out, "listed as a known failure, but passed: %s (%s; %s)\n", k.test, k.cause, k.issue)
 	}
-	for _, k := range v.skipped {
+	for _, k := range s.skipped {
 		fmt.Fprintf(out, "listed as a known failure, but skipped: %s (%s; %s)\n", k.test, k.cause, k.issue)
 	}
-	for _, text := range v.unexpected {
+	for _, text := range s.unexpected {
 		fmt.Fprintln(out, "FAILED:", text)
 	}
 }
--- a/internal/tools/runtests/results_test.go
+++ b/internal/tools/runtests/results_test.go
@@ -64,7 +64,7 @@
 		"a listed and another one": {append([]event{outcome(actionFail, "a", "TestNew")}, bad...), listed, false,
 			[]string{"a/TestNew"}, 1, 0},
 	} {
-		v := gather(t, io.Discard, c.events...).judge(c.known, c.succeeded)
+		v := gather(t, io.Discard, c.events...).summarize(c.known, c.succeeded)
 		if !slices.Equal(v.unexpected, c.unexpected) || len(v.passedOver) != c.passedOver || len(v.mended) != c.mended {
 			t.Errorf("%s: %+v", name, v)
 		}
