--- a/internal/store/retry_queue_test.go
+++ b/internal/store/retry_queue_test.go
@@ -39,16 +39,31 @@
 	}
 }
 
-// narrowAdmission admits one item at a time, and names a late time to retry to refused ones.
-type narrowAdmission struct{ *fixedAdmission }
+// narrowAdmission admits one item at a time, and names a late time to retry to refused ones. beforeDone is called before an
+// item's permit is given back.
+type narrowAdmission struct {
+	*fixedAdmission
+	beforeDone func()
+}
 
 func (n narrowAdmission) Pick(service string, now time.Time, r admission.Request) (discovery.Backend, Permit, *admission.Refusal) {
 	n.set(func(f *fixedAdmission) { f.refuse = f.tickets > 0 })
 	b, permit, refusal := n.fixedAdmission.Pick(service, now, r)
 	if refusal != nil {
 		refusal.RetryAfter = time.Minute
+		return b, permit, refusal
 	}
-	return b, permit, refusal
+	return b, narrowPermit{Permit: permit, beforeDone: n.beforeDone}, nil
+}
+
+type narrowPermit struct {
+	Permit
+	beforeDone func()
+}
+
+func (p narrowPermit) Done(now time.Time, outcome admission.Outcome, load *admission.Load) {
+	p.beforeDone()
+	p.Permit.Done(now, outcome, load)
 }
 
 // hasWaitingItems reports whether items wait in a runner's schedule.
@@ -62,12 +77,13 @@
 // one's more urgent job waits. An item ends only when all that have items left have been refused and wait.
 func TestPartitionWithUrgentJobIsNotStarved(t *testing.T) {
 	f := newFixture(t, 1)
-	f.config.admission = narrowAdmission{f.admission}
 	urgentJob, calmJob := testJob(testKey(1), 5, 1), testJob(testKey(2), 40, 1)
 	for i := range urgentJob.Items {
 		urgentJob.Items[i].Tokens = 100_000 // urgent by the tokens that its tenant has queued
 	}
 	urgent := f.newUrgentRunner(urgentJob)
+	// The first event of a response offers capacity too, which takes the urgent runner out of the queue until it is refused again.
+	f.config.admission = narrowAdmission{f.admission, func() { f.awaitBothQueued(urgent) }}
 	f.backends[0].before = func(http.ResponseWriter, *http.Request) bool {
 		f.awaitBothQueued(urgent)
 		return false
