--- a/internal/load/golden_test.go
+++ b/internal/load/golden_test.go
@@ -23,8 +23,8 @@
 func TestGoldenReportFlags(t *testing.T) {
 	complete := &report{service: "search", loads: goldenLoads, complete: true}
 	golden.RoundTrip(t, "report_complete.hex", complete, encodeReport, decodeReport)
-	unasking := &report{service: "search", loads: goldenLoads, oneWay: true}
-	golden.RoundTrip(t, "report_unasking.hex", unasking, encodeReport, decodeReport)
+	oneWay := &report{service: "search", loads: goldenLoads, oneWay: true}
+	golden.RoundTrip(t, "report_one_way.hex", oneWay, encodeReport, decodeReport)
 }
 
 func TestGoldenResponse(t *testing.T) {
--- a/internal/quota/service_test.go
+++ b/internal/quota/service_test.go
@@ -166,7 +166,7 @@
 	}
 }
 
-// activateOnce lets a service look for a proof of headship, and waits for what it does then.
+// activateOnce lets a service look for a proof that it is the head, and waits for what it does then.
 func activateOnce(s *Service) {
 	s.mutex.Lock()
 	changed := s.updater.finished
--- a/internal/simnet/disk.go
+++ b/internal/simnet/disk.go
@@ -76,7 +76,7 @@
 	defer d.mutex.Unlock()
 	d.generation++
 	d.settleNames()
-	d.settleFiles()
+	d.losePowerOfFiles()
 }
 
 // LosePowerAfter ends the process at the operation that follows the given number of them. LosePower then settles what is
--- a/internal/simnet/disk_power.go
+++ b/internal/simnet/disk_power.go
@@ -19,25 +19,25 @@
 	for name := range d.syncedNames {
 		all[name] = true
 	}
-	settled := make(map[string]*inode)
+	kept := make(map[string]*inode)
 	for _, name := range sortedKeys(all) {
 		node := d.names[name]
 		if node != d.syncedNames[name] && d.random.IntN(2) == 0 {
 			node = d.syncedNames[name]
 		}
 		if node != nil {
-			settled[name] = node.copyIfNamed()
+			kept[name] = node.copyIfNamed()
 		}
 	}
-	d.names = settled
-	d.syncedNames = cloneNames(settled)
+	d.names = kept
+	d.syncedNames = cloneNames(kept)
 }
 
-func (d *Disk) settleFiles() {
-	fate := drawFate(d.random)
+func (d *Disk) losePowerOfFiles() {
+	outcome := drawLossOutcome(d.random)
 	for _, name := range sortedKeys(d.names) {
 		node := d.names[name]
-		node.settle(d.random, fate)
+		node.losePower(d.random, outcome)
 		node.named = false
 	}
 }
--- a/internal/simnet/handle.go
+++ b/internal/simnet/handle.go
@@ -38,7 +38,7 @@
 	}
 	defer h.mount.end()
 	if h.mount.disk.syncFails() {
-		h.node.settle(h.mount.disk.random, drawFate(h.mount.disk.random))
+		h.node.losePower(h.mount.disk.random, drawLossOutcome(h.mount.disk.random))
 		return ErrSyncFailed
 	}
 	h.node.markSynced()
--- a/internal/simnet/inode.go
+++ b/internal/simnet/inode.go
@@ -50,23 +50,25 @@
 	return &inode{data: slices.Clone(n.data), synced: slices.Clone(n.synced), changes: slices.Clone(n.changes)}
 }
 
-// fate is what happens to unsynced writes at a loss of power.
-type fate int
+// lossOutcome is what happens to unsynced writes at a loss of power.
+type lossOutcome int
 
 const (
-	eachDrawn fate = iota
+	eachDrawn lossOutcome = iota
 	allMissing
 	allPresent
-	fates
+	lossOutcomes
 )
 
-func drawFate(random *rand.Rand) fate { return fate(random.IntN(int(fates))) }
+func drawLossOutcome(random *rand.Rand) lossOutcome {
+	return lossOutcome(random.IntN(int(lossOutcomes)))
+}
 
-// settle decides which of the unsynced changes last.
-func (n *inode) settle(random *rand.Rand, f fate) {
+// losePower decides which of the unsynced changes remain after a loss of power.
+func (n *inode) losePower(random *rand.Rand, o lossOutcome) {
 	data := slices.Clone(n.synced)
 	for _, c := range n.changes {
-		data = c.settle(random, f, data)
+		data = c.afterLoss(random, o, data)
 	}
 	n.data = data
 	n.markSynced()
@@ -80,12 +82,13 @@
 	outcomes
 )
 
-func (c change) settle(random *rand.Rand, f fate, data []byte) []byte {
+// afterLoss returns the data of a file with what remains of the change.
+func (c change) afterLoss(random *rand.Rand, o lossOutcome, data []byte) []byte {
 	outcome := random.IntN(outcomes)
-	if f == allPresent {
+	if o == allPresent {
 		outcome = present
 	}
-	if f == allMissing {
+	if o == allMissing {
 		outcome = missing
 	}
 	switch {
