--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -9,7 +9,7 @@
 	"nickelline/decide"
 )
 
-// Start is the start of an instance of the decision module.
+// Start holds the settings and the random seed with which an instance of the decision module starts.
 type Start struct {
 	Settings decide.Settings
 	Seed     int64
@@ -18,23 +18,23 @@
 // Event is one event of an instance: its start, its end, or an event for its decision module.
 type Event struct {
 	Start  *Start       // set if the instance starts
-	Retire bool         // the instance ends
-	Module decide.Event // set otherwise
+	Retire bool         // set if the instance ends
+	Module decide.Event // the event for the decision module, if the instance neither starts nor ends
 }
 
-// Group holds the events of one instance, in order.
+// Group holds the events of one instance, in order. Node is the instance's node number.
 type Group struct {
 	Node   int
 	Events []Event
 }
 
-// Batch is one line from the simulator.
+// Batch is one line from the simulator: the current time, and the events by instance.
 type Batch struct {
 	Now    decide.Time
 	Groups []Group
 }
 
-// missingFieldError is the name of a field that an object lacks.
+// missingFieldError reports a required field that an object lacks, by the name of the field.
 type missingFieldError string
 
 func (m missingFieldError) Error() string { return string(m) + " is missing" }
@@ -49,7 +49,7 @@
 	Happened []map[string]json.RawMessage `json:"happened"`
 }
 
-// DecodeBatch decodes one line. Its errors name the instance and the event that they are about.
+// DecodeBatch decodes one line. An error names the node and the index of the event that it is about.
 func DecodeBatch(line []byte) (Batch, error) {
 	var in batchJSON
 	if err := json.Unmarshal(line, &in); err != nil {
@@ -75,14 +75,14 @@
 func decodeGroup(node int, events []map[string]json.RawMessage) (Group, error) {
 	group := Group{Node: node}
 	for i, event := range events {
-		where := fmt.Sprintf("node %d, event %d", node, i)
+		position := fmt.Sprintf("node %d, event %d", node, i)
 		if len(event) != 1 {
-			return Group{}, fmt.Errorf("%s: want one key, have %d", where, len(event))
+			return Group{}, fmt.Errorf("%s: want one key, got %d", position, len(event))
 		}
 		for name, raw := range event {
 			decoded, err := decodeEvent(name, raw)
 			if err != nil {
-				return Group{}, fmt.Errorf("%s, %s: %w", where, name, err)
+				return Group{}, fmt.Errorf("%s, %s: %w", position, name, err)
 			}
 			group.Events = append(group.Events, decoded)
 		}
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -8,14 +8,14 @@
 	"nickelline/decide"
 )
 
-// The bits of a submitted request's flags.
+// The bits of the flags field of a submit event.
 const (
-	flagHint   = 1
-	flagRepeat = 2
-	flagWrite  = 4
+	flagHint   = 1 // cost_guess_ns is set
+	flagRepeat = 2 // the client has tried before
+	flagWrite  = 4 // the request is a write
 )
 
-// decodeEvent decodes the value of an event with the given key.
+// decodeEvent decodes an event of the given name from its value.
 func decodeEvent(name string, raw json.RawMessage) (Event, error) {
 	switch name {
 	case "up":
@@ -56,7 +56,7 @@
 	var in struct {
 		Request  *string `json:"req"`
 		Class    string  `json:"band"`
-		Tenant   any     `json:"user_group"` // a string if there is one
+		Tenant   any     `json:"user_group"` // a string, if the request has a tenant
 		Key      string  `json:"partition_key"`
 		Patience *int64  `json:"patience_left_ns"`
 		WorkHint int64   `json:"cost_guess_ns"`
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -10,8 +10,8 @@
 	"nickelline/internal/golden"
 )
 
-// Values are written without the names of their fields, so that the golden files hold across renames; a field that moves,
-// or is filled from another key, shows.
+// The golden files hold values without field names, so that a rename does not change them, but a field that moves or is
+// filled from another key does.
 
 func TestGoldenSettings(t *testing.T) {
 	settings, err := DecodeSettings(golden.Read(t, "profile.json"))
@@ -38,7 +38,7 @@
 	golden.Text(t, "batch.txt", text.String())
 }
 
-// describe writes the values of an event, and of the load report that it points to.
+// describe formats the values of an event and of the load report that it points to.
 func describe(event decide.Event) string {
 	switch event := event.(type) {
 	case decide.AttemptEnded:
--- a/internal/wire/outcomes.go
+++ b/internal/wire/outcomes.go
@@ -8,7 +8,7 @@
 	"nickelline/decide"
 )
 
-// The codes by which the wire names outcomes.
+// The outcome codes of the wire format, which are the values of the key disposition.
 const (
 	codeOK            = 0
 	codeCancelled     = 1
@@ -31,7 +31,7 @@
 	codeConnectFailed: decide.ConnectFailed,
 }
 
-// outcomeJSON is what the events about attempts and probes hold; each lacks some of it.
+// outcomeJSON holds the fields of attempt and probe events. Each kind of event has only some of them.
 type outcomeJSON struct {
 	Request *string                    `json:"req"`
 	Attempt *int                       `json:"leg"`
@@ -42,6 +42,7 @@
 	Report  map[string]json.RawMessage `json:"feedback"`
 }
 
+// decodeOutcome decodes the fields, of which only backend is required.
 func decodeOutcome(raw json.RawMessage) (outcomeJSON, error) {
 	var in outcomeJSON
 	if err := json.Unmarshal(raw, &in); err != nil {
@@ -53,7 +54,7 @@
 	return in, nil
 }
 
-// checkAttempt returns an error unless the object names an attempt of a request.
+// checkAttempt returns an error unless the object identifies a request and one of its attempts.
 func (o *outcomeJSON) checkAttempt() error {
 	if o.Request == nil {
 		return missingFieldError("req")
@@ -64,6 +65,7 @@
 	return nil
 }
 
+// outcomeCode returns the outcome that the key disposition stands for.
 func (o *outcomeJSON) outcomeCode() (decide.OutcomeCode, error) {
 	if o.Code == nil {
 		return 0, missingFieldError("disposition")
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -14,7 +14,7 @@
 	Actions []decide.Action
 }
 
-// AppendReply appends the line that answers a batch, with its line end. Instances without actions are left out.
+// AppendReply appends the line that answers a batch, including its line feed. Instances without actions are left out.
 func AppendReply(line []byte, replies []Reply) []byte {
 	line = append(line, `{"groups":[`...)
 	first := true
@@ -95,14 +95,16 @@
 	return appendText(line, `,"bytes":`, base64.StdEncoding.EncodeToString(message.Data))
 }
 
-func appendInt(line []byte, before string, value int64) []byte {
-	return strconv.AppendInt(append(line, before...), value, 10)
+// appendInt appends a number after the given JSON prefix.
+func appendInt(line []byte, prefix string, value int64) []byte {
+	return strconv.AppendInt(append(line, prefix...), value, 10)
 }
 
-func appendText(line []byte, before, text string) []byte {
+// appendText appends a string in JSON quotes after the given JSON prefix.
+func appendText(line []byte, prefix, text string) []byte {
 	quoted, err := json.Marshal(text)
-	if err != nil { // a string always marshals
+	if err != nil { // json.Marshal never fails on a string
 		panic(err)
 	}
-	return append(append(line, before...), quoted...)
+	return append(append(line, prefix...), quoted...)
 }
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -8,7 +8,8 @@
 	"nickelline/decide"
 )
 
-// decodeReport skips the keys that it does not know. It returns nil for a report with no known key.
+// decodeReport decodes a load report. It skips unknown keys and values that are not numbers. If nothing is left, it
+// returns nil.
 func decodeReport(values map[string]json.RawMessage) *decide.Report {
 	var report decide.Report
 	known := false
@@ -25,8 +26,8 @@
 	return &report
 }
 
-// SetReport sets the field of a load report that has the given name, either on the simulator's wire or in a header of a
-// real backend. It reports whether there is one.
+// SetReport sets the field of a load report that has the given name, either in the simulator's events or in a header of
+// a real backend. It reports whether the name is known.
 func SetReport(report *decide.Report, name string, value float64) bool {
 	switch name {
 	case "active", "inflight":
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -126,7 +126,7 @@
 	Waste      float64 `json:"waste"`
 }
 
-// DecodeSettings decodes the settings object, which a real node finds in its configuration.
+// DecodeSettings decodes the settings object of a start event. A real node finds the same object in its configuration.
 func DecodeSettings(raw json.RawMessage) (decide.Settings, error) {
 	var in *settingsJSON
 	if err := json.Unmarshal(raw, &in); err != nil {
@@ -151,7 +151,7 @@
 	return settings, nil
 }
 
-// settings returns what is neither a list nor a group of its own.
+// settings returns the settings without the classes, the tenants, the capabilities and the rules.
 func (s *settingsJSON) settings() decide.Settings {
 	return decide.Settings{
 		Nodes:          s.Nodes,
--- a/internal/wire/start.go
+++ b/internal/wire/start.go
@@ -32,7 +32,7 @@
 	return Event{Start: &Start{Settings: settings, Seed: seed}}, nil
 }
 
-// decodeSeed takes an unsigned number of 64 bits or, of any other number, the bits of its floating-point form.
+// decodeSeed returns an unsigned 64-bit integer as it is, and any other number as the bits of its float64 value.
 func decodeSeed(number json.Number) (int64, error) {
 	seed, err := strconv.ParseUint(number.String(), 10, 64)
 	if err == nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"nickelline/decide"
 )
 
-const start = `{"up":{"seed":9007199254740993,"profile_data":{"accounts":[{"name":"a","quota_per_s":5,"fraction":0.5}],
+const startEvent = `{"up":{"seed":9007199254740993,"profile_data":{"accounts":[{"name":"a","quota_per_s":5,"fraction":0.5}],
 "balancers":3,"caps":{"cancel":true,"connect_timeout_ns":250000000,"cpu_us_per_s":15000,"cpu_us_per_request":2.5,"most_held":9,"multiplex":100,"conn_idle_ns":5,"max_attempts":4,"may_duplicate":true,"peers":true,
 "probes":true,"retry_after":true,"max_retry_after_ns":2000000000},"classes":[{"aim_ns":600000000,"dedup_window_ns":8,
 "effect":"dedup","give_up_ns":1200000000,"importance":12.0,"key_scope":"cell","late_worth":0.5,"name":"x","streamed":true}],
@@ -20,23 +20,23 @@
 "charges":{"cross_zone":0.02,"membership_mode":0.5},"goal":{"whole":0.6,"worst_window":0.4},"family":"proxy","tiers":["a","b"],
 "tier":1,"specifics":{"warm_keys":true},"zone":"n","key_of_tomorrow":[1]}}}`
 
-// batch returns a line with events of one instance.
-func batch(events string) string {
+// batchLine returns a line with events of one instance.
+func batchLine(events string) string {
 	return `{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[` + events + `]}]}`
 }
 
-// one decodes a line with one event.
-func one(t *testing.T, event string) Event {
+// decodeOne decodes a line with one event.
+func decodeOne(t *testing.T, event string) Event {
 	t.Helper()
-	b, err := DecodeBatch([]byte(batch(event)))
+	b, err := DecodeBatch([]byte(batchLine(event)))
 	if err != nil {
 		t.Fatalf("decode %s: %v", event, err)
 	}
 	return b.Groups[0].Events[0]
 }
 
-func TestStart(t *testing.T) {
-	got := one(t, strings.ReplaceAll(start, "\n", "")).Start
+func TestDecodeStart(t *testing.T) {
+	got := decodeOne(t, strings.ReplaceAll(startEvent, "\n", "")).Start
 	if want := int64(9007199254740993); got.Seed != want {
 		t.Errorf("seed: got %d, want %d", got.Seed, want)
 	}
@@ -62,9 +62,9 @@
 func TestOutcomeCodes(t *testing.T) {
 	for code, want := range map[string]decide.OutcomeCode{"0": decide.OK, "13": decide.BackendError, "8": decide.Full,
 		"4": decide.TimedOut, "14": decide.ConnectFailed, "10": decide.Reset, "1": decide.Cancelled, "9": decide.NotSent} {
-		h := one(t, `{"attempt_end":{"req":"q","leg":1,"backend":7,"delay_seen_ns":5,"disposition":`+code+`,
+		event := decodeOne(t, `{"attempt_end":{"req":"q","leg":1,"backend":7,"delay_seen_ns":5,"disposition":`+code+`,
 			"feedback":{"active":7,"unheard_of":3,"waiting":2}}}`)
-		e := h.Module.(decide.AttemptEnded)
+		e := event.Module.(decide.AttemptEnded)
 		if e.Code != want || e.Attempt != 1 || e.Backend != 7 || e.Over || e.Report.InFlight != 7 || e.Report.Queue != 2 {
 			t.Errorf("code %s: got %+v with report %+v, want code %d, attempt 1 at backend 7, 7 in flight, 2 in the queue",
 				code, e, e.Report, want)
@@ -73,8 +73,8 @@
 }
 
 func TestReportWithNoKnownFieldIsNone(t *testing.T) {
-	h := one(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
-	if e := h.Module.(decide.AttemptEnded); e.Report != nil {
+	event := decodeOne(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
+	if e := event.Module.(decide.AttemptEnded); e.Report != nil {
 		t.Errorf("report without known fields: got %+v, want none", e.Report)
 	}
 }
@@ -86,23 +86,23 @@
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestDecodeErrors(t *testing.T) {
 	for in, want := range map[string]string{
 		`nonsense`:                        "batch",
 		`{"groups":[]}`:                   "sim_time_ns is missing",
 		`{"sim_time_ns":1,"groups":[{}]}`: "node_id is missing",
-		batch(`{"dance":{}}`):             "unknown event",
-		batch(`{}`):                       "want one key",
-		batch(`{"submit":{"patience_left_ns":1}}`):                                                            "node 3, event 0, submit: req is missing",
-		batch(`{"submit":{"req":"q"}}`):                                                                       "patience_left_ns is missing",
-		batch(`{"due":{}}`):                                                                                   "label is missing",
-		batch(`{"roster_change":{"how":"Q"}}`):                                                                "unknown how",
-		batch(`{"up":{"seed":1}}`):                                                                            "profile_data is missing",
-		batch(`{"probe_result":{"disposition":0}}`):                                                           "backend is missing",
-		batch(`{"attempt_end":{"req":"q","leg":0,"backend":1}}`):                                              "disposition is missing",
-		batch(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":99}}`):                             "unknown disposition 99",
-		batch(`{"roster_change":{"how":"F","items":[{"zone":"z","state":"ready"}]}}`):                         "backend is missing",
-		batch(`{"up":{"seed":1,"profile_data":{"classes":[{"name":"x","effect":"odd","key_scope":"all"}]}}}`): "unknown effect",
+		batchLine(`{"dance":{}}`):         "unknown event",
+		batchLine(`{}`):                   "want one key",
+		batchLine(`{"submit":{"patience_left_ns":1}}`):                                                            "node 3, event 0, submit: req is missing",
+		batchLine(`{"submit":{"req":"q"}}`):                                                                       "patience_left_ns is missing",
+		batchLine(`{"due":{}}`):                                                                                   "label is missing",
+		batchLine(`{"roster_change":{"how":"Q"}}`):                                                                "unknown how",
+		batchLine(`{"up":{"seed":1}}`):                                                                            "profile_data is missing",
+		batchLine(`{"probe_result":{"disposition":0}}`):                                                           "backend is missing",
+		batchLine(`{"attempt_end":{"req":"q","leg":0,"backend":1}}`):                                              "disposition is missing",
+		batchLine(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":99}}`):                             "unknown disposition 99",
+		batchLine(`{"roster_change":{"how":"F","items":[{"zone":"z","state":"ready"}]}}`):                         "backend is missing",
+		batchLine(`{"up":{"seed":1,"profile_data":{"classes":[{"name":"x","effect":"odd","key_scope":"all"}]}}}`): "unknown effect",
 	} {
 		if _, err := DecodeBatch([]byte(in)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got error %v, want %q", in, err, want)
@@ -123,22 +123,22 @@
 		} `json:"groups"`
 	}
 	if err := json.Unmarshal(line, &v); err != nil {
-		t.Fatal(err, string(line))
+		t.Fatalf("unmarshal reply %s: %v", line, err)
 	}
 	if len(v.Groups) != 1 || len(v.Groups[0].Actions) != 12 || v.Groups[0].Actions[0]["assign"]["try_for_ns"] != 8e7 ||
 		v.Groups[0].Actions[6]["tell"]["dest"] != "*" || v.Groups[0].Actions[11]["trace"]["message"] != `a "b"` {
-		t.Error(string(line))
+		t.Errorf("reply: got %s, want one group of 12 actions with the assign, tell and trace above", line)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(batch(strings.ReplaceAll(start, "\n", ""))))
-	f.Add([]byte(batch(`{"submit":{"req":"q","patience_left_ns":1}},{"due":{"label":7}},{"retire":{}}`)))
-	f.Add([]byte(batch(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":0,"feedback":{"active":1e400}}}`)))
+	f.Add([]byte(batchLine(strings.ReplaceAll(startEvent, "\n", ""))))
+	f.Add([]byte(batchLine(`{"submit":{"req":"q","patience_left_ns":1}},{"due":{"label":7}},{"retire":{}}`)))
+	f.Add([]byte(batchLine(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":0,"feedback":{"active":1e400}}}`)))
 	f.Add([]byte(`{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[{"subm`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		if b, err := DecodeBatch(line); err == nil && b.Groups == nil && len(line) == 0 {
-			t.Fatal("an empty line is no batch")
+			t.Fatal("DecodeBatch of an empty line: got no error, want one")
 		}
 	})
 }
