--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter hosts instances of the decision module on the simulator's wire: a batch of events a line on standard
-// input, a line of actions for each on standard output.
+// Command simadapter runs instances of the decision module for the simulator. It reads one batch of events per line from
+// standard input, and writes one line of actions for each batch to standard output.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	}
 }
 
-// run answers each line until the input ends. Its errors name the line.
+// run answers each line until the input ends. Errors of reading, decoding and handling a line name its number.
 func run(in io.Reader, out io.Writer) error {
 	reader, writer := bufio.NewReaderSize(in, bufferSize), bufio.NewWriterSize(out, bufferSize)
 	nodes := instances{}
@@ -49,10 +49,10 @@
 	}
 }
 
-// instances are the decision modules by the number of their node.
+// instances holds the decision modules by node number.
 type instances map[int]*decide.Module
 
-// answer feeds the events of one line to their instances and returns the actions.
+// answer passes the events of one line to their instances, and returns the actions in the order of the groups.
 func (n instances) answer(line []byte) ([]wire.Reply, error) {
 	batch, err := wire.DecodeBatch(line)
 	if err != nil {
@@ -67,11 +67,11 @@
 				n[group.Node] = decide.New(event.Start.Settings, event.Start.Seed)
 			case event.Retire:
 				delete(n, group.Node)
-				reply.Actions = nil // a dead instance does nothing
+				reply.Actions = nil // nothing carries out the actions of an ended instance
 			default:
 				module := n[group.Node]
 				if module == nil {
-					return nil, fmt.Errorf("node %d, event %d: no up came before it", group.Node, i)
+					return nil, fmt.Errorf("node %d, event %d: the instance was not started by an up event", group.Node, i)
 				}
 				reply.Actions = append(reply.Actions, module.Handle(batch.Now, event.Module)...)
 			}
