--- a/internal/upstream/acquire.go
+++ b/internal/upstream/acquire.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// minDials is the number of dials that one backend may have under way, however low the limit of connections.
+	// minDials is the number of dials to one backend that may always be in progress, however low the connection limit is.
 	minDials = 2
-	// dialShareDivisor divides the limit of connections into one backend's share of dials under way.
+	// dialShareDivisor divides the connection limit: the quotient is how many dials to one backend may be in progress.
 	dialShareDivisor = 8
 )
 
-// Acquire takes an idle connection to a backend, or dials one by the deadline. If ctx ends, the dial goes on for other
-// requests, since the backend has already had the cost of it. The caller must give the connection back with Release.
+// Acquire takes an idle connection to a backend, or dials one by the deadline. If ctx ends, the dial continues and its
+// connection becomes idle for other requests, because the backend has already borne the cost of it. The caller must give
+// the connection back with Release. Errors other than ErrTooManyConnections and ErrClosed are those of ctx and of dialing.
 func (p *Pool[K]) Acquire(ctx context.Context, b *Backend, deadline time.Time) (*Conn, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -29,7 +30,7 @@
 	return p.dialReserved(ctx, b, deadline)
 }
 
-// takeIdleOrReserve returns an idle connection, or nil and has then counted a connection that is to be dialed.
+// takeIdleOrReserve returns an idle connection. If there is none, it reserves a connection to be dialed and returns nil.
 func (p *Pool[K]) takeIdleOrReserve(b *Backend) (*Conn, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -45,8 +46,8 @@
 	return nil, nil
 }
 
-// takeIdle returns the most recently used connection that is fit for use, nil if there is none. It closes those that it
-// finds unfit.
+// takeIdle returns the most recently used idle connection that is usable and has been idle for Options.MinIdle, or nil if
+// there is none. It closes the unusable connections that it finds.
 func (p *Pool[K]) takeIdle(b *Backend) *Conn {
 	for i := len(b.idle) - 1; i >= 0; i-- {
 		c := b.idle[i]
@@ -63,12 +64,13 @@
 	return nil
 }
 
-// reserveDial counts a connection that is to be dialed, and reports whether there is room for it.
+// reserveDial counts a connection to be dialed as open, and reports whether the limits allow it. At the connection limit
+// it closes an idle connection to make room.
 func (p *Pool[K]) reserveDial(b *Backend) bool {
 	if b.dialing >= max(minDials, p.options.MaxConnections/dialShareDivisor) {
 		return false
 	}
-	if p.open >= p.options.MaxConnections && !p.evictOldest() {
+	if p.open >= p.options.MaxConnections && !p.evictLongestIdle() {
 		return false
 	}
 	p.open++
@@ -76,37 +78,38 @@
 	return true
 }
 
-// isUsable reports whether an idle connection may take a request: it is young enough, open, and has nothing unread. A write
-// to one that the backend has closed would succeed, and leave open whether the request ran.
+// isUsable reports whether an idle connection may take a request: it has not been idle for too long, is open, and has
+// nothing unread. A write to a connection that the backend has closed would succeed, and then it would be unknown whether
+// the request ran.
 func (p *Pool[K]) isUsable(c *Conn) bool {
 	text, open := c.Unread()
 	now := time.Now()
 	return now.Sub(c.idleSince) < p.idleHistory.limit(now, p.options.MaxIdle) && open && text == ""
 }
 
-// evictOldest closes the connection that has been idle longest, and reports whether there was one.
-func (p *Pool[K]) evictOldest() bool {
-	var oldest *Backend
+// evictLongestIdle closes the connection that has been idle longest, and reports whether there was one.
+func (p *Pool[K]) evictLongestIdle() bool {
+	var longest *Backend
 	for _, b := range p.backends {
-		if len(b.idle) > 0 && (oldest == nil || b.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
-			oldest = b
+		if len(b.idle) > 0 && (longest == nil || b.idle[0].idleSince.Before(longest.idle[0].idleSince)) {
+			longest = b
 		}
 	}
-	if oldest == nil {
+	if longest == nil {
 		return false
 	}
-	p.closeConn(oldest.idle[0])
-	oldest.idle = append(oldest.idle[:0], oldest.idle[1:]...)
+	p.closeConn(longest.idle[0])
+	longest.idle = append(longest.idle[:0], longest.idle[1:]...)
 	return true
 }
 
-// dialReserved dials a connection that reserveDial has counted.
+// dialReserved dials a connection that reserveDial has counted. If ctx ends first, it returns without waiting for the dial.
 func (p *Pool[K]) dialReserved(ctx context.Context, b *Backend, deadline time.Time) (*Conn, error) {
 	type dialed struct {
 		conn *Conn
 		err  error
 	}
-	results := make(chan dialed) // unbuffered: a connection that nobody takes stays with the goroutine that made it
+	results := make(chan dialed) // unbuffered, so that the goroutine keeps a connection that nobody receives
 	p.dials.Go(func() {
 		c, err := p.connect(b, deadline)
 		select {
@@ -125,7 +128,7 @@
 	}
 }
 
-// connect dials a connection.
+// connect dials a connection, and updates the counts of dials and, on failure, of connections.
 func (p *Pool[K]) connect(b *Backend, deadline time.Time) (*Conn, error) {
 	p.mutex.Lock()
 	dial := p.dial
@@ -151,8 +154,8 @@
 	}, nil
 }
 
-// Release gives a connection back, to be kept for the next request or closed. Only a connection whose answer was read whole,
-// and which the backend keeps open, may be kept.
+// Release gives a connection back, to be kept for the next request or closed. The caller may keep a connection only if its
+// response was read completely and the backend keeps it open.
 func (p *Pool[K]) Release(c *Conn, keep bool) {
 	if keep {
 		keep = c.SetDeadline(time.Time{}) == nil
--- a/internal/upstream/backends.go
+++ b/internal/upstream/backends.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// Entry is one backend of a list. An entry of the same key with another address or a later start is another process.
+// Entry is one backend of a list. An entry of the same key with another address or a later start means another process.
 type Entry[K comparable] struct {
 	Key     K
 	Address string // host and port
-	// Started is when the process started, since any fixed moment; zero if a new process always has a new key.
+	// Started is when the process started, as the time since any fixed moment; zero if a new process always has a new key.
 	Started time.Duration
-	// Ready backends may be connected to.
+	// Ready reports whether the backend takes connections.
 	Ready bool
 }
 
 // Backend is a backend as the pool knows it. The mutex of the pool guards its fields.
 type Backend struct {
-	address    string
-	startedAt  time.Duration
-	closed     bool      // drains or is gone: no connection to it is handed out
-	idle       []*Conn   // the least recently used first
-	dialing    int       // dials under way
-	lastAnswer time.Time // when an answer last came
+	address      string
+	startedAt    time.Duration
+	closed       bool      // draining or removed: no connection to it is handed out
+	idle         []*Conn   // the least recently used first
+	dialing      int       // dials in progress
+	lastResponse time.Time // when a response last came
 }
 
-// Update takes a list of backends: all of them if full, else those that changed. Connections to an address or a process that
-// no longer exists are closed, since a request on one of them would be reset.
+// Update applies a list of backends: all of them if full, else those that changed. It closes the idle connections to an
+// address or a process that no longer exists, because a request on one of them would be reset.
 func (p *Pool[K]) Update(full bool, entries []Entry[K]) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -40,40 +40,40 @@
 
 // removeUnlisted removes the backends that a full list does not name.
 func (p *Pool[K]) removeUnlisted(entries []Entry[K]) {
-	named := make(map[K]bool, len(entries))
+	listed := make(map[K]bool, len(entries))
 	for _, e := range entries {
-		named[e.Key] = true
+		listed[e.Key] = true
 	}
 	for key, b := range p.backends {
-		if !named[key] {
-			p.retire(b)
+		if !listed[key] {
+			p.closeBackend(b)
 			delete(p.backends, key)
 		}
 	}
 }
 
-// apply takes one entry of a list.
+// apply applies one entry of a list.
 func (p *Pool[K]) apply(e Entry[K]) {
 	b := p.backends[e.Key]
 	if b != nil && (!e.Ready || b.address != e.Address || e.Started > b.startedAt) {
-		p.retire(b)
-		delete(p.backends, e.Key) // callers that connect to it still have it, and find it closed
+		p.closeBackend(b)
+		delete(p.backends, e.Key) // callers that hold it find it closed
 		b = nil
 	}
 	if b == nil && e.Ready {
-		p.backends[e.Key] = p.add(&Backend{address: e.Address, startedAt: e.Started})
+		p.backends[e.Key] = p.resolveAddressConflict(&Backend{address: e.Address, startedAt: e.Started})
 	}
 }
 
-// add returns a new backend. If another is still listed at its address, the one that started first is closed: requests to
-// it would reach the other.
-func (p *Pool[K]) add(added *Backend) *Backend {
+// resolveAddressConflict returns the new backend. If another backend is still listed at its address, it closes the one that
+// started first, because requests to that one would reach the other.
+func (p *Pool[K]) resolveAddressConflict(added *Backend) *Backend {
 	for _, b := range p.backends {
 		if b.address != added.address || b.closed {
 			continue
 		}
 		if b.startedAt <= added.startedAt {
-			p.retire(b)
+			p.closeBackend(b)
 		} else {
 			added.closed = true
 		}
@@ -81,12 +81,13 @@
 	return added
 }
 
-// retire closes a backend and its idle connections.
-func (p *Pool[K]) retire(b *Backend) {
+// closeBackend marks a backend as closed and closes its idle connections.
+func (p *Pool[K]) closeBackend(b *Backend) {
 	b.closed = true
 	p.closeIdle(b)
 }
 
+// closeIdle closes the idle connections to a backend.
 func (p *Pool[K]) closeIdle(b *Backend) {
 	for _, c := range b.idle {
 		p.closeConn(c)
@@ -94,7 +95,7 @@
 	b.idle = nil
 }
 
-// Find returns the backend of a key, nil if the list has none that is ready.
+// Find returns the backend of a key, or nil if no ready backend of that key is listed.
 func (p *Pool[K]) Find(key K) *Backend {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -108,8 +109,8 @@
 	return slices.Clone(b.idle)
 }
 
-// Closed reports whether no connection to the backend is handed out any more. One that was acquired before must not be
-// written to.
+// Closed reports whether the backend is draining, removed or superseded at its address. No connection to it is handed out
+// any more, and no request may be written to one that was acquired before.
 func (p *Pool[K]) Closed(b *Backend) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -125,19 +126,19 @@
 	}
 }
 
-// RecordAnswer records when an answer came from a backend.
+// RecordAnswer records when a response came from a backend.
 func (p *Pool[K]) RecordAnswer(b *Backend, at time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	b.lastAnswer = at
+	b.lastResponse = at
 }
 
-// CloseUnresponsive closes a backend's idle connections if no answer has come from it since a time. A machine that comes
-// back after a network partition resets them, and each of them would cost a request.
+// CloseUnresponsive closes a backend's idle connections if no response has come from it since the given time. A machine
+// that comes back after a network partition resets these connections, and each of them would cost a request.
 func (p *Pool[K]) CloseUnresponsive(b *Backend, since time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if b.lastAnswer.Before(since) {
+	if b.lastResponse.Before(since) {
 		p.closeIdle(b)
 	}
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// unreadPrefixLength is how many unread bytes Unread returns: enough to recognize the beginning of an HTTP/1 answer.
+// unreadPrefixLength is the greatest number of bytes that Unread returns: enough to recognize an HTTP/1 response.
 const unreadPrefixLength = len("HTTP/1.")
 
-// Conn is a connection to a backend. It carries one request at a time, and belongs to who acquired it until its release.
+// Conn is a connection to a backend. It carries one request at a time, and is owned by the caller of Acquire until Release.
 type Conn struct {
 	net.Conn
 	// Reader reads what the backend sends, up to the limit that SetReadLimit has set.
@@ -21,14 +21,14 @@
 	readLimit *io.LimitedReader // below Reader
 	idleSince time.Time         // creation or last release
 	createdAt time.Time
-	requests  int // that were written to it
+	requests  int // written so far
 }
 
-// ConnHistory describes a connection at the time that a request is written to it.
+// ConnHistory describes the use of a connection before a request is written to it.
 type ConnHistory struct {
-	Requests int           // before this one
+	Requests int           // written before this one
 	Age      time.Duration // since the connection was made
-	Idle     time.Duration // since the last request ended
+	Idle     time.Duration // since the connection was made or last released
 }
 
 // Use counts a request that is about to be written, and returns the history of the connection before it.
@@ -38,8 +38,8 @@
 	return history
 }
 
-// SetReadLimit sets how many more bytes may be read from the network; none on a new connection. Beyond the limit, Reader
-// returns io.EOF.
+// SetReadLimit sets how many more bytes may be read from the network. On a new connection the limit is 0. At the limit,
+// Reader returns io.EOF.
 func (c *Conn) SetReadLimit(bytes int64) { c.readLimit.N = bytes }
 
 // ReadLimit returns how many more bytes may be read from the network.
@@ -48,8 +48,8 @@
 // IdleSince returns when the connection was made or last released.
 func (c *Conn) IdleSince() time.Time { return c.idleSince }
 
-// Unread returns the beginning of what has come on the connection and was not read, and whether the connection is open.
-// After a whole answer that text belongs to no request, and would be taken for the answer to the next one.
+// Unread returns the beginning of what has arrived on the connection and was not read, and whether the connection is open.
+// After a complete response such bytes belong to no request, and would be taken for the response to the next one.
 func (c *Conn) Unread() (text string, open bool) {
 	if n := c.Reader.Buffered(); n > 0 {
 		next, _ := c.Reader.Peek(min(n, unreadPrefixLength))
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -9,11 +9,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// DialFunc dials a connection by a deadline. What it returns must be a syscall.Conn, as connections of package net are.
+// DialFunc dials a connection by a deadline. The connection must be a syscall.Conn, as connections of package net are.
 type DialFunc func(ctx context.Context, network, address string, deadline time.Time) (net.Conn, error)
 
-// dialTCP returns a DialFunc of TCP connections, with TCP_NODELAY as package net sets it. A user timeout of zero leaves it
-// to the system.
+// dialTCP returns a DialFunc for TCP connections, which have TCP_NODELAY set by package net. If userTimeout is zero,
+// TCP_USER_TIMEOUT keeps the default of the system.
 func dialTCP(timeout, userTimeout time.Duration) DialFunc {
 	return func(ctx context.Context, network, address string, deadline time.Time) (net.Conn, error) {
 		dialer := net.Dialer{Timeout: timeout, Deadline: deadline}
@@ -24,8 +24,8 @@
 	}
 }
 
-// UserTimeoutControl returns a net.Dialer Control function that sets TCP_USER_TIMEOUT: how long written bytes may stay without
-// an acknowledgement before the connection fails.
+// UserTimeoutControl returns a net.Dialer Control function that sets TCP_USER_TIMEOUT: how long written bytes may remain
+// unacknowledged before the connection fails.
 func UserTimeoutControl(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var failed error
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -9,9 +9,9 @@
 )
 
 func TestUserTimeoutAndNoDelay(t *testing.T) {
-	address, _ := listener(t)
+	address, _ := listen(t)
 	for _, want := range []time.Duration{0, 3 * time.Second} {
-		c, err := dialTCP(0, want)(t.Context(), "tcp", address, time.Now().Add(patient))
+		c, err := dialTCP(0, want)(t.Context(), "tcp", address, time.Now().Add(testTimeout))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -21,10 +21,10 @@
 		}
 		raw.Control(func(fd uintptr) {
 			if got, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT); err != nil || got != int(want.Milliseconds()) {
-				t.Errorf("user timeout %d ms, %v; want %v", got, err, want)
+				t.Errorf("TCP_USER_TIMEOUT: got %d ms, %v; want %v", got, err, want)
 			}
 			if got, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NODELAY); err != nil || got == 0 {
-				t.Errorf("no delay %d, %v", got, err)
+				t.Errorf("TCP_NODELAY: got %d, %v; want it set", got, err)
 			}
 		})
 		c.Close()
--- a/internal/upstream/idlehistory.go
+++ b/internal/upstream/idlehistory.go
@@ -6,24 +6,26 @@
 )
 
 const (
-	// idleBuckets is the number of buckets, each wider by the square root of two: from shortestIdle to over two minutes.
+	// idleBuckets is the number of buckets, each √2 times as wide as the one before. They cover idle times from shortestIdle
+	// to over two minutes.
 	idleBuckets = 34
-	// shortestIdle is the idle time below which connections are as good as busy ones.
+	// shortestIdle is the idle time below which connections count as busy ones.
 	shortestIdle = time.Millisecond
-	// idleMemory is the time constant with which old outcomes fade, so that longer idle times are tried again.
-	idleMemory = 5 * time.Second
-	// minBroken is the number of broken connections that limits the idle time: fewer are chance.
+	// decayTimeConstant is how fast recorded outcomes decay, so that longer idle times are tried again.
+	decayTimeConstant = 5 * time.Second
+	// minBroken is the number of broken connections from which on the idle time is limited: fewer may be chance.
 	minBroken = 3.0
-	// minBrokenShare is the share of broken connections that limits it: more than a poor network breaks.
+	// minBrokenShare is the share of broken connections from which on the idle time is limited. It is more than what a poor
+	// network breaks.
 	minBrokenShare = 0.25
 )
 
-// idleHistory learns for how long a connection may be idle before the backend, or a device on the path, has dropped it
-// without notice. Such a connection looks open until a request is written, and that request may have run. Settings can
-// state the limit of the backend only, not that of a faulty network.
+// idleHistory learns how long a connection may be idle before the backend, or a device on the network path, silently drops
+// it. Such a connection looks open until a request is written to it, and that request may have run. This cannot be a
+// setting: a setting can state the limit of the backend, but not that of a faulty network.
 type idleHistory struct {
 	decayedAt time.Time
-	buckets   [idleBuckets]struct{ used, broken float64 }
+	buckets   [idleBuckets]struct{ used, broken float64 } // by idle time: reused connections, and those that broke
 }
 
 // idleBucket returns the bucket of an idle time.
@@ -31,9 +33,9 @@
 	return min(idleBuckets-1, max(0, int(2*math.Log2(float64(idle)/float64(shortestIdle)))))
 }
 
-// decay lets old outcomes fade.
+// decay reduces the weight of the recorded outcomes by their age.
 func (r *idleHistory) decay(now time.Time) {
-	factor := math.Exp(-now.Sub(r.decayedAt).Seconds() / idleMemory.Seconds())
+	factor := math.Exp(-now.Sub(r.decayedAt).Seconds() / decayTimeConstant.Seconds())
 	for i := range r.buckets {
 		r.buckets[i].used *= factor
 		r.buckets[i].broken *= factor
@@ -41,7 +43,8 @@
 	r.decayedAt = now
 }
 
-// record takes the outcome of a request on a connection that had been idle. broken: it was reset before any byte of an answer.
+// record adds the outcome of a request on a connection that had been idle. broken means that the connection was reset
+// before any byte of a response.
 func (r *idleHistory) record(now time.Time, idle time.Duration, broken bool) {
 	r.decay(now)
 	bucket := &r.buckets[idleBucket(idle)]
@@ -51,7 +54,7 @@
 	}
 }
 
-// limit returns the idle time from which on too many connections have broken lately, at most longest.
+// limit returns the shortest idle time from which on too many connections have broken lately, but at most longest.
 func (r *idleHistory) limit(now time.Time, longest time.Duration) time.Duration {
 	r.decay(now)
 	used, broken := 0.0, 0.0
@@ -59,7 +62,7 @@
 		bucket := r.buckets[i]
 		used += bucket.used
 		broken += bucket.broken
-		// The bucket itself has to be bad too: otherwise only the longer idle times are.
+		// The bucket itself must also have too many: otherwise only longer idle times break connections.
 		tooMany := broken >= minBroken && broken >= minBrokenShare*used
 		if tooMany && bucket.broken > 0 && bucket.broken >= minBrokenShare*bucket.used {
 			longest = min(longest, time.Duration(float64(shortestIdle)*math.Exp2(float64(i)/2)))
--- a/internal/upstream/idlehistory_test.go
+++ b/internal/upstream/idlehistory_test.go
@@ -9,15 +9,15 @@
 )
 
 func TestIdleLimitIsLearned(t *testing.T) {
-	const most = 4 * time.Second
+	const longest = 4 * time.Second
 	for _, c := range []struct {
-		name   string
-		broken func(chance float64, idle time.Duration) bool
-		least  time.Duration // of the limit
-		want   time.Duration // at most
+		name    string
+		broken  func(chance float64, idle time.Duration) bool
+		atLeast time.Duration // of the learned limit
+		atMost  time.Duration
 	}{
-		{"none break", func(float64, time.Duration) bool { return false }, most, most},
-		{"a tenth breaks, whatever the idle time", func(chance float64, _ time.Duration) bool { return chance < 0.1 }, most, most},
+		{"none break", func(float64, time.Duration) bool { return false }, longest, longest},
+		{"a tenth breaks, whatever the idle time", func(chance float64, _ time.Duration) bool { return chance < 0.1 }, longest, longest},
 		{"all break from 150 ms on", func(_ float64, idle time.Duration) bool { return idle > 150*time.Millisecond },
 			90 * time.Millisecond, 182 * time.Millisecond},
 		{"half break from 150 ms on, else a tenth", func(chance float64, idle time.Duration) bool {
@@ -37,17 +37,17 @@
 				now = now.Add(3 * time.Millisecond)
 				r.record(now, idle, c.broken(random.Float64(), idle))
 			}
-			if got := r.limit(now, most); got < c.least || got > c.want {
-				t.Errorf("limit: got %v, want %v to %v", got, c.least, c.want)
+			if got := r.limit(now, longest); got < c.atLeast || got > c.atMost {
+				t.Errorf("limit: got %v, want %v to %v", got, c.atLeast, c.atMost)
 			}
-			if got := r.limit(now.Add(time.Minute), most); got != most {
-				t.Errorf("limit a minute later: got %v, want %v", got, most)
+			if got := r.limit(now.Add(time.Minute), longest); got != longest {
+				t.Errorf("limit a minute later: got %v, want %v", got, longest)
 			}
 		})
 	}
 }
 
-// A connection that has been idle for longer than others lately survived takes no request.
+// A connection takes no request if it has been idle for longer than other connections have lately survived.
 func TestConnectionIdleForTooLongIsNotUsed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,18 +59,18 @@
 		t.Fatal(err)
 	}
 	defer tcp.Close()
-	b := New[int](Options{MaxIdle: time.Hour})
+	p := New[int](Options{MaxIdle: time.Hour})
 	old := &Conn{Conn: tcp, Reader: bufio.NewReader(tcp), idleSince: time.Now().Add(-time.Minute)}
-	if !b.isUsable(old) {
+	if !p.isUsable(old) {
 		t.Error("isUsable: got false for an open connection within the configured limit")
 	}
 	for range 10 {
-		b.RecordReuse(30*time.Second, true)
+		p.RecordReuse(30*time.Second, true)
 	}
-	if b.isUsable(old) {
+	if p.isUsable(old) {
 		t.Error("isUsable: got true for a connection that has been idle for longer than those that broke")
 	}
-	if fresh := (&Conn{Conn: tcp, Reader: bufio.NewReader(tcp), idleSince: time.Now()}); !b.isUsable(fresh) {
+	if fresh := (&Conn{Conn: tcp, Reader: bufio.NewReader(tcp), idleSince: time.Now()}); !p.isUsable(fresh) {
 		t.Error("isUsable: got false for a connection that has just been used")
 	}
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -10,10 +10,11 @@
 	"time"
 )
 
-const patient = 10 * time.Second
+// testTimeout is more than any test takes, unless something hangs.
+const testTimeout = 10 * time.Second
 
-// listener accepts connections and hands them to the test.
-func listener(t *testing.T) (address string, accepted chan net.Conn) {
+// listen accepts connections on a loopback address, and returns the address and the accepted connections.
+func listen(t *testing.T) (address string, accepted chan net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,45 +35,46 @@
 	return l.Addr().String(), accepted
 }
 
-func ready(key, address string) Entry[string] {
+// readyEntry returns the list entry of a ready backend.
+func readyEntry(key, address string) Entry[string] {
 	return Entry[string]{Key: key, Address: address, Ready: true}
 }
 
 func acquire(t *testing.T, p *Pool[string], key string) *Conn {
 	t.Helper()
-	c, err := p.Acquire(t.Context(), p.Find(key), time.Now().Add(patient))
+	c, err := p.Acquire(t.Context(), p.Find(key), time.Now().Add(testTimeout))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// closed reports whether the other side has closed a connection.
-func closed(c net.Conn) bool {
-	c.SetReadDeadline(time.Now().Add(patient))
+// closedByPeer reports whether the other side has closed a connection.
+func closedByPeer(c net.Conn) bool {
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	_, err := c.Read(make([]byte, 1))
 	return errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed)
 }
 
 func TestMinIdle(t *testing.T) {
-	address, _ := listener(t)
-	const rest = time.Hour
-	p := New[string](Options{MaxConnections: 10, MaxIdle: 10 * rest, MinIdle: rest})
-	p.Update(true, []Entry[string]{ready("a", address)})
+	address, _ := listen(t)
+	const minIdle = time.Hour
+	p := New[string](Options{MaxConnections: 10, MaxIdle: 10 * minIdle, MinIdle: minIdle})
+	p.Update(true, []Entry[string]{readyEntry("a", address)})
 	for _, c := range []struct {
-		rested time.Duration
-		open   int
-	}{{0, 1}, {-rest, 2}, {rest, 2}} {
+		idleFor time.Duration
+		open    int
+	}{{0, 1}, {-minIdle, 2}, {minIdle, 2}} {
 		for _, idle := range p.Idle(p.Find("a")) {
-			idle.idleSince = time.Now().Add(-c.rested)
+			idle.idleSince = time.Now().Add(-c.idleFor)
 		}
 		open := p.Open()
 		conn := acquire(t, p, "a")
 		if p.Open() != c.open {
-			t.Errorf("idle for %v: got %d open, want %d", c.rested, p.Open(), c.open)
+			t.Errorf("idle for %v: got %d open connections, want %d", c.idleFor, p.Open(), c.open)
 		}
 		if fresh := conn.Use(time.Now()).Requests == 0; fresh != (p.Open() > open) {
-			t.Errorf("idle for %v: new connection %v, got %d connections and then %d", c.rested, fresh, open, p.Open())
+			t.Errorf("idle for %v: new connection: got %v, but open connections went from %d to %d", c.idleFor, fresh, open, p.Open())
 		}
 		p.Release(conn, true)
 	}
@@ -83,9 +85,9 @@
 }
 
 func TestUnreadBytesRetireAConnection(t *testing.T) {
-	address, accepted := listener(t)
+	address, accepted := listen(t)
 	p := New[string](Options{MaxConnections: 10})
-	p.Update(true, []Entry[string]{ready("a", address)})
+	p.Update(true, []Entry[string]{readyEntry("a", address)})
 	first := acquire(t, p, "a")
 	server := <-accepted
 	p.Release(first, true)
@@ -94,7 +96,7 @@
 	}
 	second := acquire(t, p, "a")
 	if second == first {
-		t.Error("a connection with unread bytes is used again")
+		t.Error("Acquire: got the connection with unread bytes, want a new one")
 	}
 	if retired := p.counters.Retired.Load(); retired != 1 {
 		t.Errorf("retired: got %d, want 1", retired)
@@ -102,24 +104,24 @@
 }
 
 func TestClosedConnectionIsNotUsedAgain(t *testing.T) {
-	address, accepted := listener(t)
+	address, accepted := listen(t)
 	p := New[string](Options{MaxConnections: 10})
-	p.Update(true, []Entry[string]{ready("a", address)})
+	p.Update(true, []Entry[string]{readyEntry("a", address)})
 	first := acquire(t, p, "a")
 	p.Release(first, true)
 	(<-accepted).Close()
 	for open := true; open; _, open = first.Unread() {
 	}
 	if second := acquire(t, p, "a"); second == first {
-		t.Error("a connection that the backend has closed is used again")
+		t.Error("Acquire: got the connection that the backend has closed, want a new one")
 	}
 }
 
 func TestLimitClosesTheLongestIdle(t *testing.T) {
-	address, accepted := listener(t)
-	other, _ := listener(t)
+	address, accepted := listen(t)
+	other, _ := listen(t)
 	p := New[string](Options{MaxConnections: 2})
-	p.Update(true, []Entry[string]{ready("a", address), ready("b", other)})
+	p.Update(true, []Entry[string]{readyEntry("a", address), readyEntry("b", other)})
 	older, newer := acquire(t, p, "a"), acquire(t, p, "a")
 	p.Release(older, true)
 	p.Release(newer, true)
@@ -128,15 +130,15 @@
 		t.Errorf("open connections: got %d, want 2", p.Open())
 	}
 	if idle := p.Idle(p.Find("a")); len(idle) != 1 || idle[0] != newer {
-		t.Errorf("%d idle connections left, want the newer one", len(idle))
+		t.Errorf("got %d idle connections, want only the newer one", len(idle))
 	}
-	if !closed(<-accepted) {
-		t.Error("the connection that was idle longest is not closed")
+	if !closedByPeer(<-accepted) {
+		t.Error("the connection that was idle longest is still open")
 	}
 	if taken := acquire(t, p, "a"); taken != newer {
-		t.Error("the idle connection is not used")
+		t.Error("Acquire: got another connection, want the idle one")
 	}
-	if _, err := p.Acquire(t.Context(), p.Find("b"), time.Now().Add(patient)); !errors.Is(err, ErrTooManyConnections) {
+	if _, err := p.Acquire(t.Context(), p.Find("b"), time.Now().Add(testTimeout)); !errors.Is(err, ErrTooManyConnections) {
 		t.Errorf("Acquire beyond the limit: got %v, want %v", err, ErrTooManyConnections)
 	}
 	p.Release(inUse, false)
@@ -146,16 +148,16 @@
 	}
 }
 
-// A machine that does not answer to dials takes a share of the limit only, and a connection that nobody waits for any more is
-// kept for others.
-func TestDialsUnderWay(t *testing.T) {
-	address, _ := listener(t)
+// Dials to a machine that does not respond take up only a share of the connection limit, and a connection whose caller has
+// stopped waiting is kept for other requests.
+func TestDialsInProgress(t *testing.T) {
+	address, _ := listen(t)
 	p := New[string](Options{MaxConnections: 16})
-	p.Update(true, []Entry[string]{ready("a", address)})
-	began, proceed := make(chan struct{}, 2), make(chan struct{})
+	p.Update(true, []Entry[string]{readyEntry("a", address)})
+	started, proceed := make(chan struct{}, 2), make(chan struct{})
 	dial := p.SetDial(nil)
 	p.SetDial(func(ctx context.Context, network, address string, deadline time.Time) (net.Conn, error) {
-		began <- struct{}{}
+		started <- struct{}{}
 		<-proceed
 		return dial(ctx, network, address, deadline)
 	})
@@ -163,47 +165,47 @@
 	var waiting sync.WaitGroup
 	for range 2 {
 		waiting.Go(func() {
-			if _, err := p.Acquire(ctx, p.Find("a"), time.Now().Add(patient)); !errors.Is(err, context.Canceled) {
-				t.Errorf("%v, want %v", err, context.Canceled)
+			if _, err := p.Acquire(ctx, p.Find("a"), time.Now().Add(testTimeout)); !errors.Is(err, context.Canceled) {
+				t.Errorf("Acquire with a cancelled context: got %v, want %v", err, context.Canceled)
 			}
 		})
-		<-began
+		<-started
 	}
-	if _, err := p.Acquire(t.Context(), p.Find("a"), time.Now().Add(patient)); !errors.Is(err, ErrTooManyConnections) {
-		t.Errorf("third dial under way: got %v, want %v", err, ErrTooManyConnections)
+	if _, err := p.Acquire(t.Context(), p.Find("a"), time.Now().Add(testTimeout)); !errors.Is(err, ErrTooManyConnections) {
+		t.Errorf("Acquire during two dials: got %v, want %v", err, ErrTooManyConnections)
 	}
 	cancel()
 	waiting.Wait()
 	close(proceed)
 	p.Wait()
 	if idle := len(p.Idle(p.Find("a"))); idle != 2 || p.Open() != 2 {
-		t.Errorf("idle connections: got %d of %d, want 2 of 2", idle, p.Open())
+		t.Errorf("got %d idle of %d open connections, want 2 of 2", idle, p.Open())
 	}
 }
 
 func TestUpdate(t *testing.T) {
-	address, _ := listener(t)
-	other, _ := listener(t)
+	address, _ := listen(t)
+	other, _ := listen(t)
 	started := func(key string, at time.Duration) Entry[string] {
 		return Entry[string]{Key: key, Address: address, Started: at, Ready: true}
 	}
 	for name, c := range map[string]struct {
 		full    bool
 		entries []Entry[string]
-		closed  bool // the host as it was before
-		known   bool // a host of that key is there after
+		closed  bool // whether the backend from before is closed
+		known   bool // whether a backend of the key is found afterwards
 	}{
-		"the same again":         {true, []Entry[string]{ready("a", address)}, false, true},
-		"others changed":         {false, []Entry[string]{ready("b", other)}, false, true},
-		"gone":                   {true, nil, true, false},
+		"the same again":         {true, []Entry[string]{readyEntry("a", address)}, false, true},
+		"others changed":         {false, []Entry[string]{readyEntry("b", other)}, false, true},
+		"removed":                {true, nil, true, false},
 		"draining":               {false, []Entry[string]{{Key: "a", Address: address}}, true, false},
-		"at another address":     {false, []Entry[string]{ready("a", other)}, true, true},
+		"at another address":     {false, []Entry[string]{readyEntry("a", other)}, true, true},
 		"restarted":              {false, []Entry[string]{started("a", 1)}, true, true},
-		"its address is taken":   {false, []Entry[string]{ready("b", address)}, true, true},
+		"its address is taken":   {false, []Entry[string]{readyEntry("b", address)}, true, true},
 		"an older one's address": {false, []Entry[string]{started("b", -1)}, false, true},
 	} {
 		p := New[string](Options{MaxConnections: 10})
-		p.Update(true, []Entry[string]{ready("a", address)})
+		p.Update(true, []Entry[string]{readyEntry("a", address)})
 		before := p.Find("a")
 		idle, inUse := acquire(t, p, "a"), acquire(t, p, "a")
 		p.Release(idle, true)
@@ -215,31 +217,31 @@
 			t.Errorf("%s: found: got %v, want %v", name, known, c.known)
 		}
 		if kept := len(p.Idle(before)) == 1; kept == c.closed {
-			t.Errorf("%s: the idle connection is kept: %v", name, kept)
+			t.Errorf("%s: idle connection kept: got %v, want %v", name, kept, !c.closed)
 		}
-		_, err := p.Acquire(t.Context(), before, time.Now().Add(patient))
+		_, err := p.Acquire(t.Context(), before, time.Now().Add(testTimeout))
 		if errors.Is(err, ErrClosed) != c.closed {
-			t.Errorf("%s: acquire: %v", name, err)
+			t.Errorf("%s: Acquire: got %v, want %v: %v", name, err, ErrClosed, c.closed)
 		}
 		p.Release(inUse, true)
 		if kept := p.Open() > 0; kept == c.closed {
-			t.Errorf("%s: %d connections open at the end", name, p.Open())
+			t.Errorf("%s: got %d open connections at the end, want some: %v", name, p.Open(), !c.closed)
 		}
 		p.Update(true, nil)
 	}
 }
 
 func TestRunClosesAll(t *testing.T) {
-	address, accepted := listener(t)
+	address, accepted := listen(t)
 	p := New[string](Options{MaxConnections: 10, SweepInterval: time.Millisecond, MaxIdle: time.Nanosecond})
-	p.Update(true, []Entry[string]{ready("a", address)})
+	p.Update(true, []Entry[string]{readyEntry("a", address)})
 	old, inUse := acquire(t, p, "a"), acquire(t, p, "a")
 	p.Release(old, true)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { p.Run(ctx); close(ended) }()
-	if !closed(<-accepted) {
-		t.Error("a connection that is idle for too long is not closed")
+	if !closedByPeer(<-accepted) {
+		t.Error("the connection that was idle for too long is still open")
 	}
 	cancel()
 	<-ended
@@ -249,18 +251,18 @@
 	}
 }
 
-// Bytes are readable as they come, up to the limit that was set.
+// Bytes are readable as they arrive, up to the read limit.
 func TestReaderIsIncrementalAndBounded(t *testing.T) {
-	address, accepted := listener(t)
+	address, accepted := listen(t)
 	p := New[string](Options{MaxConnections: 10, UserTimeout: 5 * time.Second})
-	p.Update(true, []Entry[string]{ready("a", address)})
+	p.Update(true, []Entry[string]{readyEntry("a", address)})
 	c := acquire(t, p, "a")
 	server := <-accepted
 	c.SetReadLimit(8)
 	for _, line := range []string{"one\n", "two\n"} {
 		io.WriteString(server, line)
 		if got, err := c.Reader.ReadString('\n'); got != line || err != nil {
-			t.Errorf("%q, %v; want %q", got, err, line)
+			t.Errorf("read: got %q, %v; want %q", got, err, line)
 		}
 	}
 	if c.ReadLimit() != 0 {
@@ -273,18 +275,18 @@
 }
 
 func TestCloseUnresponsiveUnlessAnswered(t *testing.T) {
-	address, _ := listener(t)
-	for heard, want := range map[bool]int{false: 0, true: 1} {
+	address, _ := listen(t)
+	for answered, want := range map[bool]int{false: 0, true: 1} {
 		p := New[string](Options{MaxConnections: 10})
-		p.Update(true, []Entry[string]{ready("a", address)})
+		p.Update(true, []Entry[string]{readyEntry("a", address)})
 		began := time.Now()
 		p.Release(acquire(t, p, "a"), true)
-		if heard {
+		if answered {
 			p.RecordAnswer(p.Find("a"), began)
 		}
 		p.CloseUnresponsive(p.Find("a"), began)
 		if kept := len(p.Idle(p.Find("a"))); kept != want {
-			t.Errorf("answered %v: got %d idle connections, want %d", heard, kept, want)
+			t.Errorf("answered %v: got %d idle connections, want %d", answered, kept, want)
 		}
 		p.Update(true, nil)
 	}
