--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -6,26 +6,27 @@
 )
 
 const (
-	// maxBodyBytes bounds the body of an answer that is read whole.
+	// maxBodyBytes bounds the body of a response that is read as a whole.
 	maxBodyBytes = 32 << 20
-	// framingAllowance bounds what the chunks of a body and its trailer take besides the data.
-	framingAllowance = 1 << 20
-	// maxDrainBytes bounds the body of an answer that is discarded to keep its connection.
+	// maxFramingBytes bounds the chunk headers and the trailer of a body, in addition to its data.
+	maxFramingBytes = 1 << 20
+	// maxDrainBytes bounds the body of a response that is read and discarded so that its connection can be kept.
 	maxDrainBytes = 16 << 10
 )
 
-// body reads the body of an answer, and releases the connection at its end.
+// body reads the body of a response, and releases the connection at its end.
 type body struct {
 	roundTrip *roundTrip
 	source    io.ReadCloser
-	// length of the body in bytes; -1: not known.
+	// length is the length of the body in bytes, or -1 if it is not known.
 	length int64
-	// framed: the end of the body can be known other than by the end of the connection.
+	// framed means that a length or chunks mark the end of the body, not only the end of the connection.
 	framed bool
-	// reusable: the backend keeps the connection.
+	// reusable means that the backend keeps the connection open after the response.
 	reusable bool
-	done     bool
-	events   eventReader
+	// done means that the connection has been released.
+	done   bool
+	events eventReader
 }
 
 func newBody(rt *roundTrip, head *http.Response) *body {
@@ -36,23 +37,24 @@
 		framed:    head.ContentLength >= 0 || len(head.TransferEncoding) > 0,
 		reusable:  !head.Close,
 	}
-	if head.Body == http.NoBody { // also where the head states the length of a body that is not sent
+	if head.Body == http.NoBody { // also if the header states the length of a body that is not sent
 		b.length, b.framed = 0, true
 	}
 	b.events.source = b
 	return b
 }
 
-// Read reads from the body. The end of the connection is not an end of the body.
+// Read reads from the body. If only the end of the connection marks the end of the body, Read returns errUndelimited instead
+// of io.EOF, because the body may have been cut short.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.source.Read(p)
 	if err == io.EOF && !b.framed {
-		err = errNoEnd
+		err = errUndelimited
 	}
 	return n, err
 }
 
-// complete releases the connection after the end of the body.
+// complete releases the connection after the end of the body, for reuse if the backend keeps it open.
 func (b *body) complete() {
 	if b.done {
 		return
@@ -62,17 +64,17 @@
 	b.events.release()
 }
 
-// fail closes the connection because of an error.
+// fail closes the connection because of a read error, and returns the error as a Failure.
 func (b *body) fail(err error) *Failure {
 	if b.done {
 		return &Failure{Backend: b.roundTrip.backendID, Outcome: MayHaveRun, Err: err}
 	}
 	b.done = true
 	b.events.release()
-	return b.roundTrip.breakOff(err)
+	return b.roundTrip.abort(err)
 }
 
-// drain reads a short body that nobody needs, so that its connection can be used again.
+// drain reads and discards a short body, so that its connection can be reused. It closes the connection of a longer one.
 func (b *body) drain() {
 	if b.length < 0 || b.length > maxDrainBytes {
 		b.abandon()
@@ -96,12 +98,12 @@
 	b.events.release()
 }
 
-// readAll reads the whole body.
+// readAll reads the whole body, up to maxBodyBytes.
 func (b *body) readAll() ([]byte, error) {
 	if b.length > maxBodyBytes {
 		return nil, errTooLarge
 	}
-	b.roundTrip.conn.SetReadLimit(maxBodyBytes + framingAllowance)
+	b.roundTrip.conn.SetReadLimit(maxBodyBytes + maxFramingBytes)
 	if b.length >= 0 {
 		data := make([]byte, b.length)
 		_, err := io.ReadFull(b, data)
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -10,27 +10,30 @@
 )
 
 const (
-	// defaultConnectTimeout bounds a dial, so that there is time left for another backend.
+	// defaultConnectTimeout bounds a dial, so that time is left to try another backend.
 	defaultConnectTimeout = 200 * time.Millisecond
-	// minIdle is how long a connection is not used after an answer: surplus bytes of the backend have come by then.
+	// minIdle is how long a connection stays unused after a response, so that surplus bytes from the backend arrive before the
+	// next request.
 	minIdle = 20 * time.Millisecond
-	// maxIdle is how long a connection is kept without a request, unless the backend states less.
+	// maxIdle is how long a connection is kept without a request, unless the backend states a shorter time.
 	maxIdle = 30 * time.Second
-	// sweepInterval is the time between two inspections of the idle connections. Each connection costs a system call, and is
-	// inspected anyway before it takes a request.
+	// sweepInterval is the time between two inspections of all idle connections. It is long because an inspection costs one
+	// system call per connection, and each connection is also inspected before it takes a request.
 	sweepInterval = 5 * time.Second
-	// maxHeadBytes bounds the head of an answer, with the interim answers before it.
+	// maxHeadBytes bounds the head of a response, its status line and header, together with the interim (1xx) responses
+	// before it.
 	maxHeadBytes = 64 << 10
-	// deadlineReserve is kept from the time left that a backend is sent: its own answer at the deadline arrives by then.
+	// deadlineReserve is subtracted from the remaining time that a backend is sent, so that a response which the backend sends
+	// at its deadline still arrives in time.
 	deadlineReserve = 10 * time.Millisecond
 )
 
-// Options set up a Client.
+// Options configures a Client.
 type Options struct {
-	// Connections is the greatest number of connections to backends at one time.
+	// Connections is the greatest number of connections to backends at one time, over all backends.
 	Connections int
-	// ConnectTimeout bounds the dialing of a connection; defaultConnectTimeout if it is 0. A shorter one leaves more time for
-	// another backend, a longer one bears slower machines and networks.
+	// ConnectTimeout bounds the dialing of a connection; 200 ms if it is 0. A shorter timeout leaves more time to try another
+	// backend, a longer one tolerates slower machines and networks.
 	ConnectTimeout time.Duration
 }
 
@@ -40,25 +43,25 @@
 	connectTimeout time.Duration
 }
 
-// NewClient returns a client. Run has to be called for it to close idle connections.
+// NewClient returns a client. It closes idle connections in the background only while Run is running.
 func NewClient(o Options) *Client { return newClient(o, minIdle) }
 
-// newClient returns a client whose connections are used again after an idle time.
-func newClient(o Options, idle time.Duration) *Client {
+// newClient returns a client that reuses a connection only after it has been idle for reuseAfter.
+func newClient(o Options, reuseAfter time.Duration) *Client {
 	pool := upstream.New[string](upstream.Options{
 		MaxConnections: o.Connections,
 		MaxIdle:        maxIdle,
-		MinIdle:        idle,
+		MinIdle:        reuseAfter,
 		SweepInterval:  sweepInterval,
 		Dial:           dial,
 	})
 	return &Client{pool: pool, connectTimeout: cmp.Or(o.ConnectTimeout, defaultConnectTimeout)}
 }
 
-// Run closes idle connections as they grow old until ctx ends, and then closes them all.
+// Run closes connections that have been idle for too long until ctx ends, and then closes all idle connections.
 func (c *Client) Run(ctx context.Context) { c.pool.Run(ctx) }
 
-// SetBackends replaces the list of backends. Nothing is sent any more to one that drains or is gone.
+// SetBackends replaces the list of backends. No request is sent any more to a backend that is draining or not listed.
 func (c *Client) SetBackends(list *discovery.List) {
 	entries := make([]upstream.Entry[string], 0, list.Len())
 	for _, b := range list.All() {
@@ -67,7 +70,7 @@
 	c.pool.Update(true, entries)
 }
 
-// Do sends a request to a backend, and returns once the head of its answer has been read. If the context ends before the
+// Do sends a request to a backend, and returns once the head of the response has been read. If the context ends before the
 // response is closed, the attempt is cancelled and the connection closed.
 func (c *Client) Do(ctx context.Context, b discovery.Backend, r *Request) (*Response, *Failure) {
 	backend := c.pool.Find(b.ID)
@@ -93,7 +96,8 @@
 	return rt.receive(r)
 }
 
-// acquire takes an idle connection that the backend still keeps open, or dials one.
+// acquire takes an idle connection that the backend should still keep open, or dials one within the connect timeout and the
+// deadline.
 func (c *Client) acquire(ctx context.Context, backend *upstream.Backend, deadline time.Time) (*upstream.Conn, error) {
 	dialDeadline := time.Now().Add(c.connectTimeout)
 	if dialDeadline.After(deadline) {
--- a/internal/forward/client_test.go
+++ b/internal/forward/client_test.go
@@ -19,37 +19,37 @@
 )
 
 const (
-	testID       = "9c41d07be2a35f68"
-	testPatience = 10 * time.Second // more than any test takes, unless something hangs
+	testID      = "9c41d07be2a35f68"
+	testTimeout = 10 * time.Second // more than any test takes, unless something hangs
 )
 
-// received is a request as a backend has read it.
-type received struct {
+// receivedRequest is a request as a backend has read it.
+type receivedRequest struct {
 	*http.Request
 	body string
 }
 
-// backend listens, and its connections follow a script.
-type backend struct {
+// scriptedBackend listens for connections, and answers the requests of each from a script.
+type scriptedBackend struct {
 	discovery.Backend
 	connections atomic.Int64
-	requests    chan received
-	closed      chan error // what reading a connection gave after the script's last answer
+	requests    chan receivedRequest
+	closed      chan error // the result of reading a connection after the last response of the script
 }
 
-// closeAfter, at the end of a text of a script, has the connection closed behind that text.
+// closeAfter, at the end of a response of a script, makes the backend close the connection after that response.
 const closeAfter = "\x00close"
 
-// startBackend listens. Each request on a connection is answered with the next text of the script. Behind the last one the
-// connection is read until the other side closes it.
-func startBackend(t *testing.T, script ...string) *backend {
+// startBackend starts a backend that answers each request on a connection with the next response of the script. After the
+// last response it reads the connection until the other side closes it.
+func startBackend(t *testing.T, script ...string) *scriptedBackend {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	b := &backend{requests: make(chan received, 100), closed: make(chan error, 100)}
+	b := &scriptedBackend{requests: make(chan receivedRequest, 100), closed: make(chan error, 100)}
 	b.ID, b.Service = "i-1", "s"
 	b.Address = listener.Addr().(*net.TCPAddr).AddrPort()
 	go func() {
@@ -65,7 +65,7 @@
 	return b
 }
 
-func (b *backend) serve(conn net.Conn, script []string) {
+func (b *scriptedBackend) serve(conn net.Conn, script []string) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for _, text := range script {
@@ -75,7 +75,7 @@
 			return
 		}
 		body, _ := io.ReadAll(r.Body)
-		b.requests <- received{r, string(body)}
+		b.requests <- receivedRequest{r, string(body)}
 		text, last := strings.CutSuffix(text, closeAfter)
 		io.WriteString(conn, text)
 		if last {
@@ -86,7 +86,7 @@
 	b.closed <- err
 }
 
-func testClient(t *testing.T, minIdle time.Duration, backends ...*backend) *Client {
+func testClient(t *testing.T, minIdle time.Duration, backends ...*scriptedBackend) *Client {
 	t.Helper()
 	c := newClient(Options{Connections: 100}, minIdle)
 	list := make([]discovery.Backend, 0, len(backends))
@@ -100,18 +100,21 @@
 func testRequest() *Request {
 	return &Request{
 		Method: http.MethodPost, Target: "/a/b?c=%20d&e", Host: "h.example", AttemptID: testID, Tenant: "t",
-		Header: http.Header{}, Body: []byte("body"), Deadline: time.Now().Add(testPatience),
+		Header: http.Header{}, Body: []byte("body"), Deadline: time.Now().Add(testTimeout),
 	}
 }
 
-func answer(head, body string) string {
-	return "HTTP/1.1 " + head + "\r\nNickelline-Attempt-Id: " + testID + "\r\n" + body
+// rawResponse returns a response with the attempt id of testRequest. rest holds its other fields and its body.
+func rawResponse(statusLine, rest string) string {
+	return "HTTP/1.1 " + statusLine + "\r\nNickelline-Attempt-Id: " + testID + "\r\n" + rest
 }
 
-func whole(status, fields, body string) string {
-	return answer(status, fields+"Content-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
+// completeResponse returns a response with a body of known length.
+func completeResponse(status, fields, body string) string {
+	return rawResponse(status, fields+"Content-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
 }
 
+// chunk returns one chunk of a chunked body.
 func chunk(text string) string {
 	return strconv.FormatInt(int64(len(text)), 16) + "\r\n" + text + "\r\n"
 }
@@ -122,7 +125,7 @@
 )
 
 func TestRequestIsSentAsReceived(t *testing.T) {
-	b := startBackend(t, whole("200 OK", "Nickelline-Response-Seal: s\r\nNickelline-Server-Load: 3, 0,8\r\nX-More: m\r\n", "answer"))
+	b := startBackend(t, completeResponse("200 OK", "Nickelline-Response-Seal: s\r\nNickelline-Server-Load: 3, 0,8\r\nX-More: m\r\n", "answer"))
 	c := testClient(t, 0, b)
 	r := testRequest()
 	r.Header = http.Header{
@@ -145,17 +148,18 @@
 	}
 	body, err := response.ReadAll()
 	if err != nil || string(body) != "answer" || response.Status != 200 {
-		t.Errorf("answer: got %d %q, %v", response.Status, body, err)
+		t.Errorf("response: got %d %q, %v, want 200 \"answer\"", response.Status, body, err)
 	}
 	if response.Header.Get(HeaderResponseSeal) != "s" || response.Header.Get("X-More") != "m" {
-		t.Errorf("fields of the answer are missing: %v", response.Header)
+		t.Errorf("header of the response: got %v, want the seal s and X-More: m", response.Header)
 	}
 	if response.Load == nil || *response.Load != (admission.Load{Running: 3, Waiting: 0, Slots: 8}) {
-		t.Errorf("load: got %v", response.Load)
+		t.Errorf("load: got %v, want 3 running, 0 waiting, 8 slots", response.Load)
 	}
 	got := <-b.requests
 	if got.Method != r.Method || got.RequestURI != r.Target || got.Host != r.Host || got.body != "body" {
-		t.Errorf("received %s %s for %s with %q", got.Method, got.RequestURI, got.Host, got.body)
+		t.Errorf("request: got %s %s for %s with body %q, want %s %s for %s with body %q",
+			got.Method, got.RequestURI, got.Host, got.body, r.Method, r.Target, r.Host, "body")
 	}
 	for name, want := range map[string]string{
 		HeaderAttemptID: testID, HeaderExpected: "i-1", HeaderTenant: "t", "X-Kept": "one,two", "Nickelline-Whatever": "w",
@@ -165,9 +169,9 @@
 			t.Errorf("%s: got %q, want %q", name, values, want)
 		}
 	}
-	left, err := time.ParseDuration(got.Header.Get(HeaderDeadline) + "ms")
-	if err != nil || left > testPatience || left < testPatience/2 {
-		t.Errorf("%s is %v, %v", HeaderDeadline, left, err)
+	remaining, err := time.ParseDuration(got.Header.Get(HeaderDeadline) + "ms")
+	if err != nil || remaining > testTimeout || remaining < testTimeout/2 {
+		t.Errorf("%s: got %v, %v, want %v to %v", HeaderDeadline, remaining, err, testTimeout/2, testTimeout)
 	}
 }
 
@@ -177,17 +181,17 @@
 		script string
 		want   Outcome
 	}{
-		{"closed without an answer", closeAfter, MayHaveRun},
-		{"no answer of the protocol", "!!!\r\n\r\n", MayHaveRun},
-		{"an answer to another request", strings.ReplaceAll(whole("200 OK", "", "x"), testID, "other"), MayHaveRun},
-		{"an answer without an id", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", MayHaveRun},
-		{"a full backend", whole("503 Service Unavailable", "Nickelline-Not-Executed: 1\r\n", "full"), NotExecuted},
-		{"another backend at the address", whole("421 Misdirected Request", "", ""), NotExecuted},
+		{"closed without a response", closeAfter, MayHaveRun},
+		{"not an HTTP response", "!!!\r\n\r\n", MayHaveRun},
+		{"a response to another request", strings.ReplaceAll(completeResponse("200 OK", "", "x"), testID, "other"), MayHaveRun},
+		{"a response without an id", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", MayHaveRun},
+		{"a full backend", completeResponse("503 Service Unavailable", "Nickelline-Not-Executed: 1\r\n", "full"), NotExecuted},
+		{"another backend at the address", completeResponse("421 Misdirected Request", "", ""), NotExecuted},
 		{"full, without an id", "HTTP/1.1 503 x\r\nNickelline-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", NotExecuted},
 		{"another backend, without an id", "HTTP/1.1 421 x\r\nContent-Length: 0\r\n\r\n", NotExecuted},
-		{"full, without an end", answer("503 x", "Nickelline-Not-Executed: 1\r\n\r\n"), NotExecuted},
-		{"full, to another request", strings.ReplaceAll(whole("503 x", "Nickelline-Not-Executed: 1\r\n", ""), testID, "other"), MayHaveRun},
-		{"another protocol", answer("101 Switching Protocols", "\r\n"), MayHaveRun},
+		{"full, without an end", rawResponse("503 x", "Nickelline-Not-Executed: 1\r\n\r\n"), NotExecuted},
+		{"full, to another request", strings.ReplaceAll(completeResponse("503 x", "Nickelline-Not-Executed: 1\r\n", ""), testID, "other"), MayHaveRun},
+		{"another protocol", rawResponse("101 Switching Protocols", "\r\n"), MayHaveRun},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := startBackend(t, c.script)
@@ -199,13 +203,13 @@
 	}
 }
 
-func TestOnlyWholeAnswersAreReturned(t *testing.T) {
+func TestOnlyCompleteResponsesAreReturned(t *testing.T) {
 	for name, text := range map[string]string{
-		"cut short":                answer("200 OK", "Content-Length: 10\r\n\r\nhalf"),
-		"cut short within a chunk": answer("200 OK", "Transfer-Encoding: chunked\r\n\r\n9\r\nhalf"),
-		"without the last chunk":   answer("200 OK", "Transfer-Encoding: chunked\r\n\r\n"+chunk("half")),
-		"ends with its connection": answer("200 OK", "\r\nhalf"),
-		"larger than is allowed":   answer("200 OK", "Content-Length: 999999999999\r\n\r\nhalf"),
+		"cut short":                rawResponse("200 OK", "Content-Length: 10\r\n\r\nhalf"),
+		"cut short within a chunk": rawResponse("200 OK", "Transfer-Encoding: chunked\r\n\r\n9\r\nhalf"),
+		"without the last chunk":   rawResponse("200 OK", "Transfer-Encoding: chunked\r\n\r\n"+chunk("half")),
+		"ends with its connection": rawResponse("200 OK", "\r\nhalf"),
+		"larger than is allowed":   rawResponse("200 OK", "Content-Length: 999999999999\r\n\r\nhalf"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := startBackend(t, text+closeAfter)
@@ -215,7 +219,7 @@
 			}
 			body, err := response.ReadAll()
 			if !errors.As(err, &failure) || failure.Outcome != MayHaveRun {
-				t.Errorf("read %q, %v", body, err)
+				t.Errorf("ReadAll: got %q, %v, want a failure with outcome %v", body, err, MayHaveRun)
 			}
 		})
 	}
@@ -224,8 +228,8 @@
 func TestFailuresBeforeSending(t *testing.T) {
 	gone := startBackend(t)
 	gone.Address = netip.MustParseAddrPort("127.0.0.1:1")
-	b := startBackend(t, whole("200 OK", "", ""))
-	unlisted := startBackend(t, whole("200 OK", "", ""))
+	b := startBackend(t, completeResponse("200 OK", "", ""))
+	unlisted := startBackend(t, completeResponse("200 OK", "", ""))
 	unlisted.ID = "i-2"
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -237,15 +241,15 @@
 	split.Target = "/a HTTP/1.1\r\n"
 	for name, c := range map[string]struct {
 		ctx     context.Context
-		backend *backend
+		backend *scriptedBackend
 		request *Request
 	}{
-		"nobody listens":       {t.Context(), gone, testRequest()},
-		"not listed":           {t.Context(), unlisted, testRequest()},
-		"called off":           {ended, b, testRequest()},
-		"deadline passed":      {t.Context(), b, late},
-		"a field with a break": {t.Context(), b, injected},
-		"a bad target":         {t.Context(), b, split},
+		"connection refused":      {t.Context(), gone, testRequest()},
+		"not listed":              {t.Context(), unlisted, testRequest()},
+		"cancelled":               {ended, b, testRequest()},
+		"deadline passed":         {t.Context(), b, late},
+		"a line break in a field": {t.Context(), b, injected},
+		"an invalid target":       {t.Context(), b, split},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client := testClient(t, 0, b)
@@ -264,26 +268,26 @@
 }
 
 func TestConnectionIsReused(t *testing.T) {
-	ok := whole("200 OK", "", "a")
+	ok := completeResponse("200 OK", "", "a")
 	for _, c := range []struct {
-		name   string
-		first  string
-		client time.Duration
-		want   int64 // connections
+		name    string
+		first   string
+		minIdle time.Duration
+		want    int64 // connections
 	}{
-		{"after a whole answer", ok, 0, 1},
-		{"after a refusal", whole("503 Service Unavailable", "Nickelline-Not-Executed: 1\r\n", "full"), 0, 1},
-		{"after chunks", answer("200 OK", "Transfer-Encoding: chunked\r\n\r\n"+chunk("a")+lastChunk), 0, 1},
-		{"not where the backend closes it", whole("200 OK", "Connection: close\r\n", "a"), 0, 2},
-		{"not where the backend keeps it no longer", whole("200 OK", "Keep-Alive: timeout=0\r\n", "a"), 0, 2},
-		{"not with a second answer behind the first", ok + ok, 0, 2},
-		{"not with other bytes behind the first", ok + "rubbish", 0, 2},
-		{"not after an answer without an id", "HTTP/1.1 503 x\r\nNickelline-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", 0, 2},
-		{"not before it has rested", ok, time.Hour, 2},
+		{"after a complete response", ok, 0, 1},
+		{"after a refusal", completeResponse("503 Service Unavailable", "Nickelline-Not-Executed: 1\r\n", "full"), 0, 1},
+		{"after chunks", rawResponse("200 OK", "Transfer-Encoding: chunked\r\n\r\n"+chunk("a")+lastChunk), 0, 1},
+		{"not if the backend closes it", completeResponse("200 OK", "Connection: close\r\n", "a"), 0, 2},
+		{"not if the backend states an idle timeout of zero", completeResponse("200 OK", "Keep-Alive: timeout=0\r\n", "a"), 0, 2},
+		{"not with a second response after the first", ok + ok, 0, 2},
+		{"not with other bytes after the first", ok + "rubbish", 0, 2},
+		{"not after a response without an id", "HTTP/1.1 503 x\r\nNickelline-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", 0, 2},
+		{"not before the minimum idle time", ok, time.Hour, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := startBackend(t, c.first, ok)
-			client := testClient(t, c.client, b)
+			client := testClient(t, c.minIdle, b)
 			for range 2 {
 				response, failure := client.Do(t.Context(), b.Backend, testRequest())
 				if failure != nil {
@@ -293,7 +297,7 @@
 					continue
 				}
 				if body, err := response.ReadAll(); err != nil || string(body) != "a" {
-					t.Fatalf("read %q, %v", body, err)
+					t.Fatalf("ReadAll: got %q, %v, want \"a\"", body, err)
 				}
 			}
 			if n := b.connections.Load(); n != c.want {
@@ -304,22 +308,22 @@
 }
 
 func TestAttemptTimesOutAtTheDeadline(t *testing.T) {
-	b := startBackend(t, " ") // not even a whole line
+	b := startBackend(t, " ") // less than a line
 	r := testRequest()
 	r.Deadline = time.Now().Add(50 * time.Millisecond)
 	_, failure := testClient(t, 0, b).Do(t.Context(), b.Backend, r)
 	if failure == nil || failure.Outcome != MayHaveRun || !failure.TimedOut {
-		t.Errorf("failure %+v", failure)
+		t.Errorf("failure: got %+v, want outcome %v and TimedOut", failure, MayHaveRun)
 	}
 	if time.Now().Before(r.Deadline) {
-		t.Error("failed before the deadline")
+		t.Error("Do returned before the deadline")
 	}
 }
 
 func TestCancellationClosesTheConnection(t *testing.T) {
 	for name, text := range map[string]string{
-		"before the answer": " ",
-		"within a stream":   answer("200 OK", streamFields+chunk("id: 1\ndata: a\n\n")),
+		"before the response": " ",
+		"within a stream":     rawResponse("200 OK", streamFields+chunk("id: 1\ndata: a\n\n")),
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := startBackend(t, text)
@@ -335,17 +339,17 @@
 				}
 			}
 			if failure.Outcome != MayHaveRun || !failure.Cancelled {
-				t.Errorf("failure %+v", failure)
+				t.Errorf("failure: got %+v, want outcome %v and Cancelled", failure, MayHaveRun)
 			}
 			if err := <-b.closed; err == nil {
-				t.Error("the backend's connection is not closed")
+				t.Error("the connection to the backend is still open")
 			}
 		})
 	}
 }
 
 func TestCloseWithinAStreamClosesTheConnection(t *testing.T) {
-	b := startBackend(t, answer("200 OK", streamFields+chunk("id: 1\ndata: a\n\n")))
+	b := startBackend(t, rawResponse("200 OK", streamFields+chunk("id: 1\ndata: a\n\n")))
 	response, failure := testClient(t, 0, b).Do(t.Context(), b.Backend, testRequest())
 	if failure != nil {
 		t.Fatal(failure)
@@ -355,6 +359,6 @@
 	}
 	response.Close()
 	if err := <-b.closed; err == nil {
-		t.Error("the backend's connection is not closed")
+		t.Error("the connection to the backend is still open")
 	}
 }
--- a/internal/forward/connection.go
+++ b/internal/forward/connection.go
@@ -12,27 +12,30 @@
 )
 
 const (
-	// userTimeout is how long written bytes may stay without an acknowledgement: a machine without power does not respond.
+	// userTimeout is how long written bytes may remain unacknowledged before a connection fails: a machine that has lost power
+	// acknowledges nothing.
 	userTimeout = 800 * time.Millisecond
-	// Probes of a quiet connection distinguish a machine without power from a backend that works. The system counts in seconds.
+	// TCP keep-alive probes on a quiet connection tell a machine that has lost power from a backend that is still working on a
+	// request. The operating system takes their times in whole seconds.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveProbes   = 2
-	// keepAliveReserve is subtracted from the time for which a backend says that it keeps an idle connection.
+	// keepAliveReserve is subtracted from the idle timeout that a backend states, so that no request is sent as
+	// the backend closes the connection.
 	keepAliveReserve = 250 * time.Millisecond
-	// keepAliveLimit bounds that time.
+	// keepAliveLimit is the greatest idle timeout that is taken from a Keep-Alive field.
 	keepAliveLimit = time.Hour
 )
 
-// backendConn is a connection that knows for how long the backend keeps it open.
+// backendConn is a connection together with the idle timeout that its backend has stated.
 type backendConn struct {
 	*net.TCPConn
-	// maxIdle is how long it may be idle, if limited.
+	// maxIdle is how long the connection may be idle, if limited is set.
 	maxIdle time.Duration
 	limited bool
 }
 
-// dial connects to a backend.
+// dial connects to a backend. It is the upstream.DialFunc of a Client.
 func dial(ctx context.Context, network, address string, deadline time.Time) (net.Conn, error) {
 	dialer := net.Dialer{
 		Deadline: deadline,
@@ -51,13 +54,13 @@
 	return &backendConn{TCPConn: conn.(*net.TCPConn)}, nil
 }
 
-// expired reports whether a connection has been idle for longer than its backend keeps it.
+// expired reports whether a connection has been idle for longer than its backend keeps it open.
 func expired(c *upstream.Conn, now time.Time) bool {
 	b, ok := c.Conn.(*backendConn)
 	return ok && b.limited && now.Sub(c.IdleSince()) >= b.maxIdle
 }
 
-// recordKeepAlive keeps the time for which, by an answer, its connection may be idle.
+// recordKeepAlive stores the idle timeout that the Keep-Alive field of a response states for its connection.
 func recordKeepAlive(c *upstream.Conn, header http.Header) {
 	b, ok := c.Conn.(*backendConn)
 	if !ok {
@@ -69,7 +72,7 @@
 	}
 }
 
-// keepAliveTimeout returns the timeout of a Keep-Alive field, and whether there is one.
+// keepAliveTimeout returns the timeout parameter of a Keep-Alive field, and whether the field has a valid one.
 func keepAliveTimeout(field string) (time.Duration, bool) {
 	for part := range strings.SplitSeq(field, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/forward/encode.go
+++ b/internal/forward/encode.go
@@ -12,15 +12,15 @@
 
 const (
 	// maxPooledBuffer is the size of the largest buffer that is kept for another request, in bytes.
-	maxPooledBuffer = 64 << 10
-	protocolEnd     = " HTTP/1.1\r\n"
-	lineEnd         = "\r\n"
+	maxPooledBuffer   = 64 << 10
+	requestLineSuffix = " HTTP/1.1\r\n"
+	lineEnd           = "\r\n"
 )
 
 var (
-	errTarget = errors.New("the request target is not valid")
-	errMethod = errors.New("the method is not valid")
-	errField  = errors.New("a header field is not valid")
+	errInvalidTarget = errors.New("invalid request target")
+	errInvalidMethod = errors.New("invalid request method")
+	errInvalidField  = errors.New("invalid header field")
 )
 
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
@@ -35,8 +35,8 @@
 	buffers.Put(b)
 }
 
-// omittedFields of a client's request are not sent: they concern one connection, are the client's secret, or are set by the
-// system. Keys are canonical.
+// omittedFields holds the header fields of a client's request that are not forwarded: they concern one connection, carry the
+// client's API key, or are set by this package. Keys are in canonical form.
 var omittedFields = map[string]bool{
 	"Authorization":     true,
 	"Connection":        true,
@@ -55,18 +55,18 @@
 	HeaderTenant:        true,
 }
 
-// appendRequest writes a request in the form of HTTP/1.1.
+// appendRequest appends a request in HTTP/1.1 format.
 func appendRequest(b *bytes.Buffer, backend string, r *Request, now time.Time) error {
 	if !validToken(r.Method) {
-		return errMethod
+		return errInvalidMethod
 	}
 	if !validTarget(r.Target) {
-		return errTarget
+		return errInvalidTarget
 	}
 	b.WriteString(r.Method)
 	b.WriteByte(' ')
 	b.WriteString(r.Target)
-	b.WriteString(protocolEnd)
+	b.WriteString(requestLineSuffix)
 	if err := appendOwnFields(b, backend, r, now); err != nil {
 		return err
 	}
@@ -78,16 +78,16 @@
 	return nil
 }
 
-// appendOwnFields writes the fields that the system sets.
+// appendOwnFields appends the header fields that this package sets. Those with an empty value are left out.
 func appendOwnFields(b *bytes.Buffer, backend string, r *Request, now time.Time) error {
-	left := max(r.Deadline.Sub(now)-deadlineReserve, time.Millisecond)
+	remaining := max(r.Deadline.Sub(now)-deadlineReserve, time.Millisecond)
 	fields := [...]struct{ name, value string }{
 		{"Host", r.Host},
 		{HeaderAttemptID, r.AttemptID},
 		{HeaderExpected, backend},
 		{HeaderTenant, r.Tenant},
 		{HeaderLastEventID, r.LastEventID},
-		{HeaderDeadline, strconv.FormatInt(left.Milliseconds(), 10)},
+		{HeaderDeadline, strconv.FormatInt(remaining.Milliseconds(), 10)},
 	}
 	for _, f := range fields {
 		if f.value == "" {
@@ -97,18 +97,18 @@
 			return err
 		}
 	}
-	if len(r.Body) > 0 || hasBody(r.Method) {
+	if len(r.Body) > 0 || definesBody(r.Method) {
 		return appendField(b, "Content-Length", strconv.Itoa(len(r.Body)))
 	}
 	return nil
 }
 
-// appendClientFields writes the client's fields, except those that are omitted.
+// appendClientFields appends the client's header fields, except those that are not forwarded.
 func appendClientFields(b *bytes.Buffer, r *Request) error {
-	named := hopByHopFields(r.Header)
+	hopByHop := hopByHopFields(r.Header)
 	for name, values := range r.Header {
 		canonical := http.CanonicalHeaderKey(name)
-		if omittedFields[canonical] || named[canonical] || (r.LastEventID != "" && canonical == HeaderLastEventID) {
+		if omittedFields[canonical] || hopByHop[canonical] || (r.LastEventID != "" && canonical == HeaderLastEventID) {
 			continue
 		}
 		for _, value := range values {
@@ -122,7 +122,7 @@
 
 func appendField(b *bytes.Buffer, name, value string) error {
 	if !validToken(name) || !validValue(value) {
-		return errField
+		return errInvalidField
 	}
 	b.WriteString(name)
 	b.WriteString(": ")
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// hasBody reports whether a request of a method states the length of its body even if that is empty.
-func hasBody(method string) bool {
+// definesBody reports whether a method defines a request body, so that Content-Length is sent even if the body is empty.
+func definesBody(method string) bool {
 	switch method {
 	case http.MethodPost, http.MethodPut, http.MethodPatch:
 		return true
@@ -140,24 +140,24 @@
 	return false
 }
 
-// hopByHopFields returns the names of the fields that Connection says concern the connection only. The id of the attempt and
-// the tenant are set by the system and not omitted.
+// hopByHopFields returns the canonical names of the fields that the Connection field lists as concerning only the
+// connection. The fields that this package sets itself, such as the attempt id and the tenant, are not subject to it.
 func hopByHopFields(header http.Header) map[string]bool {
 	values := header["Connection"]
 	if len(values) == 0 {
 		return nil
 	}
-	named := map[string]bool{}
+	names := map[string]bool{}
 	for _, value := range values {
 		for name := range strings.SplitSeq(value, ",") {
-			named[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
+			names[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
-	return named
+	return names
 }
 
-// endToEnd returns the fields of a backend's answer that are for the client. It changes the header in place.
-func endToEnd(header http.Header) http.Header {
+// endToEndFields returns the header fields of a backend's response that are for the client. It changes the header in place.
+func endToEndFields(header http.Header) http.Header {
 	for name := range hopByHopFields(header) {
 		if name != HeaderResponseSeal && name != HeaderAttemptID {
 			header.Del(name)
@@ -172,9 +172,10 @@
 	return header
 }
 
+// tokenSymbols holds the characters other than letters and digits that RFC 9110 allows in a token.
 const tokenSymbols = "!#$%&'*+-.^_`|~"
 
-// validToken reports whether a text may be a method or the name of a field.
+// validToken reports whether text is a valid method or field name.
 func validToken(text string) bool {
 	for _, c := range []byte(text) {
 		letter := 'a' <= c|0x20 && c|0x20 <= 'z'
@@ -186,7 +187,7 @@
 	return text != ""
 }
 
-// validTarget reports whether a text may stand in a request line.
+// validTarget reports whether text is valid as the target in a request line.
 func validTarget(text string) bool {
 	for _, c := range []byte(text) {
 		if c <= ' ' || c == 0x7f {
@@ -196,7 +197,7 @@
 	return strings.HasPrefix(text, "/")
 }
 
-// validValue reports whether a text may be the value of a field.
+// validValue reports whether text is a valid field value.
 func validValue(text string) bool {
 	for _, c := range []byte(text) {
 		if c < ' ' && c != '\t' || c == 0x7f {
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// eventBufferSize is the first size of the buffers that streams are read into.
+	// eventBufferSize is the initial size of the buffers that streams are read into, in bytes.
 	eventBufferSize = 4 << 10
-	// maxEventBytes bounds one event.
+	// maxEventBytes bounds the size of one event.
 	maxEventBytes = 4 << 20
 )
 
@@ -18,18 +18,18 @@
 	return &b
 }}
 
-// eventReader splits what it reads into events, each of which ends with an empty line.
+// eventReader splits a stream into events, each of which ends with an empty line.
 type eventReader struct {
 	source    io.Reader
-	pooled    *[]byte
-	buffer    []byte // read and not yet returned from start on
+	pooled    *[]byte // the buffer from eventBuffers
+	buffer    []byte  // the bytes read; those from start on have not been returned
 	start     int
-	lineStart int // where the first line begins that is not known to be whole
-	joined    []byte
-	err       error
+	lineStart int    // the start of the first line that is not known to be complete
+	joined    []byte // the data lines of the current event, if there are several
+	err       error  // of the last read
 }
 
-// next returns the next event. The one before is no longer valid.
+// next returns the next event. It invalidates the previous one.
 func (r *eventReader) next() (Event, error) {
 	for {
 		if end := r.eventEnd(); end > 0 {
@@ -47,7 +47,7 @@
 // ready reports whether a whole event, or the end, has been read and not yet returned.
 func (r *eventReader) ready() bool { return r.err != nil || r.eventEnd() > 0 }
 
-// eventEnd returns the end of the first event in the buffer, 0 if the event is not whole.
+// eventEnd returns the end of the first event in the buffer, or 0 if the event is not complete.
 func (r *eventReader) eventEnd() int {
 	r.lineStart = max(r.lineStart, r.start)
 	for {
@@ -64,9 +64,10 @@
 	}
 }
 
-// remainder returns what follows the last event of a stream that ended properly, and then the end.
+// remainder returns the bytes after the last event of a stream that ended properly as an event, and after that io.EOF. If
+// the stream did not end properly, it returns the read error.
 func (r *eventReader) remainder() (Event, error) {
-	properEnd := r.err == io.EOF //nolint:errorlint // a reader returns io.EOF itself
+	properEnd := r.err == io.EOF //nolint:errorlint // a reader returns io.EOF unwrapped
 	if !properEnd || r.start == len(r.buffer) {
 		return Event{}, r.err
 	}
@@ -75,7 +76,7 @@
 	return r.parse(raw), nil
 }
 
-// read reads more into the buffer.
+// read reads more bytes into the buffer.
 func (r *eventReader) read() {
 	r.makeRoom()
 	n, err := r.source.Read(r.buffer[len(r.buffer):cap(r.buffer)])
@@ -85,15 +86,15 @@
 	}
 }
 
-// makeRoom moves what is unread to the beginning of the buffer, and enlarges the buffer if it is full.
+// makeRoom moves the bytes not yet returned to the beginning of the buffer, and doubles the buffer if it is full.
 func (r *eventReader) makeRoom() {
 	if r.pooled == nil {
 		r.pooled = eventBuffers.Get().(*[]byte)
 		r.buffer = (*r.pooled)[:0]
 	}
 	if r.start > 0 {
-		left := copy(r.buffer, r.buffer[r.start:])
-		r.buffer = r.buffer[:left]
+		remaining := copy(r.buffer, r.buffer[r.start:])
+		r.buffer = r.buffer[:remaining]
 		r.lineStart = max(r.lineStart-r.start, 0)
 		r.start = 0
 	}
@@ -106,7 +107,7 @@
 	r.buffer = append(make([]byte, 0, 2*cap(r.buffer)), r.buffer...)
 }
 
-// release returns the buffer to the pool. Nothing may be read any more.
+// release returns the buffer to the pool. The reader must not be used any more.
 func (r *eventReader) release() {
 	if r.pooled == nil {
 		return
@@ -116,7 +117,7 @@
 	r.start, r.lineStart = 0, 0
 }
 
-// parse reads the fields of an event.
+// parse parses the fields of an event.
 func (r *eventReader) parse(raw []byte) Event {
 	event := Event{Raw: raw}
 	lines := 0
@@ -135,7 +136,7 @@
 	return event
 }
 
-// joinData adds a line to the data of an event. The first one is not copied.
+// joinData adds a line to the data of an event, which has the given number of lines so far. The first line is not copied.
 func (r *eventReader) joinData(data, value []byte, lines int) []byte {
 	if lines == 0 {
 		return value
--- a/internal/forward/events_test.go
+++ b/internal/forward/events_test.go
@@ -31,7 +31,7 @@
 			if raw.String() != text {
 				t.Errorf("raw events: got %q, want %q", raw.String(), text)
 			}
-			if _, err := r.next(); err != io.EOF { //nolint:errorlint // the end is io.EOF itself
+			if _, err := r.next(); err != io.EOF { //nolint:errorlint // the end is an unwrapped io.EOF
 				t.Errorf("end: got %v, want io.EOF", err)
 			}
 		})
@@ -43,7 +43,7 @@
 	r := eventReader{source: strings.NewReader("data: a\n\ndata: " + data + "\n\n")}
 	r.next()
 	if event, err := r.next(); err != nil || string(event.Data) != data {
-		t.Errorf("large event: got %d bytes, %v", len(event.Data), err)
+		t.Errorf("large event: got %d bytes, %v, want %d bytes", len(event.Data), err, len(data))
 	}
 	r = eventReader{source: strings.NewReader(strings.Repeat("x", 2*maxEventBytes))}
 	if _, err := r.next(); !errors.Is(err, errTooLarge) {
@@ -56,20 +56,20 @@
 	for _, c := range []struct {
 		name, text string
 		want       string // events
-		whole      bool
+		complete   bool
 	}{
 		{"chunks", streamFields + chunk(first) + chunk(second) + lastChunk, first + second, true},
 		{"chunks across events", streamFields + chunk(first[:7]) + chunk(first[7:]+second) + lastChunk, first + second, true},
 		{"a length", "Content-Type: text/event-stream; charset=utf-8\r\nContent-Length: 15\r\n\r\n" + first, first, true},
-		{"break within an event", streamFields + chunk(first) + chunk(second[:7]) + closeAfter, first, false},
-		{"break between events", streamFields + chunk(first) + closeAfter, first, false},
-		{"break before the last chunk's end", streamFields + chunk(first) + "0\r\n" + closeAfter, first, false},
-		{"break of a length", "Content-Type: text/event-stream\r\nContent-Length: 30\r\n\r\n" + first + closeAfter, first, false},
+		{"cut within an event", streamFields + chunk(first) + chunk(second[:7]) + closeAfter, first, false},
+		{"cut between events", streamFields + chunk(first) + closeAfter, first, false},
+		{"cut within the last chunk", streamFields + chunk(first) + "0\r\n" + closeAfter, first, false},
+		{"cut before the stated length", "Content-Type: text/event-stream\r\nContent-Length: 30\r\n\r\n" + first + closeAfter, first, false},
 		{"end of the connection only", "Content-Type: text/event-stream\r\n\r\n" + first + closeAfter, first, false},
-		{"text behind the last event", streamFields + chunk(first+": end") + lastChunk, first + ": end", true},
+		{"text after the last event", streamFields + chunk(first+": end") + lastChunk, first + ": end", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := startBackend(t, answer("200 OK", c.text))
+			b := startBackend(t, rawResponse("200 OK", c.text))
 			response, failure := testClient(t, 0, b).Do(t.Context(), b.Backend, testRequest())
 			if failure != nil {
 				t.Fatal(failure)
@@ -86,11 +86,11 @@
 			if got.String() != c.want {
 				t.Errorf("events: got %q, want %q", got.String(), c.want)
 			}
-			if whole := err == io.EOF; whole != c.whole { //nolint:errorlint // the end is io.EOF itself
-				t.Errorf("end: got %v, want io.EOF: %v", err, c.whole)
+			if complete := err == io.EOF; complete != c.complete { //nolint:errorlint // the end is an unwrapped io.EOF
+				t.Errorf("end: got %v, want io.EOF: %v", err, c.complete)
 			}
-			if !c.whole && (!errors.As(err, &failure) || failure.Outcome != MayHaveRun) {
-				t.Errorf("end %v", err)
+			if !c.complete && (!errors.As(err, &failure) || failure.Outcome != MayHaveRun) {
+				t.Errorf("end: got %v, want a failure with outcome %v", err, MayHaveRun)
 			}
 		})
 	}
@@ -98,31 +98,31 @@
 
 func TestReadyReportsWholeEvents(t *testing.T) {
 	const first, second = "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"
-	b := startBackend(t, answer("200 OK", streamFields+chunk(first+second+"id: 3")+closeAfter))
+	b := startBackend(t, rawResponse("200 OK", streamFields+chunk(first+second+"id: 3")+closeAfter))
 	response, failure := testClient(t, 0, b).Do(t.Context(), b.Backend, testRequest())
 	if failure != nil {
 		t.Fatal(failure)
 	}
 	response.Next()
 	if !response.Ready() {
-		t.Error("Ready: got false though the second event has come")
+		t.Error("Ready: got false, want true after the second event has arrived")
 	}
 	response.Next()
 	if response.Ready() {
-		t.Error("Ready: got true though the third event is not whole")
+		t.Error("Ready: got true, want false while the third event is incomplete")
 	}
 }
 
 func TestReadyReportsTheEnd(t *testing.T) {
-	b := startBackend(t, answer("200 OK", streamFields+chunk("id: 1\ndata: a\n\n")+lastChunk))
+	b := startBackend(t, rawResponse("200 OK", streamFields+chunk("id: 1\ndata: a\n\n")+lastChunk))
 	response, failure := testClient(t, 0, b).Do(t.Context(), b.Backend, testRequest())
 	if failure != nil {
 		t.Fatal(failure)
 	}
 	if _, err := response.Next(); err != nil || !response.Ready() {
-		t.Errorf("%v, ready: %v", err, response.Ready())
+		t.Errorf("Next: got error %v and then Ready %v, want none and true", err, response.Ready())
 	}
-	if _, err := response.Next(); err != io.EOF { //nolint:errorlint // the end is io.EOF itself
+	if _, err := response.Next(); err != io.EOF { //nolint:errorlint // the end is an unwrapped io.EOF
 		t.Errorf("end: got %v, want io.EOF", err)
 	}
 }
--- a/internal/forward/failure.go
+++ b/internal/forward/failure.go
@@ -9,25 +9,25 @@
 
 // Causes of failures.
 var (
-	errNotListed     = errors.New("the backend is not listed as ready")
-	errDeadline      = errors.New("the deadline has passed")
-	errOtherAnswer   = errors.New("the answer does not carry the id of the request")
-	errNotExecuted   = errors.New("the backend did not run the request")
-	errNoEnd         = errors.New("the end of the answer cannot be known")
-	errTooLarge      = errors.New("the answer is too large")
-	errOtherProtocol = errors.New("the backend speaks another protocol")
+	errNotListed         = errors.New("backend is not listed as ready")
+	errDeadlinePassed    = errors.New("deadline has passed")
+	errAttemptIDMismatch = errors.New("response does not carry the attempt id of the request")
+	errNotExecuted       = errors.New("backend did not run the request")
+	errUndelimited       = errors.New("response body has neither a length nor chunks")
+	errTooLarge          = errors.New("response is too large")
+	errProtocolSwitched  = errors.New("backend switched to another protocol")
 )
 
-// Outcome says what is known of a request after an attempt that brought no answer of the backend's own.
+// Outcome states what is known about a request after an attempt that got no usable response.
 type Outcome uint8
 
 // The outcomes of failed attempts.
 const (
-	// NotSent: the request was not written whole to any backend, so it has not run.
+	// NotSent means that the request was not written completely, so it has not run.
 	NotSent Outcome = iota
-	// NotExecuted: the backend, or another one at its address, reported that it did not run the request.
+	// NotExecuted means that the backend, or another one at its address, reported that it did not run the request.
 	NotExecuted
-	// MayHaveRun: the request was sent, and nothing says that it did not run.
+	// MayHaveRun means that the request was sent, and it is unknown whether it ran.
 	MayHaveRun
 )
 
@@ -43,20 +43,20 @@
 	}
 }
 
-// Failure is the error of an attempt that brought no answer which may be passed on.
+// Failure is the error of an attempt that got no response which may be passed on to the client.
 type Failure struct {
 	// Backend is the id of the backend.
 	Backend string
 	Outcome Outcome
 	// Err is the cause.
 	Err error
-	// Status of the answer that reported NotExecuted; 0: there was none.
+	// Status is the status of the response that reported NotExecuted, or 0 if there was none.
 	Status int
-	// Load is what the backend reported of itself; nil: nothing.
+	// Load is the load that the backend reported, or nil if it reported none.
 	Load *admission.Load
-	// TimedOut: the deadline passed without a complete answer.
+	// TimedOut means that the deadline passed without a complete response.
 	TimedOut bool
-	// Cancelled: the context ended.
+	// Cancelled means that the context ended.
 	Cancelled bool
 }
 
--- a/internal/forward/headers.go
+++ b/internal/forward/headers.go
@@ -1,6 +1,6 @@
 package forward
 
-// Names of the header fields of the protocol, in canonical form.
+// Names of the header fields of the protocol between proxy and backends, in canonical form.
 const (
 	HeaderAttemptID    = "Nickelline-Attempt-Id"
 	HeaderDeadline     = "Nickelline-Deadline-Remaining-Ms"
@@ -12,5 +12,5 @@
 	HeaderTenant       = "Nickelline-Tenant-Name"
 )
 
-// EventStream is the media type of a stream of events.
+// EventStream is the media type of server-sent events.
 const EventStream = "text/event-stream"
--- a/internal/forward/roundtrip.go
+++ b/internal/forward/roundtrip.go
@@ -9,10 +9,10 @@
 	"nickelline/internal/upstream"
 )
 
-// pastDeadline is a deadline that has passed: reads and writes fail at once.
+// pastDeadline is a connection deadline in the past, which makes reads and writes fail at once.
 var pastDeadline = time.Unix(1, 0)
 
-// roundTrip is one request and its answer on one connection.
+// roundTrip is one request and its response on one connection.
 type roundTrip struct {
 	client    *Client
 	backendID string
@@ -21,13 +21,14 @@
 	ctx       context.Context
 	startedAt time.Time
 	history   upstream.ConnHistory
-	// deadline is when the answer must be complete.
+	// deadline is when the response must be complete.
 	deadline time.Time
-	// stopWatch stops watching the context. It reports whether the context had not ended.
-	stopWatch func() bool
+	// stopAfterFunc stops watching the context. It reports whether the context had not ended.
+	stopAfterFunc func() bool
 }
 
-// send writes the request, unless it must no longer be sent after the time that the connection took.
+// send writes the request, unless the context ended, the backend was closed or the deadline passed while the connection was
+// being acquired.
 func (rt *roundTrip) send(r *Request) *Failure {
 	now := time.Now()
 	switch {
@@ -36,7 +37,7 @@
 	case rt.client.pool.Closed(rt.backend):
 		return rt.releaseUnsent(upstream.ErrClosed, false)
 	case !now.Before(r.Deadline):
-		return rt.releaseUnsent(errDeadline, true)
+		return rt.releaseUnsent(errDeadlinePassed, true)
 	}
 	buffer := getBuffer()
 	defer putBuffer(buffer)
@@ -45,15 +46,15 @@
 	}
 	rt.history = rt.conn.Use(now)
 	rt.conn.SetDeadline(r.Deadline)
-	rt.stopWatch = context.AfterFunc(rt.ctx, func() { rt.conn.SetDeadline(pastDeadline) })
+	rt.stopAfterFunc = context.AfterFunc(rt.ctx, func() { rt.conn.SetDeadline(pastDeadline) })
 	if _, err := rt.conn.Write(buffer.Bytes()); err != nil {
 		rt.release(false)
-		return rt.failure(NotSent, err) // the last byte was not written
+		return rt.failure(NotSent, err) // at least the last byte was not written, so the request has not run
 	}
 	return nil
 }
 
-// releaseUnsent releases the connection before anything was written to it.
+// releaseUnsent releases the connection before anything was written to it, and returns why as a Failure.
 func (rt *roundTrip) releaseUnsent(err error, keep bool) *Failure {
 	rt.client.pool.Release(rt.conn, keep)
 	return rt.failure(NotSent, err)
@@ -63,7 +64,7 @@
 	return &Failure{Backend: rt.backendID, Outcome: outcome, Err: err, Cancelled: rt.ctx.Err() != nil}
 }
 
-// receive reads the head of the answer.
+// receive reads the head of the response.
 func (rt *roundTrip) receive(r *Request) (*Response, *Failure) {
 	rt.conn.SetReadLimit(maxHeadBytes)
 	head, err := readHead(rt.conn.Reader, r.Method) //nolint:bodyclose // the body reads and releases the connection
@@ -71,15 +72,16 @@
 		rt.client.pool.RecordReuse(rt.history.Idle, err != nil && rt.conn.ReadLimit() == maxHeadBytes)
 	}
 	if err != nil {
-		return nil, rt.breakOff(err)
+		return nil, rt.abort(err)
 	}
 	rt.client.pool.RecordAnswer(rt.backend, time.Now())
 	id := head.Header.Get(HeaderAttemptID)
 	notExecuted := reportsNotExecuted(head)
-	// An answer without an id is taken as the answer to the request only if it says that nothing ran, and its connection is
-	// not used again: a second answer to an earlier request would carry the id of that one.
+	// A response without an attempt id is taken as the response to this request only if it reports that the request was not
+	// run. It cannot be a second response to an earlier request, which would carry the id of that request. Its connection is
+	// not reused.
 	if id != r.AttemptID && !(id == "" && notExecuted) {
-		return nil, rt.breakOff(errOtherAnswer)
+		return nil, rt.abort(errAttemptIDMismatch)
 	}
 	response := rt.response(head)
 	response.body.reusable = response.body.reusable && id != ""
@@ -89,12 +91,12 @@
 	return response, nil
 }
 
-// reportsNotExecuted reports whether an answer says that the request was not run.
+// reportsNotExecuted reports whether a response says that the request was not run.
 func reportsNotExecuted(head *http.Response) bool {
 	return head.StatusCode == http.StatusMisdirectedRequest || head.Header.Get(HeaderNotExecuted) != ""
 }
 
-// response returns the response of the head of an answer.
+// response returns the Response for a response head.
 func (rt *roundTrip) response(head *http.Response) *Response {
 	recordKeepAlive(rt.conn, head.Header)
 	return &Response{
@@ -102,11 +104,11 @@
 		Load:      parseServerLoad(head.Header.Get(HeaderServerLoad)),
 		Streaming: isStream(head.Header),
 		body:      newBody(rt, head),
-		Header:    endToEnd(head.Header),
+		Header:    endToEndFields(head.Header),
 	}
 }
 
-// notExecutedFailure returns the failure of an answer that says that the request was not run.
+// notExecutedFailure returns the Failure for a response that says that the request was not run.
 func (r *Response) notExecutedFailure() *Failure {
 	r.body.drain()
 	return &Failure{
@@ -118,8 +120,8 @@
 	}
 }
 
-// breakOff closes the connection of a request that was sent, and returns why as a failure.
-func (rt *roundTrip) breakOff(err error) *Failure {
+// abort closes the connection of a request that was sent, and returns why as a Failure.
+func (rt *roundTrip) abort(err error) *Failure {
 	f := rt.failure(MayHaveRun, err)
 	f.TimedOut = !f.Cancelled && !time.Now().Before(rt.deadline)
 	rt.release(false)
@@ -129,14 +131,15 @@
 	return f
 }
 
-// release gives the connection back, to be kept only if the end of the context has not changed its deadline.
+// release gives the connection back. It is kept only if the context has not ended, which would have changed the deadline of
+// the connection, and if nothing unread is buffered.
 func (rt *roundTrip) release(keep bool) {
-	untouched := rt.stopWatch()
-	keep = keep && untouched && rt.conn.Reader.Buffered() == 0
+	active := rt.stopAfterFunc()
+	keep = keep && active && rt.conn.Reader.Buffered() == 0
 	rt.client.pool.Release(rt.conn, keep)
 }
 
-// readHead reads the head of the final answer.
+// readHead reads the head of the final response, and skips interim (1xx) responses.
 func readHead(reader *bufio.Reader, method string) (*http.Response, error) {
 	request := &http.Request{Method: method}
 	for {
@@ -148,7 +151,7 @@
 		case head.StatusCode >= http.StatusOK:
 			return head, nil
 		case head.StatusCode == http.StatusSwitchingProtocols:
-			return nil, errOtherProtocol
+			return nil, errProtocolSwitched
 		}
 	}
 }
--- a/internal/forward/serverload.go
+++ b/internal/forward/serverload.go
@@ -8,11 +8,11 @@
 	"nickelline/internal/admission"
 )
 
-// maxLoadFigure is more than any figure of a load can be.
-const maxLoadFigure = 1 << 20
+// maxLoadValue is greater than any plausible value in a load report.
+const maxLoadValue = 1 << 20
 
-// parseServerLoad reads the load that a backend reports: requests running, requests waiting, and slots. It returns nil
-// unless all three are valid.
+// parseServerLoad parses the load that a backend reports: requests running, requests waiting, and slots, separated by
+// commas. It returns nil unless all three are valid.
 func parseServerLoad(field string) *admission.Load {
 	running, rest, _ := strings.Cut(field, ",")
 	waiting, slots, found := strings.Cut(rest, ",")
@@ -20,20 +20,20 @@
 		return nil
 	}
 	var load admission.Load
-	for _, figure := range [...]struct {
+	for _, item := range [...]struct {
 		text  string
 		value *int
 	}{{running, &load.Running}, {waiting, &load.Waiting}, {slots, &load.Slots}} {
-		value, err := strconv.Atoi(strings.TrimSpace(figure.text))
-		if err != nil || value < 0 || value > maxLoadFigure {
+		value, err := strconv.Atoi(strings.TrimSpace(item.text))
+		if err != nil || value < 0 || value > maxLoadValue {
 			return nil
 		}
-		*figure.value = value
+		*item.value = value
 	}
 	return &load
 }
 
-// isStream reports whether an answer is a stream of events.
+// isStream reports whether a response is a stream of events.
 func isStream(header http.Header) bool {
 	media, _, _ := strings.Cut(header.Get("Content-Type"), ";")
 	return strings.EqualFold(strings.TrimSpace(media), EventStream)
--- a/internal/forward/unreliable_test.go
+++ b/internal/forward/unreliable_test.go
@@ -14,16 +14,17 @@
 	"nickelline/internal/discovery"
 )
 
-// unreliableBackend answers in the wrong ways that backends have: nothing, a reset, half an answer, a second answer behind the first
-// or late, the answer of an earlier request, an answer without a length. It notes which requests it was sent.
+// unreliableBackend responds with the faults of real backends: no response, a reset, half a response, a second response
+// after the first or late, the response to an earlier request, a response without a length. It records the requests that it
+// was sent.
 type unreliableBackend struct {
 	discovery.Backend
 	listener *net.TCPListener
 
 	mutex    sync.Mutex
 	random   *rand.Rand
-	received map[string]int  // by attempt
-	refused  map[string]bool // those that it said it did not run
+	received map[string]int  // number of requests by attempt id
+	refused  map[string]bool // attempt ids that it reported as not run
 }
 
 func newUnreliableBackend(t *testing.T, seed uint64) *unreliableBackend {
@@ -68,44 +69,45 @@
 			return
 		}
 		id := r.Header.Get(HeaderAttemptID)
-		if !b.react(socket, id, earlier) {
+		if !b.respond(socket, id, earlier) {
 			return
 		}
 		earlier = id
 	}
 }
 
-// react answers a request, and reports whether the connection goes on.
-func (b *unreliableBackend) react(socket *net.TCPConn, id, earlier string) bool {
+// respond responds to a request with a random fault or correctly, and reports whether the connection stays open.
+func (b *unreliableBackend) respond(socket *net.TCPConn, id, earlier string) bool {
 	b.mutex.Lock()
 	b.received[id]++
 	choice := b.random.IntN(12)
 	b.refused[id] = choice == 0
 	b.mutex.Unlock()
-	own := answerOf(id)
+	own := responseTo(id)
 	switch choice {
-	case 0: // not run
+	case 0: // a report that the request was not run
 		return send(socket, "HTTP/1.1 503 Full\r\n"+HeaderAttemptID+": "+id+"\r\n"+HeaderNotExecuted+": 1\r\nContent-Length: 0\r\n\r\n")
-	case 1: // no answer
+	case 1: // no response
 		return true
 	case 2: // a reset
 		_ = socket.SetLinger(0)
 		return false
-	case 3: // half an answer
+	case 3: // half a response
 		send(socket, own[:len(own)-3])
 		return false
-	case 4: // a second answer behind the first
+	case 4: // a second response after the first
 		return send(socket, own+own)
-	case 5: // the answer of an earlier request in the place of the own one, which follows
-		return send(socket, answerOf(earlier)+own)
-	case 6: // the end of the connection ends the answer
+	case 5: // the response to an earlier request, before the proper one
+		return send(socket, responseTo(earlier)+own)
+	case 6: // a response that only the end of the connection ends
 		send(socket, "HTTP/1.1 200 OK\r\n"+HeaderAttemptID+": "+id+"\r\n\r\n"+id)
 		return false
 	}
 	return send(socket, own)
 }
 
-func answerOf(id string) string {
+// responseTo returns the response to an attempt, whose body is the attempt id.
+func responseTo(id string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", HeaderAttemptID, id, len(id), id)
 }
 
@@ -114,27 +116,27 @@
 	return err == nil
 }
 
-// Whatever a backend does, an answer that is passed on is that of the request, a request is sent at most once, and one that counts as
-// not sent or not executed did not run.
+// Whatever a backend does, a response that is returned belongs to its request, a request is sent at most once, and a request
+// that ends as not sent or not executed did not run.
 func TestAnswersOfAnUnreliableBackend(t *testing.T) {
 	const (
-		seeds       = 10
-		callers     = 6
-		callsOfEach = 40
-		callTime    = 20 * time.Millisecond
+		seeds          = 10
+		callers        = 6
+		callsPerCaller = 40
+		callTimeout    = 20 * time.Millisecond
 	)
-	answered, unknown := 0, 0
+	answered, mayHaveRun := 0, 0
 	for seed := range uint64(seeds) {
 		b := newUnreliableBackend(t, seed)
 		client := testClient(t, 0)
 		client.SetBackends(discovery.NewList([]discovery.Backend{b.Backend}))
-		failures := make([]*Failure, callers*callsOfEach)
+		failures := make([]*Failure, callers*callsPerCaller)
 		var calling sync.WaitGroup
 		for caller := range callers {
 			calling.Go(func() {
-				for i := range callsOfEach {
-					number := caller*callsOfEach + i
-					failures[number] = b.call(t, client, attemptOf(number), callTime)
+				for i := range callsPerCaller {
+					number := caller*callsPerCaller + i
+					failures[number] = b.call(t, client, attemptID(number), callTimeout)
 				}
 			})
 		}
@@ -142,10 +144,10 @@
 		client.SetBackends(discovery.NewList(nil))
 		b.mutex.Lock()
 		for number, failure := range failures {
-			id := attemptOf(number)
+			id := attemptID(number)
 			switch {
 			case b.received[id] > 1:
-				t.Errorf("seed %d: %s was sent %d times", seed, id, b.received[id])
+				t.Errorf("seed %d: %s was sent %d times, want at most once", seed, id, b.received[id])
 			case failure == nil:
 				answered++
 			case failure.Outcome == NotSent && b.received[id] > 0:
@@ -153,24 +155,25 @@
 			case failure.Outcome == NotExecuted && !b.refused[id]:
 				t.Errorf("seed %d: %s may have run, but ended with %v", seed, id, failure)
 			case failure.Outcome == MayHaveRun:
-				unknown++
+				mayHaveRun++
 			}
 		}
 		b.mutex.Unlock()
 	}
-	t.Logf("%d answered, %d may have run", answered, unknown)
-	if answered == 0 || unknown == 0 {
-		t.Error("too few outcomes occurred for a test of them all")
+	t.Logf("%d answered, %d may have run", answered, mayHaveRun)
+	if answered == 0 || mayHaveRun == 0 {
+		t.Errorf("got %d answered and %d that may have run, want some of each", answered, mayHaveRun)
 	}
 }
 
-func attemptOf(number int) string { return fmt.Sprintf("%016x", number+1) }
+// attemptID returns the attempt id of a request by its number.
+func attemptID(number int) string { return fmt.Sprintf("%016x", number+1) }
 
-// call sends one request, and checks that a whole answer is its own.
-func (b *unreliableBackend) call(t *testing.T, client *Client, id string, limit time.Duration) *Failure {
+// call sends one request, and checks that a complete response belongs to it.
+func (b *unreliableBackend) call(t *testing.T, client *Client, id string, timeout time.Duration) *Failure {
 	r := testRequest()
 	r.AttemptID = id
-	r.Deadline = time.Now().Add(limit)
+	r.Deadline = time.Now().Add(timeout)
 	response, failure := client.Do(t.Context(), b.Backend, r)
 	if failure != nil {
 		return failure
@@ -178,7 +181,7 @@
 	defer response.Close()
 	body, err := response.ReadAll()
 	if err == nil && string(body) != id {
-		t.Errorf("%s got the answer %q", id, body)
+		t.Errorf("request %s: got the response to %q", id, body)
 	}
 	if err != nil {
 		return &Failure{Outcome: MayHaveRun, Err: err}
