--- a/internal/proxy/admissionrequest.go
+++ b/internal/proxy/admissionrequest.go
@@ -13,7 +13,7 @@
 	headerPromptPrefix = "Nickelline-Prompt-Prefix"
 )
 
-// admissionRequest returns what admission has to know of a request.
+// admissionRequest returns the properties of a request by which admission selects a backend.
 func admissionRequest(r *request, route *configuration.Route, tenant *configuration.Tenant) admission.Request {
 	a := admission.Request{Priority: route.Priority, Tokens: tokenCount(r.header.Get(headerTokenUsage))}
 	if tenant != nil && tenant.HasPriority {
@@ -25,7 +25,7 @@
 	return a
 }
 
-// tokenCount returns the sum of the numbers of a token usage, 0 if they are invalid.
+// tokenCount returns the sum of the comma-separated numbers of a token usage, or 0 if one of them is invalid.
 func tokenCount(usage string) int {
 	sum := 0
 	for field := range strings.SplitSeq(usage, ",") {
@@ -38,7 +38,8 @@
 	return sum
 }
 
-// promptSegments returns the ids of the segments of a prompt. The last segment belongs to the request or its session alone.
+// promptSegments returns the ids of the segments of a prompt prefix. The last segment is specific to the request or its
+// session.
 func promptSegments(prefix string) []string {
 	if prefix == "" {
 		return nil
--- a/internal/proxy/auth.go
+++ b/internal/proxy/auth.go
@@ -5,7 +5,7 @@
 	"nickelline/internal/fault"
 )
 
-// tenantFor returns the tenant whose key a request carries; nil where the route needs none.
+// tenantFor returns the tenant whose API key a request carries, or nil if the route needs no key.
 func (p *Proxy) tenantFor(snapshot *configuration.Snapshot, route *configuration.Route, r *request) (*configuration.Tenant, error) {
 	if route.Public || !snapshot.RequiresKey() {
 		return nil, nil
@@ -13,8 +13,8 @@
 	return p.authenticate(snapshot, r)
 }
 
-// callTenant returns the name of the tenant whose key a call about batch jobs carries.
-func (p *Proxy) callTenant(snapshot *configuration.Snapshot, r *request) (string, error) {
+// batchTenant returns the name of the tenant whose API key a batch API request carries. It is empty if no key is needed.
+func (p *Proxy) batchTenant(snapshot *configuration.Snapshot, r *request) (string, error) {
 	if !snapshot.RequiresKey() {
 		return "", nil
 	}
@@ -22,28 +22,30 @@
 	return tenantName(tenant), err
 }
 
-// authenticate returns the tenant of a key, by a configuration that is proved to be current.
+// authenticate returns the tenant whose API key a request carries. It fails unless the configuration is proved to be
+// current.
 func (p *Proxy) authenticate(snapshot *configuration.Snapshot, r *request) (*configuration.Tenant, error) {
 	if err := p.checkProof(); err != nil {
 		return nil, err
 	}
 	tenant := snapshot.Tenant(r.key())
 	if tenant == nil {
-		return nil, fault.New(fault.Unauthorized, "the key is not known")
+		return nil, fault.New(fault.Unauthorized, "unknown API key")
 	}
 	return tenant, nil
 }
 
-// checkProof fails if the configuration may have been replaced too long ago for its keys to be trusted.
+// checkProof fails if the latest proof that the configuration is current is older than MaxProofAge: a newer configuration
+// may have revoked keys of this one.
 func (p *Proxy) checkProof() error {
 	if p.options.MaxProofAge <= 0 || p.options.ProofAge() <= p.options.MaxProofAge {
 		return nil
 	}
-	return fault.New(fault.NotReady, "the configuration is not known to be current")
+	return fault.New(fault.NotReady, "configuration is not proved to be current")
 }
 
-// ifCurrent returns an error that follows from the configuration, if the configuration is proved to be current; otherwise
-// that it is not.
+// ifCurrent returns err, which follows from the configuration, if the configuration is proved to be current. Otherwise it
+// returns the error of checkProof.
 func (p *Proxy) ifCurrent(err error) error {
 	if stale := p.checkProof(); stale != nil {
 		return stale
@@ -51,7 +53,7 @@
 	return err
 }
 
-// tenantName returns the name of a tenant, empty for nil.
+// tenantName returns the name of a tenant, or an empty string for nil.
 func tenantName(tenant *configuration.Tenant) string {
 	if tenant == nil {
 		return ""
--- a/internal/proxy/auth_test.go
+++ b/internal/proxy/auth_test.go
@@ -13,7 +13,7 @@
 	for _, c := range []struct {
 		name   string
 		text   string
-		age    time.Duration // of the proof that the configuration is current
+		age    time.Duration // age of the proof that the configuration is current
 		status int
 		tenant string
 	}{
@@ -31,14 +31,14 @@
 		{"stale, public", requestText("/open/x", "", ""), time.Minute, 200, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := startBackend(t, ok(""))
-			s := startTier(t, nil, b)
+			b := startBackend(t, okReply(""))
+			s := startTestProxy(t, nil, b)
 			s.setProofAge(c.age)
-			if a := s.ask(t, c.text); a.StatusCode != c.status {
+			if a := s.roundTrip(t, c.text); a.StatusCode != c.status {
 				t.Errorf("status: got %d, want %d", a.StatusCode, c.status)
 			}
 			if sent := len(b.requests) > 0; sent != (c.status == 200) {
-				t.Fatalf("sent: %v", sent)
+				t.Fatalf("request sent to the backend: got %v, want %v", sent, c.status == 200)
 			}
 			if c.status == 200 {
 				if tenant := (<-b.requests).Header.Get(forward.HeaderTenant); tenant != c.tenant {
@@ -50,14 +50,14 @@
 }
 
 func TestProofIsCheckedBeforeEachAttempt(t *testing.T) {
-	var s *tier
+	var s *testProxy
 	full := startBackend(t, func(b *backend, r received, conn net.Conn) bool {
 		s.setProofAge(time.Minute)
-		return text(whole(503, notRun, ""))(b, r, conn)
+		return replyAndClose(responseText(503, notExecutedField, ""))(b, r, conn)
 	})
-	good := startBackend(t, ok(""))
-	s = startTier(t, nil, full, good)
+	good := startBackend(t, okReply(""))
+	s = startTestProxy(t, nil, full, good)
 	if a := s.post(t, "/many/x"); a.StatusCode != 503 || len(good.requests) > 0 {
-		t.Errorf("answer %d, %d requests to the second backend", a.StatusCode, len(good.requests))
+		t.Errorf("got status %d and %d requests to the second backend, want 503 and 0", a.StatusCode, len(good.requests))
 	}
 }
--- a/internal/proxy/batch.go
+++ b/internal/proxy/batch.go
@@ -20,33 +20,34 @@
 	itemPrefix = "/-/items/"
 
 	headerWait = "Nickelline-Wait-Timeout-Ms"
-	// maxResultsWait bounds how long a read of results waits for the first one.
+	// maxResultsWait bounds how long a request for results waits for the first one.
 	maxResultsWait = time.Second
-	// batchPatience is how long a call about a batch job may take if the client does not say.
-	batchPatience = 2 * time.Second
+	// defaultBatchTimeout is the timeout of a batch API request if the client states none.
+	defaultBatchTimeout = 2 * time.Second
 )
 
-// BatchAPI serves the calls about batch jobs. Errors are of package fault: NotFound if the job or item does not exist,
-// QuotaExceeded, Overloaded and NotReady if nothing was taken, Unclear if that is not known.
+// BatchAPI stores batch jobs and returns their results. Its errors have kinds of package fault: NotFound if the job or
+// item does not exist, QuotaExceeded, Overloaded or NotReady if nothing was stored, and Unclear if it is not known
+// whether anything was.
 type BatchAPI interface {
-	// Submit takes a job, whose body is as the client sent it. It returns nil once the job is stored durably.
+	// Submit stores a job, whose body is as the client sent it. It returns nil once the job is stored durably.
 	Submit(ctx context.Context, tenant string, route *configuration.Route, job string, body []byte) error
-	// Results returns results after a position. It waits up to a time for the first one.
+	// Results returns the results after position startAfter. It waits up to wait for the first one.
 	Results(ctx context.Context, tenant, job string, startAfter int, wait time.Duration) (batch.Page, error)
-	// ItemBody returns the body of an item that is not listed yet.
+	// ItemBody returns the body of an item that is not listed in the results yet.
 	ItemBody(ctx context.Context, tenant, job, item string) ([]byte, error)
-	// End ends a job. It is no error if that was ended before.
+	// End ends a job. Ending a job that has already ended is no error.
 	End(ctx context.Context, tenant, job string) error
 }
 
-// resultsAnswer is the answer to a read of results.
-type resultsAnswer struct {
-	Total     int            `json:"total"`
-	NextToken int            `json:"nextToken"`
-	Results   []resultAnswer `json:"results"`
+// resultsResponse is the body of the response to a request for results.
+type resultsResponse struct {
+	Total     int           `json:"total"`
+	NextToken int           `json:"nextToken"`
+	Results   []resultEntry `json:"results"`
 }
 
-type resultAnswer struct {
+type resultEntry struct {
 	Identifier string `json:"identifier"`
 	State      string `json:"state"`
 	Content    string `json:"content"`
@@ -59,34 +60,34 @@
 
 // encodeResults returns a page of results as JSON.
 func encodeResults(page batch.Page) ([]byte, error) {
-	answer := resultsAnswer{Total: page.Total, NextToken: page.Next, Results: make([]resultAnswer, 0, len(page.Results))}
+	response := resultsResponse{Total: page.Total, NextToken: page.Next, Results: make([]resultEntry, 0, len(page.Results))}
 	for _, listed := range page.Results {
 		state := stateAbandoned
 		if listed.State == batch.Completed {
 			state = stateCompleted
 		}
-		answer.Results = append(answer.Results, resultAnswer{
+		response.Results = append(response.Results, resultEntry{
 			Identifier: listed.Identifier,
 			State:      state,
 			Content:    string(listed.Content),
 		})
 	}
-	return json.Marshal(answer)
+	return json.Marshal(response)
 }
 
-// isBatchCall reports whether a path belongs to the calls about jobs that were submitted before.
-func isBatchCall(path string) bool {
+// isBatchRequest reports whether a path belongs to the batch API for jobs that have been submitted.
+func isBatchRequest(path string) bool {
 	return strings.HasPrefix(path, jobPrefix) || strings.HasPrefix(path, itemPrefix)
 }
 
-// serveBatchCall answers a call about a job that was submitted before.
-func (p *Proxy) serveBatchCall(ctx context.Context, r *request, w *responseWriter) {
+// serveBatchRequest serves a batch API request about a job that has been submitted.
+func (p *Proxy) serveBatchRequest(ctx context.Context, r *request, w *responseWriter) {
 	snapshot, err := p.snapshot()
 	if err != nil {
 		w.writeError(err)
 		return
 	}
-	tenant, err := p.callTenant(snapshot, r)
+	tenant, err := p.batchTenant(snapshot, r)
 	if err != nil {
 		w.writeError(err)
 		return
@@ -100,7 +101,7 @@
 		w.writeError(fault.Wrap(fault.BadRequest, err))
 		return
 	}
-	ctx, cancel := context.WithDeadline(ctx, r.startedAt.Add(r.patience(batchPatience)+maxResultsWait))
+	ctx, cancel := context.WithDeadline(ctx, r.startedAt.Add(r.clientTimeout(defaultBatchTimeout)+maxResultsWait))
 	defer cancel()
 	if item, found := strings.CutPrefix(r.path, itemPrefix); found {
 		p.serveItemBody(ctx, r, w, tenant, item, query)
@@ -113,17 +114,17 @@
 	case http.MethodDelete:
 		p.serveEnd(ctx, w, tenant, job)
 	default:
-		w.writeError(fault.New(fault.BadRequest, "no such call"))
+		w.writeError(fault.New(fault.BadRequest, "method is not supported for batch jobs"))
 	}
 }
 
-// serveResults answers a read of results.
+// serveResults serves a request for results.
 func (p *Proxy) serveResults(ctx context.Context, r *request, w *responseWriter, tenant, job string, query url.Values) {
 	startAfter := 0
 	if text := query.Get("startAfter"); text != "" {
 		value, err := strconv.Atoi(text)
 		if err != nil || value < 0 {
-			w.writeError(fault.New(fault.BadRequest, "startAfter is not a position"))
+			w.writeError(fault.New(fault.BadRequest, "startAfter is not a non-negative integer"))
 			return
 		}
 		startAfter = value
@@ -141,10 +142,10 @@
 	w.writeJSON(http.StatusOK, body)
 }
 
-// serveItemBody answers a read of the body of an item.
+// serveItemBody serves a request for the body of an item.
 func (p *Proxy) serveItemBody(ctx context.Context, r *request, w *responseWriter, tenant, job string, query url.Values) {
 	if r.method != http.MethodGet {
-		w.writeError(fault.New(fault.BadRequest, "no such call"))
+		w.writeError(fault.New(fault.BadRequest, "method is not supported for batch items"))
 		return
 	}
 	body, err := p.options.Batch.ItemBody(ctx, tenant, job, query.Get("identifier"))
@@ -155,7 +156,7 @@
 	w.write(http.StatusOK, http.Header{"Content-Type": {"application/octet-stream"}}, body)
 }
 
-// serveEnd ends a job.
+// serveEnd serves a request to end a job.
 func (p *Proxy) serveEnd(ctx context.Context, w *responseWriter, tenant, job string) {
 	if err := p.options.Batch.End(ctx, tenant, job); err != nil {
 		w.writeError(err)
@@ -164,17 +165,17 @@
 	w.writeJSON(http.StatusOK, []byte("{}"))
 }
 
-// serveSubmission takes a batch job.
+// serveSubmission serves the submission of a batch job.
 func (p *Proxy) serveSubmission(ctx context.Context, r *request, w *responseWriter, route *configuration.Route, tenant string) {
 	if p.options.Batch == nil {
 		w.writeError(fault.New(fault.NotReady, "batch jobs are not served"))
 		return
 	}
 	if r.method != http.MethodPost {
-		w.writeError(fault.New(fault.BadRequest, "a batch job is submitted by POST"))
+		w.writeError(fault.New(fault.BadRequest, "batch jobs are submitted with POST"))
 		return
 	}
-	ctx, cancel := context.WithDeadline(ctx, r.startedAt.Add(r.patience(batchPatience)))
+	ctx, cancel := context.WithDeadline(ctx, r.startedAt.Add(r.clientTimeout(defaultBatchTimeout)))
 	defer cancel()
 	if err := p.options.Batch.Submit(ctx, tenant, route, r.attemptID, r.body); err != nil {
 		w.writeError(err)
@@ -183,7 +184,7 @@
 	w.writeJSON(http.StatusAccepted, []byte("{}"))
 }
 
-// resultsWait returns how long a read of results may wait for the first one.
+// resultsWait returns how long a request for results may wait for the first one.
 func (r *request) resultsWait() time.Duration {
 	ms, err := strconv.ParseFloat(r.header.Get(headerWait), 64)
 	if err != nil || !(ms > 0) {
@@ -192,8 +193,8 @@
 	return min(milliseconds(ms), maxResultsWait)
 }
 
-// patience returns how long the client waits, or a default if it does not say.
-func (r *request) patience(fallback time.Duration) time.Duration {
+// clientTimeout returns the timeout that the client states, or fallback if it states none.
+func (r *request) clientTimeout(fallback time.Duration) time.Duration {
 	ms, err := strconv.ParseFloat(r.header.Get(forward.HeaderDeadline), 64)
 	if err != nil || !(ms >= 0) {
 		return fallback
@@ -201,7 +202,7 @@
 	return milliseconds(ms)
 }
 
-// milliseconds converts a number that a client sent.
+// milliseconds converts a number of milliseconds that a client sent, bounded by maxClientTimeout.
 func milliseconds(ms float64) time.Duration {
-	return time.Duration(min(ms, maxPatience.Seconds()*1e3) * float64(time.Millisecond))
+	return time.Duration(min(ms, maxClientTimeout.Seconds()*1e3) * float64(time.Millisecond))
 }
--- a/internal/proxy/batch_test.go
+++ b/internal/proxy/batch_test.go
@@ -12,7 +12,7 @@
 	"nickelline/internal/fault"
 )
 
-// fakeBatch records the last call, and fails with an error if that is set.
+// fakeBatch is a BatchAPI that records the last call and returns an error if one is set.
 type fakeBatch struct {
 	call string
 	fail error
@@ -40,7 +40,7 @@
 	return f.fail
 }
 
-func TestBatchCalls(t *testing.T) {
+func TestBatchRequests(t *testing.T) {
 	get := func(target, fields string) string {
 		return strings.Replace(requestText(target, fields, ""), "POST", "GET", 1)
 	}
@@ -68,10 +68,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			api := &fakeBatch{fail: c.fail}
-			s := startTier(t, func(o *Options) { o.Batch = api })
-			a := s.ask(t, c.text)
+			s := startTestProxy(t, func(o *Options) { o.Batch = api })
+			a := s.roundTrip(t, c.text)
 			if a.StatusCode != c.status || c.body != "" && a.body != c.body {
-				t.Errorf("answer: got %d %q, want %d %q", a.StatusCode, a.body, c.status, c.body)
+				t.Errorf("response: got %d %q, want %d %q", a.StatusCode, a.body, c.status, c.body)
 			}
 			if api.call != c.call {
 				t.Errorf("call: got %q, want %q", api.call, c.call)
@@ -80,9 +80,9 @@
 	}
 }
 
-func TestBatchCallsNeedProof(t *testing.T) {
+func TestBatchRequestsNeedProof(t *testing.T) {
 	api := &fakeBatch{}
-	s := startTier(t, func(o *Options) { o.Batch = api })
+	s := startTestProxy(t, func(o *Options) { o.Batch = api })
 	s.setProofAge(time.Minute)
 	if a := s.post(t, "/batch/7c"); a.StatusCode != 503 || api.call != "" {
 		t.Errorf("got status %d and call %q, want 503 and no call", a.StatusCode, api.call)
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// minBodyRate is the least rate, in bytes a second, at which a request must arrive after the time for its header.
-	minBodyRate = 64 << 10
-	// A connection is kept longer than its idle timeout by idleReserveFraction of it, and at most by maxIdleReserve: a client
-	// may send a request just before the timeout, which must not meet the close.
-	idleReserveFraction = 0.1
-	maxIdleReserve      = time.Second
-	// maxDiscarded bounds the bytes that are discarded when a connection is closed with a request that was not read.
-	maxDiscarded = 256 << 10
-	// writeTimeout is how long a client may take to read what it is sent.
+	// minBodyBytesPerSecond is the minimum rate at which a request must arrive: each byte read extends the header timeout
+	// by the time that it takes at this rate.
+	minBodyBytesPerSecond = 64 << 10
+	// A connection is kept open beyond its idle timeout by idleMarginFraction of the timeout, and at most by
+	// maxIdleMargin: a request that the client sends just before the timeout must not cross the close.
+	idleMarginFraction = 0.1
+	maxIdleMargin      = time.Second
+	// maxDiscardedBytes bounds the bytes that are discarded when a connection is closed before its request has been read.
+	maxDiscardedBytes = 256 << 10
+	// writeTimeout is how long a client may take to read a response.
 	writeTimeout = 5 * time.Second
 )
 
-// connState is what a connection is doing.
+// connState is the state of a connection.
 type connState uint8
 
 const (
@@ -31,20 +32,21 @@
 	stateIdle connState = iota
 	// stateReading: a request has been read in part.
 	stateReading
-	// stateServing: a request has been read, and its answer is not yet written whole.
+	// stateServing: a request has been read, and its response has not yet been written completely.
 	stateServing
-	// stateClosed: nothing is read any more.
+	// stateClosed: nothing more is read.
 	stateClosed
 )
 
-// pastDeadline is the deadline by which hertz ends the read that detects whether a client leaves.
+// pastDeadline is the read deadline that hertz sets to stop its disconnect watch: the read by which it detects, while a
+// request is served, that the client disconnects.
 var pastDeadline = time.Unix(1, 0)
 
-// clientConn is the connection of a client. It interprets the deadlines that hertz sets: they show what the connection is
-// doing. How long that may take is decided here, by the configuration in force.
+// clientConn is a client connection. It derives its state from the read deadlines that hertz sets, and replaces them by
+// the timeouts of the current configuration.
 //
-// Reads and changes of state are made under one mutex, so that whoever closes an idle connection knows that nothing of a
-// request has been read from it.
+// Reads and state changes happen under one mutex. closeIfIdle therefore closes a connection only if no part of a request
+// has been read from it.
 type clientConn struct {
 	*net.TCPConn
 	raw       syscall.RawConn
@@ -55,13 +57,13 @@
 	state            connState
 	stateSince       time.Time // when the state began
 	bytesRead        int64     // bytes read in stateReading
-	requestStartedAt time.Time // first bytes of the request that is read or served
-	readAhead        bool      // something of the next request was read in stateServing
-	// aborting: the read that detects whether the client leaves is being ended.
-	aborting bool
+	requestStartedAt time.Time // when the first bytes of the current request were read
+	readAhead        bool      // whether a part of the next request was read in stateServing
+	// stoppingWatch is set while hertz stops its disconnect watch.
+	stoppingWatch bool
 }
 
-// newClientConn returns an idle connection.
+// newClientConn returns the clientConn of a new connection, in stateIdle.
 func newClientConn(tcp *net.TCPConn, owner *server) (*clientConn, error) {
 	raw, err := tcp.SyscallConn()
 	if err != nil {
@@ -72,7 +74,7 @@
 	return c, nil
 }
 
-// Read reads what has come, or waits until something comes or the deadline of the state passes.
+// Read reads the available bytes. If there are none, it waits until some arrive or the read deadline passes.
 func (c *clientConn) Read(p []byte) (n int, err error) {
 	if len(p) == 0 {
 		return 0, nil
@@ -82,7 +84,7 @@
 		return !errors.Is(err, syscall.EAGAIN)
 	})
 	if waitErr != nil && c.endedIdle() {
-		return 0, io.EOF // hertz would answer a request that nobody sent
+		return 0, io.EOF // after another error, hertz would write a response although no request was sent
 	}
 	if waitErr != nil {
 		return 0, waitErr
@@ -90,19 +92,19 @@
 	return n, err
 }
 
-// endedIdle reports whether a read has ended because no request came.
+// endedIdle reports whether a read that failed was waiting for a request of which nothing had arrived.
 func (c *clientConn) endedIdle() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return !c.aborting && (c.state == stateIdle || c.state == stateClosed)
+	return !c.stoppingWatch && (c.state == stateIdle || c.state == stateClosed)
 }
 
-// readNow reads without waiting.
+// readNow reads without waiting. It returns EAGAIN if nothing has arrived.
 func (c *clientConn) readNow(fd int, p []byte) (int, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.state == stateClosed {
-		return 0, io.EOF // hertz would answer any other error
+		return 0, io.EOF // hertz would write a response after any other error
 	}
 	for {
 		n, err := syscall.Read(fd, p)
@@ -119,7 +121,7 @@
 	}
 }
 
-// recordRead counts bytes that were read of a request.
+// recordRead updates the state after n bytes have been read. The caller holds the mutex.
 func (c *clientConn) recordRead(n int) {
 	switch c.state {
 	case stateIdle:
@@ -130,11 +132,11 @@
 		c.bytesRead += int64(n)
 	case stateServing:
 		c.readAhead = true
-	case stateClosed: // nothing is read any more
+	case stateClosed: // nothing more is read
 	}
 }
 
-// setState begins a state.
+// setState enters a state. The caller holds the mutex.
 func (c *clientConn) setState(state connState) {
 	c.state = state
 	c.stateSince = time.Now()
@@ -144,8 +146,9 @@
 	}
 }
 
-// SetReadDeadline is called by hertz: without a deadline when it has read a request and watches whether the client leaves,
-// with pastDeadline when it has answered, and with others when it waits for a request or the rest of one.
+// SetReadDeadline is called by hertz. A zero deadline means that hertz has read a request and starts its disconnect
+// watch, pastDeadline that the response has been written, and any other that hertz waits for a request or the rest of
+// one.
 func (c *clientConn) SetReadDeadline(deadline time.Time) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -156,17 +159,17 @@
 		return c.TCPConn.SetReadDeadline(time.Time{})
 	case deadline.Equal(pastDeadline):
 		c.finishRequest()
-		c.aborting = true
+		c.stoppingWatch = true
 		return c.TCPConn.SetReadDeadline(pastDeadline)
 	default:
-		c.aborting = false
+		c.stoppingWatch = false
 		c.setReadDeadline()
 	}
 	return nil
 }
 
-// finishRequest goes on to the next request, of which something may have been read. If not, and the server is finishing, the
-// connection is closed.
+// finishRequest enters the state after a response: stateReading if a part of the next request has been read, otherwise
+// stateClosed if the server is finishing, and stateIdle if it is not. The caller holds the mutex.
 func (c *clientConn) finishRequest() {
 	switch {
 	case c.readAhead:
@@ -179,17 +182,18 @@
 	c.readAhead = false
 }
 
-// setReadDeadline sets how long the next bytes of a request may take.
+// setReadDeadline sets the read deadline by the state and the current configuration. The caller holds the mutex, unless
+// the connection is new.
 func (c *clientConn) setReadDeadline() {
 	limits := c.server.limits()
-	timeout := limits.IdleTimeout + min(time.Duration(idleReserveFraction*float64(limits.IdleTimeout)), maxIdleReserve)
+	timeout := limits.IdleTimeout + min(time.Duration(idleMarginFraction*float64(limits.IdleTimeout)), maxIdleMargin)
 	if c.state == stateReading {
-		timeout = limits.HeaderTimeout + time.Duration(c.bytesRead)*time.Second/minBodyRate
+		timeout = limits.HeaderTimeout + time.Duration(c.bytesRead)*time.Second/minBodyBytesPerSecond
 	}
-	_ = c.TCPConn.SetReadDeadline(c.stateSince.Add(timeout)) // a broken connection fails its next read
+	_ = c.TCPConn.SetReadDeadline(c.stateSince.Add(timeout)) // an error also fails the next read
 }
 
-// closeIfIdle closes a connection unless something of an unanswered request has been read. It reports whether it did.
+// closeIfIdle closes the connection unless a part of an unanswered request has been read. It reports whether it did.
 func (c *clientConn) closeIfIdle() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -197,25 +201,25 @@
 		return false
 	}
 	c.state = stateClosed
-	_ = c.TCPConn.SetReadDeadline(pastDeadline) // the goroutine that waits for a request closes the connection
+	_ = c.TCPConn.SetReadDeadline(pastDeadline) // wakes the goroutine that waits for a request, which closes the connection
 	return true
 }
 
-// idleSince returns since when the connection has been idle, and whether it is.
+// idleSince returns when the connection became idle, and whether it is idle now.
 func (c *clientConn) idleSince() (time.Time, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.stateSince, c.state == stateIdle
 }
 
-// requestStarted returns when the first bytes of the present request came.
+// requestStarted returns when the first bytes of the current request were read.
 func (c *clientConn) requestStarted() time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.requestStartedAt
 }
 
-// Close closes the connection, once.
+// Close closes the connection and removes it from the server. Further calls do nothing and return nil.
 func (c *clientConn) Close() error {
 	var err error
 	c.closeOnce.Do(func() {
@@ -228,13 +232,14 @@
 	return err
 }
 
-// discardUnread ends the sending side and discards what has come: a close with unread bytes is a reset, which may overtake the
-// answer that explains it. It does not wait for more bytes.
+// discardUnread closes the sending side and discards the bytes received so far: the kernel resets a connection that is
+// closed with unread bytes, and the client may see the reset before it has read the error response. It does not wait for
+// more bytes.
 func (c *clientConn) discardUnread() {
 	c.TCPConn.CloseWrite()
 	c.raw.Control(func(fd uintptr) {
 		var rest [4 << 10]byte
-		for discarded := 0; discarded < maxDiscarded; {
+		for discarded := 0; discarded < maxDiscardedBytes; {
 			n, _, err := syscall.Recvfrom(int(fd), rest[:], syscall.MSG_DONTWAIT)
 			if n <= 0 && err != syscall.EINTR {
 				return
@@ -246,7 +251,7 @@
 
 type connKey struct{}
 
-// withConn returns the context of a connection, from which connOf returns the connection.
+// withConn returns a context that carries a connection, which connOf returns.
 func withConn(c *clientConn) context.Context {
 	return context.WithValue(context.Background(), connKey{}, c)
 }
--- a/internal/proxy/connections.go
+++ b/internal/proxy/connections.go
@@ -10,24 +10,26 @@
 )
 
 const (
-	// acceptRetryDelay is the pause after a connection could not be accepted, as when file descriptors run out.
+	// acceptRetryDelay is the delay before the next accept after one has failed, for example for lack of file
+	// descriptors.
 	acceptRetryDelay = 50 * time.Millisecond
 
 	// readinessConnections bounds the connections of the platform's readiness checks.
 	readinessConnections = 64
 
-	// connectionRefusal is the answer to a connection beyond the bound.
+	// connectionRefusal is the response on a connection beyond maxConnections, which is sent without reading a request.
 	connectionRefusal        = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.25\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	connectionRefusalTimeout = 20 * time.Millisecond
 )
 
-// listener accepts connections for hertz.
+// listener accepts connections for hertz and enforces maxConnections.
 type listener struct {
 	*net.TCPListener
 	server *server
 }
 
-// Accept returns the next connection that there is room for.
+// Accept returns the next connection that maxConnections allows, and refuses the others. It returns an error only if the
+// listener is closed.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		tcp, err := l.AcceptTCP()
@@ -47,7 +49,7 @@
 	}
 }
 
-// addConnection returns a new connection, nil if there is no room for it.
+// addConnection registers a new connection. It returns nil if the server is full and has no idle connection to evict.
 func (s *server) addConnection(tcp *net.TCPConn) *clientConn {
 	if s.isFull() && !s.evict() {
 		return nil
@@ -65,14 +67,14 @@
 	return c
 }
 
-// isFull reports whether there are as many connections as allowed.
+// isFull reports whether the number of connections has reached maxConnections.
 func (s *server) isFull() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.conns) >= s.maxConnections
 }
 
-// evict closes the connection that has been idle longest, and reports whether there was one.
+// evict closes the connection that has been idle longest. It reports whether it has closed one.
 func (s *server) evict() bool {
 	var oldest *clientConn
 	var oldestSince time.Time
@@ -96,7 +98,7 @@
 	return all
 }
 
-// remove forgets a connection that has been closed.
+// remove unregisters a connection that has been closed.
 func (s *server) remove(c *clientConn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -107,16 +109,17 @@
 	}
 }
 
-// refuseConnection answers a connection that there is no room for, and closes it.
+// refuseConnection sends connectionRefusal on a connection and closes it.
 func refuseConnection(tcp *net.TCPConn) {
-	// Errors do not matter: the connection ends in any case.
+	// Errors do not matter: the connection is closed in any case.
 	_ = tcp.SetWriteDeadline(time.Now().Add(connectionRefusalTimeout))
 	_, _ = tcp.Write([]byte(connectionRefusal))
 	_ = tcp.CloseWrite()
 	_ = tcp.Close()
 }
 
-// drain accepts no more connections, closes the idle ones, and waits until the others have got their answers.
+// drain stops accepting connections, closes the idle ones, and waits until the others have been closed after their
+// responses, or until ctx ends.
 func (s *server) drain(ctx context.Context) {
 	s.listener.Close()
 	s.finishing.Store(true)
@@ -129,23 +132,23 @@
 	}
 }
 
-// allClosed returns a channel that is closed once there is no connection.
+// allClosed returns a channel that is closed once no connection is left.
 func (s *server) allClosed() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	none := make(chan struct{})
+	closed := make(chan struct{})
 	if len(s.conns) == 0 {
-		close(none)
-		return none
+		close(closed)
+		return closed
 	}
-	s.drained = none
-	return none
+	s.drained = closed
+	return closed
 }
 
 // close closes the listener and all connections.
 func (s *server) close() {
 	s.listener.Close()
 	for _, c := range s.connections() {
-		_ = c.Close() // it ends in any case
+		_ = c.Close() // an error does not matter: the connection is not used any more
 	}
 }
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// defaultDrainNotice is how long the platform may take to stop sending clients: it checks once a second, and acts on the
-	// second failed check.
-	defaultDrainNotice = 2500 * time.Millisecond
-	// drainReserve is kept from the grace period for the end of the process, but no more than the grace period divided by
-	// drainReserveDivisor.
-	drainReserve        = time.Second
-	drainReserveDivisor = 4
+	// defaultDrainDelay is how long the platform may take to stop routing clients to this node: it checks readiness once
+	// a second, and acts on the second failed check.
+	defaultDrainDelay = 2500 * time.Millisecond
+	// drainMargin is the part of the grace period that is left for the process to exit after a drain. It is at most the
+	// grace period divided by drainMarginDivisor.
+	drainMargin        = time.Second
+	drainMarginDivisor = 4
 )
 
-// answerReadiness answers the platform's check whether the node takes new connections.
-func (p *Proxy) answerReadiness(_ context.Context, _ *request, w *responseWriter) {
+// serveReadiness answers the platform's check whether the node accepts new connections.
+func (p *Proxy) serveReadiness(_ context.Context, _ *request, w *responseWriter) {
 	if !p.Ready() {
 		w.write(http.StatusServiceUnavailable, nil, nil)
 		return
@@ -25,18 +25,18 @@
 	w.write(http.StatusOK, nil, nil)
 }
 
-// Drain ends the proxy in order. It is no longer ready at once, but serves new requests until the platform has had the time to
-// notice. Then it closes idle connections, waits for the answers under way, and returns. That takes no longer than the grace
-// period allows.
+// Drain shuts the proxy down gracefully. The proxy reports immediately that it is not ready, but serves new requests
+// until the platform has had time to react. Then it closes idle connections, waits for the responses in flight, and
+// closes the rest. Drain returns within the grace period, less a margin for the exit of the process.
 func (p *Proxy) Drain(ctx context.Context) {
 	grace := p.options.Grace
-	ctx, cancel := context.WithTimeout(ctx, grace-min(drainReserve, grace/drainReserveDivisor))
+	ctx, cancel := context.WithTimeout(ctx, grace-min(drainMargin, grace/drainMarginDivisor))
 	defer cancel()
 	p.draining.Store(true)
-	notice := time.NewTimer(min(p.drainNotice, grace/2))
-	defer notice.Stop()
+	delay := time.NewTimer(min(p.drainDelay, grace/2))
+	defer delay.Stop()
 	select {
-	case <-notice.C:
+	case <-delay.C:
 	case <-ctx.Done():
 	}
 	p.clients.drain(ctx)
--- a/internal/proxy/errors.go
+++ b/internal/proxy/errors.go
@@ -11,37 +11,37 @@
 	"nickelline/internal/quota"
 )
 
-// writeError writes the answer to an error, by its kind.
+// writeError writes the error response for the kind of err. The text of err is not sent.
 func (w *responseWriter) writeError(err error) {
 	kind := fault.KindOf(err)
 	if w.onError != nil {
 		w.onError(kind)
 	}
-	answer := fault.AnswerOf(kind)
+	response := fault.AnswerOf(kind)
 	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
-	if answer.Status == http.StatusTooManyRequests || answer.Status == http.StatusServiceUnavailable {
+	if response.Status == http.StatusTooManyRequests || response.Status == http.StatusServiceUnavailable {
 		header["Retry-After"] = []string{formatRetryAfter(retryAfter(err))}
 	}
-	w.write(answer.Status, header, []byte(http.StatusText(answer.Status)))
+	w.write(response.Status, header, []byte(http.StatusText(response.Status)))
 }
 
-// writeErrorIfNotStarted answers an error unless an answer has begun, which then remains incomplete.
+// writeErrorIfNotStarted writes an error response unless a response has begun, which then remains incomplete.
 func (w *responseWriter) writeErrorIfNotStarted(err error) {
 	if !w.started {
 		w.writeError(err)
 	}
 }
 
-// retryAfterError is an error with the time after which a new attempt has good prospects.
+// retryAfterError is an error with an estimate of the time after which a retry is likely to succeed.
 type retryAfterError struct {
 	error
 	after time.Duration
 }
 
-// Unwrap returns the error itself.
+// Unwrap returns the error without the time.
 func (e *retryAfterError) Unwrap() error { return e.error }
 
-// retryAfter returns the time after which an error may be retried, or a default.
+// retryAfter returns the time after which a client should retry, or defaultRetryAfter if err does not state it.
 func retryAfter(err error) time.Duration {
 	var retryable *retryAfterError
 	if errors.As(err, &retryable) && retryable.after > 0 {
@@ -53,7 +53,7 @@
 	return defaultRetryAfter
 }
 
-// formatRetryAfter returns a time in seconds, made longer or shorter at random so that clients do not come back together.
+// formatRetryAfter formats a time in seconds with random jitter, so that clients do not retry at the same time.
 func formatRetryAfter(after time.Duration) string {
 	spread := 1 + retryJitter*(2*rand.Float64()-1)
 	after = max(time.Duration(float64(after)*spread), minRetryAfter)
--- a/internal/proxy/event_bench_test.go
+++ b/internal/proxy/event_bench_test.go
@@ -10,8 +10,8 @@
 	"nickelline/internal/measure"
 )
 
-// BenchmarkEventByEvent passes streams on whose events come one by one: the next is sent when the client has read the one
-// before. The client and the backend run in the same process and count as well.
+// BenchmarkEventByEvent forwards streams whose events arrive one by one: the backend sends the next event when the client
+// has read the previous one. The CPU time includes that of the client and the backend, which run in the same process.
 func BenchmarkEventByEvent(b *testing.B) {
 	for _, events := range []int{16, 256} {
 		b.Run(fmt.Sprint(events), func(b *testing.B) { benchmarkEvents(b, events) })
@@ -30,7 +30,7 @@
 		io.WriteString(conn, lastChunk)
 		return true
 	})
-	s := startTier(b, nil, backend)
+	s := startTestProxy(b, nil, backend)
 	c := s.connect(b)
 	request := requestText("/stream/x", "Nickelline-Deadline-Remaining-Ms: 20000\r\nNickelline-Model-Name: m\r\n"+
 		"Nickelline-Token-Usage: 1460,80\r\nNickelline-Prompt-Prefix: 5c1e07a2:800,91bd3f06:410,e4402b7d:250\r\n", "body")
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -11,10 +11,10 @@
 	"nickelline/internal/forward"
 )
 
-// errClientLeft ends an exchange whose client has left: nobody reads an answer.
-var errClientLeft = errors.New("the client has left")
+// errClientDisconnected ends an exchange whose client has disconnected and therefore reads no response.
+var errClientDisconnected = errors.New("client disconnected")
 
-// exchange is a client's request, its attempts at backends, and its one answer.
+// exchange is a client's request, its attempts at backends, and its one response.
 type exchange struct {
 	proxy         *Proxy
 	route         *configuration.Route
@@ -23,35 +23,36 @@
 	admission     admission.Request
 	request       forward.Request
 
-	tried        []string // ids of backends
-	executed     int      // attempts that ran or may have run
-	refusals     int      // attempts that backends refused without running them
-	misses       int      // attempts that did not reach the intended backend
-	lastTimedOut bool     // the last attempt
-	// resumedAfter is the event after which the present attempt was asked to continue; empty: it began anew.
+	tried        []string // ids of the backends that the request was sent to
+	executed     int      // attempts that were or may have been executed
+	refusals     int      // attempts that backends refused without executing them
+	unreached    int      // attempts that did not reach the intended backend
+	lastTimedOut bool     // whether the last attempt timed out
+	// resumedAfter is the id of the event after which the current attempt resumes the stream; empty: it starts from the
+	// beginning.
 	resumedAfter string
-	// lastError is the last error answer of a backend. The client gets it if no further attempt succeeds.
-	lastError *backendAnswer
+	// lastErrorResponse is the last error response of a backend. The client gets it if no further attempt succeeds.
+	lastErrorResponse *backendResponse
 }
 
-// backendAnswer is a whole answer of a backend.
-type backendAnswer struct {
+// backendResponse is a complete response of a backend.
+type backendResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// attempt is an answer of a backend whose head has been read.
+// attempt is an attempt at a backend that has sent the head of its response.
 type attempt struct {
 	ticket   Ticket
 	response *forward.Response
-	started  bool // some of its body has been delivered
+	started  bool // whether a part of the response has been delivered to the client
 }
 
-// end reports to admission how the attempt ended.
+// end reports the outcome of the attempt to admission.
 func (a *attempt) end(outcome admission.Outcome) { a.ticket.Done(time.Now(), outcome, nil) }
 
-// run answers the request.
+// run sends the request to backends until a response has been delivered or no further attempt is allowed.
 func (e *exchange) run(ctx context.Context, w *responseWriter) {
 	for {
 		a, err := e.tryBackends(ctx)
@@ -65,7 +66,7 @@
 	}
 }
 
-// tryBackends sends the request to backends until one answers, or no further attempt is allowed.
+// tryBackends sends the request to backends until one responds, or no further attempt is allowed.
 func (e *exchange) tryBackends(ctx context.Context) (*attempt, error) {
 	for {
 		if err := e.checkRetry(ctx); err != nil {
@@ -89,50 +90,53 @@
 	}
 }
 
-// finish answers a request for which no further attempt is made.
+// finish ends an exchange without a further attempt. The client gets the last error response of a backend, or else err.
 func (e *exchange) finish(ctx context.Context, w *responseWriter, err error) {
 	switch {
-	case w.started, ctx.Err() != nil, errors.Is(err, errClientLeft):
-		// What is unfinished ends with its connection.
-	case e.lastError != nil:
-		w.write(e.lastError.status, e.lastError.header, e.lastError.body)
+	case w.started, ctx.Err() != nil, errors.Is(err, errClientDisconnected):
+		// A response that has begun cannot report an error, and a client that has disconnected cannot read one. The
+		// connection of an unfinished response is closed.
+	case e.lastErrorResponse != nil:
+		w.write(e.lastErrorResponse.status, e.lastErrorResponse.header, e.lastErrorResponse.body)
 	default:
 		w.writeError(err)
 	}
 }
 
-// deliver passes the answer of a backend to the client. It reports whether that was the end.
+// deliver forwards the response of a backend to the client. It reports whether the exchange is finished; if not, another
+// attempt may follow.
 func (e *exchange) deliver(ctx context.Context, a *attempt, w *responseWriter) bool {
 	if a.response.Streaming && a.response.Status == http.StatusOK {
 		return e.stream(ctx, a, w)
 	}
 	body, err := a.response.ReadAll()
 	if err != nil {
-		e.recordBreakOff(a, err)
+		e.recordInterruption(a, err)
 		return false
 	}
 	e.executed++
-	answer := &backendAnswer{status: a.response.Status, header: a.response.Header, body: body}
+	response := &backendResponse{status: a.response.Status, header: a.response.Header, body: body}
 	a.ticket.Started(time.Now())
 	switch {
-	case w.started, !answer.isTrustworthy():
-		// It cannot continue a stream that has started, or does not come from the backend itself.
+	case w.started, !response.isForwardable():
+		// The response cannot continue a stream that has started, or is not known to come from the backend itself.
 		a.end(admission.Failed)
 		return false
-	case answer.status >= http.StatusInternalServerError:
+	case response.status >= http.StatusInternalServerError:
 		a.end(admission.Failed)
-		e.lastError = answer
+		e.lastErrorResponse = response
 		return false
 	}
 	a.end(admission.OK)
 	e.proxy.counters.delivered.Add(1)
-	w.write(answer.status, answer.header, answer.body)
+	w.write(response.status, response.header, response.body)
 	return true
 }
 
-// isTrustworthy reports whether an answer may be passed on as it is. A success must carry the backend's seal. A status that
-// promises that nothing has run does not come here if the backend confirmed it.
-func (b *backendAnswer) isTrustworthy() bool {
+// isForwardable reports whether a response may be forwarded unchanged. A success must carry the backend's seal. The
+// statuses 408, 421, 429 and 503 promise that the request was not executed: Sender returns a Failure if the backend
+// confirmed the promise, so a response that gets here with such a status is unconfirmed.
+func (b *backendResponse) isForwardable() bool {
 	switch b.status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return false
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -19,22 +19,22 @@
 	"nickelline/internal/forward"
 )
 
-// breakOff closes the connection without an answer.
-var breakOff = text("")
+// closeWithoutReply closes the connection without a response.
+var closeWithoutReply = replyAndClose("")
 
 const loadField = "Nickelline-Server-Load: 8,2,8\r\n"
 
-// Replies of backends.
+// Replies of backends to requests.
 var (
-	fullReply         = text(whole(503, notRun+loadField, "full"))
-	misdirectedReply  = text(whole(421, "", ""))
-	failedReply       = text(whole(500, sealField, "failed"))
-	lateReply         = text(whole(504, sealField, "late"))
-	unconfirmedReply  = text(whole(503, sealField, "not so"))
-	unsealedReply     = text(whole(200, "", "whose?"))
-	otherRequestReply = text(strings.ReplaceAll(whole(200, sealField, "another's"), "ID", "other"))
-	surplusReply      = text(strings.ReplaceAll(whole(200, sealField, "another's"), "ID", "other") + whole(200, sealField, "late"))
-	notFoundReply     = text(whole(404, sealField, "no such thing"))
+	fullReply         = replyAndClose(responseText(503, notExecutedField+loadField, "full"))
+	misdirectedReply  = replyAndClose(responseText(421, "", ""))
+	failedReply       = replyAndClose(responseText(500, sealField, "failed"))
+	lateReply         = replyAndClose(responseText(504, sealField, "late"))
+	unconfirmedReply  = replyAndClose(responseText(503, sealField, "not so"))
+	unsealedReply     = replyAndClose(responseText(200, "", "whose?"))
+	otherRequestReply = replyAndClose(strings.ReplaceAll(responseText(200, sealField, "another's"), "ID", "other"))
+	surplusReply      = replyAndClose(strings.ReplaceAll(responseText(200, sealField, "another's"), "ID", "other") + responseText(200, sealField, "late"))
+	notFoundReply     = replyAndClose(responseText(404, sealField, "no such thing"))
 )
 
 // attemptCases are requests to backends that reply in different ways.
@@ -43,29 +43,29 @@
 	path     string
 	backends []reply
 	status   int
-	body     string // of the backend; empty: the answer is the proxy's own
-	counts   []int
+	body     string // body of the backend's response; empty: the response is the proxy's own
+	counts   []int  // requests that each backend receives
 }{
-	{"success", "/once/x", []reply{ok("a"), ok("b")}, 200, "a", []int{1, 0}},
-	{"full, then success", "/once/x", []reply{fullReply, ok("b")}, 200, "b", []int{1, 1}},
-	{"another backend at the address", "/once/x", []reply{misdirectedReply, ok("b")}, 200, "b", []int{1, 1}},
+	{"success", "/once/x", []reply{okReply("a"), okReply("b")}, 200, "a", []int{1, 0}},
+	{"full, then success", "/once/x", []reply{fullReply, okReply("b")}, 200, "b", []int{1, 1}},
+	{"another backend at the address", "/once/x", []reply{misdirectedReply, okReply("b")}, 200, "b", []int{1, 1}},
 	{"all full", "/once/x", []reply{fullReply, fullReply}, 503, "", []int{1, 1}},
-	{"full too often", "/once/x", []reply{fullReply, fullReply, ok("c")}, 503, "", []int{1, 1, 0}},
-	{"may have run, once", "/once/x", []reply{breakOff, ok("b")}, 502, "", []int{1, 0}},
-	{"may have run, repeatable", "/many/x", []reply{breakOff, ok("b")}, 200, "b", []int{1, 1}},
-	{"full, then may have run, once", "/once/x", []reply{fullReply, breakOff, ok("c")}, 502, "", []int{1, 1, 0}},
-	{"may have run, then all full", "/many/x", []reply{breakOff, fullReply}, 502, "", []int{1, 1}},
-	{"no more than the route allows", "/many/x", []reply{breakOff, breakOff, ok("c")}, 502, "", []int{1, 1, 0}},
-	{"error answer of a backend, once", "/once/x", []reply{failedReply, ok("b")}, 500, "failed", []int{1, 0}},
-	{"error answer of a backend, repeatable", "/many/x", []reply{failedReply, ok("b")}, 200, "b", []int{1, 1}},
-	{"error answers of backends", "/many/x", []reply{failedReply, lateReply, ok("c")}, 504, "late", []int{1, 1, 0}},
+	{"full too often", "/once/x", []reply{fullReply, fullReply, okReply("c")}, 503, "", []int{1, 1, 0}},
+	{"may have run, once", "/once/x", []reply{closeWithoutReply, okReply("b")}, 502, "", []int{1, 0}},
+	{"may have run, repeatable", "/many/x", []reply{closeWithoutReply, okReply("b")}, 200, "b", []int{1, 1}},
+	{"full, then may have run, once", "/once/x", []reply{fullReply, closeWithoutReply, okReply("c")}, 502, "", []int{1, 1, 0}},
+	{"may have run, then all full", "/many/x", []reply{closeWithoutReply, fullReply}, 502, "", []int{1, 1}},
+	{"no more than the route allows", "/many/x", []reply{closeWithoutReply, closeWithoutReply, okReply("c")}, 502, "", []int{1, 1, 0}},
+	{"error answer of a backend, once", "/once/x", []reply{failedReply, okReply("b")}, 500, "failed", []int{1, 0}},
+	{"error answer of a backend, repeatable", "/many/x", []reply{failedReply, okReply("b")}, 200, "b", []int{1, 1}},
+	{"error answers of backends", "/many/x", []reply{failedReply, lateReply, okReply("c")}, 504, "late", []int{1, 1, 0}},
 	{"error answer of a backend, then all full", "/many/x", []reply{failedReply, fullReply}, 500, "failed", []int{1, 1}},
-	{"an error of the client", "/many/x", []reply{notFoundReply, ok("b")}, 404, "no such thing", []int{1, 0}},
-	{"an unconfirmed promise", "/once/x", []reply{unconfirmedReply, ok("b")}, 502, "", []int{1, 0}},
+	{"an error of the client", "/many/x", []reply{notFoundReply, okReply("b")}, 404, "no such thing", []int{1, 0}},
+	{"an unconfirmed promise", "/once/x", []reply{unconfirmedReply, okReply("b")}, 502, "", []int{1, 0}},
 	{"an unconfirmed promise, repeatable", "/many/x", []reply{unconfirmedReply, unconfirmedReply}, 502, "", []int{1, 1}},
-	{"a success without a seal", "/once/x", []reply{unsealedReply, ok("b")}, 502, "", []int{1, 0}},
-	{"an answer to another request", "/once/x", []reply{otherRequestReply, ok("b")}, 502, "", []int{1, 0}},
-	{"an answer to another request, repeatable", "/many/x", []reply{surplusReply, ok("b")}, 200, "b", []int{1, 1}},
+	{"a success without a seal", "/once/x", []reply{unsealedReply, okReply("b")}, 502, "", []int{1, 0}},
+	{"an answer to another request", "/once/x", []reply{otherRequestReply, okReply("b")}, 502, "", []int{1, 0}},
+	{"an answer to another request, repeatable", "/many/x", []reply{surplusReply, okReply("b")}, 200, "b", []int{1, 1}},
 	{"no backends", "/many/x", nil, 503, "", nil},
 }
 
@@ -73,38 +73,38 @@
 	for _, c := range attemptCases {
 		t.Run(c.name, func(t *testing.T) {
 			var backends []*backend
-			for _, answer := range c.backends {
-				backends = append(backends, startBackend(t, answer))
+			for _, respond := range c.backends {
+				backends = append(backends, startBackend(t, respond))
 			}
-			s := startTier(t, nil, backends...)
+			s := startTestProxy(t, nil, backends...)
 			a := s.post(t, c.path)
 			if a.StatusCode != c.status || a.err != nil {
-				t.Errorf("answer: got %d %q %v, want %d", a.StatusCode, a.body, a.err, c.status)
+				t.Errorf("response: got %d %q %v, want %d", a.StatusCode, a.body, a.err, c.status)
 			}
-			if counts := s.counts(); !slices.Equal(counts, c.counts) {
+			if counts := s.requestCounts(); !slices.Equal(counts, c.counts) {
 				t.Errorf("requests by backend: got %v, want %v", counts, c.counts)
 			}
 			sealed := a.Header.Get(forward.HeaderResponseSeal) != ""
 			if sealed != (c.body != "") || sealed && a.body != c.body {
-				t.Errorf("answer %q %v, want %q of the backend", a.body, a.Header, c.body)
+				t.Errorf("response: got body %q and header %v, want body %q of the backend", a.body, a.Header, c.body)
 			}
 			if a.Header.Get(forward.HeaderAttemptID) != testID {
-				t.Error("the answer has no id")
+				t.Errorf("%s: got %q, want %q", forward.HeaderAttemptID, a.Header.Get(forward.HeaderAttemptID), testID)
 			}
 			seconds, err := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
 			if promised := a.StatusCode == 503; promised != (err == nil) || promised && !(seconds > 0 && seconds < 1) {
-				t.Errorf("Retry-After %q", a.Header.Get("Retry-After"))
+				t.Errorf("Retry-After: got %q, want between 0 and 1 with status 503 only", a.Header.Get("Retry-After"))
 			}
 		})
 	}
 }
 
 func TestOutcomesAndLoadsAreReportedToAdmission(t *testing.T) {
-	full := startBackend(t, text(whole(503, notRun+loadField, "")))
-	broken := startBackend(t, breakOff)
-	good := startBackend(t, text(whole(200, sealField+"Nickelline-Server-Load: 1,0,8\r\n", "")))
-	s := startTier(t, nil, full, broken, good)
-	s.ask(t, requestText("/many/x", "Nickelline-Token-Usage: 1460,80\r\nNickelline-Prompt-Prefix: 5c:800, 91:410,e4:250\r\n", ""))
+	full := startBackend(t, replyAndClose(responseText(503, notExecutedField+loadField, "")))
+	broken := startBackend(t, closeWithoutReply)
+	good := startBackend(t, replyAndClose(responseText(200, sealField+"Nickelline-Server-Load: 1,0,8\r\n", "")))
+	s := startTestProxy(t, nil, full, broken, good)
+	s.roundTrip(t, requestText("/many/x", "Nickelline-Token-Usage: 1460,80\r\nNickelline-Prompt-Prefix: 5c:800, 91:410,e4:250\r\n", ""))
 	want := []admission.Outcome{admission.Full, admission.Failed, admission.OK}
 	if !slices.Equal(s.outcomes, want) {
 		t.Errorf("outcomes: got %v, want %v", s.outcomes, want)
@@ -113,9 +113,9 @@
 	if !slices.Equal(s.loads, loads) {
 		t.Errorf("loads: got %v, want %v", s.loads, loads)
 	}
-	asked := s.asked[0]
-	if asked.Tokens != 1540 || asked.Priority != 0 || asked.Batch || asked.Prefix != nil {
-		t.Errorf("admission request: got %+v", asked)
+	request := s.admissionRequests[0]
+	if request.Tokens != 1540 || request.Priority != 0 || request.Batch || request.Prefix != nil {
+		t.Errorf("admission request: got %+v, want Tokens 1540, Priority 0, Batch false, no Prefix", request)
 	}
 }
 
@@ -129,17 +129,17 @@
 
 func TestUnreachableBackends(t *testing.T) {
 	next := netip.MustParseAddr("127.1.0.0")
-	gone := func() *backend {
+	unreachable := func() *backend {
 		next = next.Next()
-		b := startBackend(t, ok(""))
+		b := startBackend(t, okReply(""))
 		b.Address = netip.AddrPortFrom(next, 1)
 		return b
 	}
-	good := startBackend(t, ok("a"))
-	if a := startTier(t, nil, gone(), gone(), good).post(t, "/once/x"); a.StatusCode != 200 {
+	good := startBackend(t, okReply("a"))
+	if a := startTestProxy(t, nil, unreachable(), unreachable(), good).post(t, "/once/x"); a.StatusCode != 200 {
 		t.Errorf("status: got %d, want %d", a.StatusCode, 200)
 	}
-	if a := startTier(t, nil, gone(), gone(), gone(), good).post(t, "/once/x"); a.StatusCode != 503 {
+	if a := startTestProxy(t, nil, unreachable(), unreachable(), unreachable(), good).post(t, "/once/x"); a.StatusCode != 503 {
 		t.Errorf("status: got %d, want %d", a.StatusCode, 503)
 	}
 }
@@ -147,7 +147,8 @@
 func TestDeadline(t *testing.T) {
 	for _, path := range []string{"/once/x", "/many/x", "/stream/x", "/resume/x"} {
 		t.Run(path, func(t *testing.T) {
-			// On a busy machine a short time may be over before the request is sent: then it is tried with more.
+			// On a busy machine a short timeout may expire before the request is sent: the check is then repeated with a
+			// longer one.
 			const most = 5 * time.Second
 			for allowed := 80 * time.Millisecond; !checkDeadline(t, path, allowed); allowed *= 2 {
 				if allowed > most {
@@ -158,16 +159,16 @@
 	}
 }
 
-// checkDeadline sends a request to a tier whose backends do not answer, and checks the answer and what the backends got. It
-// reports whether the request reached a backend.
+// checkDeadline sends a request with a timeout to a proxy whose first backend does not respond. It checks the response
+// and the requests that the backends received, and reports whether the request reached a backend.
 func checkDeadline(t *testing.T, path string, allowed time.Duration) (reached bool) {
 	t.Helper()
-	unresponsive := startBackend(t, hold(""))
-	s := startTier(t, nil, unresponsive, startBackend(t, ok("")))
+	unresponsive := startBackend(t, replyAndKeepOpen(""))
+	s := startTestProxy(t, nil, unresponsive, startBackend(t, okReply("")))
 	began := time.Now()
-	a := s.ask(t, requestText(path, fmt.Sprintf("%s: %d\r\n", forward.HeaderDeadline, allowed.Milliseconds()), ""))
+	a := s.roundTrip(t, requestText(path, fmt.Sprintf("%s: %d\r\n", forward.HeaderDeadline, allowed.Milliseconds()), ""))
 	if took := time.Since(began); a.StatusCode != 504 || took > allowed+time.Second {
-		t.Errorf("answer %d after %v", a.StatusCode, took)
+		t.Errorf("response: got %d after %v, want 504 within %v", a.StatusCode, took, allowed+time.Second)
 	}
 	var first received
 	select {
@@ -175,7 +176,7 @@
 	case <-time.After(allowed):
 		return false
 	}
-	if counts := s.counts(); !slices.Equal(counts, []int{0, 0}) {
+	if counts := s.requestCounts(); !slices.Equal(counts, []int{0, 0}) {
 		t.Errorf("further requests by backend: got %v, want none", counts)
 	}
 	remaining, _ := strconv.Atoi(first.Header.Get(forward.HeaderDeadline))
@@ -186,16 +187,16 @@
 }
 
 func TestRouteTimeout(t *testing.T) {
-	s := startTier(t, nil, startBackend(t, hold("")))
-	if a := s.ask(t, requestText("/short/x", "Nickelline-Deadline-Remaining-Ms: 9000\r\n", "")); a.StatusCode != 504 {
+	s := startTestProxy(t, nil, startBackend(t, replyAndKeepOpen("")))
+	if a := s.roundTrip(t, requestText("/short/x", "Nickelline-Deadline-Remaining-Ms: 9000\r\n", "")); a.StatusCode != 504 {
 		t.Errorf("status: got %d, want %d", a.StatusCode, 504)
 	}
 }
 
 func TestRequestWithoutTimeLeftIsNotSent(t *testing.T) {
-	b := startBackend(t, ok(""))
-	s := startTier(t, nil, b)
-	if a := s.ask(t, requestText("/many/x", "Nickelline-Deadline-Remaining-Ms: 3\r\n", "")); a.StatusCode != 503 {
+	b := startBackend(t, okReply(""))
+	s := startTestProxy(t, nil, b)
+	if a := s.roundTrip(t, requestText("/many/x", "Nickelline-Deadline-Remaining-Ms: 3\r\n", "")); a.StatusCode != 503 {
 		t.Errorf("status: got %d, want %d", a.StatusCode, 503)
 	}
 	if len(b.requests) > 0 {
@@ -204,31 +205,31 @@
 }
 
 func TestNoRetryThatCannotBeInTime(t *testing.T) {
-	s := startTier(t, nil, startBackend(t, breakOff), startBackend(t, ok("")))
-	if a := s.ask(t, requestText("/many/x", "Nickelline-Deadline-Remaining-Ms: 90\r\n", "")); a.StatusCode != 504 {
+	s := startTestProxy(t, nil, startBackend(t, closeWithoutReply), startBackend(t, okReply("")))
+	if a := s.roundTrip(t, requestText("/many/x", "Nickelline-Deadline-Remaining-Ms: 90\r\n", "")); a.StatusCode != 504 {
 		t.Errorf("status: got %d, want %d", a.StatusCode, 504)
 	}
-	if counts := s.counts(); !slices.Equal(counts, []int{1, 0}) {
+	if counts := s.requestCounts(); !slices.Equal(counts, []int{1, 0}) {
 		t.Errorf("requests by backend: got %v, want %v", counts, []int{1, 0})
 	}
 }
 
 func TestHeadHasNoBody(t *testing.T) {
-	b := startBackend(t, text("HTTP/1.1 200 OK\r\nNickelline-Attempt-Id: ID\r\n"+sealField+"Content-Length: 5\r\n\r\n"))
-	s := startTier(t, nil, b)
+	b := startBackend(t, replyAndClose("HTTP/1.1 200 OK\r\nNickelline-Attempt-Id: ID\r\n"+sealField+"Content-Length: 5\r\n\r\n"))
+	s := startTestProxy(t, nil, b)
 	c := s.connect(t)
 	c.send(t, strings.Replace(requestText("/many/x", "", ""), "POST", "HEAD", 1))
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodHead})
 	if err != nil || response.StatusCode != 200 {
-		t.Errorf("answer %v, %v", response, err)
+		t.Errorf("response: got %v, %v, want status 200", response, err)
 	}
 }
 
-// fakeQuota gives a number of tokens.
+// fakeQuota is a QuotaLimiter with a number of tokens.
 type fakeQuota struct {
 	mutex    sync.Mutex
 	tokens   int
-	returned chan struct{}
+	refunded chan struct{}
 }
 
 func (q *fakeQuota) Take(_ context.Context, tenant *configuration.Tenant) error {
@@ -245,7 +246,7 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.tokens++
-	q.returned <- struct{}{}
+	q.refunded <- struct{}{}
 }
 
 func (q *fakeQuota) left() int {
@@ -256,36 +257,36 @@
 
 func TestQuota(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		answer reply
-		status int
-		left   int
+		name    string
+		respond reply
+		status  int
+		left    int
 	}{
-		{"run", ok(""), 200, 0},
-		{"may have run", breakOff, 502, 0},
-		{"not run", text(whole(503, notRun, "")), 503, 1},
+		{"run", okReply(""), 200, 0},
+		{"may have run", closeWithoutReply, 502, 0},
+		{"not run", replyAndClose(responseText(503, notExecutedField, "")), 503, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := startBackend(t, c.answer)
-			quota := &fakeQuota{tokens: 1, returned: make(chan struct{}, 1)}
-			s := startTier(t, func(o *Options) { o.Quota = quota }, b)
+			b := startBackend(t, c.respond)
+			quota := &fakeQuota{tokens: 1, refunded: make(chan struct{}, 1)}
+			s := startTestProxy(t, func(o *Options) { o.Quota = quota }, b)
 			if a := s.post(t, "/once/x"); a.StatusCode != c.status {
 				t.Errorf("status: got %d, want %d", a.StatusCode, c.status)
 			}
 			if c.left > 0 {
-				wait(t, quota.returned, "token given back")
+				wait(t, quota.refunded, "refund of the token")
 			}
 			if left := quota.left(); left != c.left {
-				t.Errorf("%d tokens left", left)
+				t.Errorf("tokens left: got %d, want %d", left, c.left)
 			}
 			if c.left > 0 {
 				return
 			}
 			if a := s.post(t, "/once/x"); a.StatusCode != 429 || a.Header.Get("Retry-After") == "" || len(b.requests) > 1 {
-				t.Errorf("answer %d beyond the quota, %d requests sent", a.StatusCode, len(b.requests))
+				t.Errorf("beyond the quota: got status %d and %d requests sent, want 429 and at most 1", a.StatusCode, len(b.requests))
 			}
 			if a := s.post(t, "/open/x"); a.StatusCode == 429 {
-				t.Error("a public request is counted")
+				t.Error("a public request was counted against the quota")
 			}
 		})
 	}
@@ -297,12 +298,12 @@
 		text := formatRetryAfter(200 * time.Millisecond)
 		seconds, err := strconv.ParseFloat(text, 64)
 		if err != nil || seconds < 0.15 || seconds > 0.25 {
-			t.Fatalf("%q", text)
+			t.Fatalf("formatRetryAfter: got %q, want 0.15 to 0.25", text)
 		}
 		seen[text] = true
 	}
 	if len(seen) < 20 {
-		t.Errorf("distinct values of Retry-After: got %d", len(seen))
+		t.Errorf("distinct values of Retry-After: got %d, want at least 20", len(seen))
 	}
 	err := fmt.Errorf("wrapped: %w", &retryAfterError{errors.New("x"), time.Second})
 	if after := retryAfter(err); after != time.Second {
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -14,26 +14,26 @@
 )
 
 var (
-	// retryAfterField is a Retry-After field. Its value is drawn at random, in seconds with three decimals.
+	// retryAfterField matches a Retry-After field. Its value has random jitter, in seconds with three decimals.
 	retryAfterField = regexp.MustCompile(`^Retry-After: \d+\.\d{3}$`)
-	// dateField is the time of an answer that hertz gives by itself.
+	// dateField matches the Date field of a response that hertz writes by itself.
 	dateField = regexp.MustCompile(`^Date: \w{3}, \d\d \w{3} \d{4} \d\d:\d\d:\d\d GMT$`)
 )
 
-// rawAnswer sends a request on a connection of its own, and returns the answer as it was written, up to the end of the
+// rawResponse sends a request on a new connection and returns everything that the server writes until it closes the
 // connection. The header fields are sorted, since their order is not fixed.
-func rawAnswer(t *testing.T, s *tier, request string) string {
+func rawResponse(t *testing.T, s *testProxy, request string) string {
 	t.Helper()
 	c := s.connect(t)
 	c.send(t, request)
 	written, err := io.ReadAll(c.reader)
 	if err != nil {
-		t.Fatalf("read answer: %v", err)
+		t.Fatalf("read response: %v", err)
 	}
-	return normalAnswer(string(written))
+	return normalizeResponse(string(written))
 }
 
-func normalAnswer(written string) string {
+func normalizeResponse(written string) string {
 	head, body, found := strings.Cut(written, "\r\n\r\n")
 	if !found {
 		return fmt.Sprintf("%q\n", written)
@@ -49,31 +49,32 @@
 
 const closeField = "Connection: close\r\n"
 
-// closingRequest returns the text of a request after whose answer the connection is closed.
+// closingRequest returns the text of a request that asks to close the connection after the response.
 func closingRequest(method, target, body string) string {
 	return strings.Replace(requestText(target, closeField, body), "POST", method, 1)
 }
 
-// The answer to each kind of error, as written.
+// TestGoldenErrorAnswers compares the response to each kind of error with the golden file, byte by byte but for the order
+// of the fields, the jitter of Retry-After and the date.
 func TestGoldenErrorAnswers(t *testing.T) {
-	var answers strings.Builder
+	var responses strings.Builder
 	for _, kind := range fault.Kinds() {
 		api := &fakeBatch{fail: fault.New(kind, "cause")}
-		s := startTier(t, func(o *Options) { o.Batch = api })
-		answer := rawAnswer(t, s, closingRequest("POST", "/batch/7c", "{}"))
-		fmt.Fprintf(&answers, "== %s\n%s\n", kind, answer)
+		s := startTestProxy(t, func(o *Options) { o.Batch = api })
+		response := rawResponse(t, s, closingRequest("POST", "/batch/7c", "{}"))
+		fmt.Fprintf(&responses, "== %s\n%s\n", kind, response)
 	}
-	golden.Text(t, "error_answers.txt", answers.String())
+	golden.Text(t, "error_answers.txt", responses.String())
 }
 
-// Answers to requests that the proxy refuses by itself, as written.
+// TestGoldenRefusals compares the responses to requests that the proxy rejects by itself with the golden file.
 func TestGoldenRefusals(t *testing.T) {
 	valid := closingRequest("POST", "/many/x", "body")
 	replaced := func(old, replacement string) string { return strings.Replace(valid, old, replacement, 1) }
-	var answers strings.Builder
+	var responses strings.Builder
 	for _, c := range []struct {
 		name, request string
-		change        func(*tier)
+		change        func(*testProxy)
 	}{
 		{name: "no backend", request: valid},
 		{name: "no route", request: replaced("/many/x", "/other/x")},
@@ -87,21 +88,21 @@
 		{name: "length and chunks", request: replaced("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked")},
 		{name: "header too large", request: replaced(closeField, closeField+"X: "+strings.Repeat("x", 17<<10)+"\r\n")},
 		{name: "body too large", request: closingRequest("POST", "/many/x", strings.Repeat("x", 65537))},
-		{name: "stale proof", request: valid, change: func(s *tier) { s.setProofAge(time.Minute) }},
-		{name: "no configuration", request: valid, change: (*tier).removeConfiguration},
+		{name: "stale proof", request: valid, change: func(s *testProxy) { s.setProofAge(time.Minute) }},
+		{name: "no configuration", request: valid, change: (*testProxy).removeConfiguration},
 	} {
-		s := startTier(t, nil)
+		s := startTestProxy(t, nil)
 		if c.change != nil {
 			c.change(s)
 		}
-		fmt.Fprintf(&answers, "== %s\n%s\n", c.name, rawAnswer(t, s, c.request))
+		fmt.Fprintf(&responses, "== %s\n%s\n", c.name, rawResponse(t, s, c.request))
 	}
-	golden.Text(t, "refusals.txt", answers.String())
+	golden.Text(t, "refusals.txt", responses.String())
 }
 
-// Answers to calls about batch jobs, as written.
+// TestGoldenBatchAnswers compares the responses to batch API requests with the golden file.
 func TestGoldenBatchAnswers(t *testing.T) {
-	var answers strings.Builder
+	var responses strings.Builder
 	for _, c := range []struct{ name, request string }{
 		{"submit", closingRequest("POST", "/batch/7c", "{}")},
 		{"results", closingRequest("GET", "/-/lots/7c?startAfter=12", "")},
@@ -113,10 +114,10 @@
 		{"item body by POST", closingRequest("POST", "/-/items/7c", "")},
 		{"submit by GET", closingRequest("GET", "/batch/7c", "")},
 	} {
-		s := startTier(t, func(o *Options) { o.Batch = &fakeBatch{} })
-		fmt.Fprintf(&answers, "== %s\n%s\n", c.name, rawAnswer(t, s, c.request))
+		s := startTestProxy(t, func(o *Options) { o.Batch = &fakeBatch{} })
+		fmt.Fprintf(&responses, "== %s\n%s\n", c.name, rawResponse(t, s, c.request))
 	}
-	s := startTier(t, nil)
-	fmt.Fprintf(&answers, "== batch jobs are not served\n%s\n", rawAnswer(t, s, closingRequest("POST", "/batch/7c", "{}")))
-	golden.Text(t, "batch_answers.txt", answers.String())
+	s := startTestProxy(t, nil)
+	fmt.Fprintf(&responses, "== batch jobs are not served\n%s\n", rawResponse(t, s, closingRequest("POST", "/batch/7c", "{}")))
+	golden.Text(t, "batch_answers.txt", responses.String())
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -14,41 +14,41 @@
 	"nickelline/internal/forward"
 )
 
-// Sender sends one request to one backend. It is a *forward.Client.
+// Sender sends one request to one backend. *forward.Client implements it.
 type Sender interface {
 	Do(ctx context.Context, b discovery.Backend, r *forward.Request) (*forward.Response, *forward.Failure)
 }
 
-// QuotaLimiter counts requests against the quotas of tenants. It is a *quota.Limiter.
+// QuotaLimiter counts requests against the quotas of tenants. *quota.Limiter implements it.
 type QuotaLimiter interface {
 	Take(ctx context.Context, tenant *configuration.Tenant) error
-	// Refund returns what Take has taken for a request that did not run.
+	// Refund returns what Take has taken for a request that was not executed.
 	Refund(tenant *configuration.Tenant)
 }
 
-// Options set up a Proxy.
+// Options configure a Proxy.
 type Options struct {
-	// Configuration returns the current configuration, nil before there is one.
+	// Configuration returns the current configuration, or nil before the first one is known.
 	Configuration func() *configuration.Snapshot
-	// ProofAge returns the age of the proof that the configuration was current.
+	// ProofAge returns the age of the latest proof that the configuration is current.
 	ProofAge func() time.Duration
-	// MaxProofAge is how old that proof may be for requests with keys; 0: the age is not checked.
+	// MaxProofAge is the maximum age of that proof at which API keys are still accepted; 0: the age is not checked.
 	MaxProofAge time.Duration
-	// BackendsKnown reports whether there is a list of backends.
+	// BackendsKnown reports whether the list of backends is known.
 	BackendsKnown func() bool
 	// Selector selects the backend of each attempt.
 	Selector Selector
-	// Loads exchanges loads with other nodes; nil: loads are not exchanged.
+	// Loads exchanges backend loads with other nodes; nil: loads are not exchanged.
 	Loads Loads
 	// Sender sends each attempt.
 	Sender Sender
-	// Quota counts requests; nil: they are not counted.
+	// Quota enforces the quotas of tenants; nil: they are not enforced.
 	Quota QuotaLimiter
-	// Batch serves the calls about batch jobs; nil: they are answered 503.
+	// Batch serves the batch API; nil: its requests are answered 503.
 	Batch BatchAPI
-	// Grace is how long after the beginning of a drain the process may go on.
+	// Grace is the grace period: how long the process may run after a drain has begun.
 	Grace time.Duration
-	// Connections is the greatest number of client connections at one time.
+	// Connections is the maximum number of concurrent client connections.
 	Connections int
 	Log         *zap.Logger
 }
@@ -60,13 +60,13 @@
 	readiness *server // for the platform's health checks
 	draining  atomic.Bool
 	counters  *counters
-	// drainNotice is how long a drain goes on serving new requests.
-	drainNotice time.Duration
+	// drainDelay is how long a drain continues to accept new requests.
+	drainDelay time.Duration
 }
 
-// New returns a proxy that serves clients at one listener, and the platform's readiness checks at another.
+// New returns a proxy that serves clients on one listener and the platform's readiness checks on the other.
 func New(clients, readiness *net.TCPListener, o Options) *Proxy {
-	p := &Proxy{options: o, drainNotice: defaultDrainNotice, counters: newCounters()}
+	p := &Proxy{options: o, drainDelay: defaultDrainDelay, counters: newCounters()}
 	p.clients = newServer(serverOptions{
 		listener:       clients,
 		handle:         p.serve,
@@ -78,7 +78,7 @@
 	})
 	p.readiness = newServer(serverOptions{
 		listener:       readiness,
-		handle:         p.answerReadiness,
+		handle:         p.serveReadiness,
 		maxConnections: readinessConnections,
 		limits:         p.limits,
 		draining:       &p.draining,
@@ -97,13 +97,13 @@
 	return <-failed
 }
 
-// Close ends at once: connections are closed, also those with a request.
+// Close stops the proxy immediately. It closes all connections, including those with a request in flight.
 func (p *Proxy) Close() {
 	p.clients.close()
 	p.readiness.close()
 }
 
-// Ready reports whether the node can serve.
+// Ready reports whether the node can serve requests and is not draining.
 func (p *Proxy) Ready() bool {
 	if p.draining.Load() || !p.options.BackendsKnown() {
 		return false
@@ -115,7 +115,7 @@
 	return !snapshot.RequiresKey() || p.checkProof() == nil
 }
 
-// limits returns the limits of clients.
+// limits returns the limits that the configuration sets for clients, and the default for each that it does not set.
 func (p *Proxy) limits() configuration.Limits {
 	limits := defaultLimits
 	snapshot := p.options.Configuration()
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -28,8 +28,8 @@
 	testID    = "9c41d07be2a35f68"
 	testSeal  = "3e1b.07"
 	otherSeal = "4f2c.08"
-	// testPatience is more than any test takes, unless something hangs.
-	testPatience = 10 * time.Second
+	// testTimeout is longer than any test takes unless something hangs.
+	testTimeout = 10 * time.Second
 )
 
 const testDocument = `{"version":1,
@@ -58,61 +58,61 @@
 	return snapshot
 }
 
-// received is a request as a backend has read it.
+// received is a request that a backend has read.
 type received struct {
 	*http.Request
 	body string
 }
 
-// backend is a server that answers every request in the same way.
+// backend is a server that gives the same reply to every request.
 type backend struct {
 	discovery.Backend
 	requests chan received
-	closed   chan struct{} // one for each connection that the other side has closed
+	closed   chan struct{} // one value for each connection that the proxy has closed
 }
 
-// reply answers a request. It returns false if the connection is to be closed.
+// reply writes the response to a request. It returns false if the backend shall close the connection.
 type reply func(b *backend, r received, conn net.Conn) bool
 
-// text answers with a text, in which ID stands for the id of the request, and closes the connection.
-func text(answer string) reply {
+// replyAndClose writes a text, in which ID stands for the attempt id of the request, and closes the connection.
+func replyAndClose(replyText string) reply {
 	return func(_ *backend, r received, conn net.Conn) bool {
-		io.WriteString(conn, strings.ReplaceAll(answer, "ID", r.Header.Get(forward.HeaderAttemptID)))
+		io.WriteString(conn, strings.ReplaceAll(replyText, "ID", r.Header.Get(forward.HeaderAttemptID)))
 		return false
 	}
 }
 
-// hold answers with a text, and keeps the connection open.
-func hold(answer string) reply {
+// replyAndKeepOpen is like replyAndClose, but keeps the connection open.
+func replyAndKeepOpen(replyText string) reply {
 	return func(b *backend, r received, conn net.Conn) bool {
-		text(answer)(b, r, conn)
+		replyAndClose(replyText)(b, r, conn)
 		return true
 	}
 }
 
-func whole(status int, fields, body string) string {
+func responseText(status int, fields, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d x\r\nNickelline-Attempt-Id: ID\r\n%sContent-Length: %d\r\n\r\n%s", status, fields, len(body), body)
 }
 
 const (
-	sealField     = "Nickelline-Response-Seal: " + testSeal + "\r\n"
-	notRun        = "Nickelline-Not-Executed: 1\r\n"
-	streamHead    = "HTTP/1.1 200 OK\r\nNickelline-Attempt-Id: ID\r\n" + sealField + streamFields
-	otherHead     = "HTTP/1.1 200 OK\r\nNickelline-Attempt-Id: ID\r\nNickelline-Response-Seal: " + otherSeal + "\r\n" + streamFields
-	streamFields  = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-	firstEvent    = "id: 1\ndata: a\n\n"
-	secondEvent   = "id: 2\ndata: b\n\n"
-	thirdEvent    = "id: 3\ndata: c\n\n"
-	partOfAnEvent = "id: 2\nda"
+	sealField        = "Nickelline-Response-Seal: " + testSeal + "\r\n"
+	notExecutedField = "Nickelline-Not-Executed: 1\r\n"
+	streamHead       = "HTTP/1.1 200 OK\r\nNickelline-Attempt-Id: ID\r\n" + sealField + streamFields
+	otherHead        = "HTTP/1.1 200 OK\r\nNickelline-Attempt-Id: ID\r\nNickelline-Response-Seal: " + otherSeal + "\r\n" + streamFields
+	streamFields     = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+	firstEvent       = "id: 1\ndata: a\n\n"
+	secondEvent      = "id: 2\ndata: b\n\n"
+	thirdEvent       = "id: 3\ndata: c\n\n"
+	partialEvent     = "id: 2\nda"
 )
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-func ok(body string) reply { return text(whole(200, sealField, body)) }
+func okReply(body string) reply { return replyAndClose(responseText(200, sealField, body)) }
 
 var backendNumber atomic.Int64
 
-func startBackend(t testing.TB, answer reply) *backend {
+func startBackend(t testing.TB, respond reply) *backend {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -128,13 +128,13 @@
 			if err != nil {
 				return
 			}
-			go b.serve(conn, answer)
+			go b.serve(conn, respond)
 		}
 	}()
 	return b
 }
 
-func (b *backend) serve(conn net.Conn, answer reply) {
+func (b *backend) serve(conn net.Conn, respond reply) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -144,78 +144,78 @@
 			return
 		}
 		body, _ := io.ReadAll(r.Body)
-		one := received{r, string(body)}
-		b.requests <- one
-		if !answer(b, one, conn) {
+		request := received{r, string(body)}
+		b.requests <- request
+		if !respond(b, request, conn) {
 			return
 		}
 	}
 }
 
-// ticket records how an attempt ended.
+// ticket is a Ticket that records the outcome and the loads of an attempt.
 type ticket struct {
-	tier    *tier
+	proxy   *testProxy
 	started atomic.Int64
 }
 
 func (t *ticket) Started(time.Time) { t.started.Add(1) }
 
 func (t *ticket) Report(_ time.Time, load admission.Load) {
-	t.tier.mutex.Lock()
-	defer t.tier.mutex.Unlock()
-	t.tier.loads = append(t.tier.loads, load)
+	t.proxy.mutex.Lock()
+	defer t.proxy.mutex.Unlock()
+	t.proxy.loads = append(t.proxy.loads, load)
 }
 
 func (t *ticket) Done(_ time.Time, outcome admission.Outcome, load *admission.Load) {
-	t.tier.mutex.Lock()
-	defer t.tier.mutex.Unlock()
-	t.tier.outcomes = append(t.tier.outcomes, outcome)
+	t.proxy.mutex.Lock()
+	defer t.proxy.mutex.Unlock()
+	t.proxy.outcomes = append(t.proxy.outcomes, outcome)
 	if load != nil {
-		t.tier.loads = append(t.tier.loads, *load)
+		t.proxy.loads = append(t.proxy.loads, *load)
 	}
 }
 
-// tier is a proxy and its backends, which are tried in their order.
-type tier struct {
+// testProxy is a proxy with its backends, which it tries in their order.
+type testProxy struct {
 	*Proxy
 	address   string
 	readiness string
 	backends  []*backend
 
-	mutex    sync.Mutex
-	asked    []admission.Request
-	outcomes []admission.Outcome
-	loads    []admission.Load
-	proofAge time.Duration
-	snapshot *configuration.Snapshot
-	unknown  bool // whether the list of backends is not there
+	mutex             sync.Mutex
+	admissionRequests []admission.Request
+	outcomes          []admission.Outcome
+	loads             []admission.Load
+	proofAge          time.Duration
+	snapshot          *configuration.Snapshot
+	backendsUnknown   bool // whether the list of backends is unknown
 }
 
-func (s *tier) selectBackend(_ string, _ time.Time, r admission.Request) (discovery.Backend, Ticket, *admission.Refusal) {
+func (s *testProxy) selectBackend(_ string, _ time.Time, r admission.Request) (discovery.Backend, Ticket, *admission.Refusal) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.asked = append(s.asked, r)
+	s.admissionRequests = append(s.admissionRequests, r)
 	for _, b := range s.backends {
 		if r.Exclude == nil || !r.Exclude(b.ID) {
-			return b.Backend, &ticket{tier: s}, nil
+			return b.Backend, &ticket{proxy: s}, nil
 		}
 	}
 	return discovery.Backend{}, nil, &admission.Refusal{RetryAfter: 300 * time.Millisecond}
 }
 
-func (s *tier) setProofAge(age time.Duration) {
+func (s *testProxy) setProofAge(age time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.proofAge = age
 }
 
-func (s *tier) removeConfiguration() {
+func (s *testProxy) removeConfiguration() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.snapshot = nil
 }
 
-func (s *tier) setLimits(change func(*configuration.Limits)) {
+func (s *testProxy) setLimits(change func(*configuration.Limits)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	changed := *s.snapshot
@@ -232,10 +232,10 @@
 	return l
 }
 
-func startTier(t testing.TB, change func(*Options), backends ...*backend) *tier {
+func startTestProxy(t testing.TB, change func(*Options), backends ...*backend) *testProxy {
 	t.Helper()
-	s := &tier{backends: backends, snapshot: testSnapshot(t)}
-	client := forward.NewClient(forward.Options{Connections: 100, ConnectTimeout: testPatience})
+	s := &testProxy{backends: backends, snapshot: testSnapshot(t)}
+	client := forward.NewClient(forward.Options{Connections: 100, ConnectTimeout: testTimeout})
 	var list []discovery.Backend
 	for _, b := range backends {
 		list = append(list, b.Backend)
@@ -256,11 +256,11 @@
 		BackendsKnown: func() bool {
 			s.mutex.Lock()
 			defer s.mutex.Unlock()
-			return !s.unknown
+			return !s.backendsUnknown
 		},
 		Selector:    SelectorFunc(s.selectBackend),
 		Sender:      client,
-		Grace:       testPatience,
+		Grace:       testTimeout,
 		Connections: 100,
 		Log:         zap.NewNop(),
 	}
@@ -281,24 +281,24 @@
 	return s
 }
 
-// client is a connection of a client.
+// client is a client's connection to a proxy.
 type client struct {
 	*net.TCPConn
 	reader *bufio.Reader
 }
 
-func (s *tier) connect(t testing.TB) *client {
+func (s *testProxy) connect(t testing.TB) *client {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(testPatience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	return &client{conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
-// requestText returns the text of a request with the usual fields.
+// requestText returns the text of a POST request with the header fields that the proxy requires, and further ones.
 func requestText(path, fields, body string) string {
 	return "POST " + path + " HTTP/1.1\r\nHost: " + testHost + "\r\nNickelline-Attempt-Id: " + testID +
 		"\r\nAuthorization: Bearer " + testKey + "\r\n" + fields + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
@@ -311,24 +311,24 @@
 	}
 }
 
-// answer is an answer as a client has read it.
-type answer struct {
+// clientResponse is a response that a client has read.
+type clientResponse struct {
 	*http.Response
 	body string
-	err  error // of the body
+	err  error // error of reading the body
 }
 
-func (c *client) read(t *testing.T) answer {
+func (c *client) read(t *testing.T) clientResponse {
 	t.Helper()
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	body, err := io.ReadAll(response.Body)
-	return answer{response, string(body), err}
+	return clientResponse{response, string(body), err}
 }
 
-// expectClosed fails unless the connection is closed without a further byte.
+// expectClosed fails the test unless the server closes the connection without sending another byte.
 func (c *client) expectClosed(t *testing.T) {
 	t.Helper()
 	rest, err := io.ReadAll(c.reader)
@@ -338,21 +338,21 @@
 	}
 }
 
-// ask sends a request on a connection of its own.
-func (s *tier) ask(t *testing.T, text string) answer {
+// roundTrip sends a request on a new connection and returns the response.
+func (s *testProxy) roundTrip(t *testing.T, text string) clientResponse {
 	t.Helper()
 	c := s.connect(t)
 	c.send(t, text)
 	return c.read(t)
 }
 
-func (s *tier) post(t *testing.T, path string) answer {
+func (s *testProxy) post(t *testing.T, path string) clientResponse {
 	t.Helper()
-	return s.ask(t, requestText(path, "", "body"))
+	return s.roundTrip(t, requestText(path, "", "body"))
 }
 
 // counts returns how many requests each backend has received.
-func (s *tier) counts() []int {
+func (s *testProxy) requestCounts() []int {
 	var counts []int
 	for _, b := range s.backends {
 		counts = append(counts, len(b.requests))
@@ -362,7 +362,7 @@
 
 func wait[T any](t *testing.T, from <-chan T, what string) T {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), testPatience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	select {
 	case value := <-from:
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -17,33 +17,33 @@
 const (
 	methodHead = http.MethodHead
 	bearer     = "Bearer "
-	// maxPatience bounds how long a client may say that it waits.
-	maxPatience = time.Hour
+	// maxClientTimeout bounds the timeouts that clients state in their requests.
+	maxClientTimeout = time.Hour
 )
 
-// request is a client's request as it was read, whole.
+// request is a client's request, which has been read completely.
 type request struct {
 	method string
-	// target is the path and query exactly as received, path what precedes the query.
+	// target is the path and query exactly as received; path is the part before the query.
 	target, path string
 	host         string
 	header       http.Header
 	// body is valid until the handler returns.
 	body      []byte
 	attemptID string
-	// startedAt is when the first bytes of the request came.
+	// startedAt is when the first bytes of the request were read.
 	startedAt time.Time
-	// closeConnection: the client wants the connection to be closed after the answer.
+	// closeConnection reports whether the client asks to close the connection after the response.
 	closeConnection bool
 }
 
-// query returns what follows the question mark in the target.
+// query returns the query string of the target, without the question mark.
 func (r *request) query() string {
 	_, query, _ := strings.Cut(r.target, "?")
 	return query
 }
 
-// key returns the API key that the request carries, empty if none.
+// key returns the API key that the request carries, or an empty string if it carries none.
 func (r *request) key() string {
 	field := r.header.Get("Authorization")
 	if len(field) < len(bearer) || !strings.EqualFold(field[:len(bearer)], bearer) {
@@ -52,15 +52,15 @@
 	return strings.TrimSpace(field[len(bearer):])
 }
 
-// readRequest checks what hertz has read. A request whose end others could see differently is refused: hertz accepts some
-// that RFC 9112 leaves in doubt.
+// readRequest validates a request that hertz has read, and converts it. It rejects a request whose end another HTTP
+// implementation could see elsewhere (request smuggling): hertz accepts some whose end RFC 9112 leaves in doubt.
 func readRequest(h *protocol.Request, limits configuration.Limits, startedAt time.Time) (*request, error) {
 	raw := h.Header.RawHeaders()
 	if len(raw) > limits.MaxHeaderBytes {
-		return nil, fault.New(fault.HeaderTooLarge, "the header has %d bytes", len(raw))
+		return nil, fault.New(fault.HeaderTooLarge, "header of %d bytes exceeds the limit", len(raw))
 	}
 	if !h.Header.IsHTTP11() {
-		return nil, fault.New(fault.BadRequest, "not HTTP/1.1")
+		return nil, fault.New(fault.BadRequest, "protocol version is not HTTP/1.1")
 	}
 	header, err := readFields(raw)
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 	body := h.Body()
 	if len(body) > limits.MaxBodyBytes {
-		return nil, fault.New(fault.BodyTooLarge, "the body has %d bytes", len(body))
+		return nil, fault.New(fault.BodyTooLarge, "body of %d bytes exceeds the limit", len(body))
 	}
 	r := &request{
 		method:          string(h.Header.Method()),
@@ -85,12 +85,12 @@
 	}
 	r.path, _, _ = strings.Cut(r.target, "?")
 	if !strings.HasPrefix(r.target, "/") {
-		return nil, fault.New(fault.BadRequest, "the target is no path")
+		return nil, fault.New(fault.BadRequest, "request target does not begin with /")
 	}
 	return r, nil
 }
 
-// readFields reads the lines of a header. Lines that are folded or that no field name begins are refused.
+// readFields parses the lines of a header. It rejects folded lines and lines that do not begin with a field name.
 func readFields(raw []byte) (http.Header, error) {
 	header := make(http.Header, bytes.Count(raw, []byte{'\n'}))
 	for line := range bytes.SplitSeq(raw, []byte{'\n'}) {
@@ -100,7 +100,7 @@
 		}
 		name, value, found := bytes.Cut(line, []byte{':'})
 		if !found || !isToken(name) || bytes.IndexByte(value, '\r') >= 0 {
-			return nil, fault.New(fault.BadRequest, "a line of the header is no field")
+			return nil, fault.New(fault.BadRequest, "header contains a malformed line")
 		}
 		key := textproto.CanonicalMIMEHeaderKey(string(name))
 		header[key] = append(header[key], string(bytes.Trim(value, " \t")))
@@ -108,16 +108,16 @@
 	return header, nil
 }
 
-// checkFraming refuses a request whose end is in doubt.
+// checkFraming rejects a request whose header leaves the length of the body ambiguous.
 func checkFraming(header http.Header) error {
 	lengths, codings := header["Content-Length"], header["Transfer-Encoding"]
 	switch {
 	case len(lengths) > 1, len(lengths) == 1 && !isNumber(lengths[0]):
-		return fault.New(fault.BadRequest, "want one Content-Length, a number")
+		return fault.New(fault.BadRequest, "Content-Length is not a single decimal number")
 	case len(codings) > 0 && len(lengths) > 0:
-		return fault.New(fault.BadRequest, "Transfer-Encoding beside Content-Length")
+		return fault.New(fault.BadRequest, "both Transfer-Encoding and Content-Length are set")
 	case len(codings) > 1, len(codings) == 1 && !strings.EqualFold(codings[0], "chunked"):
-		return fault.New(fault.BadRequest, "want chunked alone as Transfer-Encoding")
+		return fault.New(fault.BadRequest, "Transfer-Encoding is not chunked alone")
 	}
 	return nil
 }
@@ -135,7 +135,7 @@
 	return len(name) > 0
 }
 
-// hasToken reports whether a field with a list of tokens contains a token.
+// hasToken reports whether the values of a field, each a comma-separated list, contain a token.
 func hasToken(values []string, token string) bool {
 	for _, value := range values {
 		for element := range strings.SplitSeq(value, ",") {
--- a/internal/proxy/responsewriter.go
+++ b/internal/proxy/responsewriter.go
@@ -15,12 +15,12 @@
 const (
 	// defaultRetryAfter is the Retry-After that a client gets if no better estimate is known.
 	defaultRetryAfter = 100 * time.Millisecond
-	// retryJitter is the fraction of a retry time by which it is made longer or shorter at random.
+	// retryJitter is the maximum fraction by which a Retry-After is lengthened or shortened at random.
 	retryJitter = 0.25
-	// minRetryAfter keeps clients from coming back before anything has changed.
+	// minRetryAfter keeps clients from retrying before anything has changed.
 	minRetryAfter = 10 * time.Millisecond
-	// maxPooledBuffer is the size of the largest buffer that is kept for another answer, in bytes.
-	maxPooledBuffer = 64 << 10
+	// maxPooledBufferBytes is the capacity of the largest buffer that is reused for another response.
+	maxPooledBufferBytes = 64 << 10
 
 	lineEnd   = "\r\n"
 	lastChunk = "0\r\n\r\n"
@@ -28,15 +28,15 @@
 
 var responseBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// responseWriter writes the one answer to a request, each part of it with one system call. Hertz's own answer is not used.
+// responseWriter writes the one response to a request, each part of it with one system call. It replaces hertz's response.
 type responseWriter struct {
 	conn      *clientConn
 	draining  *atomic.Bool
 	onError   func(fault.Kind) // nil: errors are not counted
 	attemptID string
-	// omitBody: the request is HEAD, whose answer has no body.
+	// omitBody is set for a HEAD request, whose response has no body.
 	omitBody bool
-	// closeConnection: the connection is closed after the answer.
+	// closeConnection is set if the connection is closed after the response.
 	closeConnection bool
 	started         bool
 	finished        bool
@@ -44,7 +44,7 @@
 	pending         *bytes.Buffer
 }
 
-// write writes a whole answer.
+// write writes a complete response.
 func (w *responseWriter) write(status int, header http.Header, body []byte) {
 	b := responseBuffers.Get().(*bytes.Buffer)
 	w.appendHead(b, status, header)
@@ -57,33 +57,33 @@
 	if !w.omitBody {
 		b.Write(body)
 	}
-	_ = w.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // a broken connection fails its next write
+	_ = w.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // an error also fails the next write
 	w.flush(b)
 	w.finished = w.err == nil
 }
 
-// writeJSON writes a whole answer of JSON.
+// writeJSON writes a complete response with a JSON body.
 func (w *responseWriter) writeJSON(status int, body []byte) {
 	w.write(status, http.Header{"Content-Type": {"application/json"}}, body)
 }
 
-// beginStream prepares the head of a stream, which is written with the first events.
+// beginStream prepares the head of a streaming response, which is written together with the first events.
 func (w *responseWriter) beginStream(status int, header http.Header, deadline time.Time) {
 	w.started = true
 	w.pending = responseBuffers.Get().(*bytes.Buffer)
 	w.appendHead(w.pending, status, header)
 	w.pending.WriteString("Transfer-Encoding: chunked\r\n\r\n")
-	_ = w.conn.SetWriteDeadline(deadline) // a broken connection fails its next write
+	_ = w.conn.SetWriteDeadline(deadline) // an error also fails the next write
 }
 
-// writeEvents writes more of a stream.
+// writeEvents writes further events of a stream.
 func (w *responseWriter) writeEvents(events []byte) {
 	b := w.takePending()
 	appendChunk(b, events)
 	w.flush(b)
 }
 
-// endStream writes the last events of a whole stream, and its end.
+// endStream writes the last events of a complete stream and the terminating chunk.
 func (w *responseWriter) endStream(events []byte) {
 	b := w.takePending()
 	appendChunk(b, events)
@@ -92,7 +92,7 @@
 	w.finished = w.err == nil
 }
 
-// takePending returns the head of a stream that was not written yet, or an empty buffer.
+// takePending returns the buffer with the head of the stream if that is not written yet, and an empty buffer otherwise.
 func (w *responseWriter) takePending() *bytes.Buffer {
 	b := w.pending
 	w.pending = nil
@@ -114,7 +114,7 @@
 	b.WriteString(lineEnd)
 }
 
-// appendHead appends the status line and the fields, except those that state the length of the body.
+// appendHead appends the status line and the header fields, except those for the length of the body.
 func (w *responseWriter) appendHead(b *bytes.Buffer, status int, header http.Header) {
 	if w.draining.Load() {
 		w.closeConnection = true
@@ -144,23 +144,24 @@
 	b.WriteString(lineEnd)
 }
 
-// flush writes a part of the answer to the connection.
+// flush writes a part of the response to the connection and returns the buffer to the pool. After an error it writes
+// nothing.
 func (w *responseWriter) flush(b *bytes.Buffer) {
 	w.started = true
 	if w.err == nil {
 		_, w.err = w.conn.TCPConn.Write(b.Bytes())
 	}
-	if b.Cap() <= maxPooledBuffer {
+	if b.Cap() <= maxPooledBufferBytes {
 		b.Reset()
 		responseBuffers.Put(b)
 	}
 }
 
-// Write is not used: hertz has nothing to write.
+// Write discards p: hertz has nothing to write, because responses are written to the connection directly.
 func (w *responseWriter) Write(p []byte) (int, error) { return len(p), nil }
 
-// Flush has nothing to do: all is written at once.
+// Flush does nothing: each part of a response is written immediately.
 func (w *responseWriter) Flush() error { return nil }
 
-// Finalize has nothing to do: what is unfinished ends with its connection.
+// Finalize does nothing: server.endRequest closes the connection of an unfinished response.
 func (w *responseWriter) Finalize() error { return nil }
--- a/internal/proxy/retry.go
+++ b/internal/proxy/retry.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// maxRefusals is how many full backends may refuse one request. They have not run it, so they do not count against the
-	// attempts of the route, which bound on how many backends a request runs; but each refusal costs time.
+	// maxRefusals is how many full backends may refuse one request. Refusals do not count against the route's maximum
+	// number of attempts, which bounds how many backends execute a request; but each refusal costs time.
 	maxRefusals = 2
-	// maxMisses is how many backends may be unreachable, or other ones than expected, for one request.
-	maxMisses = 3
-	// minAttemptTime must be left for an attempt.
+	// maxUnreached is how many attempts per request may find a backend unreachable, or another instance at its address.
+	maxUnreached = 3
+	// minAttemptTime is the minimum time until the deadline that an attempt needs.
 	minAttemptTime = 5 * time.Millisecond
-	// retryLatencyFraction of the route's target latency must be left for an attempt after one that ran: an attempt that
-	// cannot be answered in time would be useless load.
+	// retryLatencyFraction is the fraction of the route's target latency that must remain until the deadline for a retry
+	// of a request that may have been executed: a retry that cannot complete in time would be useless load.
 	retryLatencyFraction = 0.5
 )
 
-// checkRetry returns nil if the request may be sent (again), else the error to answer.
+// checkRetry returns nil if the request may be sent, for the first time or again, and otherwise the error for the client.
 func (e *exchange) checkRetry(ctx context.Context) error {
 	switch {
 	case ctx.Err() != nil:
-		return errClientLeft
+		return errClientDisconnected
 	case e.executed >= e.maxExecutions():
 		return e.exhaustedError()
 	case time.Until(e.request.Deadline) < e.minTimeLeft():
 		e.lastTimedOut = true
 		return e.exhaustedError()
-	case e.refusals >= maxRefusals, e.misses >= maxMisses:
+	case e.refusals >= maxRefusals, e.unreached >= maxUnreached:
 		return e.exhaustedError()
 	case !e.requiresProof:
 		return nil
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// maxExecutions returns how many attempts may run.
+// maxExecutions returns how many attempts may be executed.
 func (e *exchange) maxExecutions() int {
 	if !e.route.Repeatable() {
 		return 1
@@ -54,7 +54,7 @@
 	return max(e.route.MaxAttempts, 1)
 }
 
-// minTimeLeft returns how much time must be left for the next attempt.
+// minTimeLeft returns how much time must remain until the deadline for the next attempt.
 func (e *exchange) minTimeLeft() time.Duration {
 	if e.executed == 0 {
 		return minAttemptTime
@@ -62,12 +62,12 @@
 	return max(minAttemptTime, time.Duration(retryLatencyFraction*float64(e.route.TargetLatency)))
 }
 
-// recordFailure counts a failed attempt.
+// recordFailure counts a failed attempt by whether it reached the backend and may have been executed.
 func (e *exchange) recordFailure(f *forward.Failure) {
 	e.lastTimedOut = f.TimedOut
 	switch {
 	case f.Outcome == forward.NotSent, f.Status == http.StatusMisdirectedRequest:
-		e.misses++
+		e.unreached++
 	case f.Outcome == forward.NotExecuted:
 		e.refusals++
 	default:
@@ -75,38 +75,39 @@
 	}
 }
 
-// refusalError returns the error of a request that admission refuses.
+// refusalError returns the error for a request that admission refuses.
 func (e *exchange) refusalError(r *admission.Refusal) error {
-	overloaded := fault.New(fault.Overloaded, "no backend of %s takes more", e.service)
+	overloaded := fault.New(fault.Overloaded, "no backend of service %s has free capacity", e.service)
 	return e.errorUnlessExecuted(&retryAfterError{error: overloaded, after: r.RetryAfter})
 }
 
-// exhaustedError returns the error of a request for which no further attempt is allowed.
+// exhaustedError returns the error for a request for which no further attempt is allowed.
 func (e *exchange) exhaustedError() error {
-	return e.errorUnlessExecuted(fault.New(fault.Overloaded, "no backend of %s has taken the request", e.service))
+	return e.errorUnlessExecuted(fault.New(fault.Overloaded, "no backend of service %s accepted the request", e.service))
 }
 
-// errorUnlessExecuted returns an error which promises that the request has not run, unless it may have run: then one without
-// that promise.
+// errorUnlessExecuted returns notExecuted, an error which promises that the request was not executed. If the request may
+// have been executed, it returns an error without that promise.
 func (e *exchange) errorUnlessExecuted(notExecuted error) error {
 	switch {
 	case e.executed == 0:
 		return notExecuted
 	case e.lastTimedOut:
-		return fault.New(fault.UpstreamTimeout, "no answer of %s in time", e.service)
+		return fault.New(fault.UpstreamTimeout, "no response from service %s before the deadline", e.service)
 	default:
-		return fault.New(fault.UpstreamFailed, "the answer of %s broke off", e.service)
+		return fault.New(fault.UpstreamFailed, "no complete response from service %s", e.service)
 	}
 }
 
-// recordBreakOff ends an attempt whose answer broke off.
-func (e *exchange) recordBreakOff(a *attempt, err error) {
+// recordInterruption ends an attempt whose response was interrupted.
+func (e *exchange) recordInterruption(a *attempt, err error) {
 	failure := failureOf(err)
 	a.end(outcomeOf(failure))
 	e.recordFailure(failure)
 }
 
-// failureOf returns an error of reading an answer as a failure.
+// failureOf converts an error of reading a response to a failure. An error that is not a *forward.Failure means that the
+// request may have been executed.
 func failureOf(err error) *forward.Failure {
 	var failure *forward.Failure
 	if errors.As(err, &failure) {
@@ -115,7 +116,7 @@
 	return &forward.Failure{Outcome: forward.MayHaveRun, Err: err}
 }
 
-// outcomeOf returns what a failure says about the backend, for admission.
+// outcomeOf returns the outcome that admission records for an attempt with a failure.
 func outcomeOf(f *forward.Failure) admission.Outcome {
 	switch {
 	case f.Cancelled, errors.Is(f.Err, upstream.ErrTooManyConnections), errors.Is(f.Err, upstream.ErrClosed):
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// answerReserve is subtracted from the time that a client waits: the answer has to reach it by then.
-	answerReserve = 5 * time.Millisecond
+	// responseMargin is subtracted from the client's timeout: the response has to reach the client before it expires.
+	responseMargin = 5 * time.Millisecond
 
-	// quotaWaitFraction of a route's target latency is how long a request may wait for the quota of its tenant: a refusal
-	// within a quarter of the target costs less.
+	// quotaWaitFraction is the fraction of a route's target latency for which a request may wait for the quota of its
+	// tenant: a rejection within a quarter of the target latency costs less than a later one.
 	quotaWaitFraction = 0.2
 )
 
-// serve answers a client's request, which has been read whole.
+// serve answers a client's request, which has been read completely.
 func (p *Proxy) serve(ctx context.Context, r *request, w *responseWriter) {
 	if len(r.header["Host"]) != 1 {
 		w.closeConnection = true
-		w.writeError(fault.New(fault.BadRequest, "want one Host"))
+		w.writeError(fault.New(fault.BadRequest, "request does not have exactly one Host header"))
 		return
 	}
-	if isBatchCall(r.path) {
-		p.serveBatchCall(ctx, r, w)
+	if isBatchRequest(r.path) {
+		p.serveBatchRequest(ctx, r, w)
 		return
 	}
 	route, tenant, err := p.routeRequest(r)
@@ -43,7 +43,8 @@
 	p.serveWithinQuota(ctx, r, w, route, tenant)
 }
 
-// routeRequest returns the route of a request, and the tenant whose key it carries; nil where the route needs none.
+// routeRequest returns the route of a request and the tenant whose API key it carries. The tenant is nil if the route
+// needs no key.
 func (p *Proxy) routeRequest(r *request) (*configuration.Route, *configuration.Tenant, error) {
 	snapshot, err := p.snapshot()
 	if err != nil {
@@ -58,7 +59,7 @@
 		return nil, nil, err
 	}
 	if r.attemptID == "" {
-		return nil, nil, fault.New(fault.BadRequest, "%s is missing", forward.HeaderAttemptID)
+		return nil, nil, fault.New(fault.BadRequest, "header %s is missing", forward.HeaderAttemptID)
 	}
 	return route, tenant, nil
 }
@@ -68,7 +69,7 @@
 	ctx context.Context, r *request, w *responseWriter, route *configuration.Route, tenant *configuration.Tenant,
 ) {
 	if tenant == nil || p.options.Quota == nil {
-		p.exchange(ctx, r, w, route, tenant)
+		p.runExchange(ctx, r, w, route, tenant)
 		return
 	}
 	limited := quota.WithMaxWait(ctx, time.Duration(quotaWaitFraction*float64(route.TargetLatency)))
@@ -76,13 +77,13 @@
 		w.writeError(err)
 		return
 	}
-	if executed := p.exchange(ctx, r, w, route, tenant); !executed {
+	if executed := p.runExchange(ctx, r, w, route, tenant); !executed {
 		p.options.Quota.Refund(tenant)
 	}
 }
 
-// exchange sends a request to backends and answers it. It reports whether the request may have run.
-func (p *Proxy) exchange(
+// runExchange sends a request to backends and writes the response. It reports whether the request may have been executed.
+func (p *Proxy) runExchange(
 	ctx context.Context, r *request, w *responseWriter, route *configuration.Route, tenant *configuration.Tenant,
 ) bool {
 	service := route.Choose(rand.Float64())
@@ -116,16 +117,17 @@
 func (p *Proxy) snapshot() (*configuration.Snapshot, error) {
 	snapshot := p.options.Configuration()
 	if snapshot == nil {
-		return nil, fault.New(fault.NotReady, "there is no configuration yet")
+		return nil, fault.New(fault.NotReady, "no configuration is known yet")
 	}
 	return snapshot, nil
 }
 
-// deadline returns when the answer must be complete, by the time that the client waits and the timeout of the route.
+// deadline returns when the response must be complete: after the client's timeout or that of the route, whichever is
+// shorter.
 func (r *request) deadline(route *configuration.Route) time.Time {
-	patience := r.patience(maxPatience)
+	timeout := r.clientTimeout(maxClientTimeout)
 	if route.Timeout > 0 {
-		patience = min(patience, route.Timeout)
+		timeout = min(timeout, route.Timeout)
 	}
-	return r.startedAt.Add(patience - answerReserve)
+	return r.startedAt.Add(timeout - responseMargin)
 }
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -23,16 +23,17 @@
 )
 
 const (
-	// Bounds on what is read of a request at all, in bytes. Those of the configuration are checked once it has been read.
-	maxHeaderRead = 64 << 10
-	maxBodyRead   = 32 << 20
-	// readBufferSize is the size of the buffers that requests are read into, in bytes.
+	// Bounds on the bytes that are read of a request. The lower limits of the configuration are checked after it has been
+	// read.
+	maxHeaderReadBytes = 64 << 10
+	maxBodyReadBytes   = 32 << 20
+	// readBufferSize is the size in bytes of the buffers that requests are read into.
 	readBufferSize = 4 << 10
-	// hertzTimeout is the timeout that hertz is given, longer than any. clientConn decides about timeouts.
+	// hertzTimeout is the timeout that hertz is given. It is longer than any other: clientConn enforces the timeouts.
 	hertzTimeout = time.Hour
 )
 
-// defaultLimits hold before there is a configuration.
+// defaultLimits apply before a configuration is known, and to limits that it does not set.
 var defaultLimits = configuration.Limits{
 	MaxHeaderBytes: 16 << 10,
 	MaxBodyBytes:   4 << 20,
@@ -40,43 +41,43 @@
 	IdleTimeout:    15 * time.Second,
 }
 
-// muteHertzLog keeps hertz from logging each client that breaks off.
+// muteHertzLog keeps hertz from logging each client that disconnects.
 var muteHertzLog sync.Once
 
-// handler answers a request. An answer that it leaves unfinished ends with its connection.
+// handler answers a request. If it leaves the response unfinished, the connection is closed.
 type handler func(ctx context.Context, r *request, w *responseWriter)
 
-// serverOptions set up a server.
+// serverOptions configure a server.
 type serverOptions struct {
 	listener *net.TCPListener
 	handle   handler
-	// maxConnections bounds the connections at one time.
+	// maxConnections is the maximum number of concurrent connections.
 	maxConnections int
-	// limits returns the limits of clients, as of now.
+	// limits returns the current limits for clients.
 	limits func() configuration.Limits
-	// draining: connections are closed after the present answer.
+	// draining, if true, makes each response close its connection.
 	draining *atomic.Bool
-	// onError, if set, is called with the kind of each error that is answered.
+	// onError, if set, is called with the kind of each error response.
 	onError func(fault.Kind)
 	log     *zap.Logger
 }
 
-// server accepts clients' connections and serves the requests that come over them. At the bound on connections, the one that
-// has been idle longest makes room; if none is idle, the new one is refused.
+// server accepts client connections and serves the requests that arrive on them. When maxConnections is reached, it
+// closes the connection that has been idle longest to accept a new one; if none is idle, it refuses the new one.
 type server struct {
 	serverOptions
 	hertz    *http1.Server
 	contexts sync.Pool // of hertz
-	// finishing: connections are closed after the request that they carry.
+	// finishing is set when the listener has been closed: connections are closed as soon as they are idle.
 	finishing atomic.Bool
 
 	mutex sync.Mutex
 	conns map[*clientConn]struct{}
-	// drained, if set, is closed when there is no connection left.
+	// drained, if not nil, is closed when no connection is left.
 	drained chan struct{}
 }
 
-// newServer returns a server. Nothing is accepted before serve is called.
+// newServer returns a server, which accepts no connection before serve is called.
 func newServer(options serverOptions) *server {
 	s := &server{serverOptions: options, conns: map[*clientConn]struct{}{}}
 	muteHertzLog.Do(func() { hlog.SetLevel(hlog.LevelFatal) })
@@ -86,8 +87,8 @@
 	s.hertz.Option = http1.Option{
 		NoDefaultServerHeader:        true,
 		DisablePreParseMultipartForm: true,
-		MaxRequestBodySize:           maxBodyRead,
-		MaxHeaderBytes:               maxHeaderRead,
+		MaxRequestBodySize:           maxBodyReadBytes,
+		MaxHeaderBytes:               maxHeaderReadBytes,
 		IdleTimeout:                  hertzTimeout,
 		ReadTimeout:                  hertzTimeout,
 	}
@@ -105,10 +106,10 @@
 	return transport.ListenAndServe(s.serveConnection)
 }
 
-// serveConnection serves the requests of one connection, until that ends.
+// serveConnection serves the requests of one connection until the connection ends.
 func (s *server) serveConnection(ctx context.Context, conn any) error {
 	client := connOf(ctx)
-	defer func() { _ = client.Close() }() // a broken connection ends in any case
+	defer func() { _ = client.Close() }() // an error does not matter: the connection is not used any more
 	err := s.hertz.Serve(ctx, conn.(network.Conn))
 	if err != nil && !errors.Is(err, hertzerrors.ErrShortConnection) && !errors.Is(err, hertzerrors.ErrIdleTimeout) {
 		client.discardUnread()
@@ -116,13 +117,13 @@
 	return err
 }
 
-// IsRunning reports to hertz that connections are kept. Answers during a drain close theirs by themselves.
+// IsRunning tells hertz to keep connections open. During a drain, responses close their connections themselves.
 func (s *server) IsRunning() bool { return true }
 
 // GetCtxPool returns the pool of contexts for hertz.
 func (s *server) GetCtxPool() *sync.Pool { return &s.contexts }
 
-// GetTracer returns none: tracing is off.
+// GetTracer returns nil: tracing is off.
 func (s *server) GetTracer() tracer.Controller { return nil }
 
 // ServeHTTP answers a request that hertz has read.
@@ -147,16 +148,16 @@
 	w.closeConnection = r.closeConnection
 	s.handle(ctx, r, w)
 	if !w.finished && ctx.Err() == nil {
-		w.writeErrorIfNotStarted(fault.New(fault.Internal, "no answer"))
+		w.writeErrorIfNotStarted(fault.New(fault.Internal, "request handler wrote no response"))
 	}
 }
 
-// endRequest has hertz close the connection where that is due. After an unfinished answer it is closed here, so that the
-// answer does not look complete. Hertz gets no error: after an error it would release its buffers while its read that detects
-// whether the client leaves goes on.
+// endRequest has hertz close the connection if the response asked for it. After an unfinished response, endRequest closes
+// the connection itself, so that the response does not look complete. It does not report this to hertz as an error: after
+// an error, hertz would release its buffers while its disconnect watch still reads into them.
 func (s *server) endRequest(c *app.RequestContext, conn *clientConn, w *responseWriter) {
 	if !w.finished {
-		_ = conn.Close() // it ends in any case
+		_ = conn.Close() // an error does not matter: the connection is not used any more
 	}
 	if w.closeConnection || !w.finished {
 		c.SetConnectionClose()
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -13,15 +13,15 @@
 )
 
 func TestRequestsOverOneConnection(t *testing.T) {
-	b := startBackend(t, hold(whole(200, sealField, "answer")))
-	s := startTier(t, nil, b)
+	b := startBackend(t, replyAndKeepOpen(responseText(200, sealField, "answer")))
+	s := startTestProxy(t, nil, b)
 	c := s.connect(t)
 	for range 3 {
 		c.send(t, requestText("/many/x?y=%20z", "X-Kept: 1\r\n", "body"))
 		a := c.read(t)
 		if a.StatusCode != 200 || a.body != "answer" || a.Header.Get(forward.HeaderResponseSeal) != testSeal ||
 			a.Header.Get(forward.HeaderAttemptID) != testID {
-			t.Fatalf("answer %d %q %v", a.StatusCode, a.body, a.Header)
+			t.Fatalf("response: got %d %q %v, want 200 \"answer\" with seal %q and id %q", a.StatusCode, a.body, a.Header, testSeal, testID)
 		}
 		r := <-b.requests
 		if r.Method != "POST" || r.RequestURI != "/many/x?y=%20z" || r.Host != testHost || r.body != "body" ||
@@ -32,24 +32,24 @@
 }
 
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
-	b := startBackend(t, func(b *backend, r received, conn net.Conn) bool { return ok(r.body)(b, r, conn) })
-	s := startTier(t, nil, b)
+	b := startBackend(t, func(b *backend, r received, conn net.Conn) bool { return okReply(r.body)(b, r, conn) })
+	s := startTestProxy(t, nil, b)
 	c := s.connect(t)
 	c.send(t, requestText("/many/x", "", "one")+requestText("/many/x", "", "two")+requestText("/many/x", "", "three"))
 	for _, want := range []string{"one", "two", "three"} {
 		if a := c.read(t); a.StatusCode != 200 || a.body != want {
-			t.Errorf("answer: got %d %q, want %q", a.StatusCode, a.body, want)
+			t.Errorf("response: got %d %q, want 200 %q", a.StatusCode, a.body, want)
 		}
 	}
 }
 
 func TestBodyInChunks(t *testing.T) {
-	b := startBackend(t, ok("answer"))
-	s := startTier(t, nil, b)
+	b := startBackend(t, okReply("answer"))
+	s := startTestProxy(t, nil, b)
 	text := strings.Replace(requestText("/many/x", "Transfer-Encoding: chunked\r\n", ""), "Content-Length: 0\r\n", "", 1)
-	a := s.ask(t, text+chunk("bo")+chunk("dy")+lastChunk)
+	a := s.roundTrip(t, text+chunk("bo")+chunk("dy")+lastChunk)
 	if r := <-b.requests; a.StatusCode != 200 || r.body != "body" || r.ContentLength != 4 || len(r.TransferEncoding) > 0 {
-		t.Errorf("answer %d, the backend received %q %v", a.StatusCode, r.body, r.Header)
+		t.Errorf("got status %d, and the backend received %q %v; want 200 and \"body\" with Content-Length 4", a.StatusCode, r.body, r.Header)
 	}
 }
 
@@ -61,8 +61,8 @@
 	} {
 		for _, path := range []string{"/once/x", "/many/x", "/stream/x"} {
 			t.Run(name+path, func(t *testing.T) {
-				b := startBackend(t, hold(""))
-				s := startTier(t, nil, b)
+				b := startBackend(t, replyAndKeepOpen(""))
+				s := startTestProxy(t, nil, b)
 				c := s.connect(t)
 				c.send(t, requestText(path, "", ""))
 				wait(t, b.requests, "request")
@@ -77,8 +77,8 @@
 }
 
 func TestClientThatLeavesWithinAStreamEndsTheAttempt(t *testing.T) {
-	b := startBackend(t, hold(streamHead+chunk(firstEvent)))
-	s := startTier(t, nil, b)
+	b := startBackend(t, replyAndKeepOpen(streamHead+chunk(firstEvent)))
+	s := startTestProxy(t, nil, b)
 	c := s.connect(t)
 	c.send(t, requestText("/resume/x", "", ""))
 	response, err := http.ReadResponse(c.reader, nil)
@@ -87,15 +87,15 @@
 	}
 	event := make([]byte, len(firstEvent))
 	if _, err := io.ReadFull(response.Body, event); err != nil || string(event) != firstEvent {
-		t.Errorf("read %q, %v", event, err)
+		t.Errorf("event: got %q, %v, want %q", event, err, firstEvent)
 	}
 	c.Close()
 	wait(t, b.closed, "end of the backend's connection")
 }
 
 func TestBodyCutShortIsNotSent(t *testing.T) {
-	b := startBackend(t, ok(""))
-	s := startTier(t, nil, b)
+	b := startBackend(t, okReply(""))
+	s := startTestProxy(t, nil, b)
 	for _, text := range []string{
 		requestText("/many/x", "", "body")[:len(requestText("/many/x", "", "body"))-1],
 		strings.Replace(requestText("/many/x", "Transfer-Encoding: chunked\r\n", ""), "Content-Length: 0\r\n", "", 1) + chunk("body"),
@@ -105,7 +105,7 @@
 		c.send(t, text)
 		c.CloseWrite()
 		if rest, err := io.ReadAll(c.reader); err != nil || strings.Contains(string(rest), " 200 ") {
-			t.Errorf("answer %q, %v", rest, err)
+			t.Errorf("response: got %q, %v, want no success", rest, err)
 		}
 	}
 	if n := len(b.requests); n > 0 {
@@ -114,8 +114,8 @@
 }
 
 func TestAmbiguousRequestsAreRefused(t *testing.T) {
-	b := startBackend(t, ok(""))
-	s := startTier(t, nil, b)
+	b := startBackend(t, okReply(""))
+	s := startTestProxy(t, nil, b)
 	const line, usual = "POST /many/x HTTP/1.1\r\n", "Host: h.example\r\nNickelline-Attempt-Id: 1\r\nAuthorization: Bearer k1\r\n"
 	for name, text := range map[string]string{
 		"two lengths":                 line + usual + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nbody5",
@@ -153,20 +153,20 @@
 }
 
 func TestSizesAreLimited(t *testing.T) {
-	b := startBackend(t, ok(""))
-	s := startTier(t, nil, b)
+	b := startBackend(t, okReply(""))
+	s := startTestProxy(t, nil, b)
 	for text, want := range map[string]int{
 		requestText("/many/x", "X-Long: "+strings.Repeat("x", 16384)+"\r\n", ""): http.StatusRequestHeaderFieldsTooLarge,
 		requestText("/many/x", "", strings.Repeat("x", 65537)):                   http.StatusRequestEntityTooLarge,
 	} {
-		if a := s.ask(t, text); a.StatusCode != want {
+		if a := s.roundTrip(t, text); a.StatusCode != want {
 			t.Errorf("status: got %d, want %d", a.StatusCode, want)
 		}
 	}
 }
 
 func TestIdleConnectionIsClosedWithoutAnAnswer(t *testing.T) {
-	s := startTier(t, nil, startBackend(t, hold(whole(200, sealField, ""))))
+	s := startTestProxy(t, nil, startBackend(t, replyAndKeepOpen(responseText(200, sealField, ""))))
 	s.setLimits(func(l *configuration.Limits) { l.IdleTimeout = 50 * time.Millisecond })
 	fresh, used := s.connect(t), s.connect(t)
 	used.send(t, requestText("/many/x", "", ""))
@@ -176,16 +176,16 @@
 }
 
 func TestRequestThatDoesNotComeWholeIsTimedOut(t *testing.T) {
-	s := startTier(t, nil, startBackend(t, ok("")))
+	s := startTestProxy(t, nil, startBackend(t, okReply("")))
 	s.setLimits(func(l *configuration.Limits) { l.HeaderTimeout = 50 * time.Millisecond })
-	if a := s.ask(t, "POST /many/x HTT"); a.StatusCode != http.StatusRequestTimeout {
+	if a := s.roundTrip(t, "POST /many/x HTT"); a.StatusCode != http.StatusRequestTimeout {
 		t.Errorf("status: got %d, want %d", a.StatusCode, http.StatusRequestTimeout)
 	}
 }
 
 func TestFullProxyClosesTheConnectionIdleLongest(t *testing.T) {
-	b := startBackend(t, hold(""))
-	s := startTier(t, func(o *Options) { o.Connections = 2 }, b)
+	b := startBackend(t, replyAndKeepOpen(""))
+	s := startTestProxy(t, func(o *Options) { o.Connections = 2 }, b)
 	busy, idle := s.connect(t), s.connect(t)
 	busy.send(t, requestText("/many/x", "", ""))
 	wait(t, b.requests, "request")
@@ -193,8 +193,8 @@
 	next.send(t, requestText("/many/x", "", ""))
 	wait(t, b.requests, "request")
 	idle.expectClosed(t)
-	// Nothing waits now.
-	if a := s.ask(t, requestText("/many/x", "", "")); a.StatusCode != http.StatusServiceUnavailable {
+	// No connection is idle any more, so the next one is refused.
+	if a := s.roundTrip(t, requestText("/many/x", "", "")); a.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("status: got %d, want %d", a.StatusCode, http.StatusServiceUnavailable)
 	}
 }
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -6,10 +6,10 @@
 	"nickelline/internal/fault"
 )
 
-// counters count the outcomes of clients' requests since the start.
+// counters count the outcomes of client requests since the start.
 type counters struct {
-	errors    map[fault.Kind]*atomic.Uint64 // answers of the proxy itself, by kind; the map is not changed
-	delivered atomic.Uint64
+	errors    map[fault.Kind]*atomic.Uint64 // error responses of the proxy itself, by kind; the map is read-only
+	delivered atomic.Uint64                 // responses of backends
 	attempts  atomic.Uint64
 	retries   atomic.Uint64
 }
@@ -22,25 +22,26 @@
 	return c
 }
 
-// recordAttempt counts an attempt after some earlier ones of the same request.
-func (c *counters) recordAttempt(before int) {
+// recordAttempt counts an attempt for a request that has been attempted a number of times before.
+func (c *counters) recordAttempt(previous int) {
 	c.attempts.Add(1)
-	if before > 0 {
+	if previous > 0 {
 		c.retries.Add(1)
 	}
 }
 
-// Stats are the metrics of a proxy since its start.
+// Stats are counters of a proxy since its start.
 type Stats struct {
-	// Faults counts the proxy's own answers to requests, by kind.
+	// Faults counts the proxy's own error responses, by kind.
 	Faults map[fault.Kind]uint64
-	// Passed counts answers of backends that clients got.
+	// Passed counts the responses of backends that were delivered to clients.
 	Passed uint64
-	// Attempts counts sends to backends, Retries those of them that were not the first for their request.
+	// Attempts counts the attempts to send a request to a backend, Retries those that were not the first for their
+	// request.
 	Attempts, Retries uint64
 }
 
-// Stats returns the metrics of the proxy.
+// Stats returns the counters of the proxy.
 func (p *Proxy) Stats() Stats {
 	stats := Stats{
 		Faults:   make(map[fault.Kind]uint64, len(p.counters.errors)),
--- a/internal/proxy/stats_test.go
+++ b/internal/proxy/stats_test.go
@@ -13,7 +13,7 @@
 	"nickelline/internal/fault"
 )
 
-// recordedLoads records in which order a request has loads refreshed, is admitted and is announced.
+// recordedLoads records the order in which loads are refreshed, a backend is selected and a request is announced.
 type recordedLoads struct {
 	mutex sync.Mutex
 	steps []string
@@ -31,7 +31,7 @@
 func TestLoadsAreRefreshedBeforeEachSelectionAndAnnouncedAfterIt(t *testing.T) {
 	var loads recordedLoads
 	refuse := false
-	s := startTier(t, func(o *Options) {
+	s := startTestProxy(t, func(o *Options) {
 		selector := o.Selector
 		o.Loads = &loads
 		o.Selector = SelectorFunc(func(service string, now time.Time, r admission.Request) (discovery.Backend, Ticket, *admission.Refusal) {
@@ -41,7 +41,7 @@
 			}
 			return selector.Select(service, now, r)
 		})
-	}, startBackend(t, ok("fine")))
+	}, startBackend(t, okReply("fine")))
 	if a := s.post(t, "/many/1"); a.StatusCode != http.StatusOK {
 		t.Fatalf("status: got %d, want %d", a.StatusCode, http.StatusOK)
 	}
@@ -55,8 +55,8 @@
 }
 
 func TestStatsCountRequests(t *testing.T) {
-	failing := startBackend(t, text(whole(http.StatusInternalServerError, sealField, "no")))
-	s := startTier(t, nil, failing, startBackend(t, ok("fine")))
+	failing := startBackend(t, replyAndClose(responseText(http.StatusInternalServerError, sealField, "no")))
+	s := startTestProxy(t, nil, failing, startBackend(t, okReply("fine")))
 	if a := s.post(t, "/many/1"); a.StatusCode != http.StatusOK {
 		t.Fatalf("status: got %d, want %d", a.StatusCode, http.StatusOK)
 	}
@@ -65,7 +65,7 @@
 	}
 	stats := s.Stats()
 	if stats.Attempts != 2 || stats.Retries != 1 || stats.Passed != 1 {
-		t.Errorf("Stats: got %+v", stats)
+		t.Errorf("Stats: got %+v, want Attempts 2, Retries 1, Passed 1", stats)
 	}
 	for kind, count := range stats.Faults {
 		want := uint64(0)
@@ -73,7 +73,7 @@
 			want = 1
 		}
 		if count != want {
-			t.Errorf("answers of kind %v: got %d, want %d", kind, count, want)
+			t.Errorf("error responses of kind %v: got %d, want %d", kind, count, want)
 		}
 	}
 }
--- a/internal/proxy/streaming.go
+++ b/internal/proxy/streaming.go
@@ -11,17 +11,17 @@
 	"nickelline/internal/forward"
 )
 
-// maxEventBatch is the number of bytes of events from which on they are written, however many more have come.
-const maxEventBatch = 32 << 10
+// maxEventBatchBytes is the size from which on collected events are written, even if more have already arrived.
+const maxEventBatchBytes = 32 << 10
 
-var errUnsealedStream = errors.New("the stream carries no seal of the backend")
+var errUnsealedStream = errors.New("stream has no response seal of the backend")
 
-// stream passes a stream on, event by event. It reports whether that was the end; if not, the stream broke off, and may be
-// continued at another backend after the last event that was delivered.
+// stream forwards a stream event by event. It reports whether the exchange is finished; if not, the stream was
+// interrupted and may be resumed at another backend after the last event that was delivered.
 func (e *exchange) stream(ctx context.Context, a *attempt, w *responseWriter) bool {
 	defer a.response.Close()
 	if a.response.Header.Get(forward.HeaderResponseSeal) == "" {
-		e.recordBreakOff(a, errUnsealedStream)
+		e.recordInterruption(a, errUnsealedStream)
 		return false
 	}
 	e.resumedAfter = e.request.LastEventID
@@ -29,8 +29,8 @@
 	for {
 		var err error
 		events, err = e.nextEvents(a.response, events[:0])
-		ended := err == io.EOF //nolint:errorlint // the end is io.EOF itself; a Failure may wrap one
-		e.beginAnswer(a, w, len(events) > 0 || ended)
+		ended := err == io.EOF //nolint:errorlint // io.EOF itself is the end; a Failure may wrap io.EOF
+		e.beginResponse(a, w, len(events) > 0 || ended)
 		switch {
 		case ended:
 			e.executed++
@@ -46,14 +46,15 @@
 			a.end(admission.Cancelled)
 			return true
 		case err != nil:
-			e.recordBreakOff(a, err)
+			e.recordInterruption(a, err)
 			return ctx.Err() != nil || w.started && e.request.LastEventID == ""
 		}
 	}
 }
 
-// beginAnswer begins the answer once there is something to deliver. The head of the first backend is that of the whole answer.
-func (e *exchange) beginAnswer(a *attempt, w *responseWriter, hasContent bool) {
+// beginResponse starts the response to the client once there is something to deliver. A stream that several backends
+// contribute to has the response head of the first.
+func (e *exchange) beginResponse(a *attempt, w *responseWriter, hasContent bool) {
 	if !hasContent || a.started {
 		return
 	}
@@ -64,8 +65,8 @@
 	}
 }
 
-// nextEvents waits for the next event, and returns it with those that have come as well. Events that were delivered before
-// are left out.
+// nextEvents waits for the next event, and appends it and those that have already arrived to events. It skips events that
+// have been delivered before.
 func (e *exchange) nextEvents(r *forward.Response, events []byte) ([]byte, error) {
 	for {
 		event, err := r.Next()
@@ -74,17 +75,17 @@
 		}
 		if !e.isRepeated(event.ID) {
 			events = append(events, event.Raw...)
-			if event.ID != "" || len(event.Data) > 0 { // a stream cannot be continued after data without an id
+			if event.ID != "" || len(event.Data) > 0 { // a stream cannot be resumed after data without an id
 				e.request.LastEventID = event.ID
 			}
 		}
-		if !r.Ready() && len(events) > 0 || len(events) >= maxEventBatch {
+		if !r.Ready() && len(events) > 0 || len(events) >= maxEventBatchBytes {
 			return events, nil
 		}
 	}
 }
 
-// isRepeated reports whether an event of a continued stream was delivered before. Ids rise.
+// isRepeated reports whether an event of a resumed stream has been delivered before. Ids increase within a stream.
 func (e *exchange) isRepeated(id string) bool {
 	last, err := strconv.ParseInt(e.resumedAfter, 10, 64)
 	if err != nil {
