--- a/internal/admission/affinity_test.go
+++ b/internal/admission/affinity_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestSharedPrefixesStayTogether(t *testing.T) {
+func TestSharedPrefixesUseFewBackends(t *testing.T) {
 	p := newTestPool(backendsOf(9, 96, "a"))
 	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	backendsBySession := map[string]map[string]bool{}
@@ -26,7 +26,7 @@
 		total += len(backends)
 	}
 	if mean := float64(total) / float64(len(backendsBySession)); mean > 1.5 {
-		t.Errorf("a session is read by %.1f idle backends on average", mean)
+		t.Errorf("backends per session: got %.1f on average, want at most 1.5", mean)
 	}
 }
 
@@ -45,14 +45,14 @@
 }
 
 func TestSegmentMemoryIsBounded(t *testing.T) {
-	m := newSegmentMemory()
-	for i := range uint64(5 * rememberedSegments) {
+	m := newSegmentSet()
+	for i := range uint64(5 * segmentsPerGeneration) {
 		m.record(i + 1)
 	}
-	if kept := len(m.recent) + len(m.older); kept > 2*rememberedSegments {
-		t.Errorf("remembered segments: got %d, want at most %d", kept, 2*rememberedSegments)
+	if kept := len(m.recent) + len(m.older); kept > 2*segmentsPerGeneration {
+		t.Errorf("remembered segments: got %d, want at most %d", kept, 2*segmentsPerGeneration)
 	}
-	if !m.record(5 * rememberedSegments) {
-		t.Error("the last segment is not remembered")
+	if !m.record(5 * segmentsPerGeneration) {
+		t.Error("last segment: got not in the set, want in the set")
 	}
 }
--- a/internal/admission/backend.go
+++ b/internal/admission/backend.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// defaultSlots is the number of slots of a backend that is not known to have another.
+	// defaultSlots is the number of slots of a backend for which neither its list entry nor its service gives a number.
 	defaultSlots = 16
-	// forcedBlockTime is how long a backend blocks after it has refused a request.
+	// forcedBlockTime is how long a backend is blocking after it has refused a request.
 	forcedBlockTime = 500 * time.Millisecond
-	// latencyMemory is the time within which a backend's latency drifts to the mean of the pool.
-	latencyMemory = 2 * time.Second
-	// latencyGain is the weight of a new latency in a backend's smoothed one.
+	// latencyDecayTime is the time in which a backend's expected latency converges to the pool mean without new responses.
+	latencyDecayTime = 2 * time.Second
+	// latencyGain is the weight of a new sample in a backend's smoothed latency.
 	latencyGain = 0.25
-	// failurePenalty, times the failure rate, is added to 1 for the factor on the score of a backend that fails.
+	// The score of a backend is multiplied by 1 + failurePenalty x its failure rate.
 	failurePenalty = 6.0
-	// coldPenalty is the factor on the score of a cold backend.
+	// The score of a cold backend is multiplied by coldPenalty.
 	coldPenalty = 2.0
 )
 
-// backend is what the pool knows of one backend. The mutex of the pool guards it.
+// backend is the state of one backend in a pool. The mutex of the pool guards it.
 type backend struct {
 	listed        discovery.Backend
 	slots         float64
-	sameZone      bool // as the node
+	sameZone      bool // in the zone of this node
 	hash          uint64
-	coldRemaining time.Duration // by the list, before its first use
+	coldRemaining time.Duration // from the list; set to 0 on first use, when coldUntil is set
 	coldUntil     time.Time
 
 	modes        [classes]decide.Mode
@@ -36,19 +36,19 @@
 
 	// Requests of this node.
 	inFlight        int
-	batchInFlight   int       // of those, batch work
-	weight          float64   // of those in flight, by their sizes
-	unanswered      int       // of those, without the first byte of an answer
-	pending         float64   // weight of the unanswered ones
-	unansweredSince time.Time // since when none of them was answered
+	batchInFlight   int       // batch work among inFlight
+	weight          float64   // total weight of inFlight, by size
+	unanswered      int       // requests among inFlight without the first byte of a response
+	pending         float64   // total weight of unanswered
+	unansweredSince time.Time // no response has started since then, if any request is unanswered
 
 	// The last report of the backend.
-	othersInFlight float64 // requests of other nodes
-	waiting        int     // requests of all nodes
-	othersWaiting  float64 // of those, of other nodes
+	othersInFlight float64 // requests of other nodes, running or waiting
+	waiting        int     // waiting requests of all nodes
+	othersWaiting  float64 // waiting requests of other nodes
 	reportedAt     time.Time
 
-	latency   float64 // smoothed, to the first byte of an answer, s
+	latency   float64 // smoothed time to first byte, s
 	latencyAt time.Time
 
 	otherNodes otherNodesLoad
@@ -59,20 +59,22 @@
 	return &backend{listed: listed, sameZone: listed.Zone == zone, hash: hashOf(listed.ID)}
 }
 
-// update takes what a new list says of the backend, and the service's figure for slots.
-func (b *backend) update(listed discovery.Backend, slots int) {
+// update applies an entry of a new list of backends. serviceSlots is the service's number of slots for each backend; it
+// applies if the entry has none.
+func (b *backend) update(listed discovery.Backend, serviceSlots int) {
 	b.listed = listed
 	b.coldRemaining = listed.Cold
 	b.slots = defaultSlots
 	switch {
 	case listed.Slots > 0:
 		b.slots = float64(listed.Slots)
-	case slots > 0:
-		b.slots = float64(slots)
+	case serviceSlots > 0:
+		b.slots = float64(serviceSlots)
 	}
 }
 
-// cold reports whether the backend is still slow from its start. The time that the list gave runs from its first use.
+// cold reports whether the backend is still slow after its start. The cold time from the list begins with the first use of
+// the backend.
 func (b *backend) cold(now time.Time) bool {
 	if b.coldRemaining > 0 {
 		b.coldUntil = now.Add(b.coldRemaining)
@@ -81,7 +83,8 @@
 	return now.Before(b.coldUntil)
 }
 
-// nextMode updates and returns the mode of the backend for a class of requests.
+// nextMode updates the mode of the backend for a class of requests, and returns the mode in force: Blocking while a forced
+// block lasts.
 func (b *backend) nextMode(now time.Time, c class, limits thresholds, load float64) decide.Mode {
 	b.modes[c] = decide.NextMode(b.modes[c], load, limits.low, limits.high, limits.block)
 	if now.Before(b.blockedUntil) {
@@ -90,16 +93,16 @@
 	return b.modes[c]
 }
 
-// blockBriefly blocks the backend for a while, after it has reported that it is full.
+// blockBriefly makes the backend blocking for forcedBlockTime, after it has refused a request as full.
 func (b *backend) blockBriefly(now time.Time) { b.blockedUntil = now.Add(forcedBlockTime) }
 
-// expectedLatency returns the expected time to the first byte of an answer, in seconds. While requests are unanswered it
-// is at least the time since the last answer.
+// expectedLatency returns the expected time to first byte, in seconds. While requests are unanswered, it is at least the
+// time since the last first byte.
 func (b *backend) expectedLatency(now time.Time, p *Pool) float64 {
-	latency := p.latency
+	latency := p.meanLatency
 	if !b.latencyAt.IsZero() {
-		fresh := freshness(now.Sub(b.latencyAt), latencyMemory)
-		latency = fresh*b.latency + (1-fresh)*p.latency
+		fresh := freshness(now.Sub(b.latencyAt), latencyDecayTime)
+		latency = fresh*b.latency + (1-fresh)*p.meanLatency
 	}
 	if b.unanswered > 0 {
 		latency = max(latency, now.Sub(b.unansweredSince).Seconds())
@@ -107,7 +110,7 @@
 	return latency
 }
 
-// recordFirstByte takes the time to the first byte of an answer.
+// recordFirstByte records the time to first byte of a request with some weight, which is no longer unanswered.
 func (b *backend) recordFirstByte(now time.Time, latency time.Duration, weight float64) {
 	b.removeUnanswered(weight)
 	b.unansweredSince = now
@@ -118,8 +121,9 @@
 	b.latencyAt = now
 }
 
-// score returns what the selection compares: (queue + 1) x latency, more for backends that fail or are cold. Ejection
-// has already cost a backend that is due for a trial.
+// score returns the value that the selection minimizes: (queue + 1) x latency, multiplied by penalties for failures and
+// for a cold start. An ejected backend that is due for a trial has no failure penalty, since it was already penalized by
+// the ejection.
 func (b *backend) score(now time.Time, queue, latency float64) float64 {
 	score := (queue + 1) * latency
 	if !b.health.ejected {
--- a/internal/admission/candidates.go
+++ b/internal/admission/candidates.go
@@ -6,10 +6,10 @@
 	"nickelline/decide"
 )
 
-// candidate is a backend that may get the request at hand.
+// candidate is a backend that may receive the current request.
 type candidate struct {
 	backend *backend
-	latency float64 // expected, s
+	latency float64 // expected time to first byte, s
 	score   float64 // the lower, the better
 }
 
@@ -17,14 +17,14 @@
 type band int
 
 const (
-	normalNear band = iota // of the node's own zone
+	normalNear band = iota // in the zone of this node
 	normalFar
 	overloadedNear
 	overloadedFar
 	bands
 )
 
-// bandOf returns the band of a backend that is normal, or else overloaded.
+// bandOf returns the band of a backend. A backend that is not normal is overloaded.
 func bandOf(normal, sameZone bool) band {
 	b := overloadedFar
 	if normal {
@@ -36,21 +36,22 @@
 	return b
 }
 
-// scanResult is what one pass over the backends has found.
+// scanResult summarizes one pass over the backends of a pool.
 type scanResult struct {
-	usable        int     // backends that may get the request, in any mode
-	normal        int     // of those in normal mode
-	overloadDepth float64 // of those, how far they are between H and R, summed
-	excessLoad    float64 // loads over H, as multiples of H, summed
-	// localAwaitsFirstByte: a backend of the own zone is blocked for batch work only until it has answered.
+	usable        int     // backends that are neither excluded nor skipped as ejected, in any mode
+	normal        int     // candidates in normal mode
+	overloadDepth float64 // sum of the positions of usable backends between H (0) and R (1)
+	excessLoad    float64 // sum of the loads above H, as multiples of H
+	// localAwaitsFirstByte is set if a backend of the local zone takes no more batch work only because of its unanswered
+	// requests.
 	localAwaitsFirstByte bool
-	hasFreeSlots         bool // a backend has free slots, and no request waits there
+	hasFreeSlots         bool // a candidate has free slots and no waiting requests
 }
 
-// backlog returns the mean load over H, as a multiple of H.
+// backlog returns the mean load above H, as a multiple of H.
 func (s *scanResult) backlog() float64 { return s.excessLoad / float64(max(1, s.usable)) }
 
-// findCandidates sorts the backends into bands. Ejected ones are included only if there is nothing else.
+// findCandidates sorts the backends into bands. Ejected backends are included only if no other backend is usable.
 func (p *Pool) findCandidates(now time.Time, r *Request, c class) scanResult {
 	found := p.scan(now, r, c, false)
 	if found.usable == 0 {
@@ -59,7 +60,7 @@
 	return found
 }
 
-// scan sorts the backends into bands, the ejected ones only if asked to.
+// scan sorts the backends into bands. Unless includeEjected is set, it skips ejected backends that are not due for a trial.
 func (p *Pool) scan(now time.Time, r *Request, c class, includeEjected bool) scanResult {
 	found := scanResult{}
 	for i := range p.candidates {
@@ -83,7 +84,8 @@
 	return found
 }
 
-// classify finds the mode of a backend and puts it into its band.
+// classify computes the mode of a backend and appends the backend to its band. Blocking backends are in no band; for batch
+// work, neither are backends with too many unanswered requests.
 func (p *Pool) classify(now time.Time, b *backend, c class, found *scanResult) {
 	others := b.otherRequests(now, p)
 	load := b.weight + others
--- a/internal/admission/estimates.go
+++ b/internal/admission/estimates.go
@@ -3,114 +3,116 @@
 import "time"
 
 const (
-	// startupMemory is the time within which the estimate of other nodes' requests at a start falls to 0 without reports.
-	startupMemory = 2 * time.Second
-	// startupFraction of its slots is what other nodes are taken to have at a backend of a new pool.
+	// startupDecayTime is the time in which the initial estimate of other nodes' requests falls to 0.
+	startupDecayTime = 2 * time.Second
+	// startupFraction is the fraction of a backend's slots that other nodes are assumed to use when the pool is new.
 	startupFraction = 0.25
-	// initialLatency is the estimate before any answer, in seconds.
+	// initialLatency is the mean latency before the first response, in seconds.
 	initialLatency = 0.05
-	// latencyMeanGain is the weight of a new latency in the mean of the pool.
+	// latencyMeanGain is the weight of a new sample in the mean latency of the pool.
 	latencyMeanGain = 0.1
-	// uncrowdedNoise is by how much chance alone takes the mean below its true value.
-	uncrowdedNoise = 0.15
-	// uncrowdedGrowthSeconds is the time in which the uncrowded latency doubles unless it is seen again.
-	uncrowdedGrowthSeconds = 600.0
-	// minAnswers is the number of answers after which the estimates are used.
-	minAnswers = 20
-	// typicalGain is the weight of a new report in the typical load of other nodes.
-	typicalGain = 0.1
-	// typicalMemory is the time within which the typical load falls to 0 without any report.
-	typicalMemory = 1500 * time.Millisecond
-	// meanTokensGain is the weight of a request in the mean size.
+	// unloadedLatencyNoise is the fraction by which the mean latency may fall below its true value by chance.
+	unloadedLatencyNoise = 0.15
+	// unloadedLatencyGrowthSeconds is the time constant with which the unloaded latency grows until a lower mean is measured.
+	unloadedLatencyGrowthSeconds = 600.0
+	// minResponses is the number of responses from which the estimates are used.
+	minResponses = 20
+	// typicalLoadGain is the weight of a new report in the typical load of other nodes.
+	typicalLoadGain = 0.1
+	// typicalLoadDecayTime is the time in which the typical load falls to 0 without any report.
+	typicalLoadDecayTime = 1500 * time.Millisecond
+	// meanTokensGain is the weight of a new request in the mean size.
 	meanTokensGain = 0.02
-	// Bounds of a request's weight; a request of mean size weighs 1.
+	// Bounds of the weight of a request; a request of mean size has weight 1.
 	minWeight = 0.25
 	maxWeight = 4.0
-	// firstByteFractionGain is the weight of a new request in the fraction of time before the first byte.
+	// firstByteFractionGain is the weight of a new request in the mean firstByteFraction.
 	firstByteFractionGain = 0.02
-	// Below streamingFirstByteFraction answers are streams: the first byte comes well before the end.
+	// Below streamingFirstByteFraction, responses are streams: their first byte comes well before their end.
 	streamingFirstByteFraction = 0.7
 )
 
 // estimates are smoothed means over all backends of a pool.
 type estimates struct {
-	startedAt         time.Time // first request
-	answers           int
-	latency           float64 // to the first byte, s
-	uncrowded         float64 // the latency without load, s; 0: not known yet
-	uncrowdedAt       time.Time
-	typical           float64 // requests of other nodes for each slot of a backend
-	typicalAt         time.Time
-	meanTokens        float64 // of a request
-	firstByteFraction float64 // of a request's time, before the first byte of its answer
+	firstRequestAt    time.Time
+	responses         int     // responses so far
+	meanLatency       float64 // mean time to first byte, s
+	unloadedLatency   float64 // time to first byte without load, s; 0: not known yet
+	unloadedLatencyAt time.Time
+	typicalLoad       float64 // requests of other nodes per slot of a backend
+	typicalLoadAt     time.Time
+	meanTokens        float64 // mean size of a request
+	firstByteFraction float64 // mean fraction of a request's duration that precedes the first byte of the response
 }
 
 func newEstimates() estimates {
-	return estimates{latency: initialLatency, firstByteFraction: 1}
+	return estimates{meanLatency: initialLatency, firstByteFraction: 1}
 }
 
-// recordCompletion takes the times of a whole answer: to its first byte, and to its end.
+// recordCompletion records the times from the request to the first byte and to the end of a complete response.
 func (e *estimates) recordCompletion(firstByte, whole time.Duration) {
 	if whole > 0 {
 		e.firstByteFraction += firstByteFractionGain * (firstByte.Seconds()/whole.Seconds() - e.firstByteFraction)
 	}
 }
 
-// isStreaming reports whether the service's answers are streams.
+// isStreaming reports whether the responses of the service are streams.
 func (e *estimates) isStreaming() bool { return e.firstByteFraction < streamingFirstByteFraction }
 
-// backendsReportLoad reports whether backends of the service report their load themselves, as far as is known.
-func (e *estimates) backendsReportLoad() bool { return !e.typicalAt.IsZero() }
+// backendsReportLoad reports whether any backend of the service has reported its load.
+func (e *estimates) backendsReportLoad() bool { return !e.typicalLoadAt.IsZero() }
 
-// typicalOthers returns the number of requests that other nodes are estimated to have at a backend without a report.
+// typicalOthers returns the estimated number of requests of other nodes at a backend that has not reported its load.
 func (e *estimates) typicalOthers(now time.Time, slots float64) float64 {
 	if e.backendsReportLoad() {
-		return e.typical * slots * freshness(now.Sub(e.typicalAt), typicalMemory)
+		return e.typicalLoad * slots * freshness(now.Sub(e.typicalLoadAt), typicalLoadDecayTime)
 	}
-	if e.answers >= minAnswers {
-		return 0 // the service does not report its load
+	if e.responses >= minResponses {
+		return 0 // the backends do not report their load
 	}
-	return startupFraction * slots * freshness(now.Sub(e.startedAt), startupMemory)
+	return startupFraction * slots * freshness(now.Sub(e.firstRequestAt), startupDecayTime)
 }
 
-// recordOthers takes a backend's report into the typical load of other nodes.
+// recordOthers includes a backend's report in the typical load of other nodes.
 func (e *estimates) recordOthers(now time.Time, b *backend) {
 	others := b.othersInFlight / b.slots
-	if e.typicalAt.IsZero() {
-		e.typical = others
+	if e.typicalLoadAt.IsZero() {
+		e.typicalLoad = others
 	}
-	e.typical += typicalGain * (others - e.typical)
-	if now.After(e.typicalAt) {
-		e.typicalAt = now
+	e.typicalLoad += typicalLoadGain * (others - e.typicalLoad)
+	if now.After(e.typicalLoadAt) {
+		e.typicalLoadAt = now
 	}
 }
 
-// recordLatency takes a latency into the mean and into the uncrowded latency, which rises slowly and falls at once.
+// recordLatency includes a time to first byte in the mean latency, and updates the unloaded latency, which rises slowly and
+// follows a lower mean at once.
 func (e *estimates) recordLatency(now time.Time, latency time.Duration) {
-	if e.answers == 0 {
-		e.latency, e.uncrowdedAt = latency.Seconds(), now
+	if e.responses == 0 {
+		e.meanLatency, e.unloadedLatencyAt = latency.Seconds(), now
 	}
-	e.answers++
-	e.latency += latencyMeanGain * (latency.Seconds() - e.latency)
-	if e.answers < minAnswers {
+	e.responses++
+	e.meanLatency += latencyMeanGain * (latency.Seconds() - e.meanLatency)
+	if e.responses < minResponses {
 		return
 	}
-	e.uncrowded *= 1 + now.Sub(e.uncrowdedAt).Seconds()/uncrowdedGrowthSeconds
-	e.uncrowdedAt = now
-	if e.uncrowded == 0 || e.latency < e.uncrowded*(1-uncrowdedNoise) {
-		e.uncrowded = e.latency / (1 - uncrowdedNoise)
+	e.unloadedLatency *= 1 + now.Sub(e.unloadedLatencyAt).Seconds()/unloadedLatencyGrowthSeconds
+	e.unloadedLatencyAt = now
+	if e.unloadedLatency == 0 || e.meanLatency < e.unloadedLatency*(1-unloadedLatencyNoise) {
+		e.unloadedLatency = e.meanLatency / (1 - unloadedLatencyNoise)
 	}
 }
 
-// crowding returns a latency as a multiple of the uncrowded one, at least 1.
-func (e *estimates) crowding(latency float64) float64 {
-	if e.uncrowded == 0 {
+// slowdown returns a latency as a multiple of the unloaded latency, at least 1. It is 1 while that is not known.
+func (e *estimates) slowdown(latency float64) float64 {
+	if e.unloadedLatency == 0 {
 		return 1
 	}
-	return max(1, latency/e.uncrowded)
+	return max(1, latency/e.unloadedLatency)
 }
 
-// weightOf returns a request's weight by its size in tokens; one of mean size weighs 1.
+// weightOf returns the weight of a request of some size, 1 if its size is not known, and includes the size in the mean. The
+// weight is the size as a multiple of the mean.
 func (e *estimates) weightOf(tokens int) float64 {
 	if tokens <= 0 {
 		return 1
@@ -123,7 +125,7 @@
 	return clamp(size/e.meanTokens, minWeight, maxWeight)
 }
 
-// freshness returns how much of a report still counts at its age: it falls evenly from 1 to 0 within a time.
-func freshness(age, memory time.Duration) float64 {
-	return max(0, 1-max(0, age.Seconds())/memory.Seconds())
+// freshness returns the weight of a value of some age. It falls linearly from 1 to 0 within decayTime.
+func freshness(age, decayTime time.Duration) float64 {
+	return max(0, 1-max(0, age.Seconds())/decayTime.Seconds())
 }
--- a/internal/admission/hash.go
+++ b/internal/admission/hash.go
@@ -1,6 +1,6 @@
 package admission
 
-// hashOf returns the FNV-1a hash of a text with its bits mixed, without the allocations of hash/fnv.
+// hashOf returns the FNV-1a hash of a string, with its bits mixed by mix64. Unlike hash/fnv it does not allocate.
 func hashOf(text string) uint64 {
 	const offset, prime = 14695981039346656037, 1099511628211
 	hash := uint64(offset)
@@ -11,7 +11,7 @@
 	return mix64(hash)
 }
 
-// mix64 mixes the bits of a number, as the output function of splitmix64.
+// mix64 mixes the bits of a number with the output function of splitmix64.
 func mix64(z uint64) uint64 {
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
--- a/internal/admission/health_test.go
+++ b/internal/admission/health_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// fail ends some requests in a row at a backend with an outcome.
-func fail(p *Pool, b *backend, now time.Time, o Outcome, times int) {
+// recordOutcomes sends requests to a backend, one after the other, and ends each of them with an outcome.
+func recordOutcomes(p *Pool, b *backend, now time.Time, o Outcome, times int) {
 	for range times {
-		p.ticket(now, &Request{}, b).Done(now, o, nil)
+		p.newTicket(now, &Request{}, b).Done(now, o, nil)
 	}
 }
 
@@ -16,9 +16,9 @@
 	p := newTestPool(backendsOf(4, 6, "a"))
 	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	b := p.backends[0]
-	fail(p, b, at(0), Failed, maxConsecutiveFailures)
+	recordOutcomes(p, b, at(0), Failed, maxConsecutiveFailures)
 	if !b.health.ejected {
-		t.Fatal("not ejected")
+		t.Fatalf("after %d failures in a row: got not ejected, want ejected", maxConsecutiveFailures)
 	}
 	for range 100 {
 		ticket := mustPick(t, p, at(0), Request{})
@@ -32,19 +32,19 @@
 	for range 4 {
 		wait := b.health.ejectedUntil.Sub(now)
 		if wait <= last {
-			t.Errorf("ejected for %v after %v", wait, last)
+			t.Errorf("ejection time: got %v, want more than the previous one of %v", wait, last)
 		}
 		last, now = wait, b.health.ejectedUntil
-		trial := p.ticket(now, &Request{}, b)
+		trial := p.newTicket(now, &Request{}, b)
 		if b.health.available(now) {
-			t.Fatal("a second trial at the same time")
+			t.Fatal("backend with a trial in flight: got available, want not available")
 		}
 		trial.Done(now, Failed, nil)
 	}
 	now = b.health.ejectedUntil
-	p.ticket(now, &Request{}, b).Done(now, OK, nil)
+	p.newTicket(now, &Request{}, b).Done(now, OK, nil)
 	if b.health.ejected {
-		t.Error("not restored by a trial that succeeded")
+		t.Error("after a successful trial: got ejected, want restored")
 	}
 }
 
@@ -53,44 +53,44 @@
 	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	unresponsive := p.backends[3]
 	for range unresponsiveAttempts {
-		p.ticket(at(0), &Request{}, unresponsive)
+		p.newTicket(at(0), &Request{}, unresponsive)
 	}
 	mustPick(t, p, at(minUnresponsive-time.Millisecond), Request{})
 	if unresponsive.health.ejected {
-		t.Error("ejected too soon")
+		t.Errorf("before %v without a response: got ejected, want not ejected", minUnresponsive)
 	}
 	mustPick(t, p, at(minUnresponsive), Request{})
 	if !unresponsive.health.ejected {
-		t.Error("an unresponsive backend is not ejected")
+		t.Errorf("after %v without a response: got not ejected, want ejected", minUnresponsive)
 	}
 }
 
-func TestLateAnswersOfAFailingBackendDoNotRestoreIt(t *testing.T) {
+func TestLateResponsesOfAFailingBackendDoNotRestoreIt(t *testing.T) {
 	p := newTestPool(backendsOf(4, 6, "a"))
 	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	b := p.backends[0]
-	before := p.ticket(at(0), &Request{}, b)
-	fail(p, b, at(0), Failed, maxConsecutiveFailures)
+	before := p.newTicket(at(0), &Request{}, b)
+	recordOutcomes(p, b, at(0), Failed, maxConsecutiveFailures)
 	before.Done(at(0), OK, nil)
 	if !b.health.ejected {
-		t.Error("restored by a request from before the failures")
+		t.Error("after a success of a request from before the failures: got restored, want still ejected")
 	}
 }
 
-func TestAnyAnswerRestoresAnUnresponsiveBackend(t *testing.T) {
+func TestAnyResponseRestoresAnUnresponsiveBackend(t *testing.T) {
 	p := newTestPool(backendsOf(4, 6, "a"))
 	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	b := p.backends[0]
-	before := p.ticket(at(0), &Request{}, b)
-	p.ticket(at(0), &Request{}, b)
-	p.ticket(at(0), &Request{}, b)
+	before := p.newTicket(at(0), &Request{}, b)
+	p.newTicket(at(0), &Request{}, b)
+	p.newTicket(at(0), &Request{}, b)
 	mustPick(t, p, at(time.Second), Request{})
 	if !b.health.ejected {
-		t.Fatal("an unresponsive backend is not ejected")
+		t.Fatal("unresponsive backend: got not ejected, want ejected")
 	}
 	before.Started(at(time.Second))
 	if b.health.ejected {
-		t.Error("an answer does not restore an unresponsive backend")
+		t.Error("unresponsive backend after a response: got ejected, want restored")
 	}
 }
 
@@ -99,7 +99,7 @@
 		p := newTestPool(backendsOf(n, 6, "a"))
 		reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 		for _, b := range p.backends {
-			fail(p, b, at(0), TimedOut, 5)
+			recordOutcomes(p, b, at(0), TimedOut, 5)
 		}
 		kept := 0
 		for _, b := range p.backends {
@@ -123,10 +123,10 @@
 		if i%3 != 0 {
 			o = Failed
 		}
-		fail(p, b, at(0), o, 1)
+		recordOutcomes(p, b, at(0), o, 1)
 	}
 	if !b.health.ejected {
-		t.Error("a backend that fails two of three requests is not ejected")
+		t.Error("backend that fails two of three requests: got not ejected, want ejected")
 	}
 }
 
@@ -134,7 +134,7 @@
 	p := newTestPool(backendsOf(2, 6, "a"))
 	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	b := p.backends[0]
-	fail(p, b, at(0), Failed, maxConsecutiveFailures)
+	recordOutcomes(p, b, at(0), Failed, maxConsecutiveFailures)
 	other := p.backends[1].listed.ID
 	ticket := mustPick(t, p, at(0), Request{Exclude: func(id string) bool { return id == other }})
 	if ticket.backend != b {
--- a/internal/admission/load.go
+++ b/internal/admission/load.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// reportMemory is the time within which a backend's report drifts to the pool's typical load.
-	reportMemory = time.Second
-	// waitingWeight is the weight of a request that waits at a backend of streams, for the selection.
+	// reportDecayTime is the time in which a backend's report loses its weight to the typical load of the pool.
+	reportDecayTime = time.Second
+	// waitingWeight is the weight in queueAhead of a waiting request at a backend whose responses are streams.
 	waitingWeight = 2.0
-	// runningWeight is the weight of a request that runs there.
+	// runningWeight is the weight in queueAhead of a running request there.
 	runningWeight = 0.05
 )
 
-// addRequest counts a request that is sent to the backend.
+// addRequest adds a request that is sent to the backend.
 func (b *backend) addRequest(now time.Time, c class, weight float64) {
 	if c == batch {
 		b.batchInFlight++
@@ -25,7 +25,7 @@
 	b.weight += weight
 }
 
-// removeRequest counts a request that has ended.
+// removeRequest removes a request that has ended.
 func (b *backend) removeRequest(c class, weight float64) {
 	if c == batch {
 		b.batchInFlight--
@@ -37,7 +37,7 @@
 	}
 }
 
-// removeUnanswered counts a request that no longer waits for the first byte of its answer.
+// removeUnanswered removes a request from the unanswered ones: its response has started, or the request has ended.
 func (b *backend) removeUnanswered(weight float64) {
 	b.unanswered--
 	b.pending -= weight
@@ -46,7 +46,7 @@
 	}
 }
 
-// recordLoad takes a report of the backend, made when this node had own requests there.
+// recordLoad records a report that the backend made at a time when this node had own requests in flight there.
 func (b *backend) recordLoad(at time.Time, own int, load *Load) {
 	if load.Slots > 0 {
 		b.slots = float64(load.Slots)
@@ -57,7 +57,7 @@
 	b.reportedAt = at
 }
 
-// otherRequests returns the number of requests that other nodes are estimated to have at the backend.
+// otherRequests returns the estimated number of requests of other nodes at the backend.
 func (b *backend) otherRequests(now time.Time, p *Pool) float64 {
 	if p.hasSharedLoads(now) {
 		return b.otherNodes.inFlight
@@ -65,23 +65,23 @@
 	if b.reportedAt.IsZero() {
 		return p.typicalOthers(now, b.slots)
 	}
-	fresh := freshness(now.Sub(b.reportedAt), reportMemory)
+	fresh := freshness(now.Sub(b.reportedAt), reportDecayTime)
 	if fresh == 1 {
 		return b.othersInFlight
 	}
 	return fresh*b.othersInFlight + (1-fresh)*p.typicalOthers(now, b.slots)
 }
 
-// allUnanswered returns the number of requests of all nodes that are estimated to wait for the first byte of an answer.
+// allUnanswered returns the estimated number of requests of all nodes without the first byte of a response.
 func (b *backend) allUnanswered(now time.Time, p *Pool) float64 {
 	if p.hasSharedLoads(now) {
 		return float64(b.unanswered) + b.otherNodes.unanswered
 	}
-	return float64(b.unanswered) + b.othersWaiting*freshness(now.Sub(b.reportedAt), reportMemory)
+	return float64(b.unanswered) + b.othersWaiting*freshness(now.Sub(b.reportedAt), reportDecayTime)
 }
 
-// queueAhead returns the work before a new request, in requests. Where answers are streams, most of the work of a request
-// comes before its first byte: running streams count little, and waiting requests have all of their work before them.
+// queueAhead returns the work that the backend has to do before a new request, in requests. If responses are streams, most
+// of the work of a request precedes its first byte, so running streams count little, and waiting requests more.
 func (b *backend) queueAhead(now time.Time, load, others float64, p *Pool) float64 {
 	if !p.isStreaming() {
 		return load
@@ -89,20 +89,21 @@
 	if p.hasSharedLoads(now) {
 		return b.pending + b.otherNodes.pending + waitingWeight*max(0, load+1-b.slots) + runningWeight*load
 	}
-	waiting := min(others, float64(b.waiting)*freshness(now.Sub(b.reportedAt), reportMemory))
+	waiting := min(others, float64(b.waiting)*freshness(now.Sub(b.reportedAt), reportDecayTime))
 	running := max(0, load-b.pending-waiting)
 	return b.pending + waitingWeight*waiting + runningWeight*running
 }
 
-// steadySlots returns the number of requests that the backend takes without harm in any case.
-func (b *backend) steadySlots() float64 {
-	return max(steadyFraction*b.slots, min(b.slots, steadySlots))
+// minLiveHigh returns the lower bound of H of live requests, a load that does the backend no harm at any latency.
+func (b *backend) minLiveHigh() float64 {
+	return max(minLiveHighFraction*b.slots, min(b.slots, minLiveHighSlots))
 }
 
-// hasFreeSlots reports whether the backend has free slots and no request waits there, as far as is known.
+// hasFreeSlots reports whether the requests at the backend are fewer than minLiveHigh, and no recent report shows waiting
+// requests.
 func (b *backend) hasFreeSlots(now time.Time, others float64) bool {
-	if b.waiting > 0 && now.Sub(b.reportedAt) < reportMemory {
+	if b.waiting > 0 && now.Sub(b.reportedAt) < reportDecayTime {
 		return false
 	}
-	return float64(b.inFlight)+others < b.steadySlots()
+	return float64(b.inFlight)+others < b.minLiveHigh()
 }
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -16,23 +16,23 @@
 	random   *rand.Rand
 	byID     map[string]*backend
 	byKey    map[uint32]*backend
-	backends []*backend // in use: all of the service, or the node's subset of them
+	backends []*backend // all backends of the service, or this node's subset of them
 
 	estimates
 	shedding       shedding
-	recentSegments *segmentMemory
+	recentSegments *segmentSet
 
-	usedAt         time.Time // of the last request
-	sharedAt       time.Time // when the loads of all nodes last came
-	liveFraction   float64   // of the slots, taken by live requests of all nodes
+	lastRequestAt  time.Time // last call of Pick
+	sharedLoadsAt  time.Time // last update of the loads of all nodes
+	liveFraction   float64   // expected fraction of the slots that live requests of all nodes take
 	liveFractionAt time.Time
 
 	counts     [classes]classCounts
-	candidates [bands][]candidate // of the request at hand; kept for its memory
+	candidates [bands][]candidate // for the current request; kept between requests to reuse the memory
 }
 
-// NewPool returns the pool of a service for a node of a zone. The node's name and the seed determine its random choices,
-// the node's name its subset of the backends.
+// NewPool returns an empty pool of a service for a node in a zone. The names of the service and of the node and the seed
+// determine its random choices. The node's name determines its subset of the backends.
 func NewPool(service, node, zone string, seed uint64) *Pool {
 	nodeHash := hashOf(node)
 	return &Pool{
@@ -41,13 +41,13 @@
 		random:         rand.New(rand.NewPCG(seed^nodeHash, hashOf(service))),
 		byID:           make(map[string]*backend),
 		estimates:      newEstimates(),
-		recentSegments: newSegmentMemory(),
+		recentSegments: newSegmentSet(),
 	}
 }
 
-// SetBackends replaces the backends. Slots is the service's figure for backends that do not report theirs; 0: not known.
-// What is known of a backend that stays is kept.
-func (p *Pool) SetBackends(listed []discovery.Backend, slots int) {
+// SetBackends replaces the backends. serviceSlots is the number of slots of backends whose list entry has none; 0: not
+// known. Backends that are in the new list as well keep their state.
+func (p *Pool) SetBackends(listed []discovery.Backend, serviceSlots int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	used := subset(listed, p.zone, p.node)
@@ -59,7 +59,7 @@
 		if b == nil {
 			b = newBackend(entry, p.zone)
 		}
-		b.update(entry, slots)
+		b.update(entry, serviceSlots)
 		byID[entry.ID] = b
 		byKey[b.key()] = b
 		backends = append(backends, b)
@@ -76,22 +76,22 @@
 	return len(p.backends)
 }
 
-// Pick selects a backend for a request, or refuses the request.
+// Pick selects a backend for a request, or refuses the request: either the ticket or the refusal is nil.
 func (p *Pool) Pick(now time.Time, r Request) (*Ticket, *Refusal) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.startedAt.IsZero() {
-		p.startedAt = now
+	if p.firstRequestAt.IsZero() {
+		p.firstRequestAt = now
 	}
-	p.usedAt = now
+	p.lastRequestAt = now
 	c := classOf(&r)
 	p.recordArrival(now, c)
 	found := p.findCandidates(now, &r, c)
-	if found.normal == 0 && p.mustShed(c, &found) {
+	if found.normal == 0 && p.shouldShed(c, &found) {
 		p.counts[c].refusals[shedByFraction]++
 		return nil, p.refuse(found.backlog())
 	}
-	if p.mustWaitForZone(&r, &found) {
+	if p.shouldWaitForZone(&r, &found) {
 		p.counts[c].refusals[waitsForZone]++
 		return nil, p.refuse(0)
 	}
@@ -101,11 +101,12 @@
 		return nil, p.refuse(found.backlog())
 	}
 	p.counts[c].recordPick(found.normal > 0, chosen.sameZone)
-	return p.ticket(now, &r, chosen), nil
+	return p.newTicket(now, &r, chosen), nil
 }
 
-// mustWaitForZone reports whether batch work waits for a backend of its own zone rather than pay for bytes between zones.
-func (p *Pool) mustWaitForZone(r *Request, found *scanResult) bool {
+// shouldWaitForZone reports whether batch work has to wait for a backend of the local zone, to avoid the cost of traffic
+// between zones.
+func (p *Pool) shouldWaitForZone(r *Request, found *scanResult) bool {
 	if !found.localAwaitsFirstByte || r.Urgent {
 		return false
 	}
--- a/internal/admission/pool_test.go
+++ b/internal/admission/pool_test.go
@@ -12,7 +12,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// backendsOf returns n backends with some slots, spread over the zones in turn.
+// backendsOf returns n backends, assigned to the zones in turn.
 func backendsOf(n, slots int, zones ...string) []discovery.Backend {
 	backends := make([]discovery.Backend, n)
 	for i := range backends {
@@ -32,12 +32,13 @@
 	return p
 }
 
-// reportIdleLoads has every backend answer enough requests, each within the latency, to be known as idle.
+// reportIdleLoads completes enough requests at every backend for the pool to use its estimates. Each response takes the
+// latency and reports an idle backend.
 func reportIdleLoads(t *testing.T, p *Pool, now time.Time, latency time.Duration) {
 	t.Helper()
-	for range minAnswers {
+	for range minResponses {
 		for _, b := range p.backends {
-			ticket := p.ticket(now.Add(-latency), &Request{}, b)
+			ticket := p.newTicket(now.Add(-latency), &Request{}, b)
 			ticket.Done(now, OK, &Load{Running: 1, Slots: int(b.slots)})
 		}
 	}
@@ -52,7 +53,7 @@
 	return ticket
 }
 
-func TestFullAnswerBlocksUntilItLapses(t *testing.T) {
+func TestFullResponseBlocksBriefly(t *testing.T) {
 	p := newTestPool(backendsOf(1, 6, "a"))
 	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	mustPick(t, p, at(0), Request{}).Done(at(0), Full, nil)
@@ -64,7 +65,7 @@
 	mustPick(t, p, at(forcedBlockTime), Request{})
 }
 
-func TestBlockingBackendsGetNothing(t *testing.T) {
+func TestBlockingBackendsGetNoRequests(t *testing.T) {
 	p := newTestPool(backendsOf(3, 6, "a"))
 	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	full := p.backends[1]
@@ -90,11 +91,11 @@
 	}
 	p.backends[2].recordLoad(at(0), 0, &Load{Running: 2, Slots: 6})
 	if ticket := mustPick(t, p, at(0), Request{}); ticket.backend != p.backends[2] {
-		t.Error("did not pick the backend that has room")
+		t.Errorf("picked %s, want %s, which has free slots", ticket.Backend.ID, p.backends[2].listed.ID)
 	}
 }
 
-// TestNoRefusalWithFreeSlots fills backends one request at a time.
+// TestNoRefusalWithFreeSlots fills all slots of the backends without a response, and expects no refusal.
 func TestNoRefusalWithFreeSlots(t *testing.T) {
 	for _, slots := range []int{6, 16} {
 		p := newTestPool(backendsOf(9, slots, "a", "b", "c"))
@@ -118,9 +119,9 @@
 	}
 }
 
-func TestStartIsCautious(t *testing.T) {
+func TestStartIsLimitedWithoutResponses(t *testing.T) {
 	p := newTestPool(backendsOf(3, 16, "a"))
-	for range 3 * 8 { // half of the slots: no refusal, though nothing is known
+	for range 3 * 8 { // half of the slots: no refusal before the first response
 		mustPick(t, p, at(0), Request{})
 	}
 	sent := 3 * 8
@@ -130,14 +131,14 @@
 		}
 	}
 	if sent > 3*40 {
-		t.Errorf("%d requests sent to three backends of 16 slots before any answer", sent)
+		t.Errorf("requests sent to three backends of 16 slots before the first response: got %d, want at most %d", sent, 3*40)
 	}
 }
 
 func TestStartDoesNotBlockForever(t *testing.T) {
 	p := newTestPool(backendsOf(3, 96, "a"))
 	_, _ = p.Pick(at(0), Request{Batch: true})
-	mustPick(t, p, at(startupMemory), Request{Batch: true})
+	mustPick(t, p, at(startupDecayTime), Request{Batch: true})
 }
 
 func TestSetBackendsKeepsState(t *testing.T) {
@@ -148,7 +149,7 @@
 	kept := ticket.backend
 	p.SetBackends(append([]discovery.Backend{}, ticket.Backend), 0)
 	if len(p.backends) != 1 || p.backends[0] != kept || kept.inFlight != 1 {
-		t.Error("a new list forgot a backend that stays")
+		t.Error("state of a backend that stays in the list: got lost, want kept")
 	}
 	p.SetBackends(nil, 0)
 	ticket.Done(at(0), OK, nil) // must not panic
@@ -157,7 +158,7 @@
 	}
 }
 
-func TestColdBackendsGetLess(t *testing.T) {
+func TestColdBackendsGetFewerRequests(t *testing.T) {
 	backends := backendsOf(4, 96, "a")
 	backends[0].Cold = 10 * time.Second
 	p := newTestPool(backends)
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -2,49 +2,51 @@
 
 import "time"
 
-// Load is what a backend reports of itself with an answer, in requests.
+// Load is the load that a backend reports with a response: its running and its waiting requests, and its slots (0: not
+// reported).
 type Load struct{ Running, Waiting, Slots int }
 
-// Request is what admission needs to know of a request.
+// Request holds the properties of a request that admission depends on.
 type Request struct {
 	// Batch marks batch work, which is shed first.
 	Batch bool
-	// Urgent batch work may go to another zone while the backends of the own zone still read the prompts of others.
+	// Urgent marks batch work that may go to another zone while the backends of the local zone have too many unanswered
+	// requests.
 	Urgent bool
-	// Priority is the request's rank; 0 is the most urgent.
+	// Priority is the priority of the request; 0 is the highest.
 	Priority int
 	// Tokens is the size of the request in tokens; 0: not known.
 	Tokens int
-	// Prefix holds the ids of the segments of the prompt, in their order. Ids that no other request has do no harm.
+	// Prefix holds the ids of the segments of the prompt, in their order. Ids that no other request has are ignored.
 	Prefix []string
-	// Exclude, if set, rules out backends by id, such as those that this request has already been sent to.
+	// Exclude, if set, reports whether a backend may not receive the request, such as one that has already received it.
 	Exclude func(id string) bool
 }
 
-// Outcome is how an attempt at a backend ended.
+// Outcome is the result of an attempt to send a request to a backend.
 type Outcome int
 
 // The outcomes of attempts.
 const (
-	// OK is a complete answer of the backend.
+	// OK means that the response is complete.
 	OK Outcome = iota
-	// Full is a refusal of the backend, which did not run the request.
+	// Full means that the backend refused the request and did not run it.
 	Full
-	// Failed is a connection that failed, an answer that broke off, or one that reports a failure of the backend itself.
+	// Failed means that the connection failed, the response broke off, or the response reports a failure of the backend.
 	Failed
-	// TimedOut is an attempt without an answer by its deadline.
+	// TimedOut means that there was no response by the deadline of the attempt.
 	TimedOut
-	// Cancelled says nothing about the backend: the client left.
+	// Cancelled means that the client left, which says nothing about the backend.
 	Cancelled
 )
 
-// Refusal says that no backend may take a request now.
+// Refusal means that no backend may receive the request now.
 type Refusal struct {
-	// RetryAfter is when a new attempt has good prospects.
+	// RetryAfter is the time after which a new attempt is likely to succeed.
 	RetryAfter time.Duration
 }
 
-// class separates live requests, which have precedence, from batch work.
+// class is the class of a request: live requests have precedence over batch work.
 type class int
 
 const (
--- a/internal/admission/selection.go
+++ b/internal/admission/selection.go
@@ -1,10 +1,14 @@
 package admission
 
-// The own zone is preferred, since bytes between zones cost. A request leaves it only if
+// The local zone is preferred, since traffic between zones has a cost. A request goes to another zone only if the score of
+// the local candidate meets both of these conditions.
 const (
-	zoneDelay  = 8.0 // the score is over this multiple of the uncrowded latency, s,
-	zoneFactor = 1.5 // and over this multiple of the score in the other zone,
-	zoneSlack  = 1.0 // with so many requests added to both loads.
+	// The score is at least crossZoneMinScore times the unloaded latency.
+	crossZoneMinScore = 8.0
+	// With crossZoneAddedQueue requests added to both queues, the score is above crossZoneScoreFactor times that of the
+	// remote candidate.
+	crossZoneScoreFactor = 1.5
+	crossZoneAddedQueue  = 1.0
 )
 
 // selectBackend selects among the normal candidates, or else among the overloaded ones. It returns nil if there are none.
@@ -23,8 +27,9 @@
 	return remote.backend
 }
 
-// betterOfTwo draws two candidates and returns the one with the lower score. The backend that has read the prompt's
-// shared segment takes the place of one of them, and is preferred unless it is much busier.
+// betterOfTwo draws two candidates at random and returns the one with the lower score, or nil if there are none. If the
+// prompt has a shared segment, the candidate that the segment is assigned to takes the place of one of the two, and is
+// returned unless its score exceeds affinityFactor times the other score.
 func (p *Pool) betterOfTwo(candidates []candidate, segment uint64) *candidate {
 	switch len(candidates) {
 	case 0:
@@ -48,10 +53,11 @@
 	return &candidates[second]
 }
 
-// prefersOtherZone reports whether a backend of the own zone is so much busier that the request leaves the zone.
+// prefersOtherZone reports whether the local candidate is so much busier than the remote one that the request goes to the
+// other zone.
 func (p *Pool) prefersOtherZone(local, remote *candidate) bool {
-	if local.score < zoneDelay*p.uncrowded {
+	if local.score < crossZoneMinScore*p.unloadedLatency {
 		return false
 	}
-	return local.score+zoneSlack*local.latency > zoneFactor*(remote.score+zoneSlack*remote.latency)
+	return local.score+crossZoneAddedQueue*local.latency > crossZoneScoreFactor*(remote.score+crossZoneAddedQueue*remote.latency)
 }
--- a/internal/admission/selection_test.go
+++ b/internal/admission/selection_test.go
@@ -17,7 +17,7 @@
 		}
 		ticket.Done(at(0), Cancelled, nil)
 	}
-	for range 10 { // (n+1) x latency of the quick one is now higher
+	for range 10 { // the score of the faster backend is now higher
 		p.backends[1].addRequest(at(0), live, 1)
 	}
 	if ticket := mustPick(t, p, at(0), Request{}); ticket.backend != slow {
@@ -47,7 +47,7 @@
 	for range 100 {
 		ticket := mustPick(t, p, at(0), Request{})
 		if !ticket.backend.sameZone {
-			t.Fatal("picked another zone though the own zone has an idle backend")
+			t.Fatal("picked another zone, want the local zone, which has an idle backend")
 		}
 		ticket.Done(at(0), Cancelled, nil)
 	}
@@ -57,7 +57,7 @@
 		}
 	}
 	if ticket := mustPick(t, p, at(0), Request{}); ticket.backend.sameZone {
-		t.Error("picked a busy backend of the own zone though other zones have idle ones")
+		t.Error("picked a busy backend of the local zone, want an idle one of another zone")
 	}
 }
 
@@ -68,7 +68,7 @@
 	for range 20 {
 		ticket := mustPick(t, p, at(0), Request{Exclude: exclude})
 		if ticket.Backend.ID != "i-0002" {
-			t.Fatalf("picked %s", ticket.Backend.ID)
+			t.Fatalf("picked %s, want i-0002", ticket.Backend.ID)
 		}
 		ticket.Done(at(0), Cancelled, nil)
 	}
--- a/internal/admission/sharedload.go
+++ b/internal/admission/sharedload.go
@@ -3,27 +3,27 @@
 import "time"
 
 const (
-	// sharedValidity is how long the loads of all nodes count after they came.
+	// sharedValidity is how long the loads of all nodes are valid after an update.
 	sharedValidity = 400 * time.Millisecond
-	// reportIdle is how long a pool goes on reporting after its last request.
-	reportIdle = 2 * time.Second
-	// liveFractionMemory is the time within which the fraction of slots that live requests take falls to the present one.
-	liveFractionMemory = 2 * time.Second
+	// reportIdleTime is how long after its last request a pool still needs to report its loads.
+	reportIdleTime = 2 * time.Second
+	// liveFractionDecayTime is the time in which the expected fraction of slots of live requests falls to the current one.
+	liveFractionDecayTime = 2 * time.Second
 )
 
-// BackendLoad is the number of requests that some nodes have at one backend.
+// BackendLoad is the load that one or several nodes cause at one backend.
 type BackendLoad struct {
 	// Backend is a hash of the backend's identifier.
 	Backend uint32
-	// InFlight counts requests without a complete answer: Batch those of them that are items of batch jobs, Unanswered those
-	// without the first byte of an answer.
+	// InFlight counts requests without a complete response, Batch those of them that are items of batch jobs, and
+	// Unanswered those of them without the first byte of a response.
 	InFlight, Batch, Unanswered int
-	// Pending is the size of the unanswered requests, as a multiple of a mean request.
+	// Pending is the total size of the unanswered requests, as a multiple of the size of a mean request.
 	Pending float64
 }
 
-// otherNodesLoad is what other nodes have at a backend. The sums that come include this node's last report, so that is
-// kept to be subtracted.
+// otherNodesLoad is the load that other nodes cause at a backend. The totals of all nodes include the last report of this
+// node, which is kept in the own* fields to subtract it.
 type otherNodesLoad struct {
 	inFlight, batch, unanswered, pending float64
 
@@ -31,20 +31,20 @@
 	ownPending                           float64
 }
 
-// key returns the name of the backend in messages about loads.
+// key returns the identifier of the backend in a BackendLoad.
 func (b *backend) key() uint32 { return uint32(b.hash >> 32) }
 
-// Report returns what this node has at its backends, for nodes that select among the same ones. Unless the report is to be
-// complete, backends without requests are left out. No report is needed where backends report their load themselves, nor
-// from a pool that is not in use.
-func (p *Pool) Report(now time.Time, complete bool) (loads []BackendLoad, needed bool) {
+// LocalLoads returns the loads that this node causes at its backends, to be reported to the other nodes. Unless complete is
+// set, it leaves out backends without requests. No report is needed if the backends report their load themselves, or if
+// the pool has received no request for reportIdleTime.
+func (p *Pool) LocalLoads(now time.Time, complete bool) (loads []BackendLoad, needed bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.backendsReportLoad() || now.Sub(p.usedAt) > reportIdle {
+	if p.backendsReportLoad() || now.Sub(p.lastRequestAt) > reportIdleTime {
 		return nil, false
 	}
 	for _, b := range p.backends {
-		b.otherNodes.snapshot(b)
+		b.otherNodes.recordOwn(b)
 		if complete || b.inFlight > 0 {
 			loads = append(loads, BackendLoad{
 				Backend:    b.key(),
@@ -58,8 +58,8 @@
 	return loads, true
 }
 
-// Share takes the loads of all nodes, the answer to the last report.
-func (p *Pool) Share(now time.Time, loads []BackendLoad) {
+// SetTotalLoads records the loads that all nodes cause. They include those that the last call of LocalLoads returned.
+func (p *Pool) SetTotalLoads(now time.Time, loads []BackendLoad) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for i := range loads {
@@ -67,16 +67,16 @@
 			b.otherNodes.update(&loads[i])
 		}
 	}
-	p.sharedAt = now
+	p.sharedLoadsAt = now
 	p.updateLiveFraction(now)
 }
 
-// snapshot keeps what this node reports of itself.
-func (l *otherNodesLoad) snapshot(b *backend) {
+// recordOwn records the load of this node that goes into its report.
+func (l *otherNodesLoad) recordOwn(b *backend) {
 	l.ownInFlight, l.ownBatch, l.ownUnanswered, l.ownPending = b.inFlight, b.batchInFlight, b.unanswered, b.pending
 }
 
-// update sets the load of other nodes from that of all nodes.
+// update sets the load of other nodes to the load of all nodes less the reported load of this node.
 func (l *otherNodesLoad) update(all *BackendLoad) {
 	l.inFlight = float64(max(0, all.InFlight-l.ownInFlight))
 	l.batch = float64(max(0, all.Batch-l.ownBatch))
@@ -84,9 +84,9 @@
 	l.pending = max(0, all.Pending-l.ownPending)
 }
 
-// hasSharedLoads reports whether the loads of all nodes at the backends are known.
+// hasSharedLoads reports whether valid loads of all nodes are known.
 func (p *Pool) hasSharedLoads(now time.Time) bool {
-	return !p.backendsReportLoad() && !p.sharedAt.IsZero() && now.Sub(p.sharedAt) < sharedValidity
+	return !p.backendsReportLoad() && !p.sharedLoadsAt.IsZero() && now.Sub(p.sharedLoadsAt) < sharedValidity
 }
 
 // liveRequests returns the number of live requests of all nodes at the backend.
@@ -94,8 +94,8 @@
 	return max(0, float64(b.inFlight-b.batchInFlight)+b.otherNodes.inFlight-b.otherNodes.batch)
 }
 
-// updateLiveFraction updates the fraction of slots that live requests take. It rises at once, and falls within the time
-// that batch work stays at a backend, since a slot given to batch work is taken for so long.
+// updateLiveFraction updates the expected fraction of slots that live requests take. It rises at once, but falls only over
+// the time for which a request of batch work stays at a backend, since batch work occupies a slot for that long.
 func (p *Pool) updateLiveFraction(now time.Time) {
 	requests, slots := 0.0, 0.0
 	for _, b := range p.backends {
@@ -106,13 +106,13 @@
 		return
 	}
 	current := requests / slots
-	fresh := freshness(now.Sub(p.liveFractionAt), liveFractionMemory)
+	fresh := freshness(now.Sub(p.liveFractionAt), liveFractionDecayTime)
 	p.liveFraction = max(current, fresh*p.liveFraction+(1-fresh)*current)
 	p.liveFractionAt = now
 }
 
-// batchLoad returns the load that decides about batch work: the batch work at the backend, and the live requests that are
-// there or have to be expected.
+// batchLoad returns the load that determines the mode for batch work: the batch work at the backend, plus its live requests
+// or the expected number of them if that is greater.
 func (b *backend) batchLoad(p *Pool) float64 {
 	expected := p.liveFraction * b.slots
 	return float64(b.batchInFlight) + b.otherNodes.batch + max(b.liveRequests(), expected)
--- a/internal/admission/shedding.go
+++ b/internal/admission/shedding.go
@@ -7,20 +7,22 @@
 )
 
 const (
-	// recomputePeriod is how often the drop fractions are computed.
+	// recomputePeriod is the time between two computations of the drop fractions.
 	recomputePeriod = 100 * time.Millisecond
-	// countMemory is the fraction of the counts that a period hands on, since one period may see few arrivals.
-	countMemory = 0.9
-	// maxDecayPeriods is the number of periods after which nothing of a count is left.
+	// countDecayFactor is the fraction of the arrival counts that the next period inherits, since one period may see few
+	// arrivals.
+	countDecayFactor = 0.9
+	// maxDecayPeriods is the number of periods after which the rest of a count is negligible.
 	maxDecayPeriods = 100
-	// overloadMemory is how long after a period its overload counts.
-	overloadMemory = forcedBlockTime
-	// fewLiveArrivals is the ratio of live requests to batch work below which the thresholds of batch work count as well.
-	fewLiveArrivals = 0.01
-	// A client is told to retry within these bounds.
+	// overloadValidity is how long after the end of a period its overload depth is valid.
+	overloadValidity = forcedBlockTime
+	// lowLiveArrivalRatio is the ratio of live requests to batch work below which the overload depth for batch work counts
+	// as well.
+	lowLiveArrivalRatio = 0.01
+	// Bounds of RetryAfter, before the jitter.
 	minRetryAfter = 40 * time.Millisecond
 	maxRetryAfter = 800 * time.Millisecond
-	// That time is shorter or longer at random, from minRetryJitter to that plus retryJitterRange of it.
+	// RetryAfter is multiplied by a random factor between minRetryJitter and minRetryJitter + retryJitterRange.
 	minRetryJitter   = 0.75
 	retryJitterRange = 0.5
 )
@@ -28,12 +30,13 @@
 // shedding holds the fractions of requests that are dropped while no backend is normal.
 type shedding struct {
 	periodEnd     time.Time
-	arrivals      [classes]float64   // of the last periods, decayed: N1 and N2
-	overloadDepth [classes]depthMean // of this period
+	arrivals      [classes]float64   // N1 and N2, with exponential decay over the periods
+	overloadDepth [classes]depthMean // in this period
 	dropFractions [classes]float64   // q1 and q2
 }
 
-// depthMean is the mean over a period of how far backends are between H and R while none is normal.
+// depthMean is the mean over the requests of a period of the mean position of backends between H (0) and R (1). It is 0 for
+// a request that finds a normal backend.
 type depthMean struct{ sum, count float64 }
 
 func (d *depthMean) add(depth float64) {
@@ -56,7 +59,7 @@
 	p.shedding.arrivals[c]++
 }
 
-// updateDropFractions computes q1 and q2, and begins a new period.
+// updateDropFractions computes q1 and q2 from the last period, and begins a new period.
 func (p *Pool) updateDropFractions(now time.Time) {
 	s := &p.shedding
 	n1, n2 := s.arrivals[live], s.arrivals[batch]
@@ -69,13 +72,13 @@
 	s.periodEnd = now.Add(recomputePeriod)
 }
 
-// overloadLevel returns q: how deep in overload the backends were in the last period.
+// overloadLevel returns q, the mean overload depth of the backends in the last period, or 0 if that is too long ago.
 func (s *shedding) overloadLevel(now time.Time) float64 {
-	if now.Sub(s.periodEnd) > overloadMemory {
+	if now.Sub(s.periodEnd) > overloadValidity {
 		return 0
 	}
 	q := s.overloadDepth[live].mean()
-	if s.arrivals[live] < fewLiveArrivals*s.arrivals[batch] {
+	if s.arrivals[live] < lowLiveArrivalRatio*s.arrivals[batch] {
 		q = max(q, s.overloadDepth[batch].mean())
 	}
 	return q
@@ -85,23 +88,23 @@
 func countDecay(periods int) float64 {
 	left := 1.0
 	for range min(max(periods, 1), maxDecayPeriods) {
-		left *= countMemory
+		left *= countDecayFactor
 	}
 	return left
 }
 
-// mustShed draws whether a request is dropped though backends that are merely overloaded could take it. A live request is
-// not dropped while a backend has free slots, since a refusal then costs more than a wait.
-func (p *Pool) mustShed(c class, found *scanResult) bool {
+// shouldShed draws at random whether a request is dropped although overloaded backends could take it. A live request is not
+// dropped while a backend has free slots, since a refusal then costs more than a wait.
+func (p *Pool) shouldShed(c class, found *scanResult) bool {
 	if c == live && found.hasFreeSlots {
 		return false
 	}
 	return p.random.Float64() < p.shedding.dropFractions[c]
 }
 
-// refuse returns a refusal with the time after which the backlog over H is about done.
+// refuse returns a refusal. RetryAfter is the estimated time to work off the backlog: the load above H, as a multiple of H.
 func (p *Pool) refuse(backlog float64) *Refusal {
-	wait := time.Duration(p.latency * backlog * float64(time.Second))
+	wait := time.Duration(p.meanLatency * backlog * float64(time.Second))
 	wait = min(max(wait, minRetryAfter), maxRetryAfter)
 	return &Refusal{RetryAfter: time.Duration(float64(wait) * (minRetryJitter + retryJitterRange*p.random.Float64()))}
 }
--- a/internal/admission/shedding_test.go
+++ b/internal/admission/shedding_test.go
@@ -7,7 +7,7 @@
 	"nickelline/decide"
 )
 
-// overloadAll records a load between H and R at every backend.
+// overloadAll records a report with the load at every backend.
 func overloadAll(p *Pool, now time.Time, l Load) {
 	for _, b := range p.backends {
 		b.recordLoad(now, 0, &l)
@@ -32,10 +32,10 @@
 		ticket.Done(now, Cancelled, nil)
 	}
 	if refused[batch] < sent[batch] {
-		t.Errorf("batch work: %d refused, %d sent", refused[batch], sent[batch])
+		t.Errorf("batch work: got %d refused, %d sent, want at least as many refused as sent", refused[batch], sent[batch])
 	}
 	if refused[live] > sent[live]/10 {
-		t.Errorf("live requests: %d refused, %d sent", refused[live], sent[live])
+		t.Errorf("live requests: got %d refused, %d sent, want at most a tenth of those sent refused", refused[live], sent[live])
 	}
 }
 
@@ -55,7 +55,7 @@
 		ticket.Done(now, Cancelled, nil)
 	}
 	if refused < total/2 || refused > total*9/10 {
-		t.Errorf("%d of %d live requests refused", refused, total)
+		t.Errorf("live requests refused: got %d of %d, want %d to %d", refused, total, total/2, total*9/10)
 	}
 }
 
--- a/internal/admission/stats.go
+++ b/internal/admission/stats.go
@@ -6,7 +6,7 @@
 	"nickelline/decide"
 )
 
-// Class is the name of a class of requests in metrics.
+// Class names a class of requests in metrics.
 type Class string
 
 // The classes of requests in metrics.
@@ -15,16 +15,15 @@
 	ClassBatch Class = "batch"
 )
 
-// classNames are the names of the classes, in their order.
 var classNames = [classes]Class{live: ClassLive, batch: ClassBatch}
 
-// refusalReason is why a request was refused.
+// refusalReason is the reason for a refusal.
 type refusalReason int
 
 const (
-	shedByFraction refusalReason = iota // by q1 or q2, while no backend was normal
-	waitsForZone                        // batch work that waits for its own zone
-	allBlocked                          // no backend may take it
+	shedByFraction refusalReason = iota // dropped by q1 or q2, since no backend was normal
+	waitsForZone                        // batch work that waits for a backend of the local zone
+	allBlocked                          // no backend is a candidate
 	refusalReasons
 )
 
@@ -35,28 +34,28 @@
 	modeNames    = [...]string{decide.Normal: "normal", decide.Overloaded: "overloaded", decide.Blocking: "blocking"}
 )
 
-// firstByteBounds are the upper bounds of the buckets of times to the first byte of an answer.
+// firstByteBounds are the upper bounds of the histogram buckets for the time to first byte.
 var firstByteBounds = [...]time.Duration{
 	25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond,
 	800 * time.Millisecond, 1600 * time.Millisecond,
 }
 
-// classCounts are counts of one class since the start.
+// classCounts holds the counters of one class since the start.
 type classCounts struct {
 	picks    [bands]uint64
 	refusals [refusalReasons]uint64
 	outcomes [len(outcomeNames)]uint64
-	// firstByteTimes counts the times to the first byte of an answer; the last bucket those over all bounds.
+	// firstByteTimes is a histogram of the time to first byte; its last bucket is for times above all bounds.
 	firstByteTimes [len(firstByteBounds) + 1]uint64
 	firstByteSum   time.Duration
 }
 
-// recordPick counts a pick by the band of the chosen backend.
+// recordPick counts a pick by the band of the selected backend.
 func (c *classCounts) recordPick(normal, near bool) {
 	c.picks[bandOf(normal, near)]++
 }
 
-// recordFirstByte counts a time to the first byte of an answer.
+// recordFirstByte adds a time to first byte to the histogram.
 func (c *classCounts) recordFirstByte(latency time.Duration) {
 	c.firstByteSum += latency
 	for i, bound := range firstByteBounds {
@@ -68,40 +67,42 @@
 	c.firstByteTimes[len(firstByteBounds)]++
 }
 
-// FirstByteTimes is a histogram of the times to the first byte of an answer.
+// FirstByteTimes is a histogram of the time to first byte.
 type FirstByteTimes struct {
-	// Bounds are the upper bounds; Counts has one bucket more, for the times over all of them.
+	// Bounds are the upper bounds of the buckets. Counts has one bucket more, for times above all bounds.
 	Bounds []time.Duration
 	Counts []uint64
 	Sum    time.Duration
 }
 
-// ClassStats are the metrics of one class of requests: counters since the start, and the present state.
+// ClassStats holds the metrics of one class of requests: counters since the start, and the current state.
 type ClassStats struct {
 	Class          Class
 	Picks          map[string]uint64 // by mode and zone of the backend
 	Refusals       map[string]uint64 // by reason
-	Outcomes       map[string]uint64 // of attempts
+	Outcomes       map[string]uint64 // attempts by outcome
 	FirstByteTimes FirstByteTimes
-	// DropFraction of requests is dropped now while no backend is normal: q1 of live requests, q2 of batch work.
+	// DropFraction is the fraction of requests that are dropped while no backend is normal: q1 for live requests, q2 for
+	// batch work.
 	DropFraction float64
-	// Modes counts the backends by their present mode for the class.
+	// Modes counts the backends by their current mode for the class.
 	Modes map[string]int
 }
 
-// Stats are the metrics of a pool.
+// Stats holds the metrics of a pool.
 type Stats struct {
 	Classes []ClassStats
-	// Backends counts those in use, Ejected those of them that are ejected.
+	// Backends is the number of backends in use, Ejected the number of those that are ejected.
 	Backends, Ejected int
-	// InFlight counts requests of this node at the backends, Others is the estimate for other nodes.
+	// InFlight is the number of requests of this node at the backends, Others the estimated number of other nodes.
 	InFlight int
 	Others   float64
-	// Latency is the smoothed time to the first byte of an answer, Uncrowded the same without load.
+	// Latency is the smoothed time to first byte, Uncrowded an estimate of the time to first byte without load.
 	Latency, Uncrowded time.Duration
-	// LiveFraction of the slots is taken by live requests of all nodes, or was lately.
+	// LiveFraction is the expected fraction of the slots that live requests of all nodes take. It follows a decline with a
+	// delay.
 	LiveFraction float64
-	// Shared reports whether the loads of all nodes are known.
+	// Shared reports whether valid loads of all nodes are known.
 	Shared bool
 }
 
@@ -111,8 +112,8 @@
 	defer p.mutex.Unlock()
 	stats := Stats{
 		Backends:     len(p.backends),
-		Latency:      seconds(p.latency),
-		Uncrowded:    seconds(p.uncrowded),
+		Latency:      seconds(p.meanLatency),
+		Uncrowded:    seconds(p.unloadedLatency),
 		LiveFraction: p.liveFraction,
 		Shared:       p.hasSharedLoads(now),
 	}
--- a/internal/admission/subset.go
+++ b/internal/admission/subset.go
@@ -7,22 +7,22 @@
 	"nickelline/internal/discovery"
 )
 
-// A node uses all backends of a service, or a subset where there are many. Rendezvous hashing by the node's name keeps
-// the subset stable: each change of the list exchanges few backends.
+// A node uses all backends of a service, or a subset if there are many. Rendezvous hashing by the node's name keeps the
+// subset stable: a small change of the list exchanges few backends.
 const (
-	// subsetSize is the greatest number of backends of a pool.
+	// subsetSize is the maximum number of backends of a pool.
 	subsetSize = 64
-	// subsetSameZone is the number of those from the node's zone, if it has so many.
+	// subsetSameZone is the number of backends in a subset that are from the node's zone, if the zone has as many.
 	subsetSameZone = 48
 )
 
-// rankedBackend is a backend with its rank for the node: the lowest ranks are taken.
+// rankedBackend is a backend with its hash rank for the node. The subset has the backends of the lowest ranks.
 type rankedBackend struct {
 	backend discovery.Backend
 	rank    uint64
 }
 
-// subset returns the backends that a node of a zone uses.
+// subset returns the backends that a node in a zone uses. Node is the hash of the node's name.
 func subset(all []discovery.Backend, zone string, node uint64) []discovery.Backend {
 	if len(all) <= subsetSize {
 		return all
@@ -42,7 +42,7 @@
 	return appendLowest(kept, far, subsetSize-nearCount)
 }
 
-// appendLowest appends the backends of the lowest ranks.
+// appendLowest appends the count backends of the lowest ranks. It sorts from.
 func appendLowest(kept []discovery.Backend, from []rankedBackend, count int) []discovery.Backend {
 	slices.SortFunc(from, func(a, b rankedBackend) int { return cmp.Compare(a.rank, b.rank) })
 	for _, r := range from[:count] {
--- a/internal/admission/subset_test.go
+++ b/internal/admission/subset_test.go
@@ -23,7 +23,7 @@
 		}
 	}
 	if near != subsetSameZone {
-		t.Errorf("backends of the own zone: got %d, want %d", near, subsetSameZone)
+		t.Errorf("backends of the local zone: got %d, want %d", near, subsetSameZone)
 	}
 	zoned := backendsOf(900, 96, "x", "y")
 	if got := subset(zoned, "c", 7); len(got) != subsetSize {
@@ -35,12 +35,13 @@
 	all := backendsOf(3700, 96, "a", "b", "c", "d")
 	before := subset(all, "a", 7)
 	fewer := append([]discovery.Backend{}, all[:100]...)
-	fewer = append(fewer, all[137:]...) // one in a hundred is gone
+	fewer = append(fewer, all[137:]...) // 1 in 100 is removed
 	if changed := countMissing(before, subset(fewer, "a", 7)); changed > 4 {
-		t.Errorf("%d of %d backends exchanged for a loss of 1 in 100", changed, len(before))
+		t.Errorf("backends exchanged when 1 in 100 is removed: got %d of %d, want at most 4", changed, len(before))
 	}
 }
 
+// countMissing returns the number of backends in before that are not in after.
 func countMissing(before, after []discovery.Backend) int {
 	kept := map[string]bool{}
 	for _, b := range after {
@@ -72,6 +73,6 @@
 		}
 	}
 	if unused > len(all)/100 {
-		t.Errorf("%d of %d backends are in no node's subset", unused, len(all))
+		t.Errorf("backends in no node's subset: got %d of %d, want at most 1 in 100", unused, len(all))
 	}
 }
--- a/internal/admission/thresholds.go
+++ b/internal/admission/thresholds.go
@@ -5,48 +5,55 @@
 const (
 	// lowFraction is L as a fraction of H.
 	lowFraction = 0.85
-	// queueFraction bounds R above the slots, as a fraction of them: backends queue three to four times their slots.
+	// R of live requests is at most 1 + queueFraction times the slots. Backends themselves queue three to four times their
+	// slots.
 	queueFraction = 1.5
-	// blockFactor is the least R as a multiple of H.
+	// blockFactor is the least R of live requests as a multiple of H.
 	blockFactor = 1.25
-	// H of live requests falls no lower than steadySlots or steadyFraction of the slots: refusals below it are expensive.
-	steadySlots    = 16
-	steadyFraction = 0.5
-	// liveHighCrowding is the multiple of the uncrowded latency at which H of live requests lies, if below the slots.
-	liveHighCrowding = 6.0
-	// liveBlockCrowding is the same for R.
-	liveBlockCrowding = 20.0
-	// batchMaxFraction of the slots bounds H of batch work, which leaves room for live requests.
+	// H of live requests is at least minLiveHighFraction of the slots, and at least minLiveHighSlots, or all slots if there
+	// are fewer: refusals at a lower load are expensive.
+	minLiveHighSlots    = 16
+	minLiveHighFraction = 0.5
+	// liveHighSlowdown is the slowdown at which H of live requests lies, within its bounds.
+	liveHighSlowdown = 6.0
+	// liveBlockSlowdown is the slowdown at which R of live requests lies, within its bounds.
+	liveBlockSlowdown = 20.0
+	// batchMaxFraction is the greatest H of batch work as a fraction of the slots. It leaves room for live requests.
 	batchMaxFraction = 0.5
-	// batchMinFraction of the slots is the least H of batch work.
+	// batchMinFraction is the least H of batch work as a fraction of the slots.
 	batchMinFraction = 0.1
-	// batchCrowding is the multiple of the uncrowded latency at which H of batch work lies, within its bounds.
-	batchCrowding = 2.5
+	// batchHighSlowdown is the slowdown at which H of batch work lies, within its bounds.
+	batchHighSlowdown = 2.5
 	// batchBlockFactor is R of batch work as a multiple of H.
 	batchBlockFactor = 2.0
-	// With shared loads, batch work takes the room that live requests leave: H and R as fractions of the slots.
+	// With shared loads, batch work uses the slots that live requests leave free: H and R as fractions of the slots.
 	batchSharedHighFraction  = 1.0
 	batchSharedBlockFraction = 1.3
-	// Without any reports, other nodes may have as much there: H and R of batch work as fractions of the slots.
-	batchBlindHighFraction  = 0.25
-	batchBlindBlockFraction = 0.375
-	// batchUnanswered is the number of unanswered requests of all nodes from which an uncrowded backend is blocked for
-	// batch work: its prompts come by the dozen and would delay live ones. It falls with the crowding.
-	batchUnanswered = 1.5
-	// coldFraction is the factor on the thresholds of cold backends.
+	// Without any reports of loads, other nodes may send as much to the backend: H and R of batch work as fractions of the
+	// slots.
+	batchUnreportedHighFraction  = 0.25
+	batchUnreportedBlockFraction = 0.375
+	// maxBatchUnanswered is the number of unanswered requests of all nodes from which a backend without load receives no more
+	// batch work: prompts of batch work come by the dozen and would delay those of live requests. The limit is lower if the
+	// slowdown is higher.
+	maxBatchUnanswered = 1.5
+	// H and R of cold backends are multiplied by coldFraction.
 	coldFraction = 0.5
-	minHigh      = 1.0
+	// minHigh is the least H in any case.
+	minHigh = 1.0
 )
 
-// thresholds of one backend for one class of requests: a mode rises above high or block, and falls below low or high.
+// thresholds are the thresholds of one backend for one class of requests, as loads in requests. A backend becomes overloaded
+// if one more request would exceed high, and blocking if one more would exceed block. It stops blocking below high + 1, and
+// is normal again below low.
 type thresholds struct {
 	low   float64 // L
 	high  float64 // H
 	block float64 // R
 }
 
-// thresholdsOf returns the thresholds of a backend with a load and an expected latency. By Little's law latency grows with
-// the load, so the load at which it would be k times the uncrowded one is load x k / crowding.
+// thresholdsOf returns the thresholds of a backend with a load and an expected latency. By Little's law, latency grows in
+// proportion to the load, so it is k times the unloaded latency at a load of load x k / slowdown.
 func (p *Pool) thresholdsOf(now time.Time, b *backend, c class, load, latency float64) thresholds {
 	var limits thresholds
 	if c == batch {
@@ -66,9 +73,9 @@
 
 // liveThresholds returns H and R of live requests.
 func (p *Pool) liveThresholds(b *backend, load, latency float64) thresholds {
-	crowding := p.crowding(latency)
-	high := clamp(load*liveHighCrowding/crowding, b.steadySlots(), b.slots)
-	block := clamp(load*liveBlockCrowding/crowding, blockFactor*high, (1+queueFraction)*b.slots)
+	slowdown := p.slowdown(latency)
+	high := clamp(load*liveHighSlowdown/slowdown, b.minLiveHigh(), b.slots)
+	block := clamp(load*liveBlockSlowdown/slowdown, blockFactor*high, (1+queueFraction)*b.slots)
 	return thresholds{high: high, block: block}
 }
 
@@ -78,16 +85,16 @@
 		return thresholds{high: batchSharedHighFraction * b.slots, block: batchSharedBlockFraction * b.slots}
 	}
 	if !p.backendsReportLoad() {
-		return thresholds{high: batchBlindHighFraction * b.slots, block: batchBlindBlockFraction * b.slots}
+		return thresholds{high: batchUnreportedHighFraction * b.slots, block: batchUnreportedBlockFraction * b.slots}
 	}
-	high := clamp(load*batchCrowding/p.crowding(latency), batchMinFraction*b.slots, batchMaxFraction*b.slots)
+	high := clamp(load*batchHighSlowdown/p.slowdown(latency), batchMinFraction*b.slots, batchMaxFraction*b.slots)
 	return thresholds{high: high, block: batchBlockFactor * high}
 }
 
-// batchUnansweredLimit returns the number of unanswered requests from which batch work is blocked at a backend.
+// batchUnansweredLimit returns the number of unanswered requests from which a backend receives no more batch work.
 func (p *Pool) batchUnansweredLimit(latency float64) float64 {
-	return max(1, batchUnanswered/p.crowding(latency))
+	return max(1, maxBatchUnanswered/p.slowdown(latency))
 }
 
-// clamp returns the value within its bounds. The lower bound gives way to the upper one.
+// clamp limits the value to [low, high]. If low exceeds high, it returns high.
 func clamp(value, low, high float64) float64 { return min(max(value, low), high) }
--- a/internal/admission/thresholds_test.go
+++ b/internal/admission/thresholds_test.go
@@ -8,7 +8,7 @@
 	"nickelline/internal/discovery"
 )
 
-func TestModesAtTheEdges(t *testing.T) {
+func TestModesAtTheThresholds(t *testing.T) {
 	p := newTestPool(backendsOf(1, 10, "a"))
 	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	b := p.backends[0]
@@ -29,7 +29,7 @@
 
 func TestThresholdsAreOrdered(t *testing.T) {
 	p := newTestPool(nil)
-	p.uncrowded = 0.02
+	p.unloadedLatency = 0.02
 	for _, slots := range []int{1, 2, 6, 16, 96} {
 		b := newBackend(discovery.Backend{ID: "x"}, "a")
 		b.update(discovery.Backend{ID: "x", Slots: slots}, 0)
@@ -38,12 +38,12 @@
 				for c := range classes {
 					l := p.thresholdsOf(at(0), b, c, n, latency)
 					if !(l.low < l.high && l.high < l.block) {
-						t.Fatalf("%d slots, n=%v, latency %v, class %v: %+v", slots, n, latency, c, l)
+						t.Fatalf("%d slots, load %v, latency %v, class %v: got %+v, want low < high < block", slots, n, latency, c, l)
 					}
 				}
 				l := p.thresholdsOf(at(0), b, live, n, latency)
-				if slots <= steadySlots && l.high != float64(slots) {
-					t.Fatalf("%d slots: H of live requests is %v", slots, l.high)
+				if slots <= minLiveHighSlots && l.high != float64(slots) {
+					t.Fatalf("H of live requests with %d slots: got %v, want %d", slots, l.high, slots)
 				}
 			}
 		}
--- a/internal/admission/ticket.go
+++ b/internal/admission/ticket.go
@@ -6,7 +6,7 @@
 	"nickelline/internal/discovery"
 )
 
-// Ticket is the permission to send one request to one backend. The caller must call Done once.
+// Ticket is the permission to send one request to one backend. The caller must call Done when the attempt has ended.
 type Ticket struct {
 	Backend discovery.Backend
 
@@ -15,16 +15,16 @@
 	sentAt  time.Time
 	class   class
 	weight  float64
-	trial   bool // of an ejected backend
+	trial   bool // the backend was ejected when it was picked
 	done    bool
 
-	started         bool
-	startedAt       time.Time
-	inFlightAtStart int // of the node at the backend, at the first byte
+	responseStarted         bool
+	responseStartedAt       time.Time
+	inFlightAtResponseStart int // requests of this node at the backend at responseStartedAt
 }
 
-// ticket counts a request at a backend, and returns its ticket.
-func (p *Pool) ticket(now time.Time, r *Request, b *backend) *Ticket {
+// newTicket adds a request to the load of a backend and returns its ticket.
+func (p *Pool) newTicket(now time.Time, r *Request, b *backend) *Ticket {
 	t := &Ticket{
 		Backend: b.listed,
 		pool:    p,
@@ -41,7 +41,7 @@
 	return t
 }
 
-// Started records the first byte of the answer: the first event of a stream, or the whole body otherwise.
+// Started records the first byte of the response: the first event of a stream, or the whole body otherwise.
 func (t *Ticket) Started(now time.Time) {
 	t.pool.mutex.Lock()
 	defer t.pool.mutex.Unlock()
@@ -50,14 +50,14 @@
 	}
 }
 
-// recordFirstByte takes the latency, once.
+// recordFirstByte records the time to first byte. Calls after the first have no effect.
 func (t *Ticket) recordFirstByte(now time.Time) {
-	if t.started {
+	if t.responseStarted {
 		return
 	}
-	t.started = true
-	t.startedAt = now
-	t.inFlightAtStart = t.backend.inFlight
+	t.responseStarted = true
+	t.responseStartedAt = now
+	t.inFlightAtResponseStart = t.backend.inFlight
 	latency := now.Sub(t.sentAt)
 	t.pool.counts[t.class].recordFirstByte(latency)
 	t.backend.recordFirstByte(now, latency, t.weight)
@@ -67,8 +67,8 @@
 	t.pool.recordLatency(now, latency)
 }
 
-// Report takes the load that a backend reported with the head of its answer. Done does the same for answers that end at
-// once.
+// Report records the load that the backend reported in the header of its response. A load that comes with a response that
+// is already complete may be passed to Done instead.
 func (t *Ticket) Report(now time.Time, load Load) {
 	t.pool.mutex.Lock()
 	defer t.pool.mutex.Unlock()
@@ -77,7 +77,8 @@
 	}
 }
 
-// recordLoad takes a report of the backend, unless a newer one is known.
+// recordLoad records a report that the backend made at a time when this node had own requests in flight there, unless a
+// newer report is known.
 func (t *Ticket) recordLoad(at time.Time, own int, load *Load) {
 	if at.Before(t.backend.reportedAt) {
 		return
@@ -86,8 +87,8 @@
 	t.pool.recordOthers(at, t.backend)
 }
 
-// Done records how the attempt ended, and the load that the backend reported with its answer, if any, as of the beginning
-// of the answer. Calls after the first have no effect.
+// Done records the outcome of the attempt, and the load that the backend reported with its response unless it is nil. The
+// load applies to the time of the first byte, if there was one. Calls after the first have no effect.
 func (t *Ticket) Done(now time.Time, outcome Outcome, load *Load) {
 	p, b := t.pool, t.backend
 	p.mutex.Lock()
@@ -99,18 +100,18 @@
 		t.recordFirstByte(now)
 	}
 	switch {
-	case load != nil && t.started:
-		t.recordLoad(t.startedAt, t.inFlightAtStart, load)
+	case load != nil && t.responseStarted:
+		t.recordLoad(t.responseStartedAt, t.inFlightAtResponseStart, load)
 	case load != nil:
 		t.recordLoad(now, b.inFlight, load)
 	}
 	t.done = true
 	p.counts[t.class].outcomes[outcome]++
-	if !t.started {
+	if !t.responseStarted {
 		b.removeUnanswered(t.weight)
 	}
 	if outcome == OK {
-		p.recordCompletion(t.startedAt.Sub(t.sentAt), now.Sub(t.sentAt))
+		p.recordCompletion(t.responseStartedAt.Sub(t.sentAt), now.Sub(t.sentAt))
 	}
 	b.removeRequest(t.class, t.weight)
 	if t.trial {
--- a/internal/admission/ticket_test.go
+++ b/internal/admission/ticket_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestLoadOfAStreamIsAsOfItsBeginning(t *testing.T) {
+func TestReportOfAStreamIsAsOfItsFirstByte(t *testing.T) {
 	p := newTestPool(backendsOf(1, 16, "a"))
 	stream := mustPick(t, p, at(0), Request{})
 	stream.Started(at(time.Second))
@@ -13,7 +13,7 @@
 	later.Done(at(3*time.Second), OK, &Load{Running: 9, Slots: 16})
 	stream.Done(at(4*time.Second), OK, &Load{Running: 2, Slots: 16})
 	if b := p.backends[0]; b.othersInFlight != 7 || !b.reportedAt.Equal(at(3*time.Second)) {
-		t.Errorf("others: got %v as of %v, want 7 as of 3s: an old report replaced a newer one", b.othersInFlight, b.reportedAt.Sub(start))
+		t.Errorf("others: got %v as of %v, want 7 as of 3s, from the newer report", b.othersInFlight, b.reportedAt.Sub(start))
 	}
 }
 
--- a/internal/load/bench_test.go
+++ b/internal/load/bench_test.go
@@ -8,7 +8,7 @@
 	"nickelline/internal/admission"
 )
 
-// subset is how many backends of a service a node uses at most.
+// subset is the maximum number of backends of a service that a node uses.
 const subset = 64
 
 func subsetLoads(count int) []admission.BackendLoad {
@@ -19,7 +19,8 @@
 	return loads
 }
 
-// BenchmarkExchange is what a report of a node with requests at six backends costs the collector, its answer with it.
+// BenchmarkExchange measures what the collector does for one report of a node with requests at six backends: it decodes the
+// report, updates the totals and encodes the response.
 func BenchmarkExchange(b *testing.B) {
 	c := newCollector("a")
 	for i := range 49 {
@@ -31,7 +32,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	answered := 0
+	responseSize := 0
 	for b.Loop() {
 		r, err := decodeReport(sparse)
 		if err != nil {
@@ -41,8 +42,8 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		answered = len(body)
+		responseSize = len(body)
 	}
 	b.ReportMetric(float64(len(sparse)), "asked-B")
-	b.ReportMetric(float64(answered), "answered-B")
+	b.ReportMetric(float64(responseSize), "answered-B")
 }
--- a/internal/load/candidates.go
+++ b/internal/load/candidates.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// maxCandidates is how many processes of a zone may be its collector.
+	// maxCandidates is the maximum number of candidates of a zone.
 	maxCandidates = 3
-	// maxUnanswered is how many messages may go without a response before the next candidate is tried.
+	// maxUnanswered is the number of messages without a response after which the next candidate is tried.
 	maxUnanswered = 3
-	// returnAfter is when the first candidate is tried again.
+	// returnAfter is the time after a switch to another candidate at which the first candidate is tried again.
 	returnAfter = 4 * time.Second
 )
 
-// candidates returns the processes that may be collectors of the zones. All nodes with the same membership table get
-// the same list: the zone's processes of the preferred role, then the others, both ordered by address.
+// candidates lists the processes of each zone that may be its collector. All nodes with the same membership table get the
+// same lists: the zone's processes of the preferred role, then the others, both ordered by address.
 type candidates struct {
-	members   func() *member.Table
-	preferred string
+	members       func() *member.Table
+	preferredRole string
 
 	mutex  sync.Mutex
 	table  *member.Table
 	byZone map[string][]netip.AddrPort
 }
 
-// inZone returns the candidates of a zone.
+// inZone returns the candidates of a zone, the preferred ones first.
 func (c *candidates) inZone(zone string) []netip.AddrPort {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -50,7 +50,7 @@
 	return zones
 }
 
-// refresh computes the candidates anew if the membership table has changed. The caller holds the mutex.
+// refresh recomputes the lists if the membership table has changed. The caller holds the mutex.
 func (c *candidates) refresh() {
 	table := c.members()
 	if table == c.table {
@@ -59,21 +59,23 @@
 	c.table, c.byZone = table, map[string][]netip.AddrPort{}
 	for _, preferred := range []bool{true, false} {
 		for _, m := range table.Alive() {
-			if (m.Role == c.preferred) == preferred && !m.Leaving && len(c.byZone[m.Zone]) < maxCandidates {
+			if (m.Role == c.preferredRole) == preferred && !m.Leaving && len(c.byZone[m.Zone]) < maxCandidates {
 				c.byZone[m.Zone] = append(c.byZone[m.Zone], m.Address)
 			}
 		}
 	}
 }
 
-// collectorChoice selects the candidate of a zone to use. One that does not respond is replaced by the next.
+// collectorChoice selects the candidate of a zone that is used as its collector. A candidate that does not respond is
+// replaced by the next one.
 type collectorChoice struct {
-	index      int
-	unanswered int // messages sent since the last one that was received
+	index      int // of the current candidate
+	unanswered int // messages sent since the last one was received
 	switchedAt time.Time
 }
 
-// target returns the candidate to send the next message to, if there is any.
+// target returns the candidate to send the next message to, or false if there are no candidates. It may switch to another
+// candidate.
 func (c *collectorChoice) target(now time.Time, all []netip.AddrPort) (netip.AddrPort, bool) {
 	if len(all) == 0 {
 		return netip.AddrPort{}, false
@@ -87,10 +89,10 @@
 	return all[c.index%len(all)], true
 }
 
-// messageSent counts a message that wants a response.
+// messageSent counts a message that requires a response.
 func (c *collectorChoice) messageSent() { c.unanswered++ }
 
-// isResponsive reports whether the current candidate has responded lately.
+// isResponsive reports whether fewer than maxUnanswered messages to the current candidate are without a response.
 func (c *collectorChoice) isResponsive() bool { return c.unanswered < maxUnanswered }
 
 // messageReceived records a message from the current candidate.
--- a/internal/load/candidates_test.go
+++ b/internal/load/candidates_test.go
@@ -23,9 +23,9 @@
 	dead.State = member.Dead
 	table := member.NewTable(memberAt(1, "proxy", "a"), memberAt(2, "proxy", "b"), memberAt(3, "control", "a"), leaving, dead,
 		memberAt(6, "proxy", "a"), memberAt(7, "proxy", "a"))
-	c := &candidates{members: func() *member.Table { return table }, preferred: "control"}
+	c := &candidates{members: func() *member.Table { return table }, preferredRole: "control"}
 	if got := fmt.Sprint(c.inZone("a")); got != "[10.0.0.3:7660 10.0.0.1:7660 10.0.0.6:7660]" {
-		t.Errorf("candidates of zone a: got %v", got)
+		t.Errorf("candidates of zone a: got %v, want [10.0.0.3:7660 10.0.0.1:7660 10.0.0.6:7660]", got)
 	}
 	if got := fmt.Sprint(c.zones()); got != "[a b]" {
 		t.Errorf("zones: got %v, want [a b]", got)
--- a/internal/load/codec.go
+++ b/internal/load/codec.go
@@ -11,13 +11,13 @@
 	"nickelline/internal/load/loadwire"
 )
 
-// pendingUnits is the size of a mean request on the wire.
+// pendingUnits is the factor by which Pending is multiplied on the wire.
 const pendingUnits = 100
 
-// errCountMismatch means that a message does not have as many backends as loads.
-var errCountMismatch = merry.New("other numbers of backends and of loads")
+// errCountMismatch means that the numbers of backends and of loads in a message differ.
+var errCountMismatch = merry.New("number of backends differs from number of loads")
 
-// encodedSize estimates the size of a message with some loads, in bytes.
+// encodedSize returns an estimate of the size of a message with these loads, in bytes.
 func encodedSize(loads []admission.BackendLoad) int { return 160 + 12*len(loads) }
 
 func encodeReport(r *report) ([]byte, error) {
@@ -61,20 +61,20 @@
 		}
 		return encodeLoads(root.NewLoads, totals.loads)
 	})
-	return data, merry.Prepend(err, "encode load answer")
+	return data, merry.Prepend(err, "encode load response")
 }
 
 func decodeResponse(data []byte) (*response, error) {
 	root, err := capnpcodec.Unmarshal(data, loadwire.ReadRootAnswer)
 	if err != nil {
-		return nil, merry.Prepend(err, "decode load answer")
+		return nil, merry.Prepend(err, "decode load response")
 	}
 	totals := &response{backendsHash: root.Table()}
 	if totals.service, err = root.Service(); err != nil {
-		return nil, merry.Prepend(err, "decode load answer")
+		return nil, merry.Prepend(err, "decode load response")
 	}
 	if totals.loads, err = decodeLoads(root.Loads()); err != nil {
-		return nil, merry.Prepend(err, "decode load answer")
+		return nil, merry.Prepend(err, "decode load response")
 	}
 	return totals, nil
 }
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// decodeBackends decodes the identifiers of the backends of some loads.
+// decodeBackends decodes the identifiers of backends into loads that are already decoded.
 func decodeBackends(loads []admission.BackendLoad, read func() (capnp.UInt32List, error)) error {
 	list, err := read()
 	if err != nil {
@@ -150,16 +150,16 @@
 	}
 	for i := range loads {
 		entry := list.At(i)
-		entry.SetInFlight(saturated(loads[i].InFlight))
-		entry.SetBatch(saturated(loads[i].Batch))
+		entry.SetInFlight(saturateUint16(loads[i].InFlight))
+		entry.SetBatch(saturateUint16(loads[i].Batch))
 		entry.SetUnanswered(uint8(min(max(loads[i].Unanswered, 0), math.MaxUint8)))
-		entry.SetPending(saturated(int(loads[i].Pending*pendingUnits + 0.5)))
+		entry.SetPending(saturateUint16(int(loads[i].Pending*pendingUnits + 0.5)))
 	}
 	return nil
 }
 
-// saturated returns the nearest number that fits into 16 bits.
-func saturated(number int) uint16 { return uint16(min(max(number, 0), math.MaxUint16)) }
+// saturateUint16 limits a number to the range of 16 bits without sign.
+func saturateUint16(number int) uint16 { return uint16(min(max(number, 0), math.MaxUint16)) }
 
 func decodeLoads(list loadwire.Load_List, err error) ([]admission.BackendLoad, error) {
 	if err != nil {
--- a/internal/load/codec_test.go
+++ b/internal/load/codec_test.go
@@ -21,7 +21,7 @@
 	}
 	totals := &response{service: "s", loads: slices.Clone(loads), backendsHash: 77}
 	for i := range totals.loads {
-		totals.loads[i].Backend = 0 // an answer does not name them
+		totals.loads[i].Backend = 0 // a response does not contain the identifiers
 	}
 	if body, err := encodeResponse(totals); err != nil {
 		t.Error(err)
--- a/internal/load/collect.go
+++ b/internal/load/collect.go
@@ -9,7 +9,7 @@
 	"nickelline/internal/peer"
 )
 
-// handleReport responds to a node's report, and sends summaries to other zones when they are due.
+// handleReport handles the report of a node: it sends the response, and the summaries to other zones if they are due.
 func (s *Service) handleReport(from netip.AddrPort, m peer.Message) {
 	r, err := decodeReport(m.Body)
 	if err != nil {
@@ -23,13 +23,13 @@
 	if !r.oneWay {
 		s.send(from, kindResponse, func() ([]byte, error) { return encodeResponse(totals) })
 	}
-	for _, sum := range s.collector.dueSummaries(now, r.service) {
-		s.sendSummary(now, sum)
+	for _, zoneSummary := range s.collector.dueSummaries(now, r.service) {
+		s.sendSummary(now, zoneSummary)
 	}
 }
 
-// sendSummary sends a summary to the collectors of the other zones.
-func (s *Service) sendSummary(now time.Time, sum *summary) {
+// sendSummary sends a summary to the collectors of all other zones. The caller holds the mutex.
+func (s *Service) sendSummary(now time.Time, zoneSummary *summary) {
 	for _, zone := range s.candidates.zones() {
 		if zone == s.options.Zone {
 			continue
@@ -40,22 +40,22 @@
 		to, ok := s.remote[zone].target(now, s.candidates.inZone(zone))
 		if ok {
 			s.remote[zone].messageSent()
-			s.send(to, kindSummary, func() ([]byte, error) { return encodeSummary(sum) })
+			s.send(to, kindSummary, func() ([]byte, error) { return encodeSummary(zoneSummary) })
 		}
 	}
 }
 
-// handleSummary records the summary of another zone.
+// handleSummary handles a summary from the collector of another zone.
 func (s *Service) handleSummary(from netip.AddrPort, m peer.Message) {
-	sum, err := decodeSummary(m.Body)
+	zoneSummary, err := decodeSummary(m.Body)
 	if err != nil {
 		s.options.Log.Debug("decode load summary failed", zap.Stringer("from", from), zap.Error(err))
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if choice := s.remote[sum.zone]; choice != nil {
+	if choice := s.remote[zoneSummary.zone]; choice != nil {
 		choice.messageReceived()
 	}
-	s.collector.handleSummary(time.Now(), from, sum)
+	s.collector.handleSummary(time.Now(), from, zoneSummary)
 }
--- a/internal/load/collector.go
+++ b/internal/load/collector.go
@@ -9,11 +9,11 @@
 	"nickelline/internal/admission"
 )
 
-// summaryChunkSize is the largest number of loads in one datagram of a summary.
+// summaryChunkSize is the maximum number of loads in one datagram of a summary.
 const summaryChunkSize = 96
 
-// collector sums up the reports of the nodes of its zone and the summaries of other zones. It reads no clock, does no
-// I/O and is not safe for concurrent use.
+// collector adds up the reports of the nodes of its zone and the summaries of other zones. It reads no clock, does no I/O
+// and is not safe for concurrent use.
 type collector struct {
 	zone     string
 	services map[string]*serviceLoads
@@ -23,6 +23,7 @@
 	return &collector{zone: zone, services: map[string]*serviceLoads{}}
 }
 
+// service returns the state of a service, and creates it if necessary.
 func (c *collector) service(name string) *serviceLoads {
 	s := c.services[name]
 	if s == nil {
@@ -36,7 +37,7 @@
 	return s
 }
 
-// handleReport replaces the node's former report and returns the totals of the node's backends.
+// handleReport replaces the previous report of a node and returns the totals of the backends in its last complete report.
 func (c *collector) handleReport(now time.Time, from netip.AddrPort, r *report) *response {
 	s := c.service(r.service)
 	s.sweep(now)
@@ -53,7 +54,7 @@
 	return &response{service: r.service, backendsHash: state.backendsHash, loads: s.totalsOf(state.backends)}
 }
 
-// handleSummary replaces the former summary of the same chunk of a zone.
+// handleSummary replaces the previous summary with the same zone, sender and chunk.
 func (c *collector) handleSummary(now time.Time, from netip.AddrPort, m *summary) {
 	if m.zone == c.zone {
 		return
@@ -68,7 +69,7 @@
 	s.addRemote(m.loads, 1)
 }
 
-// dueSummaries returns the summary of the collector's zone, in chunks, once in an Interval.
+// dueSummaries returns the summary of the collector's zone in chunks, or nil if the last one is less than an Interval old.
 func (c *collector) dueSummaries(now time.Time, service string) []*summary {
 	s := c.service(service)
 	if now.Sub(s.summarizedAt) < Interval {
--- a/internal/load/golden_test.go
+++ b/internal/load/golden_test.go
@@ -7,8 +7,8 @@
 	"nickelline/internal/golden"
 )
 
-// The golden files record the protocol as it was when they were written. Processes of different releases must understand
-// each other's messages, so a test that fails here has found a change of the protocol.
+// The golden files record the encoding of each message. Processes of different releases have to understand each other's
+// messages, so a failure of one of these tests means that the protocol has changed.
 
 var goldenLoads = []admission.BackendLoad{
 	{Backend: 0x80000001, InFlight: 301, Batch: 202, Unanswered: 73, Pending: 7.25},
@@ -37,7 +37,7 @@
 	golden.RoundTrip(t, "summary.hex", message, encodeSummary, decodeSummary)
 }
 
-// The hash of a list of backends goes over the wire in place of the list, so all releases have to compute the same one.
+// Responses contain the hash of a list of backends in place of the list, so all releases have to compute the same hash.
 func TestGoldenBackendsHash(t *testing.T) {
 	const want = 0xefa3aeee
 	if got := hashBackends([]uint32{0x80000001, 0x00020003, 7}); got != want {
@@ -45,7 +45,7 @@
 	}
 }
 
-// withoutBackends returns the loads as an answer carries them, which does not name the backends.
+// withoutBackends returns the loads without the identifiers of the backends, as a response contains them.
 func withoutBackends(loads []admission.BackendLoad) []admission.BackendLoad {
 	var unnamed []admission.BackendLoad
 	for _, load := range loads {
--- a/internal/load/message.go
+++ b/internal/load/message.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// Interval is the time between two reports of a node: a fraction of the time for which a request stays at a backend,
-	// and long enough that reports and responses stay below a few KB a second.
+	// Interval is the time between two reports of a node. It is a fraction of the time for which a request stays at a
+	// backend, and long enough for reports and responses to take no more than a few KB a second.
 	Interval = 80 * time.Millisecond
-	// expiry is how long a report or a summary counts without renewal. A few may be lost.
+	// expiry is how long a report or a summary is valid without renewal. It allows for the loss of a few messages.
 	expiry = 4 * Interval
 )
 
@@ -22,26 +22,26 @@
 	kindSummary
 )
 
-// report is what a node has at the backends of a service.
+// report holds the loads that one node causes at the backends of a service.
 type report struct {
 	service string
 	loads   []admission.BackendLoad
 	// complete is set if the loads name all backends that the node uses.
 	complete bool
-	// oneWay is set if no response is wanted.
+	// oneWay is set if the collector need not respond.
 	oneWay bool
 }
 
-// response is what all nodes have at the backends that a node uses.
+// response holds the loads that all nodes cause at the backends that the receiver uses.
 type response struct {
 	service string
-	// backendsHash identifies the backends of the node's last complete report; 0: the collector needs one.
+	// backendsHash identifies the backends of the receiver's last complete report; 0: the collector needs a complete report.
 	backendsHash uint32
-	// loads are in the order of these backends, without their identifiers.
+	// loads are in the order of these backends, without the identifiers.
 	loads []admission.BackendLoad
 }
 
-// summary is what the nodes of a zone have. A long one is split into chunks.
+// summary holds the loads that the nodes of a zone cause. A long summary is split into chunks, numbered from 0.
 type summary struct {
 	service string
 	zone    string
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -12,26 +12,27 @@
 
 // reportedPool is a pool with the state of its reports.
 type reportedPool struct {
-	pool          Pool
-	backends      []uint32 // backends of the last complete report
-	backendsHash  uint32   // 0: the collector needs a complete report
-	sinceComplete int      // reports since the last complete one
-	// answered is closed when the next response comes; nil: nobody waits for one.
-	answered   chan struct{}
-	reportedAt time.Time
+	pool                 Pool
+	backends             []uint32 // backends of the last complete report
+	backendsHash         uint32   // 0: the collector needs a complete report
+	reportsSinceComplete int      // reports since the last complete one
+	// responseArrived is closed when the next response arrives; nil: no caller waits for a response.
+	responseArrived chan struct{}
+	reportedAt      time.Time
 }
 
-// reportsPerComplete is how many reports are sent for one that names all backends, as their list may have changed.
+// reportsPerComplete is the number of reports after which a complete one is sent, since the list of backends may have
+// changed.
 const reportsPerComplete = 12
 
-// AddPool adds the pool of a service to the reports.
+// AddPool adds the pool of a service, whose loads are reported from then on.
 func (s *Service) AddPool(service string, pool Pool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.pools[service] = &reportedPool{pool: pool}
 }
 
-// reportAll reports the pools that have not just been reported.
+// reportAll reports the pools whose last report is at least half an Interval old.
 func (s *Service) reportAll(now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -42,11 +43,12 @@
 	}
 }
 
-// report sends a pool's loads to the collector. It reports whether a response can be expected.
+// report sends the loads of a pool to the collector, and returns whether a response can be expected. The caller holds the
+// mutex.
 func (s *Service) report(now time.Time, service string, reported *reportedPool, oneWay bool) bool {
-	complete := !oneWay && (reported.backendsHash == 0 || reported.sinceComplete >= reportsPerComplete)
-	loads, wanted := reported.pool.Report(now, complete)
-	if !wanted {
+	complete := !oneWay && (reported.backendsHash == 0 || reported.reportsSinceComplete >= reportsPerComplete)
+	loads, needed := reported.pool.LocalLoads(now, complete)
+	if !needed {
 		return false
 	}
 	to, ok := s.local.target(now, s.candidates.inZone(s.options.Zone))
@@ -54,9 +56,9 @@
 		return false
 	}
 	reported.reportedAt = now
-	reported.sinceComplete++
+	reported.reportsSinceComplete++
 	if complete {
-		reported.backends, reported.sinceComplete = backendsOf(loads), 0
+		reported.backends, reported.reportsSinceComplete = backendsOf(loads), 0
 		reported.backendsHash = hashBackends(reported.backends)
 	}
 	if !oneWay {
@@ -68,22 +70,23 @@
 	return !oneWay && s.local.isResponsive()
 }
 
-// Refresh asks the collector for the totals of a service, and returns when they have come, or after maxRefreshWait.
+// Refresh requests the totals of a service from the collector. It returns when the response has arrived,
+// after maxRefreshWait, or when the context ends.
 func (s *Service) Refresh(ctx context.Context, service string) {
-	answered := s.requestTotals(service)
-	if answered == nil {
+	responseArrived := s.requestTotals(service)
+	if responseArrived == nil {
 		return
 	}
 	timer := time.NewTimer(maxRefreshWait)
 	defer timer.Stop()
 	select {
-	case <-answered:
+	case <-responseArrived:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// requestTotals sends a report. The returned channel is closed when the response comes; it is nil if none can be
+// requestTotals sends a report. The returned channel is closed when the response arrives; it is nil if no response can be
 // expected.
 func (s *Service) requestTotals(service string) <-chan struct{} {
 	s.mutex.Lock()
@@ -92,13 +95,13 @@
 	if reported == nil || !s.report(time.Now(), service, reported, false) {
 		return nil
 	}
-	if reported.answered == nil {
-		reported.answered = make(chan struct{})
+	if reported.responseArrived == nil {
+		reported.responseArrived = make(chan struct{})
 	}
-	return reported.answered
+	return reported.responseArrived
 }
 
-// Announce reports a new request at once, without waiting for a response.
+// Announce reports the loads of a service after a new request. It neither requests nor waits for a response.
 func (s *Service) Announce(service string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -107,7 +110,8 @@
 	}
 }
 
-// handleResponse passes the totals on to the pool.
+// handleResponse passes the totals of a response to the pool. A response for another list of backends than that of the last
+// complete report is ignored.
 func (s *Service) handleResponse(from netip.AddrPort, m peer.Message) {
 	totals, err := decodeResponse(m.Body)
 	if err != nil {
@@ -121,9 +125,9 @@
 	if reported == nil {
 		return
 	}
-	if reported.answered != nil {
-		close(reported.answered)
-		reported.answered = nil
+	if reported.responseArrived != nil {
+		close(reported.responseArrived)
+		reported.responseArrived = nil
 	}
 	switch {
 	case totals.backendsHash == 0:
@@ -132,6 +136,6 @@
 		for i := range totals.loads {
 			totals.loads[i].Backend = reported.backends[i]
 		}
-		reported.pool.Share(time.Now(), totals.loads)
+		reported.pool.SetTotalLoads(time.Now(), totals.loads)
 	}
 }
--- a/internal/load/service.go
+++ b/internal/load/service.go
@@ -14,16 +14,16 @@
 	"nickelline/internal/peer"
 )
 
-// Pool is this node's pool of backends of one service. It is an *admission.Pool.
+// Pool is this node's pool of backends of one service, implemented by *admission.Pool.
 type Pool interface {
-	// Report returns the loads of this node, unless no report is wanted. A complete report names all backends, others only
-	// those at which the node has requests.
-	Report(now time.Time, complete bool) (loads []admission.BackendLoad, wanted bool)
-	// Share sets the totals of all nodes, which are the response to the last report.
-	Share(now time.Time, loads []admission.BackendLoad)
+	// LocalLoads returns the loads of this node, and whether they need to be reported. If complete is set, they include
+	// all backends, otherwise only those at which the node has requests.
+	LocalLoads(now time.Time, complete bool) (loads []admission.BackendLoad, needed bool)
+	// SetTotalLoads sets the loads of all nodes, from the response to the last report.
+	SetTotalLoads(now time.Time, loads []admission.BackendLoad)
 }
 
-// Options are the settings and dependencies of a Service.
+// Options holds the settings and dependencies of a Service.
 type Options struct {
 	Zone      string
 	Transport *peer.Transport
@@ -33,26 +33,26 @@
 	Log           *zap.Logger
 }
 
-// Service reports the loads of this node, and collects those of others if it is a collector.
+// Service reports the loads of this node, and collects the loads of other nodes if this process is a collector.
 type Service struct {
 	options    Options
 	candidates *candidates
 
 	mutex     sync.Mutex
 	collector *collector
-	remote    map[string]*collectorChoice // choice of the collectors of other zones
-	local     collectorChoice             // choice of the collector of this zone
+	remote    map[string]*collectorChoice // collectors of other zones, by zone
+	local     collectorChoice             // collector of this zone
 	pools     map[string]*reportedPool    // by service
 }
 
-// maxRefreshWait is how long Refresh waits for the response. Processes of a zone are near each other.
+// maxRefreshWait is how long Refresh waits for the response. It is short, since processes of a zone are near each other.
 const maxRefreshWait = 4 * time.Millisecond
 
-// New returns a service and sets its handlers at the transport, which must not be started yet.
+// New returns a service and registers its handlers with the transport, which must not be started yet.
 func New(o Options) *Service {
 	s := &Service{
 		options:    o,
-		candidates: &candidates{members: o.Members, preferred: o.PreferredRole},
+		candidates: &candidates{members: o.Members, preferredRole: o.PreferredRole},
 		collector:  newCollector(o.Zone),
 		remote:     map[string]*collectorChoice{},
 		pools:      map[string]*reportedPool{},
@@ -63,14 +63,14 @@
 	return s
 }
 
-// Run reports all pools each Interval until the context ends.
+// Run reports all pools once in each Interval until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	pause.Every(ctx, Interval, nil, func() {
 		s.reportAll(time.Now())
 	})
 }
 
-// send encodes a message and sends it.
+// send encodes a message and sends it as a datagram.
 func (s *Service) send(to netip.AddrPort, kind peer.Kind, encode func() ([]byte, error)) {
 	body, err := encode()
 	if err != nil {
--- a/internal/load/service_test.go
+++ b/internal/load/service_test.go
@@ -14,37 +14,38 @@
 	"nickelline/internal/peer"
 )
 
-// testPatience is more than any test takes, unless something hangs.
-const testPatience = 10 * time.Second
+// testTimeout is longer than any test takes unless it hangs.
+const testTimeout = 10 * time.Second
 
-// fakePool has some requests at one backend.
+// fakePool is a pool with requests at backend 7.
 type fakePool struct {
 	mutex  sync.Mutex
-	own    int
-	shared chan admission.BackendLoad
+	own    int                        // requests of this node
+	totals chan admission.BackendLoad // totals that were set
 }
 
-func (p *fakePool) Report(time.Time, bool) ([]admission.BackendLoad, bool) {
+func (p *fakePool) LocalLoads(time.Time, bool) ([]admission.BackendLoad, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return []admission.BackendLoad{{Backend: 7, InFlight: p.own}}, true
 }
 
-func (p *fakePool) Share(_ time.Time, loads []admission.BackendLoad) {
+func (p *fakePool) SetTotalLoads(_ time.Time, loads []admission.BackendLoad) {
 	select {
-	case p.shared <- loads[0]:
+	case p.totals <- loads[0]:
 	default:
 	}
 }
 
-// testNode is a process of a zone with a pool of one service.
+// testNode is a process with a pool of one service.
 type testNode struct {
 	service   *Service
 	pool      *fakePool
 	transport *peer.Transport
 }
 
-// newNodes starts nodes that know each other. The first of them is the collector.
+// newNodes starts one node for each of the zones, all with the same membership table. The first node is the preferred
+// collector of its zone, and node i has i+1 requests in flight.
 func newNodes(t *testing.T, zones ...string) []*testNode {
 	t.Helper()
 	var members []member.Member
@@ -63,7 +64,7 @@
 		members = append(members, member.Member{Role: role, Zone: zone, Address: transport.Address()})
 		node := &testNode{
 			transport: transport,
-			pool:      &fakePool{own: i + 1, shared: make(chan admission.BackendLoad, 1)},
+			pool:      &fakePool{own: i + 1, totals: make(chan admission.BackendLoad, 1)},
 			service: New(Options{
 				Zone: zone, Transport: transport, Members: func() *member.Table { return table },
 				PreferredRole: "control", Log: zap.NewNop(),
@@ -79,22 +80,22 @@
 	return nodes
 }
 
-// refreshUntil asks again and again until the sum at the backend is as wanted: datagrams may be lost.
+// refreshUntil calls Refresh until the total at the backend is as wanted. It retries since datagrams may be lost.
 func (n *testNode) refreshUntil(t *testing.T, want int) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), testPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		n.service.Refresh(ctx, "s")
 		select {
-		case l := <-n.pool.shared:
+		case l := <-n.pool.totals:
 			if l.Backend == 7 && l.InFlight == want {
 				return
 			}
 		default:
 		}
 	}
-	t.Fatalf("in flight at the backend: want a sum of %d within the time", want)
+	t.Fatalf("requests in flight at the backend: got no total of %d within %v", want, testTimeout)
 }
 
 func TestRefreshSumsAllNodes(t *testing.T) {
@@ -112,9 +113,9 @@
 
 func TestSumsCrossZones(t *testing.T) {
 	nodes := newNodes(t, "a", "a", "b")
-	ctx, cancel := context.WithTimeout(context.Background(), testPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	go nodes[2].service.Run(ctx) // the collector of its zone
+	go nodes[2].service.Run(ctx) // the only node of its zone, so its collector
 	nodes[1].refreshUntil(t, 5)
 }
 
--- a/internal/load/totals.go
+++ b/internal/load/totals.go
@@ -7,7 +7,7 @@
 	"nickelline/internal/admission"
 )
 
-// serviceLoads are the reports, summaries and totals of one service.
+// serviceLoads holds the reports, summaries and totals of one service.
 type serviceLoads struct {
 	reporters    map[netip.AddrPort]*reporterState
 	summaries    map[summaryKey]*summaryState
@@ -20,12 +20,12 @@
 type reporterState struct {
 	at    time.Time
 	loads []admission.BackendLoad
-	// backends are those of the last complete report: responses have their totals.
+	// backends are those of the last complete report. Responses hold the totals of these backends, in this order.
 	backends     []uint32
 	backendsHash uint32
 }
 
-// summaryKey identifies a chunk of the summary of a zone. While a zone changes its collector there may be two senders.
+// summaryKey identifies a chunk of the summary of a zone. There may be two senders while a zone changes its collector.
 type summaryKey struct {
 	zone  string
 	from  netip.AddrPort
@@ -38,10 +38,10 @@
 	loads []admission.BackendLoad
 }
 
-// total is what nodes have at one backend.
+// total is the load of all nodes at one backend.
 type total struct {
-	local  loadSum // of the nodes of the collector's zone
-	remote loadSum // of those of other zones
+	local  loadSum // caused by nodes of the collector's zone
+	remote loadSum // caused by nodes of other zones
 }
 
 // loadSum is a sum of loads.
@@ -58,7 +58,7 @@
 	c.pending += float64(sign) * l.Pending
 }
 
-// replaceLocal replaces a node's loads in the totals.
+// replaceLocal replaces the loads of a node, in its state and in the totals.
 func (s *serviceLoads) replaceLocal(now time.Time, state *reporterState, loads []admission.BackendLoad) {
 	for i := range state.loads {
 		s.total(state.loads[i].Backend).local.add(&state.loads[i], -1)
@@ -76,7 +76,7 @@
 	}
 }
 
-// total returns the total of a backend.
+// total returns the total of a backend, and creates it if necessary.
 func (s *serviceLoads) total(backend uint32) *total {
 	t := s.totals[backend]
 	if t == nil {
@@ -86,7 +86,7 @@
 	return t
 }
 
-// totalsOf returns the totals of some backends, in their order.
+// totalsOf returns the totals of the given backends, in their order.
 func (s *serviceLoads) totalsOf(backends []uint32) []admission.BackendLoad {
 	loads := make([]admission.BackendLoad, len(backends))
 	for i, backend := range backends {
@@ -101,7 +101,7 @@
 	return loads
 }
 
-// sweep drops what has expired, once in an Interval.
+// sweep removes expired reports and summaries, and totals without requests, at most once in an Interval.
 func (s *serviceLoads) sweep(now time.Time) {
 	if now.Sub(s.sweptAt) < Interval {
 		return
@@ -126,7 +126,7 @@
 	}
 }
 
-// backendsOf returns the backends of some loads.
+// backendsOf returns the backends of the loads, in their order.
 func backendsOf(loads []admission.BackendLoad) []uint32 {
 	backends := make([]uint32, len(loads))
 	for i := range loads {
