--- a/internal/node/actions_test.go
+++ b/internal/node/actions_test.go
@@ -16,16 +16,16 @@
 	"nickelline/decide"
 )
 
-// actionRig is a loop whose actions a test carries out, with what they reach.
+// actionRig is a loop that carries out the actions of a test, with a backend, a discovery service and a peer for them.
 type actionRig struct {
 	t         *testing.T
 	loop      *loop
 	transport *transport
-	peer      *net.UDPConn   // another node
-	own       netip.AddrPort // this node, for other nodes
-	seen      chan string    // what backends and discovery are asked for
-	stopped   chan struct{}  // closed when an attempt at /order is cancelled
-	received  chan string    // messages that this node has got
+	peer      *net.UDPConn   // the socket of another node
+	own       netip.AddrPort // the address of this node for its peers
+	seen      chan string    // requests to the backend and to discovery
+	stopped   chan struct{}  // closed when the attempt at /order is cancelled
+	received  chan string    // messages that this node received
 }
 
 func newActionRig(t *testing.T) *actionRig {
@@ -37,10 +37,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { rig.peer.Close() })
-	c := &Config{Settings: testSettings(), KnownBackends: knownBackends(addr), PeerListen: netip.MustParseAddrPort("127.0.0.1:0"),
+	c := &Config{Settings: testSettings(), KnownBackends: readyBackends(addr), PeerListen: netip.MustParseAddrPort("127.0.0.1:0"),
 		Peers: []netip.AddrPort{{}, rig.peer.LocalAddr().(*net.UDPAddr).AddrPort()}}
 	c.Settings.MayMessage = true
-	c.Discovery = registry(t, func(_ int, q url.Values) string {
+	c.Discovery = startDiscovery(t, func(_ int, q url.Values) string {
 		rig.seen <- "list since " + q.Get("since")
 		if q.Get("timeout_ms") == "3000" {
 			time.Sleep(50 * time.Millisecond)
@@ -51,18 +51,18 @@
 	return rig
 }
 
-// run starts the loop and ends it with the test.
+// run starts the loop, which the end of the test stops.
 func (rig *actionRig) run(c *Config) {
 	ctx, cancel := context.WithCancel(rig.t.Context())
-	rig.transport = newTransport(c, 10, quiet)
-	p, err := listenPeers(c, quiet)
+	rig.transport = newTransport(c, 10, discardLog)
+	p, err := listenPeers(c, discardLog)
 	if err != nil {
 		cancel()
 		rig.t.Fatal(err)
 	}
 	rig.own = p.conn.LocalAddr().(*net.UDPAddr).AddrPort()
-	rig.loop = newLoop(ctx, c, rig.transport, newDiscovery(c.Discovery, quiet), p, quiet)
-	rig.loop.settings.ListOnRequest = true // the loop fetches lists only when asked to
+	rig.loop = newLoop(ctx, c, rig.transport, newDiscovery(c.Discovery, discardLog), p, discardLog)
+	rig.loop.settings.ListOnRequest = true // the loop requests lists only on an action
 	var running sync.WaitGroup
 	running.Go(func() { rig.loop.run(c.KnownBackends) })
 	running.Go(func() { rig.transport.Run(ctx) })
@@ -74,6 +74,7 @@
 	})
 }
 
+// serveBackend answers all requests but those for /order, which wait until the attempt is cancelled.
 func (rig *actionRig) serveBackend(c net.Conn) {
 	r := bufio.NewReader(c)
 	for {
@@ -92,12 +93,13 @@
 	}
 }
 
-func (rig *actionRig) act(a decide.Action) { rig.loop.post(func() { rig.loop.carryOut(a) }) }
+// perform has the loop carry out an action.
+func (rig *actionRig) perform(a decide.Action) { rig.loop.post(func() { rig.loop.carryOut(a) }) }
 
-// expect waits until the wanted text is among what backends and discovery are asked for.
+// expect waits until the backend or discovery has received the wanted request.
 func (rig *actionRig) expect(want string) {
 	rig.t.Helper()
-	end := time.After(patient)
+	end := time.After(testTimeout)
 	for {
 		select {
 		case got := <-rig.seen:
@@ -105,12 +107,12 @@
 				return
 			}
 		case <-end:
-			rig.t.Fatalf("%q does not come", want)
+			rig.t.Fatalf("no request %q", want)
 		}
 	}
 }
 
-// Every action works, also those that the module does not use today.
+// TestActions checks every action, including those that the module does not use at present.
 func TestActions(t *testing.T) {
 	t.Parallel()
 	rig := newActionRig(t)
@@ -123,34 +125,34 @@
 
 func (rig *actionRig) checkBackendActions() {
 	rig.t.Helper()
-	rig.act(decide.Probe{Backend: 1})
+	rig.perform(decide.Probe{Backend: 1})
 	rig.expect("/stats")
 	for idle := false; !idle; time.Sleep(time.Millisecond) {
 		idle = len(rig.transport.Idle(rig.transport.Find(1))) > 0
 	}
-	rig.act(decide.CloseIdle{Backend: 1})
+	rig.perform(decide.CloseIdle{Backend: 1})
 	rig.expect("closed")
 }
 
 func (rig *actionRig) checkDiscoveryActions() {
 	rig.t.Helper()
-	rig.act(decide.FetchList{})
+	rig.perform(decide.FetchList{})
 	rig.expect("list since ")
-	rig.act(decide.Subscribe{On: true})
+	rig.perform(decide.Subscribe{On: true})
 	rig.expect("list since 1")
 	rig.expect("list since 1")
-	rig.act(decide.Subscribe{On: false})
+	rig.perform(decide.Subscribe{On: false})
 }
 
 func (rig *actionRig) checkMessages() {
 	rig.t.Helper()
-	rig.act(decide.SendMessage{To: 1, Data: []byte("one")})
-	rig.act(decide.SendMessage{ToAll: true, Data: []byte("all")})
-	rig.act(decide.SendMessage{To: 1, Data: make([]byte, maxDatagram+1)})
-	rig.act(decide.SendMessage{To: 9})
-	rig.act(decide.Log{Line: "line"})
+	rig.perform(decide.SendMessage{To: 1, Data: []byte("one")})
+	rig.perform(decide.SendMessage{ToAll: true, Data: []byte("all")})
+	rig.perform(decide.SendMessage{To: 1, Data: make([]byte, maxDatagram+1)})
+	rig.perform(decide.SendMessage{To: 9})
+	rig.perform(decide.Log{Line: "line"})
 	buf := make([]byte, 999)
-	rig.peer.SetReadDeadline(time.Now().Add(patient))
+	rig.peer.SetReadDeadline(time.Now().Add(testTimeout))
 	for _, want := range []string{"one", "all"} {
 		if n, _, err := rig.peer.ReadFromUDP(buf); err != nil || string(buf[:n]) != want {
 			rig.t.Errorf("datagram: got %q, %v, want %q", buf[:n], err, want)
@@ -165,19 +167,19 @@
 
 func (rig *actionRig) checkAttempt() {
 	rig.t.Helper()
-	r := &request{arrived: decide.RequestArrived{ID: "q", Class: "order"}, deadline: time.Now().Add(patient), client: rig.t.Context(),
-		method: "POST", url: &url.URL{Path: "/order", Host: "h"}, answer: make(chan answer, 1)}
-	rig.loop.post(func() { rig.loop.takeRequest(r) })
+	r := &request{arrived: decide.RequestArrived{ID: "q", Class: "order"}, deadline: time.Now().Add(testTimeout), client: rig.t.Context(),
+		method: "POST", url: &url.URL{Path: "/order", Host: "h"}, response: make(chan response, 1)}
+	rig.loop.post(func() { rig.loop.acceptRequest(r) })
 	rig.expect("/order")
-	rig.act(decide.CancelAttempt{ID: "q", Attempt: 0})
-	rig.act(decide.CancelAttempt{ID: "q", Attempt: 7})
+	rig.perform(decide.CancelAttempt{ID: "q", Attempt: 0})
+	rig.perform(decide.CancelAttempt{ID: "q", Attempt: 7})
 	receive(rig.t, "the end of the attempt", rig.stopped)
-	if a := receive(rig.t, "the answer", r.answer); a.status != http.StatusBadGateway {
+	if a := receive(rig.t, "the response", r.response); a.status != http.StatusBadGateway {
 		rig.t.Errorf("status of a cancelled attempt, which may have run: got %d, want %d", a.status, http.StatusBadGateway)
 	}
-	rig.act(decide.Send{ID: "q", Backend: 1}) // the request is over: the outcome is NotSent, and nothing is sent
-	rig.act(decide.Refuse{ID: "q"})
-	rig.act(decide.Fail{ID: "nobody"})
+	rig.perform(decide.Send{ID: "q", Backend: 1}) // the request is over: the outcome is NotSent, and nothing is sent
+	rig.perform(decide.Refuse{ID: "q"})
+	rig.perform(decide.Fail{ID: "nobody"})
 }
 
 func (rig *actionRig) checkTimer() {
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -9,109 +9,112 @@
 )
 
 const (
-	// minIdle is the time for which a connection with no request open is kept at least.
-	minIdle = 2 * time.Second
-	// minFresh is the same for one that has brought no request yet; it is shorter, as clients send at once.
-	minFresh = 250 * time.Millisecond
-	// minReadAhead and maxReadAhead bound the bytes that a client sends behind an open request and that are kept for the
-	// next one: a whole request at most.
+	// minIdleTime is the minimum time for which a connection without an open request is kept.
+	minIdleTime = 2 * time.Second
+	// minFreshTime is the same for a connection that has had no request yet. It is shorter because clients send at
+	// once.
+	minFreshTime = 250 * time.Millisecond
+	// minReadAhead and maxReadAhead bound the number of bytes that are buffered if a client sends data while its
+	// request is open. The buffer holds one whole request at most.
 	minReadAhead = 4 << 10
 	maxReadAhead = maxRequestHeader + maxBody
 )
 
-// admission is a listener that always accepts clients' connections, and bounds them: at the bound the one that has waited
-// longest with no request open makes room, else the new one is refused. So clients that send nothing shut out nobody.
-type admission struct {
+// clientListener accepts client connections and limits their number. At the limit it evicts the connection that has
+// been without an open request for the longest time, or refuses the new one if none can be evicted. Clients that send
+// nothing therefore cannot lock out others.
+type clientListener struct {
 	*net.TCPListener
-	limit     int
-	readAhead int // bytes behind an open request that are kept
-	stats     *stats
+	limit          int
+	readAheadLimit int // bytes that are buffered while a request is open
+	stats          *stats
 
 	mu    sync.Mutex
-	count int         // of open connections
-	fresh *queue.List // of *clientConn that have brought no request yet; the longest wait is first
-	idle  *queue.List // of *clientConn with no request open; the longest wait is first
+	count int         // open connections
+	fresh *queue.List // *clientConn that have had no request yet, the longest wait first
+	idle  *queue.List // *clientConn between two requests, the longest wait first
 }
 
-func newAdmission(l *net.TCPListener, limit int) *admission {
-	return &admission{
-		TCPListener: l,
-		limit:       limit,
-		readAhead:   maxReadAhead,
-		stats:       &stats{},
-		fresh:       queue.New(),
-		idle:        queue.New(),
+func newClientListener(l *net.TCPListener, limit int) *clientListener {
+	return &clientListener{
+		TCPListener:    l,
+		limit:          limit,
+		readAheadLimit: maxReadAhead,
+		stats:          &stats{},
+		fresh:          queue.New(),
+		idle:           queue.New(),
 	}
 }
 
-// Accept returns the next connection that there is room for.
-func (a *admission) Accept() (net.Conn, error) {
+// Accept returns the next connection that fits the limit. It refuses those that do not.
+func (cl *clientListener) Accept() (net.Conn, error) {
 	for {
-		tcp, err := a.AcceptTCP()
+		tcp, err := cl.AcceptTCP()
 		if err != nil {
 			return nil, err
 		}
-		a.stats.accepted.Add(1)
-		if c := a.admit(tcp); c != nil {
+		cl.stats.accepted.Add(1)
+		if c := cl.admit(tcp); c != nil {
 			return c, nil
 		}
-		a.stats.turnedAway.Add(1)
-		turnAway(tcp)
+		cl.stats.connsRefused.Add(1)
+		refuseConnection(tcp)
 	}
 }
 
-// admit returns the connection to be served, once another has made room if need be; nil if none can.
-func (a *admission) admit(tcp *net.TCPConn) *clientConn {
-	a.mu.Lock()
-	for a.count >= a.limit {
-		old, begun := a.evictionCandidate()
+// admit returns the connection to serve, after evicting others if necessary, or nil if none can be evicted.
+func (cl *clientListener) admit(tcp *net.TCPConn) *clientConn {
+	cl.mu.Lock()
+	for cl.count >= cl.limit {
+		old, begun := cl.evictionCandidate()
 		if old == nil {
-			a.mu.Unlock()
+			cl.mu.Unlock()
 			return nil
 		}
-		old.leave()
+		old.dequeue()
 		old.evicted = true
-		a.stats.evicted.Add(1)
-		a.mu.Unlock()
+		cl.stats.evicted.Add(1)
+		cl.mu.Unlock()
 		if begun {
 			old.refuse()
 		}
 		_ = old.Close() // nothing depends on how it closes
-		a.mu.Lock()
+		cl.mu.Lock()
 	}
-	defer a.mu.Unlock()
-	a.count++
+	defer cl.mu.Unlock()
+	cl.count++
 	raw, err := tcp.SyscallConn()
-	if err != nil { // nil connections alone
+	if err != nil { // SyscallConn fails for nil connections only
 		panic(err)
 	}
-	c := &clientConn{TCPConn: tcp, raw: raw, owner: a}
-	c.wait(a.fresh)
+	c := &clientConn{TCPConn: tcp, raw: raw, listener: cl}
+	c.enqueue(cl.fresh)
 	return c
 }
 
-// openConnections returns the number of clients' connections.
-func (a *admission) openConnections() int {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.count
+// openConnections returns the number of open client connections.
+func (cl *clientListener) openConnections() int {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return cl.count
 }
 
-// evictionCandidate returns the connection that is to make room, closed for reading, or nil if none may be closed. One of
-// which nothing has been read goes first. begun reports that a request has begun on it, which has to be answered.
-func (a *admission) evictionCandidate() (c *clientConn, begun bool) {
+// evictionCandidate returns the connection to evict, after closing it for reading, or nil if none may be evicted. It
+// prefers connections of which nothing has been read. begun reports that part of a request has arrived on the
+// connection, so that the node has to answer it.
+func (cl *clientListener) evictionCandidate() (c *clientConn, begun bool) {
 	for _, from := range []struct {
 		conns   *queue.List
 		minWait time.Duration
 		begun   bool
-	}{{a.idle, minIdle, false}, {a.fresh, minFresh, false}, {a.fresh, minFresh, true}} {
-		for e := from.conns.Front(); e != nil && time.Since(e.Value.(*clientConn).since) >= from.minWait; e = e.Next() {
+	}{{cl.idle, minIdleTime, false}, {cl.fresh, minFreshTime, false}, {cl.fresh, minFreshTime, true}} {
+		for e := from.conns.Front(); e != nil && time.Since(e.Value.(*clientConn).waitingSince) >= from.minWait; e = e.Next() {
 			c := e.Value.(*clientConn)
 			if from.begun {
 				c.closeForReading()
 				return c, true
 			}
-			if c.closeIfQuiet(false) {
+			if c.closeForReadingIfInactive(false) {
 				return c, false
 			}
 		}
@@ -119,31 +122,33 @@
 	return nil, false
 }
 
-// closeQuiet closes connections on which nothing has come since their last answer, or at all.
-func (a *admission) closeQuiet() {
-	for _, c := range a.takeResting(func(c *clientConn) bool { return c.closeIfQuiet(true) }) {
+// closeInactive closes the connections on which nothing has arrived since their last response, or at all.
+func (cl *clientListener) closeInactive() {
+	for _, c := range cl.takeWithoutRequest(func(c *clientConn) bool { return c.closeForReadingIfInactive(true) }) {
 		_ = c.Close() // nothing depends on how it closes
 	}
 }
 
-// refuseRest answers, and closes, connections on which no request is open: what has come of one has come too late.
-func (a *admission) refuseRest() {
-	for _, c := range a.takeResting((*clientConn).closeForReading) {
+// refuseRemaining answers and closes the connections without an open request: a request that has arrived only in part
+// is too late.
+func (cl *clientListener) refuseRemaining() {
+	for _, c := range cl.takeWithoutRequest((*clientConn).closeForReading) {
 		c.refuse()
 		_ = c.Close() // nothing depends on how it closes
 	}
 }
 
-// takeResting takes out the connections with no request open that closeForReading closes for reading.
-func (a *admission) takeResting(closeForReading func(*clientConn) bool) (taken []*clientConn) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for _, l := range []*queue.List{a.fresh, a.idle} {
+// takeWithoutRequest removes and returns the connections without an open request that closeForReading closes for
+// reading. The caller has to close them.
+func (cl *clientListener) takeWithoutRequest(closeForReading func(*clientConn) bool) (taken []*clientConn) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	for _, l := range []*queue.List{cl.fresh, cl.idle} {
 		for e := l.Front(); e != nil; {
 			c := e.Value.(*clientConn)
 			e = e.Next()
 			if closeForReading(c) {
-				c.leave()
+				c.dequeue()
 				c.evicted = true
 				taken = append(taken, c)
 			}
@@ -152,20 +157,20 @@
 	return taken
 }
 
-// track follows the state of a connection in net/http. It becomes active when a header has been read.
-func (a *admission) track(conn net.Conn, state http.ConnState) {
+// track is the ConnState hook of the HTTP server. A connection becomes active when a header has been read.
+func (cl *clientListener) track(conn net.Conn, state http.ConnState) {
 	c := conn.(*clientConn)
 	c.requestOpen.Store(state == http.StateActive)
-	a.mu.Lock()
-	defer a.mu.Unlock()
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 	switch {
 	case c.evicted:
 	case state == http.StateIdle:
-		c.reading.Lock()
-		c.received, c.waiting = len(c.ahead) > 0, false
-		c.reading.Unlock()
-		c.wait(a.idle)
+		c.readMu.Lock()
+		c.requestBegun, c.readerWaiting = len(c.bufferedAhead) > 0, false
+		c.readMu.Unlock()
+		c.enqueue(cl.idle)
 	case state != http.StateNew:
-		c.leave()
+		c.dequeue()
 	}
 }
--- a/internal/node/admission_test.go
+++ b/internal/node/admission_test.go
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// Connections that send nothing, heads and bodies without end are closed or answered within 3 s, and hundreds of them shut
-// nobody out; nor do connections that have asked once and stay.
+// Connections that send nothing, an incomplete header or an incomplete body are closed or answered within 3 s.
+// Hundreds of them, and connections that stay open after one request, do not lock out other clients.
 func TestClientsThatSendNothing(t *testing.T) {
 	t.Parallel()
 	addr := startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse("x") }))
-	n := startNode(t, &Config{Settings: testSettings(), KnownBackends: knownBackends(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: minSockets}})
-	stuck := message("order", "9.5", "abc")
+	n := startNode(t, &Config{Settings: testSettings(), KnownBackends: readyBackends(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: minSockets}})
+	stuck := requestText("order", "9.5", "abc")
 	stuck = stuck[:len(stuck)-1]
 	var waiting sync.WaitGroup
 	for i := range 100 {
-		text := []string{"", "GET /re", "GET /read HTTP/1.1\r\nX: y\r\n", stuck, message("read", "9.5", "")}[i%5]
+		text := []string{"", "GET /re", "GET /read HTTP/1.1\r\nX: y\r\n", stuck, requestText("read", "9.5", "")}[i%5]
 		c, err := net.Dial("tcp", n.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -30,24 +30,24 @@
 		io.WriteString(c, text)
 		waiting.Go(func() {
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(patient))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			if _, err := io.Copy(io.Discard, c); errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("%.20q is left open", text)
+				t.Errorf("after %.20q: the connection is still open", text)
 			}
 		})
 	}
-	for end := time.Now().Add(patient); ; time.Sleep(50 * time.Millisecond) { // long before they would time out
-		if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode == 200 {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(50 * time.Millisecond) { // long before these connections would time out
+		if resp, _ := n.sendRequest(t, requestText("read", "9.5", "")); resp.StatusCode == 200 {
 			break
 		} else if time.Now().After(end) {
-			t.Fatal("shut out")
+			t.Fatal("no request is served beside the stuck connections")
 		}
 	}
 	waiting.Wait()
 }
 
-// At the bound the longest wait goes first, one with a request open never, and a request that crosses its
-// connection's end is not passed on.
+// At the limit, the connection that has waited for the longest time is evicted, but never one with an open request. A
+// request on an evicted connection is not forwarded.
 func TestAdmission(t *testing.T) {
 	t.Parallel()
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	defer tcp.Close()
-	a := newAdmission(tcp, 3)
+	cl := newClientListener(tcp, 3)
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", tcp.Addr().String())
 		if err != nil {
@@ -66,41 +66,41 @@
 	}
 	accept := func() *clientConn {
 		dial()
-		c, err := a.Accept()
+		c, err := cl.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		return c.(*clientConn)
 	}
 	busy, idle, fresh := accept(), accept(), accept()
-	a.track(busy, http.StateActive)
-	a.track(idle, http.StateActive)
-	a.track(idle, http.StateIdle)
+	cl.track(busy, http.StateActive)
+	cl.track(idle, http.StateActive)
+	cl.track(idle, http.StateIdle)
 	refused := dial()
 	done := make(chan *clientConn)
-	go func() { c, _ := a.Accept(); done <- c.(*clientConn) }()
-	refused.SetDeadline(time.Now().Add(patient))
+	go func() { c, _ := cl.Accept(); done <- c.(*clientConn) }()
+	refused.SetDeadline(time.Now().Add(testTimeout))
 	if resp, err := http.ReadResponse(bufio.NewReader(refused), nil); err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
-		t.Fatalf("with none to close: %v, %v", resp, err)
+		t.Fatalf("with no connection to evict: got %v, error %v, want status 503 with Retry-After", resp, err)
 	}
-	a.mu.Lock()
-	idle.since, fresh.since = time.Now().Add(-minIdle), time.Now().Add(-minFresh)
-	a.mu.Unlock()
+	cl.mu.Lock()
+	idle.waitingSince, fresh.waitingSince = time.Now().Add(-minIdleTime), time.Now().Add(-minFreshTime)
+	cl.mu.Unlock()
 	dial()
 	third := receive(t, "the third connection", done)
-	a.track(third, http.StateActive)
+	cl.track(third, http.StateActive)
 	if !idle.wasEvicted() || fresh.wasEvicted() || busy.wasEvicted() {
-		t.Error("the wrong one was closed first")
+		t.Error("first eviction: want only the idle connection evicted")
 	}
 	fourth := accept()
-	a.track(fourth, http.StateActive)
-	if !fresh.wasEvicted() || busy.wasEvicted() || a.count != 3 {
-		t.Errorf("the wrong one was closed second; %d open", a.count)
+	cl.track(fourth, http.StateActive)
+	if !fresh.wasEvicted() || busy.wasEvicted() || cl.count != 3 {
+		t.Errorf("second eviction: want the fresh connection evicted and 3 open, got %d open", cl.count)
 	}
 	for _, c := range []*clientConn{busy, third, fourth, idle, fresh} {
 		c.Close()
 	}
-	if a.count != 0 || a.fresh.Len() != 0 || a.idle.Len() != 0 {
-		t.Errorf("%d open, %d and %d wait", a.count, a.fresh.Len(), a.idle.Len())
+	if cl.count != 0 || cl.fresh.Len() != 0 || cl.idle.Len() != 0 {
+		t.Errorf("after all are closed: got %d open, %d fresh and %d idle connections, want none", cl.count, cl.fresh.Len(), cl.idle.Len())
 	}
 }
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// keyWindowMargin is kept from the end of the time in which backends remember a key.
-	keyWindowMargin = 100 * time.Millisecond
-	// maxFaultText bounds the bytes of a failed attempt's error in the log.
-	maxFaultText = 200
-	// faultLogInterval is the least time between two lines about failed attempts: one backend alone may have hundreds.
-	faultLogInterval = 200 * time.Millisecond
-	// loadPath and livePath are what a probe asks a backend for: its load, or only whether it is alive.
+	// dedupWindowMargin is the safety margin at the end of the time for which backends remember a key.
+	dedupWindowMargin = 100 * time.Millisecond
+	// maxErrorText bounds the number of bytes of a failed attempt's error in the log.
+	maxErrorText = 200
+	// failureLogInterval is the minimum time between two log lines about failed attempts: a single backend may have
+	// hundreds.
+	failureLogInterval = 200 * time.Millisecond
+	// loadPath and livePath are the paths that a probe requests: for the load of the backend, or only for its liveness.
 	loadPath = "/stats"
 	livePath = "/health/live"
 )
 
-// attempt is an attempt of a request at a backend. It belongs to the loop.
+// attempt is one attempt to send a request to a backend. Only the loop accesses it.
 type attempt struct {
-	sent     time.Time
-	cancel   context.CancelFunc
-	neverRan bool // and has ended
+	startedAt time.Time
+	cancel    context.CancelFunc
+	neverRan  bool // the attempt has ended, and the backend has not run the request
 }
 
-// startAttempt starts an attempt. One that is no longer possible ends at once, as not sent.
+// startAttempt starts an attempt. If it must no longer be sent, it ends at once with NotSent.
 func (l *loop) startAttempt(send decide.Send) {
 	r := l.requests[send.ID]
 	if r == nil {
@@ -37,9 +38,9 @@
 	now := time.Now()
 	ctx, cancel := context.WithCancel(l.ctx)
 	number := len(r.attempts)
-	r.attempts = append(r.attempts, &attempt{sent: now, cancel: cancel})
+	r.attempts = append(r.attempts, &attempt{startedAt: now, cancel: cancel})
 	r.inFlight++
-	if r.client.Err() != nil { // the event that says so may be queued behind what led to this
+	if r.client.Err() != nil { // the event for the disconnect may still be queued
 		l.abandon(r)
 	}
 	if r.answered || number >= max(1, l.settings.MaxAttempts) || !now.Before(r.deadline) {
@@ -55,25 +56,26 @@
 	})
 }
 
-// exchange returns the exchange of the latest attempt, which starts now and, unless timeout is 0, has that time.
+// exchange returns the exchange for the latest attempt, which starts now. A timeout of 0 means none besides the
+// request's deadline.
 func (r *request) exchange(now time.Time, timeout time.Duration) *exchange {
 	x := &exchange{method: r.method, url: r.url, header: r.header, body: r.body, deadline: r.deadline, client: r.client}
 	if timeout != 0 && now.Add(timeout).Before(r.deadline) {
 		x.deadline = now.Add(timeout)
 	}
-	if r.keyWindow <= 0 {
+	if r.dedupWindow <= 0 {
 		return x
 	}
 	for _, earlier := range r.attempts[:len(r.attempts)-1] {
 		if !earlier.neverRan {
-			x.writeBefore = earlier.sent.Add(r.keyWindow - keyWindowMargin)
+			x.writeBefore = earlier.startedAt.Add(r.dedupWindow - dedupWindowMargin)
 			break
 		}
 	}
 	return x
 }
 
-// cancelAttempt cancels an attempt, if it is there and the settings allow it.
+// cancelAttempt cancels an attempt, if it exists and the settings allow it.
 func (l *loop) cancelAttempt(a decide.CancelAttempt) {
 	r := l.requests[a.ID]
 	if r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) && l.settings.MayCancel {
@@ -81,10 +83,10 @@
 	}
 }
 
-// attemptEnded takes the end of an attempt: the first answer goes to the client, and the module is notified.
+// attemptEnded handles the end of an attempt: it sends the client the first response and notifies the module.
 func (l *loop) attemptEnded(send decide.Send, number int, res result) {
 	r := l.requests[send.ID]
-	if r.client.Err() != nil { // the event that says so may be queued behind this
+	if r.client.Err() != nil { // the event for the disconnect may be queued behind this one
 		l.abandon(r)
 	}
 	ended := r.attempts[number]
@@ -92,9 +94,9 @@
 	ended.neverRan = res.code == decide.Full || res.code == decide.ConnectFailed || res.code == decide.NotSent
 	r.inFlight--
 	l.transport.stats.outcomes[res.code].Add(1)
-	r.takeResult(res)
+	r.applyResult(res)
 	if res.code != decide.OK && res.code != decide.Cancelled {
-		l.logFault(send, ended, res)
+		l.logFailure(send, ended, res)
 	}
 	if r.answered && r.inFlight == 0 {
 		delete(l.requests, send.ID)
@@ -104,62 +106,63 @@
 		Attempt: number,
 		Backend: send.Backend,
 		Over:    r.answered,
-		Elapsed: time.Since(ended.sent),
+		Elapsed: time.Since(ended.startedAt),
 		Code:    res.code,
 		Report:  res.report,
 		Opened:  res.opened,
 	})
 }
 
-// takeResult answers the client if the result is an answer for it, and it has none yet.
-func (r *request) takeResult(res result) {
+// applyResult sends the client the response in a result, if there is one and the request is not answered yet.
+func (r *request) applyResult(res result) {
 	switch {
 	case r.answered:
 	case res.code == decide.OK:
-		r.answer <- answer{status: http.StatusOK, header: res.header, body: res.body}
+		r.response <- response{status: http.StatusOK, header: res.header, body: res.body}
 		r.answered = true
-	case res.clientStatus > 0: // the backend can't use the request: no other could, and it is not to blame
-		r.answer <- answer{status: res.clientStatus}
+	case res.clientStatus > 0: // the request is invalid, as for any other backend; the backend is not at fault
+		r.response <- response{status: res.clientStatus}
 		r.answered = true
 	}
 }
 
-// logFault logs a failed attempt, at most one in faultLogInterval.
-func (l *loop) logFault(send decide.Send, ended *attempt, res result) {
+// logFailure logs a failed attempt, at most one per failureLogInterval.
+func (l *loop) logFailure(send decide.Send, ended *attempt, res result) {
 	now := time.Now()
-	if now.Sub(l.faultLoggedAt) < faultLogInterval {
+	if now.Sub(l.failureLoggedAt) < failureLogInterval {
 		return
 	}
-	l.faultLoggedAt = now
+	l.failureLoggedAt = now
 	l.log.Info("attempt failed",
-		"id", clip(string(send.ID)), "backend", send.Backend, "code", res.code, "took", now.Sub(ended.sent),
+		"id", clip(string(send.ID)), "backend", send.Backend, "code", res.code, "took", now.Sub(ended.startedAt),
 		"conn_uses", res.connHistory.Requests, "conn_age", res.connHistory.Age, "conn_idle", res.connHistory.Idle,
-		"err", faultText(res.err))
+		"err", errorText(res.err))
 }
 
-// faultText returns the text of an error for the log, or nothing for none. It is bounded, as the text may quote what a
-// peer sent.
-func faultText(err error) string {
+// errorText returns the text of an error for the log, or "" for nil. The text is clipped, as it may quote data from a
+// backend.
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
 	return clip(err.Error())
 }
 
-func clip(text string) string { return text[:min(len(text), maxFaultText)] }
+// clip returns at most the first maxErrorText bytes of a text.
+func clip(text string) string { return text[:min(len(text), maxErrorText)] }
 
-// probe starts a probe of a backend, and notifies the module of its end.
+// probe starts a probe of a backend. The module is notified when it ends.
 func (l *loop) probe(id decide.BackendID) {
 	backend := l.transport.Find(id)
 	path := loadPath
 	if l.settings.ReportVia == decide.ReportNone {
 		path = livePath
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	l.running.Go(func() {
 		res := l.transport.probe(l.ctx, backend, path)
 		l.post(func() {
-			l.handle(decide.ProbeEnded{Backend: id, Code: res.code, Elapsed: time.Since(began), Report: res.report})
+			l.handle(decide.ProbeEnded{Backend: id, Code: res.code, Elapsed: time.Since(startedAt), Report: res.report})
 		})
 	})
 }
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -11,65 +11,65 @@
 	"time"
 )
 
-// clientConn is a connection of a client. It embeds *net.TCPConn: net/http would reset connections whose CloseWrite it
-// doesn't see.
+// clientConn is a client's connection. It embeds *net.TCPConn because net/http resets connections that have no
+// CloseWrite.
 type clientConn struct {
 	*net.TCPConn
-	raw         syscall.RawConn
-	owner       *admission
-	once        sync.Once
-	requestOpen atomic.Bool // a request is open, or has just been answered
-	refused     atomic.Bool // the node has answered what was no whole request yet
-	ahead       []byte      // read behind an open request; only one goroutine reads at a time
+	raw           syscall.RawConn
+	listener      *clientListener
+	closeOnce     sync.Once
+	requestOpen   atomic.Bool // a request is open, or its response has just been written
+	refused       atomic.Bool // the node has refused it without a complete request
+	bufferedAhead []byte      // read while a request was open; only one goroutine reads at a time
 
-	// Under the owner's lock.
-	list    *queue.List // that it waits in, or nil
-	element *queue.Element
-	since   time.Time
-	evicted bool
+	// Guarded by listener.mu.
+	waitQueue    *queue.List // the list of the listener that contains it, or nil
+	element      *queue.Element
+	waitingSince time.Time
+	evicted      bool
 
-	reading          sync.Mutex // held with the owner's lock or without it, and over each read of the socket
-	received         bool       // something of a further request was read
-	waiting          bool       // the reader has seen that there is nothing to read
-	closedForReading bool       // by the node: nothing is read any more
+	readMu           sync.Mutex // held during each read of the socket; acquired with or without listener.mu held
+	requestBegun     bool       // part of a further request was read
+	readerWaiting    bool       // the reader found nothing to read
+	closedForReading bool       // by the node: no more data is read
 }
 
-// readAheadStep is the number of bytes that are read ahead at once.
+// readAheadStep is the maximum number of bytes of a read while a request is open.
 const readAheadStep = 512
 
-var errFlood = errors.New("the client floods behind an open request")
+var errFlood = errors.New("too much data from the client while a request is open")
 
-// Read reads for net/http. While a request is open net/http reads a single byte, to notice that the client leaves, and a
-// byte that comes would end that watch: what comes is kept here instead, until the request is answered. A client sends one
-// request at a time: the connection of one that sends more than can be kept is closed, or its leaving would stay unnoticed
-// behind what it has sent.
+// Read reads for net/http. While a request is open, net/http reads a single byte to detect that the client disconnects,
+// and receiving a byte would end that detection. Read therefore buffers the data that arrives until the request is
+// answered. A client sends one request at a time: the connection of a client that sends more than fits the buffer is
+// closed, because a disconnect after unread data would not be detected.
 func (c *clientConn) Read(p []byte) (int, error) {
-	if len(c.ahead) > 0 && !(len(p) == 1 && c.requestOpen.Load()) {
-		n := copy(p, c.ahead)
-		c.ahead = c.ahead[n:]
+	if len(c.bufferedAhead) > 0 && !(len(p) == 1 && c.requestOpen.Load()) {
+		n := copy(p, c.bufferedAhead)
+		c.bufferedAhead = c.bufferedAhead[n:]
 		return n, nil
 	}
 	if len(p) != 1 || !c.requestOpen.Load() {
-		return c.receive(p)
+		return c.readSocket(p)
 	}
-	for len(c.ahead) <= c.owner.readAhead {
+	for len(c.bufferedAhead) <= c.listener.readAheadLimit {
 		var next [readAheadStep]byte
-		n, err := c.receive(next[:])
+		n, err := c.readSocket(next[:])
 		if err != nil {
 			return 0, err
 		}
-		c.ahead = append(c.ahead, next[:n]...)
+		c.bufferedAhead = append(c.bufferedAhead, next[:n]...)
 	}
 	return 0, errFlood
 }
 
-// closeIfQuiet closes the connection for reading if nothing of a further request has been read, or waits to be, and
-// reports whether it is closed. What comes from then on is not read: then its client knows that it may send it again. With
-// readerWaits the reader must have seen that there is nothing.
-func (c *clientConn) closeIfQuiet(readerWaits bool) bool {
-	c.reading.Lock()
-	defer c.reading.Unlock()
-	if c.received || c.closedForReading || readerWaits && !c.waiting {
+// closeForReadingIfInactive closes the connection for reading if no data of a further request has been read or waits in
+// the kernel, and reports whether it did. Data that arrives later is not read, so the client knows that it may send the
+// request again. With readerWaits the reader must also have found nothing to read.
+func (c *clientConn) closeForReadingIfInactive(readerWaits bool) bool {
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
+	if c.requestBegun || c.closedForReading || readerWaits && !c.readerWaiting {
 		return false
 	}
 	err := c.raw.Control(func(fd uintptr) {
@@ -80,34 +80,34 @@
 	return err == nil && c.closedForReading
 }
 
-// closeForReading has nothing read from the connection any more. It returns true.
+// closeForReading stops all further reads from the connection. It returns true.
 func (c *clientConn) closeForReading() bool {
-	c.reading.Lock()
-	defer c.reading.Unlock()
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
 	c.closedForReading = true
 	return true
 }
 
-// refuse writes an answer of the node's own. No request may be open, so that nobody else writes.
+// refuse writes a response by the node itself. No request may be open, so that there is no other writer.
 func (c *clientConn) refuse() {
 	c.refused.Store(true)
 	writeRefusal(c.TCPConn)
 }
 
-// receive reads from the socket unless the connection is closed for reading.
-func (c *clientConn) receive(p []byte) (n int, err error) {
+// readSocket reads from the socket unless the connection is closed for reading.
+func (c *clientConn) readSocket(p []byte) (n int, err error) {
 	rawErr := c.raw.Read(func(fd uintptr) bool {
-		c.reading.Lock()
-		defer c.reading.Unlock()
+		c.readMu.Lock()
+		defer c.readMu.Unlock()
 		if c.closedForReading {
 			err = net.ErrClosed
 			return true
 		}
 		for n, err = syscall.Read(int(fd), p); err == syscall.EINTR; n, err = syscall.Read(int(fd), p) {
 		}
-		c.waiting = err == syscall.EAGAIN
-		c.received = c.received || n > 0
-		return !c.waiting
+		c.readerWaiting = err == syscall.EAGAIN
+		c.requestBegun = c.requestBegun || n > 0
+		return !c.readerWaiting
 	})
 	switch {
 	case rawErr != nil:
@@ -120,42 +120,41 @@
 	return n, nil
 }
 
-// wait puts the connection at the end of a list, under the owner's lock.
-func (c *clientConn) wait(l *queue.List) {
-	c.leave()
-	c.list, c.since = l, time.Now()
+// enqueue moves the connection to the end of a list. The caller holds listener.mu.
+func (c *clientConn) enqueue(l *queue.List) {
+	c.dequeue()
+	c.waitQueue, c.waitingSince = l, time.Now()
 	c.element = l.PushBack(c)
 }
 
-// leave takes the connection out of its list, under the owner's lock.
-func (c *clientConn) leave() {
-	if c.list != nil {
-		c.list.Remove(c.element)
-		c.list, c.element = nil, nil
+// dequeue removes the connection from its list. The caller holds listener.mu.
+func (c *clientConn) dequeue() {
+	if c.waitQueue != nil {
+		c.waitQueue.Remove(c.element)
+		c.waitQueue, c.element = nil, nil
 	}
 }
 
-// wasEvicted reports whether the connection was closed to make room while a request was on its way. That request must not
-// be sent on.
+// wasEvicted reports whether the connection was evicted. A request that arrived at the same time must not be forwarded.
 func (c *clientConn) wasEvicted() bool {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
 	return c.evicted
 }
 
-// Close closes the connection once, behind the answer if there is one.
+// Close closes the connection, after its response if there is one. Further calls return net.ErrClosed.
 func (c *clientConn) Close() error {
 	err := net.ErrClosed
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		if c.requestOpen.Load() || c.refused.Load() {
-			err = hangUp(c.TCPConn)
-		} else { // a request that crosses the close stays unread: then its client may send it again
+			err = closeAfterResponse(c.TCPConn)
+		} else { // a request that arrives during the close stays unread, so the client may send it again
 			err = c.TCPConn.Close()
 		}
-		c.owner.mu.Lock()
-		defer c.owner.mu.Unlock()
-		c.leave()
-		c.owner.count--
+		c.listener.mu.Lock()
+		defer c.listener.mu.Unlock()
+		c.dequeue()
+		c.listener.count--
 	})
 	return err
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -22,20 +22,20 @@
 // Config is the configuration of a node.
 type Config struct {
 	Name      string
-	Listen    netip.AddrPort // clients
+	Listen    netip.AddrPort // for clients
 	Discovery netip.AddrPort
 	Seed      int64
 	Limits    Limits
-	// PeerListen, PeersAll and Peers are for messages between nodes; the first two are invalid where there are none.
+	// PeerListen, PeersAll and Peers are for messages between nodes. PeerListen and PeersAll are invalid if not set.
 	PeerListen, PeersAll netip.AddrPort
 	Peers                []netip.AddrPort
-	KnownBackends        list // the backends as this node last had them
+	KnownBackends        backendList // the last list of backends that this node had
 	Settings             decide.Settings
 
-	readAgain func() (*Config, error)
+	reload func() (*Config, error)
 }
 
-// The least limits that a node can run with, and those that it takes if the file has none.
+// The smallest limits with which a node can run, and the defaults for limits that the file does not set.
 const (
 	minSockets      = 64
 	minMemoryMB     = 32
@@ -43,15 +43,15 @@
 	defaultMemoryMB = 192
 )
 
-// LoadConfig reads the file that GW_CONFIG names. GW_NAME, GW_LISTEN and GW_DISCOVERY, if set, override what it says.
+// LoadConfig reads the file that GW_CONFIG names. GW_NAME, GW_LISTEN and GW_DISCOVERY, if set, override its values.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	c, err := readConfig(getenv)
 	if err != nil {
 		return nil, err
 	}
-	c.readAgain = func() (*Config, error) {
+	c.reload = func() (*Config, error) {
 		return readConfig(func(name string) string {
-			if name == "GW_DISCOVERY" { // it still has the address of the start: a new one is in the file
+			if name == "GW_DISCOVERY" { // it still has the address from the start; a new one is in the file
 				return ""
 			}
 			return getenv(name)
@@ -60,7 +60,7 @@
 	return c, nil
 }
 
-// configJSON is the configuration file.
+// configJSON is the JSON form of the configuration file.
 type configJSON struct {
 	Name       string          `json:"name"`
 	Listen     string          `json:"listen"`
@@ -74,7 +74,7 @@
 	Settings   json.RawMessage `json:"settings"`
 }
 
-// readConfig reads the file and the environment. Errors about the file's content name the file.
+// readConfig reads the file and the environment. An error about the content of the file contains its path.
 func readConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
@@ -96,7 +96,7 @@
 	return c, nil
 }
 
-// override puts what the environment says in place of what the file says.
+// override replaces values of the file by those that the environment sets.
 func (in *configJSON) override(getenv func(string) string) {
 	for variable, field := range map[string]*string{
 		"GW_NAME":      &in.Name,
@@ -109,7 +109,7 @@
 	}
 }
 
-// config checks the fields in turn.
+// config validates the fields in order and returns the configuration.
 func (in *configJSON) config() (*Config, error) {
 	if in.Name == "" {
 		return nil, errors.New("name is missing")
@@ -123,10 +123,10 @@
 		return nil, fmt.Errorf("seed: %w", err)
 	}
 	c.Seed = int64(seed)
-	if err := c.Limits.complete(); err != nil {
+	if err := c.Limits.applyDefaults(); err != nil {
 		return nil, err
 	}
-	if in.Known != nil && string(in.Known) != "null" { // null: a node that has never had a list
+	if in.Known != nil && string(in.Known) != "null" { // null: the node has never had a list
 		if c.KnownBackends, err = decodeList(in.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
@@ -138,7 +138,7 @@
 func (in *configJSON) parseAddresses(c *Config) error {
 	for _, address := range []struct {
 		name, text string
-		into       *netip.AddrPort
+		target     *netip.AddrPort
 		required   bool
 	}{
 		{"listen", in.Listen, &c.Listen, true},
@@ -153,7 +153,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", address.name, err)
 		}
-		*address.into = parsed
+		*address.target = parsed
 	}
 	for i, text := range in.Peers {
 		peer, err := netip.ParseAddrPort(text)
@@ -165,8 +165,8 @@
 	return nil
 }
 
-// complete puts in the defaults, and returns an error if the node can't run within the limits.
-func (l *Limits) complete() error {
+// applyDefaults sets missing limits to their defaults. It returns an error if the node cannot run within the limits.
+func (l *Limits) applyDefaults() error {
 	if l.Sockets == 0 {
 		l.Sockets = defaultSockets
 	}
@@ -174,7 +174,7 @@
 		l.MemoryMB = defaultMemoryMB
 	}
 	if l.Sockets < minSockets || l.MemoryMB < minMemoryMB || l.Cores < 0 {
-		return fmt.Errorf("limits: want %d sockets and %d MB of memory at least, have %+v", minSockets, minMemoryMB, *l)
+		return fmt.Errorf("limits: want at least %d sockets and %d MB of memory, got %+v", minSockets, minMemoryMB, *l)
 	}
 	return nil
 }
@@ -188,7 +188,7 @@
 		return decide.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	if len(settings.Classes) == 0 || settings.ConnectTimeout <= 0 {
-		return decide.Settings{}, errors.New("settings: want classes and caps.connect_timeout_ns")
+		return decide.Settings{}, errors.New("settings: classes or caps.connect_timeout_ns missing")
 	}
 	return settings, nil
 }
--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -17,75 +17,76 @@
 	"nickelline/internal/upstream"
 )
 
-// A backend's own 429 promises nothing: a client that took it for a refusal would repeat what may have run.
+// A 429 from a backend does not guarantee that the request has not run. A client that takes it for a refusal would
+// repeat a request that may have run, so it is not passed on.
 func TestTooManyRequestsIsNoRefusal(t *testing.T) {
 	t.Parallel()
 	addr := startBackend(t, respondWith(func(*http.Request, []byte) string {
 		return "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n"
 	}))
-	n := startNode(t, &Config{Settings: testSettings(), KnownBackends: knownBackends(addr)})
-	if resp, _ := n.ask(t, message("order", "9.5", "b")); resp.StatusCode != http.StatusBadGateway {
-		t.Errorf("status %d", resp.StatusCode)
+	n := startNode(t, &Config{Settings: testSettings(), KnownBackends: readyBackends(addr)})
+	if resp, _ := n.sendRequest(t, requestText("order", "9.5", "b")); resp.StatusCode != http.StatusBadGateway {
+		t.Errorf("got status %d, want 502", resp.StatusCode)
 	}
 }
 
-// A list that was sent before discovery moves is taken, though it comes to the loop after the move: it counts as delivered,
-// and at the new address nobody may answer.
+// A list that discovery sent before its address changes is applied even if it reaches the loop after the change: it
+// counts as delivered, and discovery may not respond at the new address.
 func TestListCrossesMove(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{false, true} {
 		addr := startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse("x") }))
-		tell, told, rest := make(chan struct{}), make(chan struct{}, 1), make(chan struct{})
-		c := &Config{Settings: testSettings(), KnownBackends: knownBackends(addr)}
+		sendList, watched, testEnd := make(chan struct{}), make(chan struct{}, 1), make(chan struct{})
+		c := &Config{Settings: testSettings(), KnownBackends: readyBackends(addr)}
 		c.Settings.ListOnRequest = !pushed
-		c.Discovery = registry(t, func(n int, _ url.Values) string {
+		c.Discovery = startDiscovery(t, func(n int, _ url.Values) string {
 			switch n {
 			case 1:
 				return jsonList(5, true, "ready", addr)
 			case 2:
-				told <- struct{}{}
-				<-tell
+				watched <- struct{}{}
+				<-sendList
 				return jsonList(6, false, "draining", addr)
 			}
-			<-rest
+			<-testEnd
 			return ""
 		})
-		t.Cleanup(func() { close(rest) })
-		p := startHeld(t, c)
-		release := sync.OnceFunc(func() { close(tell) })
+		t.Cleanup(func() { close(testEnd) })
+		p := startExposed(t, c)
+		release := sync.OnceFunc(func() { close(sendList) })
 		t.Cleanup(release)
 		select {
-		case <-told:
-		case <-time.After(patient):
-			t.Fatal("no watch")
+		case <-watched:
+		case <-time.After(testTimeout):
+			t.Fatal("no second call of the watch")
 		}
 		hold := make(chan struct{})
-		letLoop := sync.OnceFunc(func() { close(hold) })
-		t.Cleanup(letLoop)
+		releaseLoop := sync.OnceFunc(func() { close(hold) })
+		t.Cleanup(releaseLoop)
 		held := make(chan struct{})
 		p.loop.post(func() { close(held); <-hold })
 		receive(t, "the loop", held)
 		silent := netip.MustParseAddrPort(startBackend(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
 		p.loop.post(func() { p.loop.moveDiscovery(silent) })
 		release()
-		eventually(t, "a list behind the move", func() bool { return len(p.loop.events) >= 2 })
-		letLoop()
+		eventually(t, "a list queued after the move", func() bool { return len(p.loop.events) >= 2 })
+		releaseLoop()
 		p.runInLoop(func() {})
 		if h := p.loop.transport.Find(1); h != nil {
-			t.Errorf("pushed %v: the drain is not followed", pushed)
+			t.Errorf("pushed %v: the draining backend is still in use", pushed)
 		}
 	}
 }
 
-// A watch that is reset is begun anew by the node, in its own time: net/http would repeat the call at once, on every node
-// in step, with what time is left of the old one.
+// The node restarts a watch whose connection is reset, after a pause. net/http would repeat the call at once, on all
+// nodes at the same time and within the remaining time of the old call.
 func TestWatchIsNotRepeatedByTheLibrary(t *testing.T) {
 	t.Parallel()
 	addr := startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse("x") }))
 	calls := make(chan url.Values, 99)
 	var mu sync.Mutex
 	n := 0
-	c := &Config{Settings: testSettings(), KnownBackends: knownBackends(addr)}
+	c := &Config{Settings: testSettings(), KnownBackends: readyBackends(addr)}
 	c.Discovery = netip.MustParseAddrPort(startBackend(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
@@ -95,7 +96,7 @@
 			}
 			calls <- req.URL.Query()
 			if req.ContentLength != 0 || len(req.TransferEncoding) > 0 {
-				t.Errorf("a call with a body: %d, %v", req.ContentLength, req.TransferEncoding)
+				t.Errorf("call with a body: got length %d, transfer encoding %v, want none", req.ContentLength, req.TransferEncoding)
 			}
 			mu.Lock()
 			n++
@@ -118,25 +119,25 @@
 		select {
 		case q := <-calls:
 			if q.Get("timeout_ms") != want {
-				t.Errorf("call %d: %v, want timeout_ms %s", i, q, want)
+				t.Errorf("call %d: got query %v, want timeout_ms %s", i, q, want)
 			}
-		case <-time.After(patient):
+		case <-time.After(testTimeout):
 			t.Fatalf("no call %d", i)
 		}
 	}
 }
 
-// Where lists are pushed, what the agent gets when it is back counts as delivered at once: the node may not sleep then for
-// longer than it may go on sending to a backend that drains, nor wait for a call that the agent never took.
+// If lists are pushed, a list counts as delivered as soon as a recovered agent has it. The node must then not pause
+// for longer than it may still send to a draining backend, nor wait for a call that the agent never accepted.
 func TestPushedListIsAskedForWithinTheGrace(t *testing.T) {
 	t.Parallel()
 	const failing = 10
 	addr := startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse("x") }))
 	done := make(chan struct{})
-	c := &Config{Settings: testSettings(), KnownBackends: knownBackends(addr)}
+	c := &Config{Settings: testSettings(), KnownBackends: readyBackends(addr)}
 	c.Settings.ListOnRequest, c.Settings.DrainGrace = false, 500*time.Millisecond
 	hang := make(chan struct{})
-	c.Discovery = registry(t, func(n int, _ url.Values) string {
+	c.Discovery = startDiscovery(t, func(n int, _ url.Values) string {
 		switch {
 		case n <= failing && n%3 == 0:
 			<-hang // the node gives up
@@ -153,24 +154,24 @@
 	startNode(t, c)
 	select {
 	case <-done:
-	case <-time.After(3 * patient):
-		t.Fatal("not asked again")
+	case <-time.After(3 * testTimeout):
+		t.Fatal("no call after the failed ones")
 	}
-	// Half of the time that pauses of up to 5 s and calls of up to 3 s take at least.
+	// Half of the minimum time with pauses of up to 5 s and calls of up to 3 s.
 	if took := time.Since(began); took > failing*time.Second {
-		t.Errorf("%d failing calls took %v with a grace of %v", failing, took, c.Settings.DrainGrace)
+		t.Errorf("%d failed calls took %v, want at most 1 s each with a grace of %v", failing, took, c.Settings.DrainGrace)
 	}
 }
 
-// Two backends whose names give one number stay two, in whatever order they are listed, also when one of them goes and
-// comes back; of two changes to one backend in an answer the last one holds.
+// Two backends whose names give the same ID remain distinct, whatever the order in which they are listed, and also if
+// one of them is removed and returns. If a response has two changes of one backend, the last one applies.
 func TestNamesThatGiveOneNumber(t *testing.T) {
 	t.Parallel()
-	answers := func(text string) string {
+	startWith := func(text string) string {
 		return startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse(text) }))
 	}
-	addrs := map[string]string{"web-00000001": answers("web"), "db-00000001": answers("db"), "x-00000002": answers("x")}
-	told := func(full bool, states ...string) list {
+	addrs := map[string]string{"web-00000001": startWith("web"), "db-00000001": startWith("db"), "x-00000002": startWith("x")}
+	newList := func(full bool, states ...string) backendList {
 		var servers []string
 		for i := 0; i < len(states); i += 2 {
 			servers = append(servers, fmt.Sprintf(`{"id":%q,"addr":%q,"state":%q}`, states[i], addrs[states[i]], states[i+1]))
@@ -181,35 +182,35 @@
 		}
 		return l
 	}
-	p := startHeld(t, &Config{Settings: testSettings()})
+	p := startExposed(t, &Config{Settings: testSettings()})
 	for i, c := range []struct {
-		news list
-		want string
+		update backendList
+		want   string
 	}{
-		{told(true, "web-00000001", "ready", "db-00000001", "ready", "x-00000002", "ready"), "db web x"},
-		{told(false, "web-00000001", "draining"), "db x"},
-		{told(false, "web-00000001", "ready"), "db web x"},
-		{told(false, "web-00000001", "gone"), "db x"},
-		{told(false, "web-00000001", "ready", "x-00000002", "gone"), "db web"},
-		{told(true, "db-00000001", "ready"), "db"},
-		{told(true, "x-00000002", "ready", "web-00000001", "ready", "db-00000001", "ready"), "db web x"},
-		{told(false, "x-00000002", "ready", "x-00000002", "draining", "db-00000001", "draining", "db-00000001", "ready"), "db web"},
+		{newList(true, "web-00000001", "ready", "db-00000001", "ready", "x-00000002", "ready"), "db web x"},
+		{newList(false, "web-00000001", "draining"), "db x"},
+		{newList(false, "web-00000001", "ready"), "db web x"},
+		{newList(false, "web-00000001", "gone"), "db x"},
+		{newList(false, "web-00000001", "ready", "x-00000002", "gone"), "db web"},
+		{newList(true, "db-00000001", "ready"), "db"},
+		{newList(true, "x-00000002", "ready", "web-00000001", "ready", "db-00000001", "ready"), "db web x"},
+		{newList(false, "x-00000002", "ready", "x-00000002", "draining", "db-00000001", "draining", "db-00000001", "ready"), "db web"},
 	} {
 		var hosts []*upstream.Backend
 		p.runInLoop(func() {
-			p.loop.takeList(c.news)
+			p.loop.receiveList(c.update)
 			for id := range p.loop.ready {
 				hosts = append(hosts, p.loop.transport.Find(id))
 			}
 		})
 		var got []string
 		for _, h := range hosts {
-			r := p.loop.transport.do(t.Context(), h, get(patient))
+			r := p.loop.transport.do(t.Context(), h, getExchange(testTimeout))
 			got = append(got, string(r.body))
 		}
 		slices.Sort(got)
 		if text := strings.Join(got, " "); text != c.want {
-			t.Errorf("list %d: %q answer, want %q", i, text, c.want)
+			t.Errorf("list %d: got responses of %q, want %q", i, text, c.want)
 		}
 	}
 }
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -15,30 +15,31 @@
 )
 
 const (
-	// maxListBytes bounds a list.
+	// maxListBytes bounds the size of a list.
 	maxListBytes = 4 << 20
-	// watchPoll is the time that a call of a watch waits for changes: a path that fails silently is noticed by then.
-	watchPoll = 3 * time.Second
-	// firstPoll is the same in the call that begins a watch: the module waits for its answer.
-	firstPoll = time.Millisecond
-	// callTimeout is the time beyond that for which a call may wait its turn.
+	// pollWait is the time for which a watch's call waits for changes. It bounds the time until a silent failure of the
+	// network path is noticed.
+	pollWait = 3 * time.Second
+	// firstPollWait is the same for the first call of a watch. It is short because the module waits for the response.
+	firstPollWait = time.Millisecond
+	// callTimeout is the time that a call may take beyond its wait for changes, as it may have to queue at discovery.
 	callTimeout = 3 * time.Second
-	// pollSlack is the same within a watch, which has its turn: an answer that comes later is none.
+	// pollSlack is the same for the further calls of a watch, which do not queue. A later response counts as a failure.
 	pollSlack = time.Second
-	// dialTimeout is the time to connect.
+	// dialTimeout is the timeout for connecting.
 	dialTimeout = time.Second
-	// minPollInterval is the pause after an agent has answered at once without a change.
+	// minPollInterval is the pause after the discovery agent has responded at once without a change.
 	minPollInterval = 50 * time.Millisecond
-	// firstRetryWait is the pause after a watch has failed; it doubles up to maxRetryWait.
-	firstRetryWait = 200 * time.Millisecond
-	maxRetryWait   = 5 * time.Second
-	// registryPath is the path of the list.
+	// minRetryWait is the first pause after a watch has failed. It doubles with each failure, up to maxRetryWait.
+	minRetryWait = 200 * time.Millisecond
+	maxRetryWait = 5 * time.Second
+	// registryPath is the URL path of the list.
 	registryPath = "/registry/instances"
 )
 
-var errNotWhole = errors.New("list: want the whole")
+var errNotFull = errors.New("list: want a full list, got changes")
 
-// discovery fetches the list of backends from one address, over connections of its own.
+// discovery is a client for the discovery service at one address, with its own connections.
 type discovery struct {
 	address netip.AddrPort
 	client  *http.Client
@@ -50,48 +51,50 @@
 		DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, MaxConnsPerHost: 4, MaxIdleConnsPerHost: 2}}}
 }
 
-func (d *discovery) call(ctx context.Context, query string, limit time.Duration) (list, error) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// call requests the list of backends with a query. It returns an error unless the response arrives in time and is
+// valid.
+func (d *discovery) call(ctx context.Context, query string, timeout time.Duration) (backendList, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	// An empty body that can't be read again keeps net/http from repeating by itself a call that is reset: all nodes would
-	// do so at once, in the time that is left of the old call.
+	// A body that cannot be rewound, although empty, prevents net/http from retrying by itself a call whose connection
+	// is reset: all nodes would retry at once, within the remaining time of the old call.
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.address.String()+registryPath+query, io.NopCloser(http.NoBody))
 	if err != nil {
-		return list{}, err
+		return backendList{}, err
 	}
 	resp, err := d.client.Do(req)
 	if err != nil {
-		return list{}, err
+		return backendList{}, err
 	}
 	defer resp.Body.Close()
 	var body bytes.Buffer
 	if _, err := body.ReadFrom(io.LimitReader(resp.Body, maxListBytes)); err != nil {
-		return list{}, err
+		return backendList{}, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return list{}, fmt.Errorf("discovery answers %s", resp.Status)
+		return backendList{}, fmt.Errorf("discovery: got status %s, want 200", resp.Status)
 	}
 	return decodeList(body.Bytes())
 }
 
-// fetch fetches the whole list once.
-func (d *discovery) fetch(ctx context.Context) (list, error) {
+// fetch requests the full list once.
+func (d *discovery) fetch(ctx context.Context) (backendList, error) {
 	l, err := d.call(ctx, "", callTimeout)
 	if err == nil && !l.full {
-		return list{}, errNotWhole
+		return backendList{}, errNotFull
 	}
 	return l, err
 }
 
-// watch calls handle with the changes from a version on, and with the answer to its first call even if it holds none,
-// until a call fails; it returns that call's error. If since is nil it begins with the whole list. slack is the time that
-// the first call may take.
-func (d *discovery) watch(ctx context.Context, since *uint64, slack time.Duration, handle func(list)) error {
+// watch calls handle with the changes since a version, and with the response to its first call even if that contains
+// no change. It returns the error of the first call that fails. If since is nil, it begins with the full list. slack
+// is the time that the first call may take beyond its wait for changes.
+func (d *discovery) watch(ctx context.Context, since *uint64, slack time.Duration, handle func(backendList)) error {
 	var version uint64
-	wait := firstPoll
+	wait := firstPollWait
 	for first := true; ; first = false {
-		asked := time.Now()
-		var l list
+		askedAt := time.Now()
+		var l backendList
 		var err error
 		if first && since == nil {
 			l, err = d.fetch(ctx)
@@ -101,7 +104,7 @@
 			}
 			l, err = d.call(ctx, fmt.Sprintf("?since=%d&timeout_ms=%d", version, wait.Milliseconds()), wait+slack)
 		}
-		if err == nil && !l.full && l.version < version { // it counts anew: changes since another count's version are none
+		if err == nil && !l.full && l.version < version { // versions restarted: the changes do not apply
 			l, err = d.fetch(ctx)
 		}
 		if err != nil {
@@ -110,30 +113,32 @@
 		if first || l.full || len(l.entries) > 0 || l.version != version {
 			handle(l)
 		}
-		// An agent may answer at once, always: that must not become a busy loop. A watch goes on over 200 ms.
-		if !first && l.version == version && time.Since(asked) < minPollInterval {
+		// If the agent always responds at once, this must not become a busy loop. A pause does not end the watch, which
+		// continues across gaps of up to 200 ms between calls.
+		if !first && l.version == version && time.Since(askedAt) < minPollInterval {
 			select {
 			case <-ctx.Done():
 			case <-time.After(minPollInterval):
 			}
 		}
-		version, wait, slack = l.version, watchPoll, pollSlack
+		version, wait, slack = l.version, pollWait, pollSlack
 	}
 }
 
-// follow keeps a watch, until ctx ends, where lists are pushed and so the module asks for none. What the agent has then
-// counts as delivered, also while there is no watch: as soon as the agent is back the node has the drain grace to learn of
-// it, for a call that hangs, a pause and the call that is answered.
-func (d *discovery) follow(ctx context.Context, since *uint64, grace time.Duration, handle func(list)) {
-	slack, last := callTimeout, maxRetryWait
+// follow keeps a watch open until ctx ends. It is used if lists are pushed, so that the module does not request them.
+// A list then counts as delivered once the agent has it, even while there is no watch. After the agent recovers, the
+// node has the drain grace to learn of a change, which covers one call that hangs, one pause and the call that
+// succeeds.
+func (d *discovery) follow(ctx context.Context, since *uint64, grace time.Duration, handle func(backendList)) {
+	slack, maxRetry := callTimeout, maxRetryWait
 	if grace > 0 {
-		slack, last = min(callTimeout, grace/3), min(maxRetryWait, grace/4) // and half as much again, by the jitter
+		slack, maxRetry = min(callTimeout, grace/3), min(maxRetryWait, grace/4) // jitter lengthens the pause by up to half
 	}
-	first := min(firstRetryWait, last)
-	retry := first
+	minRetry := min(minRetryWait, maxRetry)
+	retry := minRetry
 	for ctx.Err() == nil {
-		err := d.watch(ctx, since, slack, func(l list) {
-			since, retry = &l.version, first
+		err := d.watch(ctx, since, slack, func(l backendList) {
+			since, retry = &l.version, minRetry
 			handle(l)
 		})
 		d.log.Debug("watch of backends ended", "discovery", d.address, "err", err)
@@ -141,6 +146,6 @@
 		case <-ctx.Done():
 		case <-time.After(time.Duration(float64(retry) * (0.5 + rand.Float64()))):
 		}
-		retry = min(2*retry, last)
+		retry = min(2*retry, maxRetry)
 	}
 }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -2,41 +2,44 @@
 
 import "time"
 
-// After SIGTERM connections come for 0.4 s more; the rest of drainAcceptTime is for the accept queue. Clients go on using
-// the connections that they have, and SIGKILL comes killDelay after the longest deadline, which counts for
-// maxDrainDeadline at most.
+// New connections arrive for up to 0.4 s after SIGTERM; the rest of drainAcceptTime is for the accept queue. Clients
+// keep using the connections that they have. SIGKILL follows killDelay after the longest deadline of a class, or after
+// maxDrainDeadline if that is shorter.
 const (
 	drainAcceptTime  = 600 * time.Millisecond
 	maxDrainDeadline = 3 * time.Second
 	killDelay        = 700 * time.Millisecond
-	// killMargin is kept from SIGKILL: the last answers have left by then.
+	// killMargin is the safety margin before SIGKILL, by which the last responses have been sent.
 	killMargin = 200 * time.Millisecond
-	// lastRequestsBefore that end no more requests are taken.
-	lastRequestsBefore = 300 * time.Millisecond
-	// drainAnswerTime after that end is for the module's own answers; the same again for the rest.
-	drainAnswerTime   = 50 * time.Millisecond
+	// requestCutoff is how long before the end of draining the node stops accepting requests.
+	requestCutoff = 300 * time.Millisecond
+	// drainResponseTime is the time after that end for the module's own responses, and again for responses by the node.
+	drainResponseTime = 50 * time.Millisecond
+	// drainPollInterval is the time between two checks whether clients are still connected.
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// drain ends the service of the node. Clients still come for a moment, and what the kernel has accepted counts as taken:
-// so the listener stays open for that long. On the connections that they have, clients are served for as long as an answer
-// can come before the node is killed: the other nodes of its zone may be few, and have its clients soon enough. Then
-// connections are closed, but none that a request has come on, not even a part of one; those are answered.
-func (f *frontend) drain(clients *admission) {
+// drain shuts the node down gracefully. New clients still arrive for a moment, and a connection that the kernel has
+// accepted counts as accepted by the node, so the listener stays open for drainAcceptTime. Clients are then served on
+// their existing connections for as long as a response can arrive before SIGKILL, because the other nodes of the zone
+// may be few and should not get all of these clients early. After that, drain closes the connections, except those on
+// which a request has arrived, even in part; these are answered first.
+func (f *frontend) drain(clients *clientListener) {
 	end := time.Now().Add(min(f.longestDeadline(), maxDrainDeadline) + killDelay - killMargin)
-	f.drainEnd.Store(&end) // by then all is answered
+	f.drainEnd.Store(&end) // the deadline of all requests from now on
 	f.log.Info("draining")
 	time.Sleep(drainAcceptTime)
 	clients.TCPListener.Close()
-	f.waitForClients(clients, end.Add(-lastRequestsBefore))
+	f.waitForClients(clients, end.Add(-requestCutoff))
 	f.closing.Store(true)
-	f.waitForClients(clients, end.Add(drainAnswerTime))
-	close(f.answersDue) // requests from before the signal may have more time than the node
-	f.waitForClients(clients, end.Add(2*drainAnswerTime))
-	clients.refuseRest()
+	f.waitForClients(clients, end.Add(drainResponseTime))
+	close(f.responsesDue) // the deadlines of requests from before the signal may be later than this
+	f.waitForClients(clients, end.Add(2*drainResponseTime))
+	clients.refuseRemaining()
 	f.log.Info("drained", "held", clients.openConnections())
 }
 
+// longestDeadline returns the longest deadline of all classes.
 func (f *frontend) longestDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range f.classes {
@@ -45,12 +48,12 @@
 	return longest
 }
 
-// waitForClients waits until no client is connected, or until the given time. Once the node takes no more requests it
-// closes the connections on which none has begun.
-func (f *frontend) waitForClients(clients *admission, until time.Time) {
+// waitForClients waits until no client is connected, or until the given time. Once the node accepts no more requests,
+// it closes the connections on which no further request has begun.
+func (f *frontend) waitForClients(clients *clientListener, until time.Time) {
 	for time.Until(until) > 0 && clients.openConnections() > 0 {
 		if f.closing.Load() {
-			clients.closeQuiet()
+			clients.closeInactive()
 		}
 		time.Sleep(drainPollInterval)
 	}
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -16,25 +16,25 @@
 	"time"
 )
 
-// shutQuietBack is shutQuiet(false), undone.
-func (c *clientConn) shutQuietBack() bool {
-	quiet := c.closeIfQuiet(false)
-	c.reading.Lock()
-	defer c.reading.Unlock()
+// isInactive calls closeForReadingIfInactive(false), undoes its effect, and returns its result.
+func (c *clientConn) isInactive() bool {
+	inactive := c.closeForReadingIfInactive(false)
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
 	c.closedForReading = false
-	return quiet
+	return inactive
 }
 
-// At the node's end a request whose first part has come is answered, on a connection that has been idle, and so is one
-// that was taken before the end was asked for and has more time than the node.
+// When the node drains, it answers a request of which only the first part has arrived, on a connection that was idle
+// before. It also answers a request that it accepted before the drain and whose deadline is later than the node's end.
 func TestEndAnswersAll(t *testing.T) {
 	t.Parallel()
-	came := make(chan struct{}, 9)
+	arrived := make(chan struct{}, 9)
 	c := &Config{Settings: testSettings()}
 	for i := range c.Settings.Classes {
 		c.Settings.Classes[i].Deadline = 300 * time.Millisecond
 	}
-	silent := startBackend(t, func(c net.Conn) { // POSTs are never answered
+	silent := startBackend(t, func(c net.Conn) { // answers no POST
 		r := bufio.NewReader(c)
 		for {
 			req, err := http.ReadRequest(r)
@@ -42,14 +42,14 @@
 				return
 			}
 			if req.Method == "POST" {
-				came <- struct{}{}
+				arrived <- struct{}{}
 				io.Copy(io.Discard, c)
 				return
 			}
 			io.WriteString(c, okResponse("x"))
 		}
 	})
-	c.KnownBackends = knownBackends(silent)
+	c.KnownBackends = readyBackends(silent)
 	n := startNode(t, c)
 	dial := func() (net.Conn, *bufio.Reader) {
 		conn, err := net.Dial("tcp", n.addr)
@@ -57,108 +57,108 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
-		conn.SetDeadline(time.Now().Add(patient))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		return conn, bufio.NewReader(conn)
 	}
 	begun, r := dial()
-	io.WriteString(begun, message("read", "9.5", ""))
+	io.WriteString(begun, requestText("read", "9.5", ""))
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil || resp.StatusCode != 200 {
-		t.Fatalf("%v, %v", resp, err)
+		t.Fatalf("first response: got %v, error %v, want status 200", resp, err)
 	}
 	io.Copy(io.Discard, resp.Body)
 	long, longR := dial()
-	io.WriteString(long, message("order", "9.5", "b"))
-	receive(t, "the request", came)
-	text := message("read", "9.5", "")
+	io.WriteString(long, requestText("order", "9.5", "b"))
+	receive(t, "the request", arrived)
+	text := requestText("read", "9.5", "")
 	io.WriteString(begun, text[:20])
 	n.stop()
 	if resp, err := http.ReadResponse(longR, nil); err != nil || resp.StatusCode != 504 {
-		t.Errorf("with more time than the node: %v, %v", resp, err)
+		t.Errorf("request with more time than the node: got %v, error %v, want status 504", resp, err)
 	}
 	io.WriteString(begun, text[20:])
 	if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 503 {
-		t.Errorf("begun: %v, %v", resp, err)
+		t.Errorf("begun request: got %v, error %v, want status 503", resp, err)
 	}
 	if err := receive(t, "the end of the node", n.ended); err != nil {
 		t.Error(err)
 	}
 }
 
-// endsWhen is a context that has ended for whoever asks for Done, once an answer is there.
-type endsWhen struct {
+// closedContext is a context that has ended. Done first calls awaitResponse, which waits until the response exists.
+type closedContext struct {
 	context.Context
-	there func()
-	over  chan struct{}
+	awaitResponse func()
+	done          chan struct{}
 }
 
-func (c *endsWhen) Done() <-chan struct{} { c.there(); return c.over }
+func (c *closedContext) Done() <-chan struct{} { c.awaitResponse(); return c.done }
 
-// Of an answer and the client's going, both there, the answer is sent: select alone takes any.
+// If both a response and the client's disconnect are pending, the response is sent. select alone would pick either.
 func TestAnswerGoesFirst(t *testing.T) {
 	t.Parallel()
-	p := startHeld(t, &Config{Settings: testSettings()}) // with no backend each request is refused
-	over := make(chan struct{})
-	close(over)
+	p := startExposed(t, &Config{Settings: testSettings()}) // with no backend each request is refused
+	done := make(chan struct{})
+	close(done)
 	for range 20 {
-		text := message("read", "9.5", "")
+		text := requestText("read", "9.5", "")
 		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		ctx := context.WithValue(t.Context(), connKey{}, &clientConn{owner: p.clients})
+		ctx := context.WithValue(t.Context(), connKey{}, &clientConn{listener: p.clients})
 		w := httptest.NewRecorder()
-		p.frontend.ServeHTTP(w, r.WithContext(&endsWhen{ctx, func() { p.runInLoop(func() {}) }, over}))
+		p.frontend.ServeHTTP(w, r.WithContext(&closedContext{ctx, func() { p.runInLoop(func() {}) }, done}))
 		if w.Code != 503 {
-			t.Fatalf("status %d", w.Code)
+			t.Fatalf("got status %d, want 503", w.Code)
 		}
 	}
 }
 
-// lateBody brings its last byte when the time for it is over: that has begun before the first read.
+// lateBody returns its last byte after bodyTimeout, which starts before the first read.
 type lateBody struct{}
 
 func (lateBody) Read(p []byte) (int, error) { <-time.After(bodyTimeout); p[0] = 'b'; return 1, io.EOF }
 func (lateBody) Close() error               { return nil }
 
-// A body whose end crosses the deadline for it is answered as late: net/http's watch for the client's going may have
-// ended with that deadline, and the request would be taken for one whose client has left.
+// A body that ends just after its read deadline is rejected as late. net/http's detection of a disconnect may have
+// ended with that deadline, and the request would be treated as one whose client has disconnected.
 func TestBodyCrossesItsDeadline(t *testing.T) {
 	t.Parallel()
 	r := httptest.NewRequest("POST", "/order", lateBody{})
 	r.ContentLength = 1
-	if _, status, fault := readBody(httptest.NewRecorder(), r); status != http.StatusRequestTimeout {
-		t.Errorf("status %d, %q", status, fault)
+	if _, status, reason := readBody(httptest.NewRecorder(), r); status != http.StatusRequestTimeout {
+		t.Errorf("got status %d (%q), want 408", status, reason)
 	}
 }
 
-// A node that is asked to end before it serves, and to read its configuration again while it drains, still answers what
-// the kernel has accepted for it.
+// A node that is stopped before it serves and told to reload while it drains still answers a request on a connection
+// that the kernel has accepted.
 func TestEndAtTheStart(t *testing.T) {
 	t.Parallel()
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn, err := net.Dial("tcp", tcp.Addr().String()) // accepted by the kernel, and by nobody else so far
+	conn, err := net.Dial("tcp", tcp.Addr().String()) // so far accepted by the kernel only
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patient))
-	io.WriteString(conn, message("order", "9.5", "b"))
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	io.WriteString(conn, requestText("order", "9.5", "b"))
 	addr := startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse("x") }))
 	read := make(chan struct{}, 9)
-	c := &Config{Settings: testSettings(), KnownBackends: knownBackends(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 256}}
+	c := &Config{Settings: testSettings(), KnownBackends: readyBackends(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 256}}
 	c.Discovery = netip.MustParseAddrPort(startBackend(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
-	c.readAgain = func() (*Config, error) { read <- struct{}{}; return nil, errors.New("bad") }
+	c.reload = func() (*Config, error) { read <- struct{}{}; return nil, errors.New("bad") }
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
-	hup, ended := make(chan os.Signal, 1), make(chan error, 1)
-	hup <- syscall.SIGHUP
-	go func() { ended <- serve(ctx, c, tcp, hup, quiet) }()
+	sighup, ended := make(chan os.Signal, 1), make(chan error, 1)
+	sighup <- syscall.SIGHUP
+	go func() { ended <- serve(ctx, c, tcp, sighup, discardLog) }()
 	if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != 200 {
-		t.Errorf("%v, %v", resp, err)
+		t.Errorf("response: got %v, error %v, want status 200", resp, err)
 	}
 	receive(t, "the reload", read)
 	conn.Close()
@@ -167,18 +167,18 @@
 	}
 }
 
-// A connection that is closed as its idle time is over leaves unread what comes in that moment: only by a reset does its
-// client know that it may send that again.
+// If a connection is closed because of the idle timeout, a request that arrives at that moment stays unread, so the
+// close sends a reset. Only the reset tells the client that it may send the request again.
 func TestIdleTimeOutCrossesRequest(t *testing.T) {
 	t.Parallel()
 	for _, first := range []string{"the request", "the deadline"} {
 		t.Run(first, func(t *testing.T) {
 			_, c, client := connPair(t)
-			over := func() { c.SetReadDeadline(time.Unix(1, 0)) }
+			expire := func() { c.SetReadDeadline(time.Unix(1, 0)) }
 			if first == "the request" {
 				io.WriteString(client, "GET")
-				eventually(t, "come", func() bool { return !c.shutQuietBack() })
-				over()
+				eventually(t, "data in the kernel", func() bool { return !c.isInactive() })
+				expire()
 			}
 			got := make(chan error, 1)
 			go func() {
@@ -186,19 +186,19 @@
 				got <- err
 			}()
 			if first == "the deadline" {
-				eventually(t, "reading", func() bool { c.reading.Lock(); defer c.reading.Unlock(); return c.waiting })
-				over()
+				eventually(t, "a waiting reader", func() bool { c.readMu.Lock(); defer c.readMu.Unlock(); return c.readerWaiting })
+				expire()
 			}
 			if err := receive(t, "a read", got); !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("read %v", err)
+				t.Errorf("read: got error %v, want a passed deadline", err)
 			}
 			if first == "the deadline" {
 				io.WriteString(client, "GET")
-				eventually(t, "come", func() bool { return !c.shutQuietBack() })
+				eventually(t, "data in the kernel", func() bool { return !c.isInactive() })
 			}
 			c.Close()
 			if _, err := client.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-				t.Errorf("the client reads %v", err)
+				t.Errorf("read by the client: got error %v, want a reset", err)
 			}
 		})
 	}
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -21,12 +21,12 @@
 	"nickelline/internal/upstream"
 )
 
-// patient is how long a test waits for what must come, on a machine of any speed.
-const patient = 20 * time.Second
+// testTimeout is the time for which a test waits for an expected event. It is long enough for a slow machine.
+const testTimeout = 20 * time.Second
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-// testSettings returns settings with a safe, a keyed and an unsafe class.
+// testSettings returns settings with a safe class "read", a keyed class "tag" and an unsafe class "order".
 func testSettings() decide.Settings {
 	class := func(name string, e decide.Effect) decide.Class {
 		return decide.Class{Name: name, Value: 1, Target: 5 * time.Second, Deadline: 10 * time.Second, Effect: e,
@@ -40,7 +40,8 @@
 		Classes:    []decide.Class{class("read", decide.Safe), class("tag", decide.Keyed), class("order", decide.Unsafe)}}
 }
 
-// startBackend listens on a port that the kernel chooses, and returns its address. Each connection is handed to serve.
+// startBackend listens on a free port and returns its address. Each connection is passed to serve. The end of the test
+// closes the connections and waits for all calls of serve.
 func startBackend(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -76,19 +77,19 @@
 	return l.Addr().String()
 }
 
-// receive waits for a value, and ends the test if none comes: a test that waits for ever hides its own failure.
+// receive waits for a value and ends the test if none arrives in time: a test that waits forever hides its own failure.
 func receive[T any](t *testing.T, what string, from <-chan T) T {
 	t.Helper()
 	select {
 	case value := <-from:
 		return value
-	case <-time.After(patient):
-		t.Fatalf("%s: not within %v", what, patient)
+	case <-time.After(testTimeout):
+		t.Fatalf("%s: not within %v", what, testTimeout)
 		panic("unreachable")
 	}
 }
 
-// respondWith returns a function that reads requests and writes what reply returns, until that is nothing.
+// respondWith returns a function that reads requests and writes what reply returns, until reply returns "".
 func respondWith(reply func(*http.Request, []byte) string) func(net.Conn) {
 	return func(c net.Conn) {
 		r := bufio.NewReader(c)
@@ -107,14 +108,14 @@
 	}
 }
 
-// okResponse returns an answer with a body.
+// okResponse returns the text of a response with status 200 and a body.
 func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// knownBackends returns a whole list of ready backends at the addresses.
-func knownBackends(addrs ...string) list {
-	l := list{version: 1, full: true}
+// readyBackends returns a full list of ready backends at the addresses, with the IDs 1, 2 and so on.
+func readyBackends(addrs ...string) backendList {
+	l := backendList{version: 1, full: true}
 	for i, a := range addrs {
 		l.entries = append(l.entries, entry{name: fmt.Sprintf("s-%08x", i+1), addr: a, Backend: decide.Backend{ID: decide.BackendID(i + 1), Zone: "z", State: decide.Ready, Size: 1}})
 	}
@@ -123,16 +124,16 @@
 
 // testNode is a running node.
 type testNode struct {
-	addr  string
-	hup   chan os.Signal
-	stop  context.CancelFunc
-	ended chan error
+	addr   string
+	sighup chan os.Signal
+	stop   context.CancelFunc
+	ended  chan error
 }
 
 // startNode starts a node, which the end of the test stops.
 func startNode(t *testing.T, c *Config) *testNode {
 	t.Helper()
-	// The listener is handed over: a port that is chosen, freed and taken again may be another's in between.
+	// The listener is passed on, because another process could take a port that is closed and opened again.
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -144,16 +145,16 @@
 		c.Discovery = netip.MustParseAddrPort(startBackend(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	n := &testNode{addr: tcp.Addr().String(), hup: make(chan os.Signal), stop: stop, ended: make(chan error, 1)}
-	go func() { n.ended <- serve(ctx, c, tcp, n.hup, quiet); close(n.ended) }()
+	n := &testNode{addr: tcp.Addr().String(), sighup: make(chan os.Signal), stop: stop, ended: make(chan error, 1)}
+	go func() { n.ended <- serve(ctx, c, tcp, n.sighup, discardLog); close(n.ended) }()
 	t.Cleanup(func() { stop(); receive(t, "the end of the node", n.ended) })
-	return n // connections wait in the listener's queue until it serves
+	return n // until the node serves, connections wait in the accept queue
 }
 
-var ids atomic.Int64
+var ids atomic.Int64 // for the ids of requests
 
-// message returns a request of a class whose client waits for so many seconds.
-func message(class, left, body string) string {
+// requestText returns the text of a request of a class. left is the value of X-Time-Left, in seconds.
+func requestText(class, left, body string) string {
 	method, key := "GET", ""
 	if class != "read" {
 		method = "POST"
@@ -165,8 +166,8 @@
 		method, class, ids.Add(1), key, left, len(body), body)
 }
 
-// ask sends text on a connection of its own and reads one answer.
-func (n *testNode) ask(t *testing.T, text string) (*http.Response, string) {
+// sendRequest sends text on a new connection and returns the response and its body.
+func (n *testNode) sendRequest(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
 	resp, body, err := n.exchange(text)
 	if err != nil {
@@ -175,25 +176,26 @@
 	return resp, body
 }
 
-// askServed is ask by a client that comes again after a refusal, when it was asked to. On a machine that is held up, answers
-// seem slow, and the module may refuse for a moment what would be served.
-func (n *testNode) askUntilServed(t *testing.T, text string) (*http.Response, string) {
+// sendUntilServed does what sendRequest does, but retries after each refusal as its Retry-After says. On a machine that
+// stalls, responses seem slow, and the module may briefly refuse requests that it would serve otherwise.
+func (n *testNode) sendUntilServed(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
-	for end := time.Now().Add(patient); ; {
-		resp, body := n.ask(t, text)
+	for end := time.Now().Add(testTimeout); ; {
+		resp, body := n.sendRequest(t, text)
 		if resp.StatusCode != http.StatusServiceUnavailable || time.Now().After(end) {
 			return resp, body
 		}
 		seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		if err != nil {
-			t.Fatalf("a refusal without a time to come back: %v", err)
+			t.Fatalf("Retry-After of a refusal: %v", err)
 		}
 		time.Sleep(time.Duration(seconds * float64(time.Second)))
 	}
 }
 
-// askLater is ask in a goroutine of its own. Where no answer comes, the test has failed and gets one with no status.
-func (n *testNode) askLater(t *testing.T, text string) <-chan *http.Response {
+// sendAsync does what sendRequest does, in a goroutine. Without a response, the test fails and the channel receives a
+// response without a status.
+func (n *testNode) sendAsync(t *testing.T, text string) <-chan *http.Response {
 	answered := make(chan *http.Response, 1)
 	go func() {
 		resp, _, err := n.exchange(text)
@@ -209,9 +211,10 @@
 	return answered
 }
 
-// errSentLate is the fault of a test's slow machine: a connection that has brought nothing for freshLeast may be closed.
-var errSentLate = errors.New("nothing was sent for too long")
+// errSentLate means that the machine was too slow: the node may close a connection that sends nothing for minFreshTime.
+var errSentLate = errors.New("the request was sent later than minFreshTime after connecting")
 
+// exchange sends text on a new connection and returns the response and its body.
 func (n *testNode) exchange(text string) (*http.Response, string, error) {
 	began := time.Now()
 	c, err := net.Dial("tcp", n.addr)
@@ -219,47 +222,47 @@
 		return nil, "", err
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patient))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(c, text)
-	late := time.Since(began) >= minFresh
+	late := time.Since(began) >= minFreshTime
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil && late {
 		return nil, "", fmt.Errorf("%w: %w", errSentLate, err)
 	}
 	if err != nil {
-		return nil, "", fmt.Errorf("no answer: %w", err)
+		return nil, "", fmt.Errorf("read response: %w", err)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return nil, "", fmt.Errorf("the answer is truncated: %w", err)
+		return nil, "", fmt.Errorf("read body of response: %w", err)
 	}
 	return resp, string(body), nil
 }
 
-// waitReady waits until the check of readiness answers with a status.
+// waitReady waits until the readiness check returns a status.
 func (n *testNode) waitReady(t *testing.T, want int) {
 	t.Helper()
-	for end := time.Now().Add(patient); ; time.Sleep(5 * time.Millisecond) {
-		resp, _ := n.ask(t, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
+		resp, _ := n.sendRequest(t, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
 		if resp.StatusCode == want {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("ready answers %d, want %d", resp.StatusCode, want)
+			t.Fatalf("readiness check: got status %d, want %d", resp.StatusCode, want)
 		}
 	}
 }
 
-// heldNode is a node whose loop, frontend and admission a test reaches directly.
-type heldNode struct {
+// exposedNode is a running node whose loop, frontend and listener a test can access directly.
+type exposedNode struct {
 	loop     *loop
 	frontend *frontend
-	clients  *admission
+	clients  *clientListener
 	addr     string
 }
 
-// startHeld starts a node without messages, statistics and draining.
-func startHeld(t *testing.T, c *Config) *heldNode {
+// startExposed starts a node without messages between nodes, statistics and draining. The end of the test stops it.
+func startExposed(t *testing.T, c *Config) *exposedNode {
 	t.Helper()
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -269,9 +272,9 @@
 		c.Limits = Limits{Cores: 1, MemoryMB: 192, Sockets: 256}
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	b := newTransport(c, 100, quiet)
-	l := newLoop(ctx, c, b, newDiscovery(c.Discovery, quiet), nil, quiet)
-	p := &heldNode{loop: l, frontend: newFrontend(l, 1<<20, quiet), clients: newAdmission(tcp, 100), addr: tcp.Addr().String()}
+	tr := newTransport(c, 100, discardLog)
+	l := newLoop(ctx, c, tr, newDiscovery(c.Discovery, discardLog), nil, discardLog)
+	p := &exposedNode{loop: l, frontend: newFrontend(l, 1<<20, discardLog), clients: newClientListener(tcp, 100), addr: tcp.Addr().String()}
 	srv := p.frontend.server(p.clients)
 	ended := make(chan struct{}, 3)
 	t.Cleanup(func() {
@@ -280,34 +283,33 @@
 		for range cap(ended) {
 			receive(t, "the end of the node's parts", ended)
 		}
-		b.Wait()
+		tr.Wait()
 	})
 	go func() { l.run(c.KnownBackends); ended <- struct{}{} }()
-	go func() { b.Run(ctx); ended <- struct{}{} }()
+	go func() { tr.Run(ctx); ended <- struct{}{} }()
 	go func() { srv.Serve(p.clients); ended <- struct{}{} }()
 	return p
 }
 
-// runInLoop runs f in the loop and waits for it.
-func (p *heldNode) runInLoop(f func()) {
+// runInLoop runs f in the loop and waits until it returns.
+func (p *exposedNode) runInLoop(f func()) {
 	done := make(chan struct{})
 	p.loop.post(func() { f(); close(done) })
 	<-done
 }
 
-// wrapDial has connections to backends made by another function, which is given the one before. No request may be under
-// way.
-func wrapDial(b *transport, wrap func(upstream.DialFunc) upstream.DialFunc) {
-	before := b.SetDial(nil)
-	b.SetDial(wrap(before))
+// wrapDial replaces the dial function of a transport by the one that wrap returns for it. No request may be under way.
+func wrapDial(tr *transport, wrap func(upstream.DialFunc) upstream.DialFunc) {
+	before := tr.SetDial(nil)
+	tr.SetDial(wrap(before))
 }
 
-// eventually waits until holds returns true, and fails the test if it does not in time.
+// eventually waits until holds returns true, and ends the test if it does not in time. what names the condition.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patient); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within %v", what, patient)
+			t.Fatalf("%s: not within %v", what, testTimeout)
 		}
 	}
 }
--- a/internal/node/list.go
+++ b/internal/node/list.go
@@ -10,8 +10,8 @@
 	"nickelline/decide"
 )
 
-// list is an answer of discovery: all backends if full, else those that changed.
-type list struct {
+// backendList is a response of discovery: all backends if full, otherwise only those that changed.
+type backendList struct {
 	version uint64
 	full    bool
 	entries []entry
@@ -23,18 +23,21 @@
 	name, addr string
 }
 
+// stateNames maps the states on the wire to those of the module.
 var stateNames = map[string]decide.BackendState{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
 
-// maxStartMillis is the latest start of a backend, in milliseconds, that fits the module's clock.
+// maxStartMillis bounds the start time of a backend, in milliseconds since the Unix epoch, so that it fits the
+// module's clock.
 const maxStartMillis = 1 << 43
 
-// listJSON is a list on the wire.
+// listJSON is the JSON form of a list.
 type listJSON struct {
 	Version  *uint64     `json:"version"`
 	Full     bool        `json:"full"`
 	Backends []entryJSON `json:"servers"`
 }
 
+// entryJSON is the JSON form of an entry.
 type entryJSON struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -46,30 +49,31 @@
 	Started int64   `json:"started_ms"`
 }
 
-// decodeList decodes a list. It returns an error unless all of the list is valid.
-func decodeList(raw []byte) (list, error) {
+// decodeList decodes a list. It returns an error unless the whole list is valid.
+func decodeList(raw []byte) (backendList, error) {
 	var in listJSON
 	if err := json.Unmarshal(raw, &in); err != nil {
-		return list{}, fmt.Errorf("list: %w", err)
+		return backendList{}, fmt.Errorf("list: %w", err)
 	}
 	if in.Version == nil {
-		return list{}, errors.New("list: version is missing")
+		return backendList{}, errors.New("list: version is missing")
 	}
-	decoded := list{version: *in.Version, full: in.Full}
+	decoded := backendList{version: *in.Version, full: in.Full}
 	for i, backend := range in.Backends {
 		e, err := backend.entry()
 		if err != nil {
-			return list{}, fmt.Errorf("list, entry %d: %w", i, err)
+			return backendList{}, fmt.Errorf("list, entry %d: %w", i, err)
 		}
 		decoded.entries = append(decoded.entries, e)
 	}
 	return decoded, nil
 }
 
+// entry returns the entry, or an error if its ID, state or address is invalid.
 func (e *entryJSON) entry() (entry, error) {
 	state, known := stateNames[e.State]
 	if !known || e.ID == "" {
-		return entry{}, fmt.Errorf("id %q, unknown state %q", e.ID, e.State)
+		return entry{}, fmt.Errorf("id %q, state %q: want an id and a known state", e.ID, e.State)
 	}
 	if _, err := netip.ParseAddrPort(e.Addr); err != nil && state != decide.Gone {
 		return entry{}, err
--- a/internal/node/loadreport.go
+++ b/internal/node/loadreport.go
@@ -8,21 +8,21 @@
 	"nickelline/internal/wire"
 )
 
-// maxLoadFigure is more than any figure of a load report can be.
-const maxLoadFigure = 1e6
+// maxLoadValue is an upper bound for all values of a load report.
+const maxLoadValue = 1e6
 
-// parseReport parses a load report, a list of name=value. It returns nil unless all values are valid and some name is
-// known.
-func parseReport(text string) *decide.Report {
+// parseLoadReport parses a load report, a comma-separated list of name=value. It returns nil unless all values are
+// valid and at least one name is known.
+func parseLoadReport(header string) *decide.Report {
 	var report decide.Report
 	known := false
-	for field := range strings.SplitSeq(text, ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
-		figure, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(figure >= 0 && figure <= maxLoadFigure) {
+	for field := range strings.SplitSeq(header, ",") {
+		name, text, _ := strings.Cut(strings.TrimSpace(field), "=")
+		value, err := strconv.ParseFloat(text, 64)
+		if err != nil || !(value >= 0 && value <= maxLoadValue) {
 			return nil
 		}
-		known = wire.SetReport(&report, name, figure) || known
+		known = wire.SetReport(&report, name, value) || known
 	}
 	if !known {
 		return nil
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -12,11 +12,11 @@
 	"nickelline/decide"
 )
 
-// eventQueueLength is the number of events that may wait for the loop before those who post more have to wait.
+// eventQueueLength is the number of events that can wait for the loop before post blocks.
 const eventQueueLength = 1024
 
-// loop owns the decision module: it hands all events to it, one at a time, and carries out what the module asks for.
-// Nothing in it waits for the network.
+// loop owns the decision module: it passes the module one event at a time and carries out the actions that the module
+// returns. It never waits for the network.
 type loop struct {
 	module    *decide.Module
 	settings  decide.Settings
@@ -25,49 +25,49 @@
 	peers     *peers
 	log       *slog.Logger
 
-	ctx       context.Context // of all goroutines that the loop starts
+	ctx       context.Context // parent context of all goroutines that the loop starts
 	running   sync.WaitGroup  // those goroutines
 	events    chan func()     // run by the loop in order
-	hasReady  atomic.Bool     // some backend is ready
+	hasReady  atomic.Bool     // at least one backend is ready
 	startedAt time.Time
 	clockBase decide.Time // the module's clock at startedAt
 
-	requests      map[decide.RequestID]*request
-	timers        timerHeap
-	queue         []decide.Event // events for the module that come about while it handles one
-	handling      bool
-	ready         map[decide.BackendID]bool
-	numbering     *backendNumbers
-	version       *uint64 // of the list
-	endWatch      context.CancelFunc
-	watchOpen     bool // the watch has had its first answer
-	faultLoggedAt time.Time
+	requests        map[decide.RequestID]*request
+	timers          timerHeap
+	moduleEvents    []decide.Event // waiting for the module, which handles one at a time
+	handling        bool
+	ready           map[decide.BackendID]bool
+	backendIDs      *backendIDTable
+	version         *uint64 // of the list of backends, or nil
+	cancelWatch     context.CancelFunc
+	watchResponded  bool // the current watch has received its first response
+	failureLoggedAt time.Time
 }
 
 func newLoop(ctx context.Context, c *Config, t *transport, d *discovery, p *peers, log *slog.Logger) *loop {
 	now := time.Now()
 	return &loop{
-		module:    decide.New(c.Settings, c.Seed),
-		settings:  c.Settings,
-		transport: t,
-		discovery: d,
-		peers:     p,
-		log:       log,
-		ctx:       ctx,
-		events:    make(chan func(), eventQueueLength),
-		startedAt: now,
-		clockBase: time.Duration(now.UnixNano()),
-		requests:  map[decide.RequestID]*request{},
-		ready:     map[decide.BackendID]bool{},
-		numbering: newBackendNumbers(),
+		module:     decide.New(c.Settings, c.Seed),
+		settings:   c.Settings,
+		transport:  t,
+		discovery:  d,
+		peers:      p,
+		log:        log,
+		ctx:        ctx,
+		events:     make(chan func(), eventQueueLength),
+		startedAt:  now,
+		clockBase:  time.Duration(now.UnixNano()),
+		requests:   map[decide.RequestID]*request{},
+		ready:      map[decide.BackendID]bool{},
+		backendIDs: newBackendIDTable(),
 	}
 }
 
-// now returns the time on the module's clock. It goes on evenly from the time of day at the start, so that the times at
-// which backends started can be given on it.
+// now returns the time on the module's clock. The clock begins at the wall-clock time of the node's start, so that the
+// start times of backends can be expressed on it, and then advances monotonically.
 func (l *loop) now() decide.Time { return l.clockBase + time.Since(l.startedAt) }
 
-// post has f run in the loop, and reports whether it will be: not after the end of the loop's context.
+// post queues f to run in the loop. It returns false if the loop's context ended before f was queued.
 func (l *loop) post(f func()) bool {
 	select {
 	case l.events <- f:
@@ -77,11 +77,12 @@
 	}
 }
 
-// run is the loop's goroutine. It returns when the context has ended and all goroutines that it has started have.
-func (l *loop) run(known list) {
+// run is the body of the loop's goroutine. It returns once the context and all goroutines that the loop started have
+// ended.
+func (l *loop) run(initial backendList) {
 	defer l.running.Wait()
-	known.full = true
-	l.applyList(known, decide.ListCached)
+	initial.full = true
+	l.applyList(initial, decide.ListCached)
 	if !l.settings.ListOnRequest {
 		l.followList()
 	}
@@ -102,39 +103,40 @@
 	}
 }
 
-// fireTimers hands the module all timers that are due by now.
+// fireTimers passes all expired timers to the module.
 func (l *loop) fireTimers() {
 	for now := time.Now(); len(l.timers) > 0 && !l.timers[0].at.After(now); {
 		l.handle(decide.TimerFired{Token: heap.Pop(&l.timers).(runningTimer).token})
 	}
 }
 
-// handle gives the module an event and carries out what it asks for. Events that come about meanwhile are handled
-// behind it, in order.
+// handle passes an event to the module and carries out the actions that the module returns. Events that these actions
+// cause are handled after it, in order.
 func (l *loop) handle(event decide.Event) {
-	l.queue = append(l.queue, event)
+	l.moduleEvents = append(l.moduleEvents, event)
 	if l.handling {
 		return
 	}
 	l.handling = true
-	for len(l.queue) > 0 {
-		next := l.queue[0]
-		l.queue = l.queue[1:]
+	for len(l.moduleEvents) > 0 {
+		next := l.moduleEvents[0]
+		l.moduleEvents = l.moduleEvents[1:]
 		for _, action := range l.module.Handle(l.now(), next) {
 			l.carryOut(action)
 		}
 	}
-	l.handling, l.queue = false, nil
+	l.handling, l.moduleEvents = false, nil
 }
 
+// carryOut performs an action of the module.
 func (l *loop) carryOut(action decide.Action) {
 	switch a := action.(type) {
 	case decide.Send:
 		l.startAttempt(a)
 	case decide.Refuse:
-		l.answerRequest(a.ID, answer{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter})
+		l.respond(a.ID, response{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter})
 	case decide.Fail:
-		l.answerRequest(a.ID, answer{status: http.StatusBadGateway})
+		l.respond(a.ID, response{status: http.StatusBadGateway})
 	case decide.CancelAttempt:
 		l.cancelAttempt(a)
 	case decide.SetTimer:
@@ -154,7 +156,7 @@
 	}
 }
 
-// receiveMessage takes a datagram from another node.
+// receiveMessage passes a datagram from another node to the module.
 func (l *loop) receiveMessage(from int, data []byte) {
 	l.post(func() { l.handle(decide.MessageReceived{From: from, Data: data}) })
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,18 +11,21 @@
 )
 
 const (
-	// ownDescriptors are the file descriptors that the process needs for itself.
-	ownDescriptors = 24
-	// clientShare is the part of the other descriptors that clients' connections get; backends get what remains.
+	// reservedDescriptors is the number of file descriptors that the process needs for itself.
+	reservedDescriptors = 24
+	// clientShare is the fraction of the other descriptors that client connections get; backend connections get the
+	// rest.
 	clientShare = 0.6
-	// bodyMemoryShare is the part of the memory for requests' bodies that are being read or held.
+	// bodyMemoryShare is the fraction of the memory for request bodies that are being read or held.
 	bodyMemoryShare = 1.0 / 8
-	// readAheadDivisor gives the part of the memory for what clients send behind open requests.
+	// readAheadDivisor is the divisor that gives the part of the memory for data that clients send while a request is
+	// open.
 	readAheadDivisor = 16
 )
 
-// Run serves until ctx ends and what has been taken by then is answered. At each signal on reload it reads the
-// configuration again. It returns an error if the node can't listen, or stops listening by itself.
+// Run serves clients until ctx ends, then drains: it returns once the requests accepted by then are answered. On each
+// signal from reload it reads the configuration again. It returns an error if the node cannot listen, or if the server
+// fails before ctx ends.
 func Run(ctx context.Context, c *Config, reload <-chan os.Signal, log *slog.Logger) error {
 	tcp, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(c.Listen))
 	if err != nil {
@@ -31,16 +34,16 @@
 	return serve(ctx, c, tcp, reload, log)
 }
 
-// serve is Run on a listener, which it closes. It returns once all that it has started has ended.
+// serve does what Run does, on a listener that it closes. It returns once all goroutines that it started have ended.
 func serve(ctx context.Context, c *Config, tcp *net.TCPListener, reload <-chan os.Signal, log *slog.Logger) error {
-	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
+	serviceCtx, stop := context.WithCancel(context.WithoutCancel(ctx)) // outlives ctx while the node drains
 	defer stop()
-	s, err := newService(inner, c, tcp, log)
+	s, err := newService(serviceCtx, c, tcp, log)
 	if err != nil {
 		tcp.Close()
 		return err
 	}
-	served := s.start(inner, c, reload, log)
+	served := s.start(serviceCtx, c, reload, log)
 	log.Info("serving", "name", c.Name, "listen", tcp.Addr(), "sockets", c.Limits.Sockets)
 
 	select {
@@ -56,20 +59,20 @@
 	return err
 }
 
-// service is a node that serves.
+// service holds the parts of a running node.
 type service struct {
 	transport *transport
-	peers     *peers // nil where nodes send each other no messages
+	peers     *peers // nil if nodes send each other no messages
 	loop      *loop
 	frontend  *frontend
-	clients   *admission
+	clients   *clientListener
 	server    *http.Server
-	running   sync.WaitGroup // all goroutines that start has started
+	running   sync.WaitGroup // all goroutines that start started
 }
 
-// newService makes a node whose goroutines end with ctx. It starts none.
+// newService returns a node whose goroutines will end with ctx. It starts none of them.
 func newService(ctx context.Context, c *Config, tcp *net.TCPListener, log *slog.Logger) (*service, error) {
-	descriptors := c.Limits.Sockets - ownDescriptors
+	descriptors := c.Limits.Sockets - reservedDescriptors
 	clients := int(float64(descriptors) * clientShare)
 	memory := c.Limits.MemoryMB << 20
 	peers, err := listenPeers(c, log)
@@ -79,14 +82,14 @@
 	s := &service{peers: peers, transport: newTransport(c, descriptors-clients, log)}
 	s.loop = newLoop(ctx, c, s.transport, newDiscovery(c.Discovery, log), peers, log)
 	s.frontend = newFrontend(s.loop, int64(bodyMemoryShare*float64(memory)), log)
-	s.clients = newAdmission(tcp, clients)
-	s.clients.readAhead = min(maxReadAhead, max(minReadAhead, memory/readAheadDivisor/clients))
+	s.clients = newClientListener(tcp, clients)
+	s.clients.readAheadLimit = min(maxReadAhead, max(minReadAhead, memory/readAheadDivisor/clients))
 	s.frontend.stats, s.clients.stats = s.transport.stats, s.transport.stats
 	s.server = s.frontend.server(s.clients)
 	return s, nil
 }
 
-// start starts the node's goroutines. The channel that it returns gets the error with which the server ends.
+// start starts the node's goroutines. The returned channel receives the error with which the HTTP server ends.
 func (s *service) start(ctx context.Context, c *Config, reload <-chan os.Signal, log *slog.Logger) <-chan error {
 	s.running.Go(func() { s.loop.run(c.KnownBackends) })
 	s.running.Go(func() { s.transport.Run(ctx) })
--- a/internal/node/numbers.go
+++ b/internal/node/numbers.go
@@ -8,8 +8,9 @@
 	"nickelline/decide"
 )
 
-// backendID returns the module's number for a name, the same at every node: the module's order of backends depends on it.
-// Names that end in eight hex digits hold the number; of others it is a hash.
+// backendID returns the module's ID for the name of a backend. It is the same at every node, because the module orders
+// backends by ID. A name of the form "prefix-xxxxxxxx" with eight hex digits contains the ID; for any other name the
+// ID is a hash.
 func backendID(name string) decide.BackendID {
 	if _, digits, ok := strings.Cut(name, "-"); ok && len(digits) == 8 {
 		if v, err := strconv.ParseUint(digits, 16, 32); err == nil {
@@ -21,33 +22,34 @@
 	return decide.BackendID(h.Sum32())
 }
 
-// backendNumbers keeps apart backends whose names give one number: the one that is listed later gets the next free one.
-type backendNumbers struct {
+// backendIDTable assigns distinct IDs to backends whose names give the same ID: the one that is listed later gets the
+// next free ID.
+type backendIDTable struct {
 	ids  map[string]decide.BackendID
 	used map[decide.BackendID]bool
 }
 
-func newBackendNumbers() *backendNumbers {
-	return &backendNumbers{ids: map[string]decide.BackendID{}, used: map[decide.BackendID]bool{}}
+func newBackendIDTable() *backendIDTable {
+	return &backendIDTable{ids: map[string]decide.BackendID{}, used: map[decide.BackendID]bool{}}
 }
 
-// assign puts the numbers that this node uses into a list. A name that is gone gives its number back.
-func (n *backendNumbers) assign(l list) {
+// assign sets the IDs in a list to those that this node uses. It releases the ID of a backend that is gone.
+func (t *backendIDTable) assign(l backendList) {
 	listed := map[string]bool{}
 	for i := range l.entries {
 		e := &l.entries[i]
-		id, known := n.ids[e.name]
+		id, known := t.ids[e.name]
 		if !known {
-			for id = e.ID; n.used[id]; id++ {
+			for id = e.ID; t.used[id]; id++ {
 			}
-			n.ids[e.name], n.used[id] = id, true
+			t.ids[e.name], t.used[id] = id, true
 		}
 		e.ID, listed[e.name] = id, e.State != decide.Gone
 	}
-	for name, id := range n.ids {
+	for name, id := range t.ids {
 		if present, mentioned := listed[name]; mentioned && !present || l.full && !mentioned {
-			delete(n.ids, name)
-			delete(n.used, id)
+			delete(t.ids, name)
+			delete(t.used, id)
 		}
 	}
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -11,30 +11,33 @@
 )
 
 const (
-	// maxDatagram bounds the bytes of a message.
+	// maxDatagram bounds the number of bytes of a message.
 	maxDatagram = 256
-	// datagramQueueLength is the number of datagrams that may wait to be sent; more are lost, as datagrams may be.
+	// datagramQueueLength is the number of datagrams that can wait to be sent. Further ones are dropped, as UDP may do
+	// anyway.
 	datagramQueueLength = 64
-	// readErrorPause follows a failed read, so that a lasting error makes no busy loop.
+	// readErrorPause is the pause after a failed read, so that a persistent error does not cause a busy loop.
 	readErrorPause = time.Millisecond
 )
 
+// datagram is a message that waits to be sent to one address.
 type datagram struct {
 	to   netip.AddrPort
 	data []byte
 }
 
-// peers sends and receives datagrams between nodes. A nil *peers sends none.
+// peers sends and receives the messages between nodes as datagrams. On a nil *peers, send does nothing.
 type peers struct {
 	conn  *net.UDPConn
-	nodes []netip.AddrPort // by number
-	all   netip.AddrPort   // reaches all nodes, if valid
+	nodes []netip.AddrPort // indexed by node number
+	all   netip.AddrPort   // if valid, an address that reaches all nodes
 	self  int              // this node's number
 	queue chan datagram
 	log   *slog.Logger
 }
 
-// listenPeers returns the peers of a node, or nil where nodes send each other no messages.
+// listenPeers opens the socket for messages between nodes. It returns nil if the configuration does not provide for
+// them.
 func listenPeers(c *Config, log *slog.Logger) (*peers, error) {
 	if !c.PeerListen.IsValid() || !c.Settings.MayMessage {
 		return nil, nil
@@ -53,7 +56,8 @@
 	}, nil
 }
 
-// send queues a message to one node, or to all. It never blocks: a message that finds the queue full is lost.
+// send queues a message to one node or to all. It never blocks: it drops the message if the queue is full or the
+// message exceeds maxDatagram.
 func (p *peers) send(to int, toAll bool, data []byte) {
 	if p == nil || len(data) > maxDatagram {
 		return
@@ -79,7 +83,7 @@
 	}
 }
 
-// write sends what is queued until ctx ends; then it closes the socket, which ends read too.
+// write sends the queued messages until ctx ends. Then it closes the socket, which also ends read.
 func (p *peers) write(ctx context.Context) {
 	defer func() { _ = p.conn.Close() }() // nothing depends on how it closes
 	for {
@@ -94,11 +98,12 @@
 	}
 }
 
-// read calls receive with each message of another node, until the socket is closed. Anything else is dropped.
+// read calls receive for each message of another node until the socket is closed. It drops datagrams from other senders
+// and those that exceed maxDatagram.
 func (p *peers) read(receive func(from int, data []byte)) {
-	number := map[netip.AddrPort]int{}
+	nodeByAddr := map[netip.AddrPort]int{}
 	for i, a := range p.nodes {
-		number[a] = i
+		nodeByAddr[a] = i
 	}
 	buf := make([]byte, maxDatagram+1)
 	for {
@@ -106,11 +111,11 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // an earlier datagram's refusal: no reason to stop, nor to spin
+		if err != nil { // such as an ICMP error for an earlier datagram: keep reading, but do not spin
 			time.Sleep(readErrorPause)
 			continue
 		}
-		i, known := number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		i, known := nodeByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if known && i != p.self && n <= maxDatagram {
 			receive(i, append([]byte(nil), buf[:n]...))
 		}
--- a/internal/node/refusal.go
+++ b/internal/node/refusal.go
@@ -8,19 +8,20 @@
 
 const (
 	refusalResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.5\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-	// maxDiscarded bounds the bytes that are discarded at a close. It is what net/http reads of a body for the same end.
+	// maxDiscarded bounds the number of bytes that are discarded on a close. It equals the number of bytes that
+	// net/http reads of a remaining body for the same purpose.
 	maxDiscarded = 256 << 10
 )
 
-// turnAway refuses and closes a connection that there is no room for.
-func turnAway(tcp *net.TCPConn) {
+// refuseConnection refuses and closes a connection beyond the limit.
+func refuseConnection(tcp *net.TCPConn) {
 	writeRefusal(tcp)
-	_ = hangUp(tcp) // nothing depends on how it closes
+	_ = closeAfterResponse(tcp) // nothing depends on how it closes
 }
 
-// writeRefusal writes the refusal to a connection that has no answer on its way: its send buffer is empty and takes the
-// refusal at once. There is no deadline, which would be over before the write where this process gets no processor for a
-// while.
+// writeRefusal writes the refusal to a connection with no response under way: its send buffer is empty and accepts the
+// refusal at once. There is no write deadline, because it would pass before the write if the process is not scheduled
+// for a while.
 func writeRefusal(tcp *net.TCPConn) {
 	raw, err := tcp.SyscallConn()
 	if err != nil {
@@ -36,9 +37,10 @@
 	})
 }
 
-// hangUp closes a connection behind its last answer. What has come meanwhile is discarded: a close over unread bytes is a
-// reset, which may overtake the answer. Nothing waits for more, so that floods hold no descriptors.
-func hangUp(tcp *net.TCPConn) error {
+// closeAfterResponse closes a connection after its last response. It discards the data that has arrived in the
+// meantime, because closing a socket with unread data sends a reset, which may overtake the response. It does not wait
+// for more data, so that a client that keeps sending does not hold a descriptor.
+func closeAfterResponse(tcp *net.TCPConn) error {
 	tcp.CloseWrite()
 	if raw, err := tcp.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) {
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -9,45 +9,45 @@
 	"nickelline/decide"
 )
 
-// request is a client's request as the front end has read it, and what the loop knows of it.
+// request is a client's request as the front end read it, with the loop's state for it.
 type request struct {
-	arrived  decide.RequestArrived // but for Patience
-	deadline time.Time             // the client has its answer by then
+	arrived  decide.RequestArrived // acceptRequest sets Patience
+	deadline time.Time             // by which the client has its response
 	method   string
 	url      *url.URL
 	header   http.Header
 	body     []byte
-	client   context.Context // ends when the client leaves or has its answer
-	answer   chan answer     // holds one: the final answer
+	client   context.Context // ends when the client disconnects or has its response
+	response chan response   // of capacity 1, for the final response
 
 	// The rest belongs to the loop.
-	answered  bool
-	inFlight  int // attempts
-	attempts  []*attempt
-	keyWindow time.Duration // for keyed ones: how long backends remember the key
+	answered    bool
+	inFlight    int // number of attempts under way
+	attempts    []*attempt
+	dedupWindow time.Duration // for keyed requests: how long backends remember the key
 }
 
-// answer is a request's final answer, which the node or a backend gives.
-type answer struct {
+// response is the final response to a request, from the node itself or from a backend.
+type response struct {
 	status     int
 	header     http.Header
 	body       []byte
 	retryAfter time.Duration
 }
 
-// takeRequest takes a request from the front end. An id that is still open is not taken twice: the module would not
-// answer it, and its effect could happen twice.
-func (l *loop) takeRequest(r *request) {
-	if r.client.Err() != nil { // the client left while this was queued
+// acceptRequest registers a request from the front end and passes it to the module. It rejects an ID that is still
+// open: the module would not answer the second request, and its effect could happen twice.
+func (l *loop) acceptRequest(r *request) {
+	if r.client.Err() != nil { // the client disconnected while this was queued
 		return
 	}
 	if l.requests[r.arrived.ID] != nil {
-		r.answer <- answer{status: http.StatusConflict}
+		r.response <- response{status: http.StatusConflict}
 		return
 	}
 	for _, c := range l.settings.Classes {
 		if c.Name == r.arrived.Class && c.Effect == decide.Keyed {
-			r.keyWindow = c.DedupWindow
+			r.dedupWindow = c.DedupWindow
 		}
 	}
 	l.requests[r.arrived.ID] = r
@@ -55,7 +55,7 @@
 	l.handle(r.arrived)
 }
 
-// abandon closes a request whose client is gone.
+// abandon closes a request whose client no longer waits, unless it is answered, and notifies the module.
 func (l *loop) abandon(r *request) {
 	if l.requests[r.arrived.ID] == r && !r.answered {
 		l.closeRequest(r)
@@ -63,15 +63,15 @@
 	}
 }
 
-// answerRequest gives a request its final answer, unless it has one.
-func (l *loop) answerRequest(id decide.RequestID, a answer) {
+// respond sends a request its final response, unless it already has one.
+func (l *loop) respond(id decide.RequestID, resp response) {
 	if r := l.requests[id]; r != nil && !r.answered {
-		r.answer <- a
+		r.response <- resp
 		l.closeRequest(r)
 	}
 }
 
-// closeRequest marks a request as answered and forgets it once its attempts have ended.
+// closeRequest marks a request as answered, and removes it if no attempt is under way.
 func (l *loop) closeRequest(r *request) {
 	r.answered = true
 	if r.inFlight == 0 {
--- a/internal/node/roundtrip.go
+++ b/internal/node/roundtrip.go
@@ -14,49 +14,50 @@
 )
 
 const (
-	// answerStart begins every answer.
-	answerStart = "HTTP/1."
-	// headerRoom is the size in bytes that a request's header seldom exceeds.
-	headerRoom = 1 << 10
+	// responsePrefix is the start of every response.
+	responsePrefix = "HTTP/1."
+	// typicalHeaderBytes is a size that the header of a request rarely exceeds.
+	typicalHeaderBytes = 1 << 10
 )
 
 var (
-	errTruncated     = errors.New("the answer's end can't be known")
-	errTooLarge      = errors.New("the answer is too large")
-	errOtherProtocol = errors.New("the backend speaks another protocol")
-	errTrailingBytes = errors.New("the answer is longer than its length")
+	errTruncated     = errors.New("cannot tell whether the response is complete")
+	errTooLarge      = errors.New("response too large")
+	errOtherProtocol = errors.New("backend switched to another protocol")
+	errTrailingBytes = errors.New("unexpected data after the response")
 )
 
-// roundTrip writes a request and reads its whole answer. keep reports whether the connection can take another request.
+// roundTrip writes a request and reads its whole response. keep reports whether the connection can be reused.
 func (t *transport) roundTrip(conn *upstream.Conn, x *exchange) (res result, keep bool) {
 	req := x.request()
 	if err := writeRequest(conn, req, len(x.body)); err != nil {
-		return result{code: decide.ConnectFailed, err: err}, false // its last byte was not written
+		return result{code: decide.ConnectFailed, err: err}, false // the last byte was not written, so the request cannot run
 	}
-	resp, err := readAnswerHeader(conn, req)
+	resp, err := readResponseHeader(conn, req)
 	if err != nil {
 		return result{code: decide.Reset, err: err}, false
 	}
 	defer resp.Body.Close()
 	if length := resp.ContentLength; length > maxBody {
-		defer t.largeBytes.Add(-length)
-		if held := t.largeBytes.Add(length); length > maxAnswerBody || held > t.maxLargeBytes {
+		defer t.largeBodyBytes.Add(-length)
+		if held := t.largeBodyBytes.Add(length); length > maxResponseBody || held > t.maxLargeBodyBytes {
 			return result{code: decide.Reset, err: errTooLarge}, false
 		}
 	}
-	body, err := readAnswerBody(conn, resp)
+	body, err := readResponseBody(conn, resp)
 	if err != nil {
 		return result{code: decide.Reset, err: err}, false
 	}
 	more, open := conn.Unread()
-	if more != "" && !strings.HasPrefix(answerStart, more) {
-		// Another answer behind this one leaves this one good. Anything else may be its own end, and its length wrong.
+	if more != "" && !strings.HasPrefix(responsePrefix, more) {
+		// A second response after this one leaves this one valid. Any other data may belong to this one, if its length
+		// is wrong.
 		return result{code: decide.Reset, err: errTrailingBytes}, false
 	}
-	return answerResult(resp, body), open && more == "" && !resp.Close
+	return classifyResponse(resp, body), open && more == "" && !resp.Close
 }
 
-// request returns the HTTP request of an exchange, with the time that is left for it.
+// request returns the HTTP request for an exchange. X-Time-Left is the time until its deadline.
 func (x *exchange) request() *http.Request {
 	left := max(0, time.Until(x.deadline))
 	header := x.header.Clone()
@@ -74,10 +75,10 @@
 	return req
 }
 
-// writeRequest writes a request at once, or fails before its last byte is written.
+// writeRequest writes a request in a single write. If it returns an error, the last byte was not written.
 func writeRequest(conn *upstream.Conn, req *http.Request, bodyLength int) error {
 	var text bytes.Buffer
-	text.Grow(headerRoom + bodyLength)
+	text.Grow(typicalHeaderBytes + bodyLength)
 	if err := req.Write(&text); err != nil {
 		return err
 	}
@@ -85,9 +86,9 @@
 	return err
 }
 
-// readAnswerHeader reads the header of the final answer, and what interim answers come before it.
-func readAnswerHeader(conn *upstream.Conn, req *http.Request) (*http.Response, error) {
-	conn.SetReadLimit(maxAnswerHeader) // http.ReadResponse itself takes a header of any size
+// readResponseHeader reads the header of the final response and skips the interim responses before it.
+func readResponseHeader(conn *upstream.Conn, req *http.Request) (*http.Response, error) {
+	conn.SetReadLimit(maxResponseHeader) // http.ReadResponse does not limit the size of a header
 	resp, err := http.ReadResponse(conn.Reader, req)
 	for err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
 		resp, err = http.ReadResponse(conn.Reader, req)
@@ -98,27 +99,27 @@
 	return resp, err
 }
 
-// readAnswerBody reads the body of an answer, whole.
-func readAnswerBody(conn *upstream.Conn, resp *http.Response) ([]byte, error) {
-	conn.SetReadLimit(conn.ReadLimit() + maxAnswerBody + maxAnswerHeader) // and the framing of chunks
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBody+1))
+// readResponseBody reads the whole body of a response.
+func readResponseBody(conn *upstream.Conn, resp *http.Response) ([]byte, error) {
+	conn.SetReadLimit(conn.ReadLimit() + maxResponseBody + maxResponseHeader) // with the framing of chunks
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBody+1))
 	switch {
 	case err != nil:
 		return nil, err
-	case len(body) > maxAnswerBody:
+	case len(body) > maxResponseBody:
 		return nil, errTooLarge
 	case resp.ContentLength < 0 && len(resp.TransferEncoding) == 0:
-		// A body that ends with its connection looks whole when the backend has died within it.
+		// A body that ends when its connection closes looks complete even if the backend crashed while sending it.
 		return nil, errTruncated
 	}
 	return body, nil
 }
 
-// answerResult returns the result of an exchange by its whole answer.
-func answerResult(resp *http.Response, body []byte) result {
+// classifyResponse returns the result of an exchange with a complete response.
+func classifyResponse(resp *http.Response, body []byte) result {
 	res := result{
 		code:   decide.BackendError,
-		report: parseReport(resp.Header.Get("X-Backend-Load")),
+		report: parseLoadReport(resp.Header.Get("X-Backend-Load")),
 		header: resp.Header,
 		body:   body,
 	}
@@ -128,7 +129,7 @@
 		res.code = decide.OK
 	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) && unprocessed:
 		res.code = decide.Full
-	case status == http.StatusTooManyRequests: // it promises that nothing ran, which only X-Unprocessed does
+	case status == http.StatusTooManyRequests: // 429 would promise that nothing ran; only X-Unprocessed does
 	case status >= 400 && status < 500:
 		res.code, res.clientStatus = decide.Cancelled, status
 	}
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -11,22 +11,22 @@
 	"nickelline/internal/upstream"
 )
 
-// statsInterval is the time between two lines of counts: short enough to show a bad stretch.
+// statsInterval is the time between two log lines of counters. It is short enough to show a brief disruption.
 const statsInterval = 5 * time.Second
 
-// stats counts what passes through the sockets, for the operators; no decision depends on it. All counts begin anew with
-// each line.
+// stats counts connections, requests and outcomes for the operators. No decision depends on it. All counters are reset
+// with each log line.
 type stats struct {
-	accepted, turnedAway, evicted atomic.Int64 // clients' connections
-	requests, rejected            atomic.Int64 // taken from clients; answered without the module
-	served, refused, failed       atomic.Int64 // final answers
-	clientsGone, overdue          atomic.Int64 // clients that left; requests that the module left open
-	upstream.Counters                          // connections to backends
-	outcomes                      [decide.OutcomeCodes]atomic.Int64
+	accepted, connsRefused, evicted atomic.Int64 // client connections
+	requests, rejected              atomic.Int64 // passed to the module; rejected as invalid
+	served, refused, failed         atomic.Int64 // final responses
+	clientsGone, overdue            atomic.Int64 // clients that disconnected; requests that the module did not answer in time
+	upstream.Counters                            // connections to backends
+	outcomes                        [decide.OutcomeCodes]atomic.Int64
 }
 
-// answered counts a final answer by its status.
-func (s *stats) answered(status int) {
+// countResponse counts a final response by its status.
+func (s *stats) countResponse(status int) {
 	switch status {
 	case http.StatusOK:
 		s.served.Add(1)
@@ -37,21 +37,21 @@
 	}
 }
 
-// attrs returns the counts and sets them back.
-func (s *stats) attrs() []slog.Attr {
+// takeAttrs returns the counters as log attributes and resets them.
+func (s *stats) takeAttrs() []slog.Attr {
 	take := func(name string, n *atomic.Int64) slog.Attr { return slog.Int64(name, n.Swap(0)) }
 	var ended [decide.OutcomeCodes]int64
 	for i := range s.outcomes {
 		ended[i] = s.outcomes[i].Swap(0)
 	}
-	return []slog.Attr{take("accepted", &s.accepted), take("turned_away", &s.turnedAway), take("evicted", &s.evicted),
+	return []slog.Attr{take("accepted", &s.accepted), take("turned_away", &s.connsRefused), take("evicted", &s.evicted),
 		take("requests", &s.requests), take("rejected", &s.rejected), take("served", &s.served), take("refused", &s.refused),
 		take("failed", &s.failed), take("gone", &s.clientsGone), take("overdue", &s.overdue), take("dialled", &s.Dialled),
 		take("dial_failed", &s.DialFailed), take("retired", &s.Retired), slog.Any("ended", ended)}
 }
 
-// report logs the counts periodically until ctx ends, and once more then.
-func (s *stats) report(ctx context.Context, clients *admission, t *transport, log *slog.Logger) {
+// report logs the counters periodically until ctx ends, and once more then.
+func (s *stats) report(ctx context.Context, clients *clientListener, t *transport, log *slog.Logger) {
 	tick := time.NewTicker(statsInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
@@ -59,7 +59,7 @@
 		case <-ctx.Done():
 		case <-tick.C:
 		}
-		attrs := append(s.attrs(), slog.Int("clients", clients.openConnections()), slog.Int("backend_conns", t.Open()))
+		attrs := append(s.takeAttrs(), slog.Int("clients", clients.openConnections()), slog.Int("backend_conns", t.Open()))
 		log.LogAttrs(context.WithoutCancel(ctx), slog.LevelInfo, "sockets", attrs...)
 	}
 }
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -8,7 +8,7 @@
 	token int64
 }
 
-// timerHeap is a heap of timers, the next one first.
+// timerHeap is a heap of timers, the earliest first.
 type timerHeap []runningTimer
 
 func (h timerHeap) Len() int           { return len(h) }
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -15,52 +15,55 @@
 )
 
 const (
-	// maxBody bounds the bytes of a request's body.
+	// maxBody bounds the number of bytes of a request's body.
 	maxBody = 64 << 10
-	// maxAnswerHeader bounds the bytes of an answer's header, with what interim answers come before it.
-	maxAnswerHeader = 64 << 10
-	// maxAnswerBody bounds the bytes of an answer's body.
-	maxAnswerBody = 1 << 20
-	// largeBodyShare is the part of the memory for answers' bodies over maxBody that are being read at once.
+	// maxResponseHeader bounds the number of bytes of a response's header, including interim responses before it.
+	maxResponseHeader = 64 << 10
+	// maxResponseBody bounds the number of bytes of a response's body.
+	maxResponseBody = 1 << 20
+	// largeBodyShare is the fraction of the memory for response bodies over maxBody that are being read at the same
+	// time.
 	largeBodyShare = 1.0 / 8
-	// idleShare is the part of the time after which a backend closes an idle connection: well before, it is closed here.
+	// idleShare is the fraction of the backends' idle timeout after which the node closes an idle connection, so that
+	// it does so well before the backend.
 	idleShare = 0.75
-	// probeTimeout is the time that a probe may take.
+	// probeTimeout is the timeout of a probe.
 	probeTimeout = 500 * time.Millisecond
-	// minRest: what comes right behind an answer has come by then; in 28 cases it came after 0.8 to 4.6 ms.
-	minRest = 20 * time.Millisecond
-	// probeHost is the host that probes name.
+	// minIdleBeforeReuse is the time for which a connection is not reused after a response, so that excess data behind
+	// the response is detected first. In 28 cases such data came 0.8 to 4.6 ms after the response.
+	minIdleBeforeReuse = 20 * time.Millisecond
+	// probeHost is the Host header of probes.
 	probeHost = "api.internal"
 )
 
-// transport makes exchanges with all backends, over the pool's connections. Its methods may be called at the same time.
+// transport performs exchanges with the backends over pooled connections. It is safe for concurrent use.
 type transport struct {
 	*upstream.Pool[decide.BackendID]
-	largeBytes    atomic.Int64 // of answers' bodies over maxBody that are being read
-	maxLargeBytes int64
-	log           *slog.Logger
-	stats         *stats
+	largeBodyBytes    atomic.Int64 // of response bodies over maxBody that are being read
+	maxLargeBodyBytes int64
+	log               *slog.Logger
+	stats             *stats
 }
 
 func newTransport(c *Config, limit int, log *slog.Logger) *transport {
-	count := &stats{}
+	counts := &stats{}
 	pool := upstream.New[decide.BackendID](upstream.Options{
 		MaxConnections: limit,
 		MaxIdle:        time.Duration(float64(c.Settings.ConnIdle) * idleShare),
-		MinIdle:        minRest,
+		MinIdle:        minIdleBeforeReuse,
 		DialTimeout:    c.Settings.ConnectTimeout,
-		Counters:       &count.Counters,
+		Counters:       &counts.Counters,
 	})
 	return &transport{
-		Pool:          pool,
-		log:           log,
-		stats:         count,
-		maxLargeBytes: int64(largeBodyShare * float64(c.Limits.MemoryMB<<20)),
+		Pool:              pool,
+		log:               log,
+		stats:             counts,
+		maxLargeBodyBytes: int64(largeBodyShare * float64(c.Limits.MemoryMB<<20)),
 	}
 }
 
-// update applies a list to the pool: connections to what is no longer listed close.
-func (t *transport) update(l list) {
+// update applies a list to the pool, which closes the connections to backends that are no longer listed.
+func (t *transport) update(l backendList) {
 	entries := make([]upstream.Entry[decide.BackendID], 0, len(l.entries))
 	for _, e := range l.entries {
 		entries = append(entries, upstream.Entry[decide.BackendID]{
@@ -73,23 +76,23 @@
 	t.Update(l.full, entries)
 }
 
-// exchange is one request to a backend.
+// exchange is one request to a backend and its limits.
 type exchange struct {
 	method      string
 	url         *url.URL
 	header      http.Header
 	body        []byte
-	deadline    time.Time       // the node waits no longer
-	writeBefore time.Time       // if set, nothing is written from then on
-	client      context.Context // if set, nothing is written once it has ended
+	deadline    time.Time       // when the exchange times out
+	writeBefore time.Time       // if set, the request is not written from then on
+	client      context.Context // if set, the request is not written once it has ended
 }
 
 var (
-	errClientGone    = errors.New("the client has left, or has its answer")
-	errKeyWindowOver = errors.New("the keyed window is over")
+	errClientGone      = errors.New("the client disconnected or already has its response")
+	errDedupWindowOver = errors.New("the deduplication window of the key is over")
 )
 
-// clientGone reports whether no client waits for the answer.
+// clientGone reports whether the client no longer waits for the response.
 func (x *exchange) clientGone() bool { return x.client != nil && x.client.Err() != nil }
 
 // result is the outcome of an exchange.
@@ -98,29 +101,29 @@
 	report       *decide.Report
 	header       http.Header
 	body         []byte
-	clientStatus int // the status of an answer that puts the fault with the client
+	clientStatus int // the status of a response that blames the client, or 0
 	err          error
 	connHistory  upstream.ConnHistory
 	opened       bool // the request was the first to be written on its connection
 }
 
-// do makes an exchange and blocks until it has ended. The end of ctx cancels it.
+// do performs an exchange and blocks until it has ended. The end of ctx cancels it.
 func (t *transport) do(ctx context.Context, backend *upstream.Backend, x *exchange) result {
 	if backend == nil {
 		return result{code: decide.ConnectFailed, err: upstream.ErrClosed}
 	}
 	began := time.Now()
-	wanted, quit := context.WithCancel(ctx)
-	defer quit()
+	acquireCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	if x.client != nil {
-		defer context.AfterFunc(x.client, quit)()
+		defer context.AfterFunc(x.client, cancel)()
 	}
-	conn, err := t.Acquire(wanted, backend, x.deadline)
+	conn, err := t.Acquire(acquireCtx, backend, x.deadline)
 	if err != nil {
-		return x.notConnected(ctx, err)
+		return x.acquireFailure(ctx, err)
 	}
-	// Connecting takes time: what made this attempt right may no longer hold, and until the last byte is written it has
-	// not run.
+	// Connecting takes time, so the conditions for this attempt may no longer hold. It can still be dropped safely,
+	// because the backend cannot run the request before the last byte is written.
 	now := time.Now()
 	if unsent, reusable := t.checkSend(ctx, backend, x, now); unsent != nil {
 		t.Release(conn, reusable)
@@ -133,8 +136,8 @@
 	return res
 }
 
-// notConnected returns the result of an exchange that got no connection.
-func (x *exchange) notConnected(ctx context.Context, err error) result {
+// acquireFailure returns the result of an exchange for which no connection could be acquired.
+func (x *exchange) acquireFailure(ctx context.Context, err error) result {
 	switch {
 	case x.clientGone():
 		return result{code: decide.NotSent, err: errClientGone}
@@ -146,8 +149,8 @@
 	return result{code: decide.ConnectFailed, err: err}
 }
 
-// checkSend returns the result of an exchange that must not be sent any more, or nil, and whether its connection can be
-// used again.
+// checkSend returns the result of an exchange whose request must no longer be sent, or nil if it may be sent. reusable
+// reports whether the connection can be reused.
 func (t *transport) checkSend(ctx context.Context, backend *upstream.Backend, x *exchange, now time.Time) (unsent *result, reusable bool) {
 	switch {
 	case x.clientGone():
@@ -157,14 +160,14 @@
 	case t.Closed(backend):
 		return &result{code: decide.ConnectFailed, err: upstream.ErrClosed}, false
 	case !x.writeBefore.IsZero() && !now.Before(x.writeBefore):
-		return &result{code: decide.NotSent, err: errKeyWindowOver}, true
+		return &result{code: decide.NotSent, err: errDedupWindowOver}, true
 	case !now.Before(x.deadline):
 		return &result{code: decide.ConnectFailed, err: os.ErrDeadlineExceeded}, true
 	}
 	return nil, true
 }
 
-// exchange writes the request on a connection, reads the answer, and releases the connection.
+// exchange writes the request to a connection, reads the response, and releases the connection.
 func (t *transport) exchange(ctx context.Context, backend *upstream.Backend, conn *upstream.Conn, x *exchange, now time.Time) result {
 	history := conn.Use(now)
 	conn.SetDeadline(x.deadline)
@@ -173,7 +176,7 @@
 	stopped := stop()
 	res.connHistory, res.opened = history, history.Requests == 0
 	if history.Requests > 0 && (res.err == nil || res.code == decide.Reset && ctx.Err() == nil) {
-		t.RecordReuse(history.Idle, res.err != nil && conn.ReadLimit() == maxAnswerHeader)
+		t.RecordReuse(history.Idle, res.err != nil && conn.ReadLimit() == maxResponseHeader)
 	}
 	switch {
 	case res.err == nil:
@@ -188,7 +191,7 @@
 	return res
 }
 
-// probe gets a path of a backend. A load report may be in the header of the answer or be its body.
+// probe requests a path of a backend. The load report may be in the header of the response or be its body.
 func (t *transport) probe(ctx context.Context, backend *upstream.Backend, path string) result {
 	res := t.do(ctx, backend, &exchange{
 		method:   http.MethodGet,
@@ -196,7 +199,7 @@
 		deadline: time.Now().Add(probeTimeout),
 	})
 	if res.report == nil && res.code == decide.OK {
-		res.report = parseReport(string(res.body))
+		res.report = parseLoadReport(string(res.body))
 	}
 	return res
 }
--- a/internal/node/transport_test.go
+++ b/internal/node/transport_test.go
@@ -17,8 +17,8 @@
 	"nickelline/internal/upstream"
 )
 
-// What comes back from a backend, and what the module may make of it: an unsafe request is refused only if it
-// has never run.
+// Checks the outcome and the client's status for each kind of response from a backend. An unsafe request is refused
+// only if it has not run.
 func TestOutcomes(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -54,7 +54,7 @@
 		"no end":           {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nx", 502, decide.Reset},
 		"huge header":      {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<20) + "\r\nContent-Length: 1\r\n\r\nx", 502, decide.Reset},
 		"large":            {okResponse(strings.Repeat("x", 6*maxBody)), 200, decide.OK},
-		"too large":        {okResponse(strings.Repeat("x", maxAnswerBody+1)), 502, decide.Reset},
+		"too large":        {okResponse(strings.Repeat("x", maxResponseBody+1)), 502, decide.Reset},
 		"too large chunks": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("10000\r\n"+strings.Repeat("x", 1<<16)+"\r\n", 20), 502, decide.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -64,25 +64,26 @@
 					io.WriteString(conn, c.reply)
 				}
 			})
-			b := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
-			b.update(knownBackends(addr))
-			if r := b.do(t.Context(), b.Find(1), get(patient)); r.code != c.code {
-				t.Errorf("outcome %v (%v), want %v", r.code, r.err, c.code)
+			tr := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, discardLog)
+			tr.update(readyBackends(addr))
+			if r := tr.do(t.Context(), tr.Find(1), getExchange(testTimeout)); r.code != c.code {
+				t.Errorf("got outcome %v (%v), want %v", r.code, r.err, c.code)
 			}
-			n := startNode(t, &Config{Settings: testSettings(), KnownBackends: knownBackends(addr)})
-			if resp, _ := n.ask(t, message("order", "9.5", "")); resp.StatusCode != c.status {
-				t.Errorf("status %d, want %d", resp.StatusCode, c.status)
+			n := startNode(t, &Config{Settings: testSettings(), KnownBackends: readyBackends(addr)})
+			if resp, _ := n.sendRequest(t, requestText("order", "9.5", "")); resp.StatusCode != c.status {
+				t.Errorf("got status %d, want %d", resp.StatusCode, c.status)
 			}
 		})
 	}
 }
 
-func get(wait time.Duration) *exchange {
+// getExchange returns an exchange of a GET request with a timeout.
+func getExchange(wait time.Duration) *exchange {
 	return &exchange{method: "GET", url: &url.URL{Path: "/read", Host: "h"}, deadline: time.Now().Add(wait)}
 }
 
-// A request on a connection that breaks goes out once: a library's own second try would be an attempt that the
-// module knows nothing of.
+// A request on a connection that breaks is sent only once: a retry by a library would be an attempt that the module
+// does not know of.
 func TestNoHiddenResend(t *testing.T) {
 	t.Parallel()
 	var got atomic.Int64
@@ -99,25 +100,25 @@
 			io.WriteString(c, okResponse("x"))
 		}
 	})
-	n := startNode(t, &Config{Settings: testSettings(), KnownBackends: knownBackends(addr)})
+	n := startNode(t, &Config{Settings: testSettings(), KnownBackends: readyBackends(addr)})
 	for i, want := range []int{200, 503} {
-		if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode != want {
-			t.Errorf("request %d: status %d, want %d", i, resp.StatusCode, want)
+		if resp, _ := n.sendRequest(t, requestText("read", "9.5", "")); resp.StatusCode != want {
+			t.Errorf("request %d: got status %d, want %d", i, resp.StatusCode, want)
 		}
-		time.Sleep(2 * minRest)
+		time.Sleep(2 * minIdleBeforeReuse)
 	}
 	if got.Load() != 2 {
 		t.Errorf("the backend got %d requests, want 2", got.Load())
 	}
 }
 
-// What comes behind a good answer, at once or late, is never taken for the next request's.
+// Data that follows a valid response, at once or later, is never taken for the response to the next request.
 func TestNothingLeftOver(t *testing.T) {
 	t.Parallel()
 	for name, more := range map[string]string{"copy": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", "start of one": "HTTP/1"} {
-		for _, late := range []time.Duration{0, minRest / 2, 10 * minRest} {
+		for _, late := range []time.Duration{0, minIdleBeforeReuse / 2, 10 * minIdleBeforeReuse} {
 			sent := make(chan struct{}, 9)
-			addr := startBackend(t, inPieces(func(c net.Conn) {
+			addr := startBackend(t, respondAfterRequest(func(c net.Conn) {
 				if late == 0 {
 					io.WriteString(c, okResponse("right")+more)
 				} else {
@@ -127,58 +128,59 @@
 				}
 				sent <- struct{}{}
 			}))
-			b := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
-			b.update(knownBackends(addr))
+			tr := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, discardLog)
+			tr.update(readyBackends(addr))
 			for range 3 {
-				if r := b.do(t.Context(), b.Find(1), get(patient)); r.code != decide.OK || string(r.body) != "right" {
-					t.Errorf("%s after %v: %v %q", name, late, r.code, r.body)
+				if r := tr.do(t.Context(), tr.Find(1), getExchange(testTimeout)); r.code != decide.OK || string(r.body) != "right" {
+					t.Errorf("%s after %v: got outcome %v, body %q, want OK and the right body", name, late, r.code, r.body)
 				}
-				receive(t, "the end of an answer", sent)
-				if text, open := "", true; late > 0 && len(b.Idle(b.Find(1))) > 0 { // what has been written comes
-					c := b.Idle(b.Find(1))[0]
-					for end := time.Now().Add(patient); text == "" && open && time.Now().Before(end); text, open = c.Unread() {
+				receive(t, "the end of a response", sent)
+				if text, open := "", true; late > 0 && len(tr.Idle(tr.Find(1))) > 0 { // wait until the node has received the data
+					c := tr.Idle(tr.Find(1))[0]
+					for end := time.Now().Add(testTimeout); text == "" && open && time.Now().Before(end); text, open = c.Unread() {
 						time.Sleep(time.Millisecond)
 					}
 				}
 			}
-			b.update(list{full: true})
+			tr.update(backendList{full: true})
 		}
 	}
 }
 
-// A connection rests after an answer: what comes right behind it may come only when it would be in use again.
+// A connection is not reused right after a response: excess data behind the response might arrive only during the next
+// request.
 func TestRest(t *testing.T) {
 	t.Parallel()
 	addr := startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse("x") }))
-	b := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
-	b.update(knownBackends(addr))
-	h := b.Find(1)
+	tr := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, discardLog)
+	tr.update(readyBackends(addr))
+	h := tr.Find(1)
 	opened := 0
-	for _, rested := range []time.Duration{0, 0, minRest} {
-		eventually(t, "rested", func() bool {
-			idle := b.Idle(h)
+	for _, rested := range []time.Duration{0, 0, minIdleBeforeReuse} {
+		eventually(t, "an idle connection past minIdleBeforeReuse", func() bool {
+			idle := tr.Idle(h)
 			return len(idle) == 0 || time.Since(idle[len(idle)-1].IdleSince()) >= rested
 		})
-		open := b.Open()
-		r := b.do(t.Context(), h, get(patient))
+		open := tr.Open()
+		r := tr.do(t.Context(), h, getExchange(testTimeout))
 		if r.code != decide.OK || r.opened && rested > 0 {
-			t.Errorf("rested %v: %v, opened %v", rested, r.code, r.opened)
+			t.Errorf("idle for %v: got outcome %v, opened %v, want OK on an existing connection if it was idle", rested, r.code, r.opened)
 		}
-		if r.opened != (b.Open() > open) {
-			t.Errorf("rested %v: opened %v, connections %d and then %d", rested, r.opened, open, b.Open())
+		if r.opened != (tr.Open() > open) {
+			t.Errorf("idle for %v: got opened %v, but %d open connections before and %d after", rested, r.opened, open, tr.Open())
 		}
 		if r.opened {
 			opened++
 		}
 	}
-	if opened == 0 || opened != b.Open() {
-		t.Errorf("%d requests opened a connection, and %d are open", opened, b.Open())
+	if opened == 0 || opened != tr.Open() {
+		t.Errorf("got %d requests that opened a connection and %d open connections, want equal numbers above 0", opened, tr.Open())
 	}
-	b.update(list{full: true})
+	tr.update(backendList{full: true})
 }
 
-// inPieces is answering for what is written in pieces.
-func inPieces(reply func(net.Conn)) func(net.Conn) {
+// respondAfterRequest returns a function that reads requests and calls reply after each.
+func respondAfterRequest(reply func(net.Conn)) func(net.Conn) {
 	return func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
@@ -190,76 +192,75 @@
 	}
 }
 
-// A report counts only if all of it makes sense.
+// A load report is accepted only if all of it is valid.
 func TestReport(t *testing.T) {
 	t.Parallel()
-	if r := parseReport("inflight=7,queue=2"); r == nil || r.InFlight != 7 || r.Queue != 2 {
-		t.Errorf("%+v", r)
+	if r := parseLoadReport("inflight=7,queue=2"); r == nil || r.InFlight != 7 || r.Queue != 2 {
+		t.Errorf("valid report: got %+v, want InFlight 7 and Queue 2", r)
 	}
 	for _, text := range []string{"", "=,=", "%%%", `{"`, "inflight=-1", "inflight=NaN", "inflight=Inf", "inflight=1e30", "inflight=7,queue", "inflight=7,=", "other=1"} {
-		if r := parseReport(text); r != nil {
-			t.Errorf("%q: %+v", text, r)
+		if r := parseLoadReport(text); r != nil {
+			t.Errorf("report %q: got %+v, want nil", text, r)
 		}
 	}
 }
 
-// A new backend at the address of one that is still listed has taken its place: nothing goes to the old one, nor
-// on its connections.
+// A new backend at the address of a listed one replaces it: no request goes to the old backend or uses its connections.
 func TestAddressTakenOver(t *testing.T) {
 	t.Parallel()
 	addr := startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse("x") }))
-	b := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
-	b.update(knownBackends(addr))
-	if r := b.do(t.Context(), b.Find(1), get(patient)); r.code != decide.OK || b.Open() != 1 {
-		t.Fatalf("%v, %d open", r.code, b.Open())
+	tr := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, discardLog)
+	tr.update(readyBackends(addr))
+	if r := tr.do(t.Context(), tr.Find(1), getExchange(testTimeout)); r.code != decide.OK || tr.Open() != 1 {
+		t.Fatalf("first request: got outcome %v and %d open connections, want OK and 1", r.code, tr.Open())
 	}
-	news := knownBackends(addr, addr)
-	news.entries[1].StartedAt = 1
+	replaced := readyBackends(addr, addr)
+	replaced.entries[1].StartedAt = 1
 	for _, full := range []bool{false, true} {
-		news.full = full
-		b.update(news)
-		if r := b.do(t.Context(), b.Find(1), get(patient)); r.code != decide.ConnectFailed {
-			t.Errorf("the old one: %v, %d open", r.code, b.Open())
+		replaced.full = full
+		tr.update(replaced)
+		if r := tr.do(t.Context(), tr.Find(1), getExchange(testTimeout)); r.code != decide.ConnectFailed {
+			t.Errorf("old backend: got outcome %v (%d open connections), want ConnectFailed", r.code, tr.Open())
 		}
-		if r := b.do(t.Context(), b.Find(2), get(patient)); r.code != decide.OK || b.Open() != 1 {
-			t.Errorf("the new one: %v, %d open", r.code, b.Open())
+		if r := tr.do(t.Context(), tr.Find(2), getExchange(testTimeout)); r.code != decide.OK || tr.Open() != 1 {
+			t.Errorf("new backend: got outcome %v and %d open connections, want OK and 1", r.code, tr.Open())
 		}
-		time.Sleep(2 * minRest)
+		time.Sleep(2 * minIdleBeforeReuse)
 	}
-	b.update(list{full: true})
+	tr.update(backendList{full: true})
 }
 
-// A machine that says nothing when connected to takes a part of the descriptors only.
+// Dials to a machine that does not respond use only a part of the descriptors.
 func TestDialsBounded(t *testing.T) {
 	t.Parallel()
-	b := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 16, quiet)
-	b.update(knownBackends("127.0.0.1:1"))
-	h := b.Find(1)
-	const most = 2
-	dials, let := make(chan struct{}, most), make(chan struct{})
-	wrapDial(b, func(dial upstream.DialFunc) upstream.DialFunc {
+	tr := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 16, discardLog)
+	tr.update(readyBackends("127.0.0.1:1"))
+	h := tr.Find(1)
+	const maxDials = 2
+	dials, proceed := make(chan struct{}, maxDials), make(chan struct{})
+	wrapDial(tr, func(dial upstream.DialFunc) upstream.DialFunc {
 		return func(ctx context.Context, network, addr string, deadline time.Time) (net.Conn, error) {
 			dials <- struct{}{}
-			<-let
+			<-proceed
 			return dial(ctx, network, addr, deadline)
 		}
 	})
-	var under sync.WaitGroup
-	for range most {
-		under.Go(func() { b.do(t.Context(), h, get(patient)) })
+	var attempts sync.WaitGroup
+	for range maxDials {
+		attempts.Go(func() { tr.do(t.Context(), h, getExchange(testTimeout)) })
 		receive(t, "a dial", dials)
 	}
-	if r := b.do(t.Context(), h, get(patient)); r.code != decide.NotSent || b.Open() != most {
-		t.Errorf("%v (%v), %d open", r.code, r.err, b.Open())
+	if r := tr.do(t.Context(), h, getExchange(testTimeout)); r.code != decide.NotSent || tr.Open() != maxDials {
+		t.Errorf("beyond the bound: got outcome %v (%v) and %d open connections, want NotSent and 2", r.code, r.err, tr.Open())
 	}
-	close(let)
-	under.Wait()
-	if b.Open() != 0 {
-		t.Errorf("%d open when all have failed", b.Open())
+	close(proceed)
+	attempts.Wait()
+	if tr.Open() != 0 {
+		t.Errorf("after all dials failed: got %d open connections, want 0", tr.Open())
 	}
 }
 
-// A connection that the backend has closed while it was idle is not written to.
+// No request is written to a connection that the backend closed while it was idle.
 func TestIdleClosedByBackend(t *testing.T) {
 	t.Parallel()
 	closed := make(chan struct{}, 9)
@@ -270,128 +271,129 @@
 		c.Close()
 		closed <- struct{}{}
 	})
-	n := startNode(t, &Config{Settings: testSettings(), KnownBackends: knownBackends(addr)})
+	n := startNode(t, &Config{Settings: testSettings(), KnownBackends: readyBackends(addr)})
 	for range 5 {
-		if resp, _ := n.askUntilServed(t, message("order", "9.5", "")); resp.StatusCode != 200 {
-			t.Fatalf("status %d", resp.StatusCode)
+		if resp, _ := n.sendUntilServed(t, requestText("order", "9.5", "")); resp.StatusCode != 200 {
+			t.Fatalf("got status %d, want 200", resp.StatusCode)
 		}
 		receive(t, "the close", closed)
 	}
 }
 
-// After connecting, what has changed in the meantime counts: nothing is written.
+// Changes during connecting take effect: the conditions for an attempt are checked again before the request is written.
 func TestLookAgainBeforeWriting(t *testing.T) {
 	t.Parallel()
 	var got atomic.Int64
 	addr := startBackend(t, respondWith(func(*http.Request, []byte) string { got.Add(1); return okResponse("x") }))
-	fresh := func() (*transport, *upstream.Backend) {
-		b := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
-		b.update(knownBackends(addr))
-		return b, b.Find(1)
+	newPool := func() (*transport, *upstream.Backend) {
+		tr := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, discardLog)
+		tr.update(readyBackends(addr))
+		return tr, tr.Find(1)
 	}
 	for name, c := range map[string]struct {
 		change func(*transport, *exchange, context.CancelFunc)
 		want   decide.OutcomeCode
 	}{
-		"draining": {func(b *transport, _ *exchange, _ context.CancelFunc) {
-			l := knownBackends(addr)
+		"draining": {func(tr *transport, _ *exchange, _ context.CancelFunc) {
+			l := readyBackends(addr)
 			l.full, l.entries[0].State = false, decide.Draining
-			b.update(l)
+			tr.update(l)
 		}, decide.ConnectFailed},
-		"gone from the list": {func(b *transport, _ *exchange, _ context.CancelFunc) { b.update(list{full: true}) }, decide.ConnectFailed},
-		"restarted": {func(b *transport, _ *exchange, _ context.CancelFunc) {
-			l := knownBackends(addr)
+		"gone from the list": {func(tr *transport, _ *exchange, _ context.CancelFunc) { tr.update(backendList{full: true}) }, decide.ConnectFailed},
+		"restarted": {func(tr *transport, _ *exchange, _ context.CancelFunc) {
+			l := readyBackends(addr)
 			l.entries[0].StartedAt = 1
-			b.update(l)
+			tr.update(l)
 		}, decide.ConnectFailed},
 		"window over": {func(_ *transport, x *exchange, _ context.CancelFunc) { x.writeBefore = time.Now() }, decide.NotSent},
 		"too late":    {func(_ *transport, x *exchange, _ context.CancelFunc) { x.deadline = time.Now() }, decide.ConnectFailed},
 		"called off":  {func(_ *transport, _ *exchange, cancel context.CancelFunc) { cancel() }, decide.Cancelled},
 	} {
-		b, h := fresh()
-		// An idle connection, so that connecting succeeds whatever the time.
-		c1, err := b.Acquire(t.Context(), h, time.Now().Add(patient))
+		tr, h := newPool()
+		// An idle connection, so that acquiring one succeeds whatever the deadline.
+		c1, err := tr.Acquire(t.Context(), h, time.Now().Add(testTimeout))
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		x := get(patient)
-		b.Release(c1, true)
-		c.change(b, x, cancel)
-		if r := b.do(ctx, h, x); r.code != c.want {
-			t.Errorf("%s: outcome %v (%v), want %v", name, r.code, r.err, c.want)
+		x := getExchange(testTimeout)
+		tr.Release(c1, true)
+		c.change(tr, x, cancel)
+		if r := tr.do(ctx, h, x); r.code != c.want {
+			t.Errorf("%s: got outcome %v (%v), want %v", name, r.code, r.err, c.want)
 		}
 		cancel()
-		b.update(list{full: true})
-		if b.Open() != 0 {
-			t.Errorf("%s: %d connections left", name, b.Open())
+		tr.update(backendList{full: true})
+		if tr.Open() != 0 {
+			t.Errorf("%s: got %d open connections, want 0", name, tr.Open())
 		}
 	}
 	if got.Load() > 0 {
-		t.Errorf("the backend got %d requests", got.Load())
+		t.Errorf("got %d requests at the backend, want none", got.Load())
 	}
 }
 
-// A refused connection never ran, and the bound on connections is kept, by closing idle ones first.
+// A request whose connection is refused has not run. The limit of connections holds, and idle connections are closed
+// first to stay below it.
 func TestConnecting(t *testing.T) {
 	t.Parallel()
 	addr := startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse("x") }))
 	other := startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse("x") }))
-	refused, err := net.Dial("tcp", addr) // nobody listens at its own end, and nobody else can
+	refused, err := net.Dial("tcp", addr) // nothing listens on its local port, and nothing else can take the port
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer refused.Close()
-	b := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 1, quiet)
-	b.update(knownBackends(addr, other, refused.LocalAddr().String()))
+	tr := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 1, discardLog)
+	tr.update(readyBackends(addr, other, refused.LocalAddr().String()))
 	for i, want := range map[decide.BackendID]decide.OutcomeCode{1: decide.OK, 2: decide.OK, 3: decide.ConnectFailed, 4: decide.ConnectFailed} {
-		if r := b.do(t.Context(), b.Find(i), get(patient)); r.code != want {
-			t.Errorf("backend %d: %v (%v)", i, r.code, r.err)
+		if r := tr.do(t.Context(), tr.Find(i), getExchange(testTimeout)); r.code != want {
+			t.Errorf("backend %d: got outcome %v (%v)", i, r.code, r.err)
 		}
 	}
-	held, err := b.Acquire(t.Context(), b.Find(1), time.Now().Add(patient))
+	held, err := tr.Acquire(t.Context(), tr.Find(1), time.Now().Add(testTimeout))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := b.do(t.Context(), b.Find(2), get(patient)); r.code != decide.NotSent { // the backend is not to blame
-		t.Errorf("beyond the bound: %v", r.code)
+	if r := tr.do(t.Context(), tr.Find(2), getExchange(testTimeout)); r.code != decide.NotSent { // the backend is not at fault
+		t.Errorf("beyond the limit: got outcome %v, want NotSent", r.code)
 	}
-	b.Release(held, true)
-	b.CloseIdle(1)
-	if b.Open() != 0 {
-		t.Errorf("%d connections left", b.Open())
+	tr.Release(held, true)
+	tr.CloseIdle(1)
+	if tr.Open() != 0 {
+		t.Errorf("after CloseIdle: got %d open connections, want 0", tr.Open())
 	}
 }
 
-// A backend that let an attempt time out in silence may have been cut off: its idle connections are not used
-// again. One that has answered in the meantime keeps them.
+// If an attempt times out without a response, the backend may be cut off from the network, so its idle connections are
+// not reused. They are kept if the backend has responded in the meantime.
 func TestSilenceClosesIdle(t *testing.T) {
 	t.Parallel()
 	addr := startBackend(t, func(c net.Conn) { io.Copy(io.Discard, c) })
-	for heard, want := range map[bool]int{false: 0, true: 1} {
-		b := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, quiet)
-		b.update(knownBackends(addr))
-		h := b.Find(1)
+	for responded, want := range map[bool]int{false: 0, true: 1} {
+		tr := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, discardLog)
+		tr.update(readyBackends(addr))
+		h := tr.Find(1)
 		var conns [2]*upstream.Conn
 		for i := range conns {
 			var err error
-			if conns[i], err = b.Acquire(t.Context(), h, time.Now().Add(patient)); err != nil {
+			if conns[i], err = tr.Acquire(t.Context(), h, time.Now().Add(testTimeout)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for _, c := range conns {
-			b.Release(c, true)
+			tr.Release(c, true)
 		}
-		time.Sleep(2 * minRest)
-		if heard {
-			b.RecordAnswer(h, time.Now().Add(patient))
+		time.Sleep(2 * minIdleBeforeReuse)
+		if responded {
+			tr.RecordAnswer(h, time.Now().Add(testTimeout))
 		}
-		if r := b.do(t.Context(), h, get(time.Second)); r.code != decide.TimedOut {
-			t.Errorf("outcome %v (%v)", r.code, r.err)
+		if r := tr.do(t.Context(), h, getExchange(time.Second)); r.code != decide.TimedOut {
+			t.Errorf("got outcome %v (%v), want TimedOut", r.code, r.err)
 		}
-		if kept := len(b.Idle(h)); kept != want {
-			t.Errorf("heard of it: %v; %d idle connections kept, want %d", heard, kept, want)
+		if kept := len(tr.Idle(h)); kept != want {
+			t.Errorf("responded %v: got %d idle connections, want %d", responded, kept, want)
 		}
-		b.update(list{full: true})
+		tr.update(backendList{full: true})
 	}
 }
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -9,72 +9,73 @@
 	"nickelline/decide"
 )
 
-var errDiscoveryMoved = errors.New("discovery has moved")
+var errDiscoveryMoved = errors.New("discovery moved to another address")
 
-// subscribe begins a watch, or begins it anew so that there is an answer, unless the answer is still to come. With on
-// false it ends the watch.
+// subscribe starts a watch. It restarts a running watch, so that the module gets a response, unless the first response
+// of that watch is still outstanding. With on false it ends the watch.
 func (l *loop) subscribe(on bool) {
-	if on && l.endWatch != nil && !l.watchOpen {
+	if on && l.cancelWatch != nil && !l.watchResponded {
 		return
 	}
 	l.endCurrentWatch()
 	if !on {
 		return
 	}
-	ctx, current := l.newWatch()
+	ctx, postIfCurrent := l.newWatch()
 	d, since := l.discovery, l.version
 	l.running.Go(func() {
 		err := d.watch(ctx, since, callTimeout, l.listHandler(ctx))
-		current(func() {
+		postIfCurrent(func() {
 			l.endCurrentWatch()
-			l.listFetched(list{}, err)
+			l.handleFetchedList(backendList{}, err)
 		})
 	})
 }
 
-// fetchList fetches the whole list once. What comes after discovery has moved to another address counts as a failure.
+// fetchList requests the full list once. A response that arrives after discovery has moved to another address counts
+// as a failure.
 func (l *loop) fetchList() {
 	d := l.discovery
 	l.running.Go(func() {
 		fetched, err := d.fetch(l.ctx)
 		l.post(func() {
 			if d != l.discovery {
-				fetched, err = list{}, errDiscoveryMoved
+				fetched, err = backendList{}, errDiscoveryMoved
 			}
-			l.listFetched(fetched, err)
+			l.handleFetchedList(fetched, err)
 		})
 	})
 }
 
-// followList keeps a watch where lists are pushed and so the module asks for none.
+// followList keeps a watch open. It is used if lists are pushed, so that the module does not request them.
 func (l *loop) followList() {
 	ctx, _ := l.newWatch()
 	d, since := l.discovery, l.version
 	l.running.Go(func() { d.follow(ctx, since, l.settings.DrainGrace, l.listHandler(ctx)) })
 }
 
-// listHandler returns the function that takes the lists of a watch. What a watch got before it ended may come behind its
-// end, and still counts: unless its successor has had an answer by then, a list is taken if it is newer than what is
-// known.
-func (l *loop) listHandler(ctx context.Context) func(list) {
-	return func(update list) {
+// listHandler returns the function that handles the lists of a watch. A list that a watch received before it ended may
+// reach the loop after that. It still counts as delivered, so it is applied if it is newer than the known list and the
+// next watch has not received a response yet.
+func (l *loop) listHandler(ctx context.Context) func(backendList) {
+	return func(update backendList) {
 		l.post(func() {
 			switch {
 			case ctx.Err() == nil:
-				l.watchOpen = true
-				l.takeList(update)
-			case !l.watchOpen && l.version != nil && update.version > *l.version:
-				l.takeList(update)
+				l.watchResponded = true
+				l.receiveList(update)
+			case !l.watchResponded && l.version != nil && update.version > *l.version:
+				l.receiveList(update)
 			}
 		})
 	}
 }
 
-// newWatch returns what a new watch needs: a context, and a function that runs another in the loop unless the watch has
-// ended.
+// newWatch registers a new watch. It returns the context of the watch and a function that runs its argument in the loop
+// unless the watch has ended.
 func (l *loop) newWatch() (context.Context, func(func())) {
 	ctx, cancel := context.WithCancel(l.ctx)
-	l.endWatch, l.watchOpen = cancel, false
+	l.cancelWatch, l.watchResponded = cancel, false
 	return ctx, func(f func()) {
 		l.post(func() {
 			if ctx.Err() == nil {
@@ -84,22 +85,22 @@
 	}
 }
 
-// endCurrentWatch ends the watch, if there is one.
+// endCurrentWatch cancels the current watch, if there is one.
 func (l *loop) endCurrentWatch() {
-	if l.endWatch != nil {
-		l.endWatch()
-		l.endWatch = nil
+	if l.cancelWatch != nil {
+		l.cancelWatch()
+		l.cancelWatch = nil
 	}
 }
 
-// moveDiscovery asks discovery at another address from now on, at once, for what has changed: discovery is one service
-// for all nodes, they all move together, and a whole list for each of them is more than it has time for. A watch at the
-// old address may hang, and would be taken for one that is kept.
+// moveDiscovery switches to discovery at another address and requests the changes there at once. It does not request
+// the full list, because all nodes move together and discovery has no time for a full list to each of them. It ends
+// the watch at the old address, which could hang and still count as the current watch.
 func (l *loop) moveDiscovery(to netip.AddrPort) {
 	if to == l.discovery.address {
 		return
 	}
-	l.log.Info("discovery moves", "to", to)
+	l.log.Info("discovery address changed", "to", to)
 	l.endCurrentWatch()
 	l.discovery.client.CloseIdleConnections()
 	l.discovery = newDiscovery(to, l.log)
@@ -110,8 +111,8 @@
 	}
 }
 
-// reloadConfig reads the configuration again at each signal, until ctx ends. An invalid one changes nothing; of a valid
-// one discovery's address takes effect, and what else is new in it at the next start.
+// reloadConfig reads the configuration again on each signal, until ctx ends. An invalid configuration changes nothing.
+// Of a valid one, only the address of discovery takes effect; all other changes need a restart.
 func (l *loop) reloadConfig(ctx context.Context, c *Config, signals <-chan os.Signal) {
 	for {
 		select {
@@ -119,7 +120,7 @@
 			return
 		case <-signals:
 		}
-		next, err := c.readAgain()
+		next, err := c.reload()
 		if err != nil {
 			l.log.Error("reload configuration failed", "err", err)
 			continue
@@ -128,18 +129,18 @@
 	}
 }
 
-// listFetched takes the answer to a call for the list that the module has asked for.
-func (l *loop) listFetched(fetched list, err error) {
+// handleFetchedList handles the result of a call that the module requested: a list or an error.
+func (l *loop) handleFetchedList(fetched backendList, err error) {
 	if err != nil {
 		l.log.Info("fetch list of backends failed", "discovery", l.discovery.address, "err", err)
 		l.handle(decide.ListUpdate{Kind: decide.ListFailed})
 		return
 	}
-	l.takeList(fetched)
+	l.receiveList(fetched)
 }
 
-// takeList applies a list from discovery, whole or changes.
-func (l *loop) takeList(update list) {
+// receiveList applies a list from discovery, which is full or contains only changes.
+func (l *loop) receiveList(update backendList) {
 	kind := decide.ListChanges
 	if update.full {
 		kind = decide.ListFull
@@ -147,10 +148,11 @@
 	l.applyList(update, kind)
 }
 
-// applyList applies a list: to connections first, so that nothing goes where the list says no.
-func (l *loop) applyList(update list, kind decide.ListKind) {
+// applyList applies a list to the connections and then to the module, so that no request goes to a backend that the
+// list excludes.
+func (l *loop) applyList(update backendList, kind decide.ListKind) {
 	l.version = &update.version
-	l.numbering.assign(update)
+	l.backendIDs.assign(update)
 	l.transport.update(update)
 	if update.full {
 		clear(l.ready)
