--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -1,7 +1,8 @@
-// Command balancer is a load-balancing HTTP proxy node: the decisions of package decide, on the network of package node.
+// Command balancer is a load-balancing HTTP proxy node. Package decide makes its decisions, and package node
+// implements its network side.
 //
-// It reads its configuration from the JSON file that GW_CONFIG names. SIGHUP reads the file again; SIGTERM or an interrupt
-// drains the node.
+// It reads its configuration from the JSON file that GW_CONFIG names. On SIGHUP it reads the file again; on SIGTERM or
+// an interrupt it drains and exits.
 package main
 
 import (
@@ -19,10 +20,11 @@
 )
 
 const (
-	// memoryShare is the part of the memory limit for Go's heap and stacks; the kernel's buffers and the program have the
-	// rest.
+	// memoryShare is the fraction of the memory limit for the Go runtime's heap and stacks. The rest is for kernel
+	// buffers and the binary.
 	memoryShare = 0.6
-	// gcPercent: the heap is small, and fewer collections leave the one core to requests.
+	// gcPercent is the GOGC value. It is high because the heap is small and fewer collections leave the single core to
+	// requests.
 	gcPercent = 400
 )
 
@@ -34,7 +36,7 @@
 }
 
 func run() error {
-	reload := make(chan os.Signal, 1) // caught first of all: a SIGHUP that nothing catches ends the process
+	reload := make(chan os.Signal, 1) // registered first, because an unhandled SIGHUP ends the process
 	signal.Notify(reload, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -15,19 +15,19 @@
 	"time"
 )
 
-// The test binary is the program when this is set.
-const asProgram = "BALANCER_TEST_AS_PROGRAM"
+// runAsProgram is the environment variable that makes the test binary run as the program.
+const runAsProgram = "BALANCER_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgram) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// program returns this program, to be run with a configuration, and its log.
-func program(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
+// programCommand returns a command that runs the program with a configuration, and the buffer that receives its log.
+func programCommand(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -35,15 +35,15 @@
 	}
 	var log bytes.Buffer
 	cmd := exec.Command(os.Args[0])
-	cmd.Env, cmd.Stderr = append(os.Environ(), asProgram+"=1", "GW_CONFIG="+path), &log
+	cmd.Env, cmd.Stderr = append(os.Environ(), runAsProgram+"=1", "GW_CONFIG="+path), &log
 	return cmd, &log
 }
 
 func TestBadConfiguration(t *testing.T) {
-	cmd, log := program(t, `{"name":"n0"}`)
+	cmd, log := programCommand(t, `{"name":"n0"}`)
 	cmd.Run()
 	if code := cmd.ProcessState.ExitCode(); code != 1 || strings.Count(log.String(), "\n") != 1 || !strings.Contains(log.String(), "listen") {
-		t.Errorf("exit code %d, log %q", code, log)
+		t.Errorf("got exit code %d and log %q, want code 1 and one line about listen", code, log)
 	}
 }
 
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	defer discovery.Close()
-	cmd, _ := program(t, fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1","settings":{
+	cmd, _ := programCommand(t, fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1","settings":{
 		"caps":{"connect_timeout_ns":250000000},"classes":[{"name":"c","effect":"fragile"}]}}`, discovery.Addr()))
 	cmd.Stderr = nil
 	log, err := cmd.StderrPipe()
@@ -63,8 +63,8 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	guard := time.AfterFunc(time.Minute, func() { cmd.Process.Kill() })
-	defer guard.Stop()
+	killTimer := time.AfterFunc(time.Minute, func() { cmd.Process.Kill() })
+	defer killTimer.Stop()
 	lines := bufio.NewScanner(log)
 	lines.Scan()
 	_, rest, _ := strings.Cut(lines.Text(), "listen=")
@@ -72,13 +72,13 @@
 	client := http.Client{Timeout: 20 * time.Second}
 	resp, err := client.Get("http://" + listen + "/health/live")
 	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("after %q: %v, %v", lines.Text(), resp, err)
+		t.Errorf("liveness check after log line %q: got %v, error %v, want status 200", lines.Text(), resp, err)
 	}
-	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} { // only one ends it
+	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} { // only SIGTERM ends it
 		cmd.Process.Signal(s)
 	}
 	for lines.Scan() {
-		if strings.Contains(lines.Text(), "msg=draining") { // a second one ends it no sooner
+		if strings.Contains(lines.Text(), "msg=draining") { // a second SIGTERM must not cut the drain short
 			cmd.Process.Signal(syscall.SIGTERM)
 		}
 	}
