--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// tenantAccount is what the allocator keeps of a tenant.
+// tenantAccount is the allocator's state of a tenant.
 type tenantAccount struct {
-	leased   Share     // sum of what is outstanding
+	leased   Share     // sum of the outstanding shares of all leases
 	released Share     // given up by leaseholders during the grace period
-	demand   float64   // sum over all leases
+	demand   float64   // requests a second, sum over all leases
 	leases   int       // number of leases
 	tokens   float64   // in the allocator's bucket
-	filledAt time.Time // up to which tokens are added
+	filledAt time.Time // time up to which tokens have been added
 }
 
 // accountOf returns a tenant's account, with its bucket filled up to now.
@@ -29,7 +29,8 @@
 	return account
 }
 
-// fill adds to the tenant's bucket what of its rate was not leased since the last call.
+// fill adds to the tenant's bucket the tokens of its unleased rate since the last call, or since the end of the grace
+// period. It adds none during the grace period.
 func (a *Allocator) fill(now time.Time, account *tenantAccount, limit Limit) {
 	from := account.filledAt
 	account.filledAt = now
@@ -45,7 +46,7 @@
 	account.tokens = min(account.tokens, (1-depthFraction)*capacity, max(0, capacity-account.leased.Depth))
 }
 
-// free returns the share that may be leased in addition. During the grace period that is only what leaseholders have
+// free returns the share that may be leased in addition: during the grace period only the share that leaseholders have
 // released.
 func (a *Allocator) free(now time.Time, account *tenantAccount, limit Limit) Share {
 	if !a.graceEnded(now) {
@@ -57,8 +58,8 @@
 	}
 }
 
-// reclaim records the share that the leaseholder says it has: of a lease of this allocator, which it may have reduced,
-// or of a lease of a former one.
+// reclaim records the share that the leaseholder reports to hold. The lease may come from this allocator, which may have
+// reduced it since, or from a former one.
 func (a *Allocator) reclaim(
 	now time.Time, leaseholder *leaseholderRecord, account *tenantAccount, entry *Entry,
 ) *leaseRecord {
@@ -75,7 +76,7 @@
 	return lease
 }
 
-// setOutstanding changes the share that counts as leased.
+// setOutstanding changes the share of a lease that counts as leased.
 func (a *Allocator) setOutstanding(now time.Time, account *tenantAccount, lease *leaseRecord, share Share) {
 	rate, depth := share.Rate-lease.outstanding.Rate, share.Depth-lease.outstanding.Depth
 	account.leased.Rate += rate
@@ -87,25 +88,25 @@
 	lease.outstanding = share
 }
 
-// target returns the share that a lease should have for its demand.
+// target returns the share that a lease should have according to its demand.
 func (a *Allocator) target(account *tenantAccount, lease *leaseRecord, limit Limit) Share {
-	even := 0.0
+	evenRate := 0.0
 	if account.leases <= maxEvenLeases {
-		even = evenFraction * limit.Rate / float64(account.leases)
+		evenRate = evenFraction * limit.Rate / float64(account.leases)
 	}
-	rate := even + demandFactor*lease.demand
-	wanted := even*float64(account.leases) + demandFactor*account.demand
+	rate := evenRate + demandFactor*lease.demand
+	wantedRate := evenRate*float64(account.leases) + demandFactor*account.demand
 	depth := minDepth + demandDepthSpan.Seconds()*lease.demand
 	wantedDepth := minDepth*float64(account.leases) + demandDepthSpan.Seconds()*account.demand
 	capacity := a.policy.capacity(limit)
 	return Share{
-		Rate:  rate * min(1, leasedFraction*limit.Rate/max(wanted, math.SmallestNonzeroFloat64)),
+		Rate:  rate * min(1, leasedFraction*limit.Rate/max(wantedRate, math.SmallestNonzeroFloat64)),
 		Depth: depth * min(1, depthFraction*capacity/max(wantedDepth, math.SmallestNonzeroFloat64)),
 	}
 }
 
 // resize moves a lease towards its target and returns the share that the leaseholder may use from now on. A lease grows
-// by what is free; a reduction stays outstanding until the leaseholder has confirmed it.
+// by at most the free share. A reduction stays outstanding until the leaseholder has confirmed it.
 func (a *Allocator) resize(now time.Time, account *tenantAccount, lease *leaseRecord, target Share, limit Limit) Share {
 	free := a.free(now, account, limit)
 	given := Share{
@@ -116,8 +117,9 @@
 	return given
 }
 
-// retryAfter returns when the bucket is expected to hold enough for a number of requests that got nothing.
-func (a *Allocator) retryAfter(now time.Time, account *tenantAccount, limit Limit, short int) time.Duration {
+// retryAfter returns the time until the bucket is expected to hold enough tokens for the given number of requests that
+// were not granted, at most maxRetryAfter.
+func (a *Allocator) retryAfter(now time.Time, account *tenantAccount, limit Limit, shortfall int) time.Duration {
 	rate := a.free(now, account, limit).Rate
 	if !a.graceEnded(now) {
 		return graceRetryAfter
@@ -125,7 +127,7 @@
 	if rate <= 0 {
 		return maxRetryAfter
 	}
-	wait := (1 - account.tokens + float64(short-1)) / rate
+	wait := (1 - account.tokens + float64(shortfall-1)) / rate
 	return min(time.Duration(wait*float64(time.Second)), maxRetryAfter)
 }
 
--- a/internal/quota/activation.go
+++ b/internal/quota/activation.go
@@ -9,18 +9,18 @@
 	"nickelline/internal/peer"
 )
 
-// HeadStatus is the position of this node in the control chain.
+// HeadStatus tells whether this node is the head of the control chain, and otherwise which node is.
 type HeadStatus interface {
 	// Fresh reports whether a barrier younger than HeadProofLifetime proves that this node is the head.
 	Fresh() bool
 	// Epoch returns the epoch of the current view of the control chain.
 	Epoch() uint64
-	// Head returns the address of the head as far as this node knows.
+	// Head returns the address of the head, and false if this node does not know it.
 	Head() (netip.AddrPort, bool)
 }
 
-// ObserveView handles a new view of the control chain. A node that stays the head from one epoch to the next keeps the
-// leases that it knows; any other head starts a new allocator.
+// ObserveView handles a new view of the control chain. A node that remains the head from one epoch to the next keeps its
+// allocator with all leases; any other head starts a new allocator.
 func (s *Service) ObserveView(epoch uint64, isHead bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -49,8 +49,8 @@
 	}
 }
 
-// activate starts the allocator if there is a proof that this node is the head, and looks again after
-// activationInterval otherwise, up to the given number of attempts.
+// activate starts the allocator if there is a proof that this node is the head. Otherwise it tries again after
+// activationInterval, up to the given number of attempts in all.
 func (s *Service) activate(attempts int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -66,8 +66,8 @@
 	time.AfterFunc(activationInterval, func() { s.activate(attempts - 1) })
 }
 
-// activeAllocator returns the allocator while this node is known to be the head, and nil on other nodes and before the
-// allocator has started. The caller holds the mutex.
+// activeAllocator returns the allocator while this node is proven to be the head. It returns nil on other nodes and before
+// the allocator has started. The caller holds the mutex.
 func (s *Service) activeAllocator() *Allocator {
 	if s.allocator == nil || !s.headStatus.Fresh() || s.epoch != s.headStatus.Epoch() {
 		return nil
@@ -75,8 +75,8 @@
 	return s.allocator
 }
 
-// startAllocator starts the allocator of an epoch, after the change of the registry that fences off former allocators.
-// The caller holds the mutex.
+// startAllocator starts the allocator of an epoch. The change of the registry that fences off former allocators has been
+// committed. The caller holds the mutex.
 func (s *Service) startAllocator(now time.Time, epoch uint64, registry RegistryState, reserves []string) {
 	s.log.Info("quota allocator started", zap.Uint64("epoch", epoch), zap.Int("leaseholders", len(registry.Leaseholders)),
 		zap.Int("reserves", len(reserves)))
@@ -86,8 +86,8 @@
 	s.announce(now, s.allocator)
 }
 
-// announce notifies the proxies that have still to reclaim their leases of this allocator, and repeats it until they
-// have. The caller holds the mutex.
+// announce sends an announcement of this allocator to the proxies that have not yet reclaimed their leases, and repeats it
+// every announceInterval until all of them have. The caller holds the mutex.
 func (s *Service) announce(now time.Time, a *Allocator) {
 	addresses := a.Unreclaimed(now)
 	if s.allocator != a || len(addresses) == 0 {
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -8,42 +8,42 @@
 )
 
 const (
-	demandFactor       = 1.4                    // leased rate per demand: room for growth
-	demandDepthSpan    = time.Second / 2        // a bucket may save up the demand of this time,
-	minDepth           = 1.0                    // and this many requests besides
-	depthFraction      = 0.15                   // of the capacity, for the depths of all leases: others cannot use saved tokens
-	evenFraction       = 0.1                    // of the rate, leased evenly whatever the demand,
-	maxEvenLeases      = 32                     // while a tenant has no more leases than this
-	maxRetryAfter      = time.Second            // upper bound of Grant.RetryAfter
-	graceRetryAfter    = 50 * time.Millisecond  // Grant.RetryAfter during the grace period
-	sweepInterval      = 500 * time.Millisecond // between searches for expired leases
-	unresponsiveLeases = 4                      // lease times without a renewal after which a process is unregistered
-	formerLives        = 8                      // former processes remembered at each address, to detect their late messages
+	demandFactor             = 1.4                    // ratio of leased rate to demand, which leaves room for growth
+	demandDepthSpan          = time.Second / 2        // a bucket may save up the demand of this time
+	minDepth                 = 1.0                    // requests that a bucket may save up in addition
+	depthFraction            = 0.15                   // of the capacity, for the depths of all leases: a proxy cannot use the tokens that others save
+	evenFraction             = 0.1                    // of the rate, divided evenly among all leases whatever their demand
+	maxEvenLeases            = 32                     // with more leases of a tenant than this, no rate is divided evenly
+	maxRetryAfter            = time.Second            // upper bound of Grant.RetryAfter
+	graceRetryAfter          = 50 * time.Millisecond  // Grant.RetryAfter during the grace period
+	sweepInterval            = 500 * time.Millisecond // interval between searches for expired leases
+	unresponsiveLeasePeriods = 4                      // times Policy.Lease without a renewal: the process is unregistered
+	maxFormerProcesses       = 8                      // former processes remembered for each address, to detect their late messages
 
-	// HeadProofLifetime is how long a node may act as allocator after a proof that it is the head.
+	// HeadProofLifetime is how long a node may act as allocator after it was proven to be the head.
 	HeadProofLifetime = time.Second
 )
 
-// Allocator shares out the limits of all tenants among proxies. It reads no clock, does no I/O and is not safe for
+// Allocator divides the limits of all tenants among proxies. It reads no clock, does no I/O and is not safe for
 // concurrent use.
 type Allocator struct {
 	policy       Policy
 	limits       func(tenant string) Limit
 	graceEndsAt  time.Time                 // end of the grace period: all outstanding leases are known
-	sweepAt      time.Time                 // when sweep looks for expired leases next
+	sweepAt      time.Time                 // earliest time of the next search for expired leases
 	tenants      map[string]*tenantAccount // by name
 	leaseholders map[netip.AddrPort]*leaseholderRecord
-	reserves     reserveBook
-	unreclaimed  int  // leaseholders that have still to reclaim their leases
+	reserves     reserveState
+	unreclaimed  int  // number of leaseholders that have not yet reclaimed their leases
 	removable    bool // TakeRemovable may have something to return
-	// isDown reports whether the process at an address is known not to run; nil: it is never known.
+	// isDown reports whether the process at an address is known not to run; nil means that it is never known.
 	isDown func(netip.AddrPort) bool
 }
 
-// NewAllocator returns the allocator of a node that has become head. The processes that are registered may hold leases of
-// former allocators, which cannot register others any more. The grace period lasts until they have reclaimed their leases,
-// or all of these have expired. The reserves are those of the tenants that the registry had as kept before the change that has
-// recorded all of them as spent.
+// NewAllocator returns the allocator of a node that has become head. The registered processes may hold leases of former
+// allocators, which can no longer register other processes. The grace period lasts until the registered processes have
+// reclaimed their leases, or all of these leases have expired. reserves names the tenants whose reserves were recorded as
+// kept before the change of the registry that recorded all reserves as spent.
 func NewAllocator(
 	p Policy, limits func(tenant string) Limit, registry RegistryState, reserves []string, now time.Time,
 ) *Allocator {
@@ -54,7 +54,7 @@
 		sweepAt:      now.Add(sweepInterval),
 		tenants:      make(map[string]*tenantAccount),
 		leaseholders: make(map[netip.AddrPort]*leaseholderRecord),
-		reserves:     newReserveBook(reserves),
+		reserves:     newReserveState(reserves),
 		unreclaimed:  len(registry.Leaseholders),
 	}
 	for _, registered := range registry.Leaseholders {
@@ -71,8 +71,8 @@
 	return a
 }
 
-// Renew renews a proxy's leases and returns a grant for each entry, in their order. It fails with fault.Conflict if the
-// process is not registered, or the renewal is older than one that was seen before.
+// Renew renews a proxy's leases and returns a grant for each entry, in the order of the entries. It fails with
+// fault.Conflict if the process is not registered, or if the renewal is not newer than all that were received before.
 func (a *Allocator) Renew(now time.Time, from Leaseholder, renewal *Renewal) ([]Grant, error) {
 	a.sweep(now)
 	if a.StatusOf(from) != Registered {
@@ -92,7 +92,7 @@
 		a.markReclaimed(now, leaseholder)
 	}
 	if renewal.Leaving {
-		a.endByLeaving(now, leaseholder)
+		a.handleLeaving(now, leaseholder)
 	}
 	return grants, nil
 }
@@ -113,12 +113,12 @@
 	granted := min(entry.Need, a.grantable(account, entry.Tenant, limit))
 	account.tokens -= float64(granted)
 	grant := Grant{Lease: given, Granted: granted}
-	switch short := entry.Need - granted; {
-	case short <= 0:
+	switch shortfall := entry.Need - granted; {
+	case shortfall <= 0:
 	case a.waitsForReserve(now, account, entry.Tenant):
 		grant.RetryAfter, grant.Unsettled = reserveRetryAfter, true
 	default:
-		grant.RetryAfter, grant.Unsettled = a.retryAfter(now, account, limit, short), !a.graceEnded(now)
+		grant.RetryAfter, grant.Unsettled = a.retryAfter(now, account, limit, shortfall), !a.graceEnded(now)
 	}
 	return grant
 }
--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -20,12 +20,12 @@
 
 func oneLimit(l Limit) func(string) Limit { return func(string) Limit { return l } }
 
-// allocatorAfterGrace returns an allocator that knows all leases, and the time.
+// allocatorAfterGrace returns an allocator whose grace period has ended, and the current time.
 func allocatorAfterGrace(l Limit) (*Allocator, time.Time) {
-	return NewAllocator(rulePolicy, oneLimit(l), RegistryState{}, nil, testStart), testStart
+	return NewAllocator(testPolicy, oneLimit(l), RegistryState{}, nil, testStart), testStart
 }
 
-// register adds a process to those that an allocator knows to be registered.
+// register registers a process with an allocator, beside those that are registered already.
 func register(a *Allocator, now time.Time, added Leaseholder) {
 	members := []Leaseholder{added}
 	for address, leaseholder := range a.leaseholders {
@@ -51,7 +51,7 @@
 
 func TestNewAllocatorGrantsNothingInGracePeriod(t *testing.T) {
 	h := Leaseholder{proxyAddress, 1}
-	a := NewAllocator(rulePolicy, oneLimit(Limit{Rate: 50, Burst: 50}), RegistryState{Leaseholders: []Leaseholder{h, otherLeaseholder}}, nil, testStart)
+	a := NewAllocator(testPolicy, oneLimit(Limit{Rate: 50, Burst: 50}), RegistryState{Leaseholders: []Leaseholder{h, otherLeaseholder}}, nil, testStart)
 	held := Share{Rate: 20, Depth: 5}
 	grant := mustRenew(t, a, after(0), h, 1, Entry{Tenant: "t", Held: held, Demand: 40, Need: 3})[0]
 	if grant.Granted != 0 || grant.Lease.Rate > held.Rate || grant.Lease.Depth > held.Depth || grant.RetryAfter == 0 {
@@ -94,12 +94,12 @@
 	a, now := allocatorAfterGrace(Limit{Rate: 50, Burst: 50})
 	mustRenew(t, a, now, Leaseholder{proxyAddress, 1}, 1, Entry{Tenant: "t", Demand: 100})
 	other := Leaseholder{netip.MustParseAddrPort("10.2.0.7:7661"), 2}
-	late := now.Add(rulePolicy.Lease + HeadProofLifetime/2) // a successor may have extended it meanwhile
+	late := now.Add(testPolicy.Lease + HeadProofLifetime/2) // a successor may have renewed the lease
 	grant := mustRenew(t, a, late, other, 1, Entry{Tenant: "t", Demand: 100})[0]
 	if grant.Lease.Rate > 10 {
 		t.Errorf("grant while the other lease may be in force: got %+v, want a rate of 10 at most", grant)
 	}
-	late = now.Add(rulePolicy.Lease + HeadProofLifetime + time.Millisecond)
+	late = now.Add(testPolicy.Lease + HeadProofLifetime + time.Millisecond)
 	grant = mustRenew(t, a, late, other, 2, Entry{Tenant: "t", Held: grant.Lease, Demand: 100})[0]
 	if grant.Lease.Rate < 40 {
 		t.Errorf("grant after the other lease expired: got %+v, want a rate of 40 at least", grant)
@@ -139,7 +139,7 @@
 	}
 }
 
-// BenchmarkRenew measures one renewal of a proxy for all tenants, with its messages.
+// BenchmarkRenew measures one renewal of a proxy for all tenants, including encoding and decoding.
 func BenchmarkRenew(b *testing.B) {
 	for _, tenants := range []int{8, 100, 940} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -5,11 +5,11 @@
 )
 
 const (
-	demandTimeConstant = 1500 * time.Millisecond // smoothing of a tenant's arrivals
-	idleTimeout        = 10 * time.Second        // without requests, after which a tenant's lease is given up
-	maxExhaustedTime   = 100 * time.Millisecond  // for which an answer that there is no more counts, at most
-	maxTokenWait       = time.Minute             // for a token that a lease will give
-	firstDemandSpan    = 500 * time.Millisecond  // a first request counts as one in this time
+	demandTimeConstant = 1500 * time.Millisecond // of the exponential smoothing of a tenant's demand
+	idleTimeout        = 10 * time.Second        // time without requests after which a tenant's lease is given up
+	maxExhaustedTime   = 100 * time.Millisecond  // longest time for which an answer without enough grants is relied on
+	maxPredictedWait   = time.Minute             // upper bound of the predicted wait for a token of a lease
+	firstDemandSpan    = 500 * time.Millisecond  // the initial demand of a tenant is one request in this time
 )
 
 // leasedBuckets are the token buckets of a proxy. They read no clock, do no I/O and are not safe for concurrent use.
@@ -18,21 +18,21 @@
 	byTenant map[string]*leasedBucket
 }
 
-// leasedBucket is the token bucket of one tenant, which a lease fills, with the demand that the proxy reports.
+// leasedBucket is the token bucket of one tenant, which a lease fills. It also measures the demand that the proxy reports.
 type leasedBucket struct {
 	lease     Share
 	expiresAt time.Time // of the lease
 	tokens    float64
-	surplus   float64 // given by the lease beyond its depth, to be used or returned
+	surplus   float64 // tokens given by the lease beyond its depth, which are used or returned
 	filledAt  time.Time
 
 	arrivals        float64 // since demandUpdatedAt
 	demandUpdatedAt time.Time
 	demand          float64 // requests a second, smoothed
 	lastArrivalAt   time.Time
-	exhaustedUntil  time.Time // the allocator has nothing until then, by its last answer
-	nextGrantAt     time.Time // it may have something from then on
-	refusal         outcome   // of requests that wait in vain: exhausted if the last answer says so, or else unsettled
+	exhaustedUntil  time.Time // until then the allocator grants nothing, according to its last answer
+	nextGrantAt     time.Time // from then on the allocator may grant something
+	refusal         outcome   // of requests that get no token: exhausted if the last answer says so, otherwise unsettled
 }
 
 func newLeasedBuckets(p Policy) *leasedBuckets {
@@ -51,8 +51,8 @@
 	return bucket
 }
 
-// fill adds what the lease has given since the last call, up to its depth. An expired lease gives nothing and empties
-// the bucket.
+// fill adds the tokens that the lease has given since the last call: up to its depth to the tokens, the rest to the
+// surplus. An expired lease gives no tokens, and fill then empties the bucket.
 func (bucket *leasedBucket) fill(now time.Time) {
 	if !now.Before(bucket.expiresAt) {
 		bucket.lease = Share{}
@@ -68,7 +68,7 @@
 	}
 }
 
-// takeOnArrival counts a request and takes a token for it. It reports whether there was one.
+// takeOnArrival counts the arrival of a request and takes a token for it. It reports whether there was a token.
 func (b *leasedBuckets) takeOnArrival(now time.Time, tenant string) bool {
 	bucket := b.bucket(now, tenant)
 	bucket.arrivals++
@@ -76,7 +76,7 @@
 	return bucket.take()
 }
 
-// take takes a token, from the surplus first. It reports whether there was one.
+// take takes a token, from the surplus first. It reports whether there was a token.
 func (bucket *leasedBucket) take() bool {
 	if bucket.tokens+bucket.surplus < 1 {
 		return false
@@ -93,31 +93,31 @@
 	bucket.tokens = min(bucket.tokens+1, bucket.lease.Depth)
 }
 
-// exhaustedFor returns how much longer the allocator has nothing for the tenant, by its last answer.
+// exhaustedFor returns how much longer the allocator grants the tenant nothing, according to its last answer.
 func (b *leasedBuckets) exhaustedFor(now time.Time, tenant string) time.Duration {
 	return b.bucket(now, tenant).exhaustedUntil.Sub(now)
 }
 
-// refusalOf returns why a request gets no token that has waited in vain: by the last answer the tenant's rate is used up, or
-// that is not known.
+// refusalOf returns the outcome for a request that has waited without getting a token: exhausted if the tenant's rate is
+// used up according to the allocator's last answer, otherwise unsettled.
 func (b *leasedBuckets) refusalOf(now time.Time, tenant string) outcome {
 	return b.bucket(now, tenant).refusal
 }
 
-// grantAfter returns when the allocator may have something for the tenant, by its last answer.
+// grantAfter returns the time until the allocator may grant the tenant something, according to its last answer.
 func (b *leasedBuckets) grantAfter(now time.Time, tenant string) time.Duration {
 	return max(0, b.bucket(now, tenant).nextGrantAt.Sub(now))
 }
 
-// tokenAfter returns when a tenant's lease will have given a token, after one for each request that waits.
+// tokenAfter returns the time until a tenant's lease gives a token that is left over by the requests that already wait.
 func (b *leasedBuckets) tokenAfter(now time.Time, tenant string, waiting int) time.Duration {
 	bucket := b.bucket(now, tenant)
 	if bucket.lease.Rate <= 0 {
-		return maxTokenWait
+		return maxPredictedWait
 	}
 	missing := float64(waiting+1) - bucket.tokens - bucket.surplus
 	seconds := max(0, missing) / bucket.lease.Rate
-	return time.Duration(min(seconds, maxTokenWait.Seconds()) * float64(time.Second))
+	return time.Duration(min(seconds, maxPredictedWait.Seconds()) * float64(time.Second))
 }
 
 // endLeases gives up all leases.
@@ -129,8 +129,8 @@
 	}
 }
 
-// renewalEntries returns the entries of a renewal, of all tenants with recent requests or only of those that need
-// grants. It forgets tenants without recent requests.
+// renewalEntries returns the entries of a renewal: for all tenants with recent requests if all is set, otherwise only for
+// those that need grants. With all set it also removes the buckets of tenants without recent requests.
 func (b *leasedBuckets) renewalEntries(now time.Time, needs map[string]int, all bool) []Entry {
 	var entries []Entry
 	for tenant, bucket := range b.byTenant {
@@ -145,7 +145,7 @@
 		bucket.fill(now)
 		bucket.updateDemand(now)
 		entry := Entry{Tenant: tenant, Held: bucket.lease, Demand: bucket.demand, Need: need, Returned: bucket.surplus}
-		bucket.surplus = 0 // also if the message is lost
+		bucket.surplus = 0 // lost if the message is lost, so that it is never returned twice
 		entries = append(entries, entry)
 	}
 	return entries
@@ -163,8 +163,8 @@
 	bucket.demandUpdatedAt = now
 }
 
-// apply takes over the grants for entries that were sent at askedAt. It returns how many waiting requests each tenant
-// was granted.
+// apply applies the grants for entries that were sent at askedAt. It returns the number of granted requests of each
+// tenant.
 func (b *leasedBuckets) apply(now, askedAt time.Time, entries []Entry, grants []Grant) map[string]int {
 	granted := make(map[string]int)
 	for i, entry := range entries {
--- a/internal/quota/bucket_test.go
+++ b/internal/quota/bucket_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestBucketNeedsALease(t *testing.T) {
-	b := newLeasedBuckets(rulePolicy)
+	b := newLeasedBuckets(testPolicy)
 	if b.takeOnArrival(after(0), "t") {
 		t.Fatal("without a lease: got a token, want none")
 	}
@@ -17,20 +17,20 @@
 		t.Error("new lease: got a token, want an empty bucket")
 	}
 	if !b.takeOnArrival(after(1200*time.Millisecond), "t") {
-		t.Error("after 0.2 s of 10 a second: got no token, want one")
+		t.Error("after 0.2 s at 10 requests a second: got no token, want one")
 	}
-	if b.takeOnArrival(after(rulePolicy.Lease), "t") {
-		t.Error("after Policy.Lease since the request: got a token, want none")
+	if b.takeOnArrival(after(testPolicy.Lease), "t") {
+		t.Error("Policy.Lease after the renewal was sent: got a token, want none")
 	}
 }
 
 func TestBucketReturnsItsSurplus(t *testing.T) {
-	b := newLeasedBuckets(rulePolicy)
+	b := newLeasedBuckets(testPolicy)
 	b.takeOnArrival(after(0), "t")
 	entries := b.renewalEntries(after(0), nil, true)
 	b.apply(after(0), after(0), entries, []Grant{{Lease: Share{Rate: 10, Depth: 3}}})
 	entries = b.renewalEntries(after(time.Second), nil, true)
-	if got := entries[0].Returned; math.Abs(got-5) > 1e-9 { // of 10 given 3 are saved, 5 come in a period
+	if got := entries[0].Returned; math.Abs(got-5) > 1e-9 { // of 10 given tokens 3 are saved, and 5 are given in surplusSpan
 		t.Errorf("returned surplus: got %v, want 5", got)
 	}
 	if again := b.renewalEntries(after(time.Second), nil, true)[0].Returned; again != 0 {
@@ -39,7 +39,7 @@
 }
 
 func TestRefundReturnsAToken(t *testing.T) {
-	b := newLeasedBuckets(rulePolicy)
+	b := newLeasedBuckets(testPolicy)
 	b.takeOnArrival(after(0), "t")
 	entries := b.renewalEntries(after(0), nil, true)
 	b.apply(after(0), after(0), entries, []Grant{{Lease: Share{Rate: 1, Depth: 1}}})
@@ -54,7 +54,7 @@
 }
 
 func TestIdleTenantsAreForgotten(t *testing.T) {
-	b := newLeasedBuckets(rulePolicy)
+	b := newLeasedBuckets(testPolicy)
 	b.takeOnArrival(after(0), "t")
 	if entries := b.renewalEntries(after(idleTimeout+time.Second), nil, true); len(entries) != 0 || len(b.byTenant) != 0 {
 		t.Errorf("idle tenant: got %d entries and %d buckets, want none", len(entries), len(b.byTenant))
--- a/internal/quota/codec.go
+++ b/internal/quota/codec.go
@@ -129,7 +129,7 @@
 	if err != nil {
 		return nil, merry.Prepend(err, "decode quota answer")
 	}
-	allocator, _ := capnpcodec.DecodeAddress(address) // invalid: not known
+	allocator, _ := capnpcodec.DecodeAddress(address) // not valid if the allocator is not known
 	return &renewalAnswer{
 		moved:       root.Moved(),
 		allocator:   allocator,
@@ -139,7 +139,7 @@
 	}, nil
 }
 
-// decodeGrants reads the grants of an answer, of which it is known only as a whole whether some are unsettled.
+// decodeGrants decodes the grants of an answer. The message has one unsettled flag for all grants, so each of them gets it.
 func decodeGrants(unsettled bool, entries func() (quotawire.AnswerEntry_List, error)) ([]Grant, error) {
 	list, err := entries()
 	if err != nil {
@@ -161,7 +161,7 @@
 	return grants, nil
 }
 
-// encodeAnnouncement encodes the announcement of the allocator of an epoch.
+// encodeAnnouncement encodes the announcement that the allocator of an epoch sends to proxies.
 func encodeAnnouncement(epoch uint64) ([]byte, error) {
 	data, err := capnpcodec.Marshal(0, quotawire.NewRootAnnouncement, func(root quotawire.Announcement) error {
 		root.SetEpoch(epoch)
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -8,8 +8,8 @@
 	"nickelline/internal/golden"
 )
 
-// The golden files record the protocol as it was when they were written. Processes of different releases must understand
-// each other's messages, so a test that fails here has found a change of the protocol.
+// The golden files record the encoded messages of the protocol. Processes of different releases must understand each
+// other's messages, so a failure of these tests means that the protocol has changed.
 
 func TestGoldenRenewal(t *testing.T) {
 	want := &Renewal{
--- a/internal/quota/leaseholders.go
+++ b/internal/quota/leaseholders.go
@@ -12,15 +12,15 @@
 	Generation uint64
 }
 
-// leaseholderRecord is what the allocator keeps of a proxy.
+// leaseholderRecord is the allocator's state of a proxy.
 type leaseholderRecord struct {
 	generation uint64
-	former     []uint64                // processes that have ended
+	former     []uint64                // generations of processes at this address that have ended
 	sequence   uint64                  // of the last renewal
 	leases     map[string]*leaseRecord // by tenant
-	registered bool                    // it may be granted something
-	reclaimed  bool                    // the allocator knows all of its leases
-	left       bool                    // it has given up its leases and is about to exit
+	registered bool                    // the process may be granted something
+	reclaimed  bool                    // the allocator knows all leases of the process
+	left       bool                    // the process has given up its leases and is about to exit
 	renewedAt  time.Time
 }
 
@@ -28,9 +28,9 @@
 	return &leaseholderRecord{generation: generation, leases: make(map[string]*leaseRecord), renewedAt: now}
 }
 
-// leaseRecord is the share of one tenant that a leaseholder may have, as far as the allocator knows.
+// leaseRecord is the allocator's state of a lease: the share of one tenant's limit that a leaseholder may have.
 type leaseRecord struct {
-	outstanding Share // upper bound of what the leaseholder uses
+	outstanding Share // upper bound of the share that the leaseholder uses
 	demand      float64
 	expiresAt   time.Time
 }
@@ -61,8 +61,8 @@
 	return Unregistered
 }
 
-// SetRegistered records the content of the registry after a change that this allocator has made. A process that is new
-// in it has no leases yet; the former process at its address has ended, and its leases with it.
+// SetRegistered records the leaseholders of the registry after a change that this allocator has made. A newly registered
+// process has no leases yet; the former process at its address has ended, so its leases are ended too.
 func (a *Allocator) SetRegistered(now time.Time, members []Leaseholder) {
 	for _, leaseholder := range a.leaseholders {
 		leaseholder.registered = false
@@ -85,7 +85,7 @@
 func (a *Allocator) replaceProcess(now time.Time, leaseholder *leaseholderRecord, generation uint64) {
 	a.endLeases(now, leaseholder)
 	leaseholder.former = append(leaseholder.former, leaseholder.generation)
-	leaseholder.former = leaseholder.former[max(0, len(leaseholder.former)-formerLives):]
+	leaseholder.former = leaseholder.former[max(0, len(leaseholder.former)-maxFormerProcesses):]
 	leaseholder.generation = generation
 	leaseholder.sequence = 0
 	leaseholder.renewedAt = now
@@ -116,7 +116,7 @@
 	return leaseholder != nil && leaseholder.generation == from.Generation && leaseholder.reclaimed
 }
 
-// Unreclaimed returns the addresses of the leaseholders that have still to reclaim their leases, none after the grace
+// Unreclaimed returns the addresses of the leaseholders that have not yet reclaimed their leases, and none after the grace
 // period.
 func (a *Allocator) Unreclaimed(now time.Time) []netip.AddrPort {
 	if a.graceEnded(now) {
@@ -131,33 +131,35 @@
 	return addresses
 }
 
-// endByLeaving ends the leases of a process that is about to exit, so that the next allocator need not wait for it.
-func (a *Allocator) endByLeaving(now time.Time, leaseholder *leaseholderRecord) {
+// handleLeaving ends the leases of a process that is about to exit and marks it as removable, so that the next allocator
+// need not wait for it.
+func (a *Allocator) handleLeaving(now time.Time, leaseholder *leaseholderRecord) {
 	a.endLeases(now, leaseholder)
 	a.markReclaimed(now, leaseholder)
 	leaseholder.left = true
 	a.removable = true
 }
 
-// isRemovable reports whether a registered leaseholder may be removed from the registry, as a new allocator waits for
-// each process that is registered. It may if it has no leases and has left, is down since its leases expired, or has
-// not renewed for long. A running process stays registered for longer than its leases last, since it would have to be
-// registered again before it is granted anything.
+// isRemovable reports whether a registered leaseholder may be removed from the registry, so that a new allocator does not
+// wait for it. The leaseholder must have no leases. In addition it must have left, or the grace period must have ended and
+// the leaseholder be either down since its leases expired or without a renewal for unresponsiveLeasePeriods. A running
+// process stays registered for longer than its leases last, since it would have to be registered again before it is granted
+// anything.
 func (a *Allocator) isRemovable(now time.Time, address netip.AddrPort, leaseholder *leaseholderRecord) bool {
 	if !leaseholder.registered || len(leaseholder.leases) > 0 {
 		return false
 	}
 	sinceRenewal := now.Sub(leaseholder.renewedAt)
 	down := sinceRenewal > a.policy.Lease+HeadProofLifetime && a.isDown != nil && a.isDown(address)
-	unresponsive := sinceRenewal > unresponsiveLeases*a.policy.Lease
+	unresponsive := sinceRenewal > unresponsiveLeasePeriods*a.policy.Lease
 	return leaseholder.left || a.graceEnded(now) && (down || unresponsive)
 }
 
-// HasRemovable reports whether there may be leaseholders that TakeRemovable returns.
+// HasRemovable reports whether TakeRemovable may have leaseholders to return.
 func (a *Allocator) HasRemovable() bool { return a.removable }
 
 // TakeRemovable returns the registered leaseholders that may be removed from the registry (see isRemovable). This
-// allocator treats them as unregistered from now on, so that their removal can be proposed.
+// allocator treats them as unregistered from now on, so that the caller can propose their removal.
 func (a *Allocator) TakeRemovable(now time.Time) []Leaseholder {
 	a.removable = false
 	var removable []Leaseholder
@@ -170,10 +172,10 @@
 	return removable
 }
 
-// graceEnded reports whether all outstanding leases are known.
+// graceEnded reports whether the grace period has ended: all outstanding leases are known.
 func (a *Allocator) graceEnded(now time.Time) bool { return !now.Before(a.graceEndsAt) }
 
-// sweep ends expired leases, once in a sweepInterval.
+// sweep ends expired leases and reviews the reserves, at most once in a sweepInterval.
 func (a *Allocator) sweep(now time.Time) {
 	if now.Before(a.sweepAt) {
 		return
--- a/internal/quota/leaseholders_test.go
+++ b/internal/quota/leaseholders_test.go
@@ -14,7 +14,7 @@
 	testLeaseholder = Leaseholder{proxyAddress, 1}
 )
 
-// reclaimAll renews with all leases of a process.
+// reclaimAll sends a complete renewal, with all leases of a process.
 func reclaimAll(t *testing.T, a *Allocator, now time.Time, h Leaseholder, sequence uint64, entries ...Entry) []Grant {
 	t.Helper()
 	grants, err := a.Renew(now, h, &Renewal{Generation: h.Generation, Sequence: sequence, Complete: true, Entries: entries})
@@ -25,7 +25,7 @@
 }
 
 func TestAllocatorWithoutLeaseholdersGrantsAtOnce(t *testing.T) {
-	a := NewAllocator(rulePolicy, oneLimit(testLimit), RegistryState{}, nil, testStart)
+	a := NewAllocator(testPolicy, oneLimit(testLimit), RegistryState{}, nil, testStart)
 	grant := mustRenew(t, a, after(0), testLeaseholder, 1, Entry{Tenant: "t", Demand: 100})[0]
 	if grant.Lease.Rate < 40 {
 		t.Errorf("grant without other leases: got %+v, want a rate of 40 at least", grant)
@@ -33,7 +33,7 @@
 }
 
 func TestGraceEndsOnceAllLeasesAreReclaimed(t *testing.T) {
-	a := NewAllocator(rulePolicy, oneLimit(testLimit), RegistryState{Leaseholders: []Leaseholder{testLeaseholder, otherLeaseholder}}, nil, testStart)
+	a := NewAllocator(testPolicy, oneLimit(testLimit), RegistryState{Leaseholders: []Leaseholder{testLeaseholder, otherLeaseholder}}, nil, testStart)
 	held := Entry{Tenant: "t", Held: Share{Rate: 20, Depth: 5}, Demand: 100}
 	reclaimAll(t, a, after(time.Millisecond), testLeaseholder, 1, held)
 	if addresses := a.Unreclaimed(after(time.Millisecond)); !slices.Equal(addresses, []netip.AddrPort{otherLeaseholder.Address}) {
@@ -42,7 +42,7 @@
 	if grant := mustRenew(t, a, after(2*time.Millisecond), testLeaseholder, 2, held)[0]; grant.Lease.Rate > 20 {
 		t.Errorf("grant in the grace period: got %+v, want a rate of 20 at most", grant)
 	}
-	mustRenew(t, a, after(3*time.Millisecond), otherLeaseholder, 1, held) // perhaps not all of its leases
+	mustRenew(t, a, after(3*time.Millisecond), otherLeaseholder, 1, held) // not complete: the process may hold more leases
 	if grant := mustRenew(t, a, after(4*time.Millisecond), testLeaseholder, 3, held)[0]; grant.Lease.Rate > 20 {
 		t.Errorf("grant in the grace period: got %+v, want a rate of 20 at most", grant)
 	}
@@ -57,7 +57,7 @@
 }
 
 func TestRestartedProxyHasNothingToReclaim(t *testing.T) {
-	a := NewAllocator(rulePolicy, oneLimit(testLimit), RegistryState{Leaseholders: []Leaseholder{testLeaseholder}}, nil, testStart)
+	a := NewAllocator(testPolicy, oneLimit(testLimit), RegistryState{Leaseholders: []Leaseholder{testLeaseholder}}, nil, testStart)
 	restarted := Leaseholder{proxyAddress, 2}
 	if a.StatusOf(restarted) != Unregistered || a.HasReclaimed(restarted) {
 		t.Error("restarted process: got registered or reclaimed, want neither")
@@ -82,7 +82,7 @@
 func TestUnresponsiveLeaseholderIsRemoved(t *testing.T) {
 	a, now := allocatorAfterGrace(testLimit)
 	mustRenew(t, a, now, testLeaseholder, 1, Entry{Tenant: "t", Demand: 100})
-	late := now.Add(unresponsiveLeases*rulePolicy.Lease + time.Second)
+	late := now.Add(unresponsiveLeasePeriods*testPolicy.Lease + time.Second)
 	mustRenew(t, a, late.Add(-time.Second), otherLeaseholder, 1, Entry{Tenant: "t", Demand: 100})
 	mustRenew(t, a, late, otherLeaseholder, 2, Entry{Tenant: "t", Demand: 100})
 	if !a.HasRemovable() {
@@ -99,12 +99,12 @@
 	}
 }
 
-// A new allocator knows from the registry which processes have ended: a late renewal of one is not registered in place of the
-// process that runs at its address now, which may have leases.
+// A new allocator learns from the registry which processes have ended. A late renewal of such a process must not register it
+// in place of the process that now runs at its address, which may hold leases.
 func TestNewAllocatorRejectsFormerProcesses(t *testing.T) {
 	former := Leaseholder{Address: testLeaseholder.Address, Generation: testLeaseholder.Generation + 7}
 	registry := RegistryState{Leaseholders: []Leaseholder{testLeaseholder}, Former: []Leaseholder{former}}
-	a := NewAllocator(rulePolicy, oneLimit(testLimit), registry, nil, testStart)
+	a := NewAllocator(testPolicy, oneLimit(testLimit), registry, nil, testStart)
 	if got := a.StatusOf(former); got != Former {
 		t.Errorf("status of a process that was replaced: got %v, want %v", got, Former)
 	}
--- a/internal/quota/leave_test.go
+++ b/internal/quota/leave_test.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// A new allocator does not wait for a process that left during the grace period.
+// The grace period of a new allocator ends when the last process that it waits for has left.
 func TestGraceDoesNotWaitForLeavingProxy(t *testing.T) {
-	a := NewAllocator(rulePolicy, oneLimit(testLimit), RegistryState{Leaseholders: []Leaseholder{testLeaseholder}}, nil, testStart)
+	a := NewAllocator(testPolicy, oneLimit(testLimit), RegistryState{Leaseholders: []Leaseholder{testLeaseholder}}, nil, testStart)
 	if _, err := a.Renew(after(0), testLeaseholder, &Renewal{Generation: 1, Sequence: 1, Complete: true, Leaving: true}); err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	service := newServiceAt(t, transport, head, registry, Limit{Rate: 100, Burst: 40})
 	endGrace(t, service)
 	own := startTransport(t)
-	limiter := NewLimiter(rulePolicy, own, func() []netip.AddrPort { return []netip.AddrPort{transport.Address()} }, zap.NewNop())
+	limiter := NewLimiter(testPolicy, own, func() []netip.AddrPort { return []netip.AddrPort{transport.Address()} }, zap.NewNop())
 	limiter.HandleAnnouncements(own)
 	own.Start()
 	ctx, stop := context.WithCancel(t.Context())
@@ -77,19 +77,19 @@
 	}
 }
 
-// A process that is down is removed when its leases have expired; one that runs without a renewal stays registered for
-// longer.
+// A process that is down is removed once its leases have expired. A process that runs but does not renew stays registered
+// for longer.
 func TestDownLeaseholderIsRemovedOnceItsLeasesExpire(t *testing.T) {
 	for _, down := range []bool{false, true} {
 		a, now := allocatorAfterGrace(testLimit)
 		a.isDown = func(address netip.AddrPort) bool { return down && address == testLeaseholder.Address }
 		mustRenew(t, a, now, testLeaseholder, 1, Entry{Tenant: "t", Demand: 100})
-		renewedAgain := now.Add(rulePolicy.Lease)
+		renewedAgain := now.Add(testPolicy.Lease)
 		mustRenew(t, a, renewedAgain, otherLeaseholder, 1, Entry{Tenant: "t", Demand: 100})
 		if a.HasRemovable() {
 			t.Error("HasRemovable with a lease in force: got true, want false")
 		}
-		ended := now.Add(rulePolicy.Lease + HeadProofLifetime + time.Second)
+		ended := now.Add(testPolicy.Lease + HeadProofLifetime + time.Second)
 		mustRenew(t, a, ended, otherLeaseholder, 2, Entry{Tenant: "t", Demand: 100})
 		mustRenew(t, a, ended.Add(sweepInterval), otherLeaseholder, 3, Entry{Tenant: "t", Demand: 100})
 		if a.HasRemovable() != down {
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -17,19 +17,20 @@
 const (
 	renewPeriod     = 500 * time.Millisecond
 	callTimeout     = 250 * time.Millisecond
-	callPause       = 4 * time.Millisecond   // between calls for waiting requests: more of them share one
-	failurePause    = 150 * time.Millisecond // before the next call after one that failed
-	unreachableSpan = 200 * time.Millisecond // after a failed call requests do not wait for a grant
-	maxWait         = 60 * time.Millisecond  // of a request for a token, at most
+	callPause       = 4 * time.Millisecond   // between two calls, so that more waiting requests share a call
+	failurePause    = 150 * time.Millisecond // between a failed call and the next complete one
+	unreachableSpan = 200 * time.Millisecond // time after a failed call in which requests do not wait for a grant
+	maxWait         = 60 * time.Millisecond  // upper bound of the time that a request waits for a token
 	leaveAttempts   = 3
 )
 
-// Caller sends a request to another node and waits for the answer. It is a *peer.Transport.
+// Caller sends a request to another node and waits for the answer. *peer.Transport implements it.
 type Caller interface {
 	Call(ctx context.Context, to netip.AddrPort, m peer.Message) (peer.Message, error)
 }
 
-// Limiter admits the requests of a proxy by the leases that it renews at the allocator. It is safe for concurrent use.
+// Limiter admits the requests of a proxy under the leases that it renews at the allocator. It is safe for concurrent use
+// except for Run and Leave, which must not run at the same time.
 type Limiter struct {
 	caller       Caller
 	controlNodes func() []netip.AddrPort
@@ -41,10 +42,10 @@
 	waiting     map[string][]*waitingRequest
 	failedAt    time.Time
 	allocator   netip.AddrPort
-	epoch       uint64 // the newest that is known
+	epoch       uint64 // newest known epoch of an allocator
 	mustReclaim bool   // the allocator may not know all leases
 
-	// Only the goroutine of Run uses these.
+	// generation and sequence are not guarded by the mutex: only the goroutines of Run and, after it, Leave use them.
 	generation uint64
 	sequence   uint64
 }
@@ -89,7 +90,7 @@
 	l.wakeRun()
 }
 
-// wakeRun has Run renew soon.
+// wakeRun makes Run renew soon. It does not block.
 func (l *Limiter) wakeRun() {
 	select {
 	case l.wake <- struct{}{}:
@@ -97,7 +98,7 @@
 	}
 }
 
-// Refund returns the token of an admitted request that was certainly not sent to any backend.
+// Refund returns the token of an admitted request that certainly was not sent to any backend.
 func (l *Limiter) Refund(tenant *configuration.Tenant) {
 	if tenant == nil || !tenant.Limited() {
 		return
@@ -107,7 +108,7 @@
 	l.buckets.refund(time.Now(), tenant.Name)
 }
 
-// Run renews the leases, and asks for grants when requests wait, until the context ends.
+// Run renews all leases every renewPeriod, and asks for grants when requests wait, until the context ends.
 func (l *Limiter) Run(ctx context.Context) {
 	l.wakeRun()
 	timer := time.NewTimer(renewPeriod)
@@ -131,9 +132,9 @@
 	}
 }
 
-// Leave gives up all leases and notifies the allocator, since the process is about to exit: the next allocator would
-// wait in its grace period until they have expired. It must be called after Run has returned and after the last request
-// was sent. If no attempt succeeds, the leases expire.
+// Leave gives up all leases and notifies the allocator. Call it when the process is about to exit; without it, the next
+// allocator would wait in its grace period until the leases have expired. Leave must be called after Run has returned and
+// after the last request was sent. If no attempt succeeds, the leases expire.
 func (l *Limiter) Leave(ctx context.Context) {
 	if l.sequence == 0 {
 		return // never registered
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -16,13 +16,13 @@
 	"nickelline/internal/fault"
 )
 
-// patience bounds what a test waits for.
-const patience = 20 * time.Second
+// eventTimeout bounds how long a test waits for an event.
+const eventTimeout = 20 * time.Second
 
 func startLimiter(t *testing.T, controls ...netip.AddrPort) *Limiter {
 	t.Helper()
 	transport := startTransport(t)
-	l := NewLimiter(rulePolicy, transport, func() []netip.AddrPort { return controls }, zap.NewNop())
+	l := NewLimiter(testPolicy, transport, func() []netip.AddrPort { return controls }, zap.NewNop())
 	l.HandleAnnouncements(transport)
 	transport.Start()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -32,13 +32,13 @@
 	return l
 }
 
-// awaitAllocator returns once a limiter has found the allocator. On a busy machine that takes longer than one request waits.
+// awaitAllocator waits until a limiter has found the allocator. On a busy machine this takes longer than one Take waits.
 func awaitAllocator(t *testing.T, l *Limiter, tenant *configuration.Tenant) {
 	t.Helper()
 	began := time.Now()
 	for fault.KindOf(l.Take(t.Context(), tenant)) == fault.NotReady {
-		if time.Since(began) > patience {
-			t.Fatal("the limiter does not find the allocator")
+		if time.Since(began) > eventTimeout {
+			t.Fatal("timeout: limiter has not found the allocator")
 		}
 	}
 }
@@ -46,9 +46,9 @@
 func TestTakeFollowsTheAllocator(t *testing.T) {
 	head := &fakeHead{}
 	head.fresh.Store(true)
-	control, service := newControl(t, head, Limit{Rate: 100, Burst: 40})
+	control, service := newControlNode(t, head, Limit{Rate: 100, Burst: 40})
 	endGrace(t, service)
-	standby, _ := newControl(t, &fakeHead{head: control.Address()}, Limit{})
+	standby, _ := newControlNode(t, &fakeHead{head: control.Address()}, Limit{})
 	limiter := startLimiter(t, standby.Address())
 	tenant := &configuration.Tenant{Name: "t", RatePerSecond: 100, Burst: 40}
 	awaitAllocator(t, limiter, tenant)
@@ -73,7 +73,7 @@
 }
 
 func TestTakeWithoutALimit(t *testing.T) {
-	l := NewLimiter(rulePolicy, nil, nil, zap.NewNop())
+	l := NewLimiter(testPolicy, nil, nil, zap.NewNop())
 	for _, tenant := range []*configuration.Tenant{nil, {Name: "t"}, {Name: "t", Burst: 5}} {
 		if err := l.Take(t.Context(), tenant); err != nil {
 			t.Errorf("Take of %+v: got error %v, want none", tenant, err)
@@ -82,7 +82,7 @@
 }
 
 func TestTakeWithoutAnAllocator(t *testing.T) {
-	control, _ := newControl(t, &fakeHead{}, Limit{Rate: 10})
+	control, _ := newControlNode(t, &fakeHead{}, Limit{Rate: 10})
 	limiter := startLimiter(t, control.Address())
 	err := limiter.Take(t.Context(), &configuration.Tenant{Name: "t", RatePerSecond: 10})
 	if fault.KindOf(err) != fault.NotReady {
@@ -91,7 +91,7 @@
 }
 
 func TestTakeEndsWithItsContext(t *testing.T) {
-	l := NewLimiter(rulePolicy, nil, nil, zap.NewNop()) // nobody answers
+	l := NewLimiter(testPolicy, nil, nil, zap.NewNop()) // nobody answers
 	ctx, cancel := context.WithCancelCause(t.Context())
 	cancel(errors.New("client left"))
 	err := l.Take(ctx, &configuration.Tenant{Name: "t", RatePerSecond: 10})
@@ -101,50 +101,50 @@
 }
 
 func TestNextAllocatorReclaimsTheLeases(t *testing.T) {
-	register := &fakeRegistry{}
+	registry := &fakeRegistry{}
 	first, second := &fakeHead{}, &fakeHead{}
 	first.fresh.Store(true)
 	first.epoch.Store(1)
 	limit := Limit{Rate: 1000, Burst: 1000}
 	firstTransport, secondTransport := startTransport(t), startTransport(t)
-	firstService := newServiceAt(t, firstTransport, first, register, limit)
+	firstService := newServiceAt(t, firstTransport, first, registry, limit)
 	limiter := startLimiter(t, firstTransport.Address())
 	activate(t, firstService)
 	tenant := &configuration.Tenant{Name: "t", RatePerSecond: limit.Rate, Burst: limit.Burst}
 	takeOnce(t, limiter, tenant)
 
 	second.epoch.Store(2)
-	secondService := newServiceAt(t, secondTransport, second, register, limit)
+	secondService := newServiceAt(t, secondTransport, second, registry, limit)
 	second.fresh.Store(true)
 	activate(t, secondService)
 	waitUntilReclaimed(t, limiter, secondTransport.Address())
 	allocator := allocatorOf(secondService)
 	secondService.mutex.Lock()
-	settled := allocator.graceEnded(time.Now())
+	graceEnded := allocator.graceEnded(time.Now())
 	secondService.mutex.Unlock()
-	if !settled {
+	if !graceEnded {
 		t.Error("all leases reclaimed: got grace period, want its end")
 	}
 	takeOnce(t, limiter, tenant)
-	if got := len(register.Current().Leaseholders); got != 1 {
+	if got := len(registry.Current().Leaseholders); got != 1 {
 		t.Errorf("registered processes: got %d, want 1", got)
 	}
 }
 
-// takeOnce takes one request, which may have to be tried a few times: how long one of them waits is bounded, and on a busy
-// machine the allocator may answer later than that.
+// takeOnce repeats Take until it admits a request. The wait of each Take is bounded, and on a busy machine the allocator may
+// answer later than that.
 func takeOnce(t *testing.T, l *Limiter, tenant *configuration.Tenant) {
 	t.Helper()
 	began := time.Now()
 	for l.Take(t.Context(), tenant) != nil {
-		if time.Since(began) > patience {
-			t.Fatal("no request is admitted")
+		if time.Since(began) > eventTimeout {
+			t.Fatal("timeout: no request was admitted")
 		}
 	}
 }
 
-// 429 is for tenants that have used up their rate. A request that the allocator cannot decide on yet, or does not answer in
-// time, is refused as not ready, with the time to come back.
+// fault.QuotaExceeded (status 429) is only for tenants that have used up their rate. A request on which the allocator cannot
+// decide yet, or which it does not answer in time, is refused with fault.NotReady and a time after which to retry.
 func TestRefusalsTellWhetherTheRateIsUsedUp(t *testing.T) {
 	tenant := &configuration.Tenant{Name: "t", RatePerSecond: 100}
 	for _, test := range []struct {
@@ -157,7 +157,7 @@
 		{"not settled", &Grant{RetryAfter: time.Minute, Unsettled: true}, fault.NotReady},
 		{"granted, and the next call is not answered", &Grant{Granted: 1}, fault.NotReady},
 	} {
-		l := NewLimiter(rulePolicy, nil, nil, zap.NewNop()) // nobody answers
+		l := NewLimiter(testPolicy, nil, nil, zap.NewNop()) // nobody answers
 		l.buckets.bucket(time.Now(), tenant.Name)
 		if test.grant != nil {
 			entries := l.buckets.renewalEntries(time.Now(), map[string]int{tenant.Name: 1}, true)
@@ -165,7 +165,7 @@
 		}
 		err := l.Take(WithMaxWait(t.Context(), time.Millisecond), tenant)
 		if fault.KindOf(err) != test.want || RetryAfter(err) <= 0 {
-			t.Errorf("%s: got error %v to be tried after %v, want %v and a time", test.name, err, RetryAfter(err), test.want)
+			t.Errorf("%s: got error %v and RetryAfter %v, want %v and a positive RetryAfter", test.name, err, RetryAfter(err), test.want)
 		}
 	}
 }
@@ -183,11 +183,11 @@
 		}
 		runtime.Gosched()
 	}
-	t.Fatal("the limiter does not follow the allocator")
+	t.Fatal("timeout: limiter has not presented its leases to the allocator")
 }
 
 func TestAnswersOfFormerAllocatorsAreRejected(t *testing.T) {
-	l := NewLimiter(rulePolicy, nil, nil, zap.NewNop())
+	l := NewLimiter(testPolicy, nil, nil, zap.NewNop())
 	old, next := proxyAddress, otherLeaseholder.Address
 	if err := l.checkAnswer(old, &renewalAnswer{epoch: 3}, 0); err != nil {
 		t.Fatal(err)
@@ -197,33 +197,33 @@
 		t.Errorf("answer of a former allocator: got error %v, want fault.NotReady", err)
 	}
 	if err := l.checkAnswer(old, &renewalAnswer{moved: true}, 0); err != nil || l.allocator != next {
-		t.Errorf("allocator after a late answer: got %v, error %v", l.allocator, err)
+		t.Errorf("allocator after a late answer: got %v and error %v, want %v and none", l.allocator, err, next)
 	}
 	l.followAllocator(old, 3)
 	if l.allocator != next {
-		t.Error("announcement of a former allocator: got followed, want ignored")
+		t.Error("announcement of a former allocator: limiter follows it, want it ignored")
 	}
 }
 
 func TestLimiterTakenForAFormerProcessStartsAnew(t *testing.T) {
-	l := NewLimiter(rulePolicy, nil, nil, zap.NewNop())
+	l := NewLimiter(testPolicy, nil, nil, zap.NewNop())
 	generation := l.generation
 	l.buckets.takeOnArrival(time.Now(), "t")
 	entries := l.buckets.renewalEntries(time.Now(), nil, true)
 	l.buckets.apply(time.Now(), time.Now(), entries, []Grant{{Lease: Share{Rate: 1e9, Depth: 9}}})
 	l.dropAllocator(proxyAddress, fault.New(fault.NotReady, "out of reach"))
 	if l.generation != generation || l.buckets.bucket(time.Now(), "t").lease.Rate == 0 {
-		t.Error("failed call: got the leases ended, want them kept")
+		t.Error("after a failed call: leases or generation changed, want them kept")
 	}
 	l.dropAllocator(proxyAddress, fault.New(fault.Conflict, "a former generation"))
 	if l.generation == generation || l.buckets.bucket(time.Now(), "t").lease.Rate != 0 {
-		t.Error("taken for a former process: want a new identity without leases")
+		t.Error("after fault.Conflict: generation or leases kept, want a new generation without leases")
 	}
 }
 
 func TestTakeWaitsForTheLease(t *testing.T) {
-	l := NewLimiter(rulePolicy, nil, nil, zap.NewNop())
-	l.failedAt = time.Now().Add(time.Hour) // the allocator is out of reach
+	l := NewLimiter(testPolicy, nil, nil, zap.NewNop())
+	l.failedAt = time.Now().Add(time.Hour) // the allocator is unreachable for the whole test
 	l.buckets.takeOnArrival(time.Now(), "t")
 	entries := l.buckets.renewalEntries(time.Now(), nil, true)
 	l.buckets.apply(time.Now(), time.Now(), entries, []Grant{{Lease: Share{Rate: 100, Depth: 1}}})
@@ -235,7 +235,7 @@
 	}
 	slow := &configuration.Tenant{Name: "slow", RatePerSecond: 100}
 	if err := l.Take(t.Context(), slow); fault.KindOf(err) != fault.NotReady {
-		t.Errorf("request of a tenant without a lease: got error %v", err)
+		t.Errorf("request of a tenant without a lease: got error %v, want fault.NotReady", err)
 	}
 	impatient := WithMaxWait(t.Context(), time.Microsecond)
 	refusals := 0
@@ -245,8 +245,8 @@
 			refusals++
 		}
 	}
-	// One token may be there, and more come while the machine is held up.
+	// The bucket may hold one token, and more tokens are added if the machine delays the loop.
 	if most := 1 + int(time.Since(began).Seconds()*100); refusals < 5-most {
-		t.Errorf("requests that cannot wait: got %d of 5 refused", refusals)
+		t.Errorf("requests that cannot wait: got %d of 5 refused, want at least %d", refusals, 5-most)
 	}
 }
--- a/internal/quota/message.go
+++ b/internal/quota/message.go
@@ -16,17 +16,17 @@
 // Entry is a proxy's renewal of the lease of one tenant.
 type Entry struct {
 	Tenant string
-	// Held is the share that the proxy has.
+	// Held is the share that the proxy holds.
 	Held Share
-	// Demand is the smoothed rate of arrivals, requests a second.
+	// Demand is the smoothed rate of arrivals in requests a second.
 	Demand float64
-	// Need is how many requests wait for a grant.
+	// Need is the number of requests that wait for a grant.
 	Need int
-	// Returned is what the lease gave beyond its depth since the last renewal.
+	// Returned is the number of tokens that the lease gave beyond its depth since the last renewal.
 	Returned float64
 }
 
-// Renewal is a proxy's request to the allocator.
+// Renewal is a proxy's request to the allocator. The sequence number rises with each renewal of a process.
 type Renewal struct {
 	Generation, Sequence uint64
 	// Epoch is the newest epoch of an allocator that the proxy knows.
@@ -40,14 +40,14 @@
 
 // Grant is the answer to one Entry.
 type Grant struct {
-	// Lease is the share from now on.
+	// Lease is the share that the proxy may use from now on.
 	Lease Share
-	// Granted is how many of the waiting requests are admitted.
+	// Granted is the number of waiting requests that are admitted.
 	Granted int
-	// RetryAfter is when more may be granted; 0: at once.
+	// RetryAfter is the time until more may be granted; 0 means at once.
 	RetryAfter time.Duration
-	// Unsettled means that requests were not granted though the tenant may be under its limit: the allocator does not know
-	// all leases yet, or has still to record that it spends a reserve.
+	// Unsettled means that requests were not granted though the tenant may be under its limit: the allocator does not yet
+	// know all leases, or the registry has not yet recorded the tenant's reserve as spent.
 	Unsettled bool
 }
 
@@ -55,7 +55,7 @@
 type renewalAnswer struct {
 	grants      []Grant
 	moved       bool           // this node is not the allocator and grants nothing
-	allocator   netip.AddrPort // with moved: the allocator as far as known
+	allocator   netip.AddrPort // with moved: the address of the allocator, not valid if unknown
 	epoch       uint64         // of the allocator that gives the grants
 	mustReclaim bool           // the allocator does not know all leases of the proxy
 }
--- a/internal/quota/policy_test.go
+++ b/internal/quota/policy_test.go
@@ -11,8 +11,8 @@
 
 func TestPolicyOfBounds(t *testing.T) {
 	p := PolicyOf(&settings.Bounds{QuotaWindowS: 5, QuotaOvershoot: 0.1, QuotaAllowance: 20})
-	if p != rulePolicy {
-		t.Errorf("PolicyOf: got %+v, want %+v", p, rulePolicy)
+	if p != testPolicy {
+		t.Errorf("PolicyOf: got %+v, want %+v", p, testPolicy)
 	}
 	if p := PolicyOf(&settings.Bounds{}); p.Lease <= 0 || p.Window <= 0 {
 		t.Errorf("PolicyOf without bounds: got %+v, want a lease and a window", p)
--- a/internal/quota/refusal.go
+++ b/internal/quota/refusal.go
@@ -10,13 +10,13 @@
 
 type retryAfterKey struct{}
 
-// newRefusal returns the error of a request that gets no token, with the time after which to retry.
+// newRefusal returns the error for a request that gets no token. The error carries the time after which to retry.
 func newRefusal(kind fault.Kind, tenant string, wait time.Duration) error {
 	err := fault.New(kind, "tenant %s has no request left", tenant)
 	return merry.Wrap(err, merry.WithValue(retryAfterKey{}, wait), merry.NoCaptureStack())
 }
 
-// RetryAfter returns when a request that Take refused may be tried again, 0 if that is not known.
+// RetryAfter returns the time after which a request that Take refused may be retried, 0 if it is not known.
 func RetryAfter(err error) time.Duration {
 	wait, _ := merry.Value(err, retryAfterKey{}).(time.Duration)
 	return wait
--- a/internal/quota/registry.go
+++ b/internal/quota/registry.go
@@ -8,21 +8,22 @@
 	"go.uber.org/zap"
 )
 
-// Registry holds the processes that may have leases. It is part of the replicated control state.
+// Registry lists the processes that may hold leases, and the tenants whose reserves are kept. It is part of the replicated
+// control state.
 type Registry interface {
-	// Current returns the registry, with all changes that were committed before this node was proven to be the head.
+	// Current returns the registry with all changes that were committed before this node was proven to be the head.
 	Current() RegistryState
 	// Change commits a change and returns the registry after it. A change that fails may still be committed later, unless
-	// another one is committed before it.
+	// another change is committed before it.
 	Change(ctx context.Context, change RegistryChange) (RegistryState, error)
 }
 
 // RegistryState is the content of the registry at a revision.
 type RegistryState struct {
-	// Epoch is that of the allocator that made the latest change.
+	// Epoch is the epoch of the allocator that made the latest change.
 	Epoch, Revision uint64
 	Leaseholders    []Leaseholder
-	// Former are processes that were replaced by others at their addresses.
+	// Former are processes that were replaced by other processes at their addresses.
 	Former []Leaseholder
 	// Reserves are the tenants whose reserves are kept.
 	Reserves []string
@@ -35,7 +36,8 @@
 	// Add replaces former processes at the same addresses.
 	Add    []Leaseholder
 	Remove []Leaseholder
-	// SpendAll records all reserves as spent, before those of Keep are recorded as kept and those of Spend as spent.
+	// Keep and Spend are the tenants whose reserves are recorded as kept and as spent. SpendAll records all reserves as
+	// spent before that.
 	SpendAll    bool
 	Keep, Spend []string
 }
@@ -46,18 +48,18 @@
 
 const (
 	changeTimeout = 500 * time.Millisecond
-	changePause   = 20 * time.Millisecond // after a failed change
+	changePause   = 20 * time.Millisecond // between a failed change and the next one
 )
 
-// registryUpdater changes the registry for the allocator of a node: one change at a time, each for all processes that
-// wait. Its fields are guarded by the mutex of the service.
+// registryUpdater changes the registry for the allocator of a node. It makes one change at a time, each for all processes
+// that wait to be registered. Its fields are guarded by the mutex of the service.
 type registryUpdater struct {
-	service  *Service
-	registry Registry
-	running  bool
-	waiting  map[netip.AddrPort]uint64 // processes to register, by address
-	finished chan struct{}             // closed after the next change, and replaced
-	start    *inheritance              // of the latest change that was to start an allocator
+	service   *Service
+	registry  Registry
+	running   bool
+	waiting   map[netip.AddrPort]uint64 // processes to register, by address
+	finished  chan struct{}             // closed after the next change, and replaced
+	inherited *inheritedReserves        // for the allocator that the latest first change was to start
 }
 
 // register adds a process to the next change. The returned channel is closed after that change. The caller holds the
@@ -70,8 +72,8 @@
 	return r.startUpdates()
 }
 
-// startUpdates makes the changes that are due, in the background. The returned channel is closed after the next change.
-// The caller holds the mutex.
+// startUpdates makes the due changes in the background. The returned channel is closed after the next change, or when no
+// change is due. The caller holds the mutex.
 func (r *registryUpdater) startUpdates() <-chan struct{} {
 	if !r.running {
 		r.running = true
@@ -83,11 +85,11 @@
 // plannedChange is a change that is due.
 type plannedChange struct {
 	RegistryChange
-	// startsAllocator is set for the first change of an allocator, after which it starts.
+	// startsAllocator is set for the first change of an allocator, which starts once the change is committed.
 	startsAllocator bool
 }
 
-// run makes changes until none is due.
+// run makes changes until none is due or the node is not the head. A failed change is retried after changePause.
 func (r *registryUpdater) run() {
 	for {
 		change := r.next()
@@ -104,8 +106,8 @@
 	}
 }
 
-// next returns the change to make, nil if none is due. The first one of an allocator fences off former allocators and takes
-// over the reserves, and the allocator starts after it.
+// next returns the next change to make, or nil if none is due or the node is not the head. The first change of an allocator
+// fences off former allocators and takes over the reserves, and the allocator starts after it.
 func (r *registryUpdater) next() *plannedChange {
 	s := r.service
 	s.mutex.Lock()
@@ -120,7 +122,7 @@
 	change.ExpectedRevision = current.Revision
 	allocator := s.activeAllocator()
 	if allocator == nil {
-		r.start = inheritanceOf(r.start, change.Epoch, current)
+		r.inherited = inheritedReservesOf(r.inherited, change.Epoch, current)
 		change.startsAllocator = true
 		change.SpendAll = true
 		return change
@@ -135,7 +137,7 @@
 	return change
 }
 
-// takeUnregistered returns the processes that wait to be registered. The caller holds the mutex.
+// takeUnregistered removes the waiting processes and returns those that are not registered yet. The caller holds the mutex.
 func (r *registryUpdater) takeUnregistered(allocator *Allocator) []Leaseholder {
 	var unregistered []Leaseholder
 	for address, generation := range r.waiting {
@@ -148,20 +150,20 @@
 	return unregistered
 }
 
-// stop ends the run and has those that wait look again. The caller holds the mutex.
+// stop records that run ends, and wakes the waiting renewals, which then check the state again. The caller holds the mutex.
 func (r *registryUpdater) stop() {
 	r.running = false
 	r.waiting = nil
 	r.notifyWaiting()
 }
 
-// notifyWaiting wakes all that wait for a change. The caller holds the mutex.
+// notifyWaiting wakes all renewals that wait for a change. The caller holds the mutex.
 func (r *registryUpdater) notifyWaiting() {
 	close(r.finished)
 	r.finished = make(chan struct{})
 }
 
-// finish applies the outcome of a change.
+// finish applies the outcome of a change to the service and wakes the waiting renewals.
 func (r *registryUpdater) finish(change *plannedChange, after RegistryState, err error) {
 	s := r.service
 	s.mutex.Lock()
@@ -171,7 +173,7 @@
 	case err != nil:
 		s.log.Info("change quota registry failed", zap.Uint64("epoch", change.Epoch), zap.Error(err))
 	case change.startsAllocator:
-		s.startAllocator(time.Now(), change.Epoch, after, r.start.reserves)
+		s.startAllocator(time.Now(), change.Epoch, after, r.inherited.reserves)
 	case s.allocator != nil:
 		s.allocator.SetRegistered(time.Now(), after.Leaseholders)
 		s.allocator.SetReserves(after.Reserves)
--- a/internal/quota/renewal.go
+++ b/internal/quota/renewal.go
@@ -12,7 +12,7 @@
 	"nickelline/internal/peer"
 )
 
-// renewalRound is one renewal, and the requests that wait for its answer.
+// renewalRound is one renewal with the requests that wait for its answer.
 type renewalRound struct {
 	requests map[string][]*waitingRequest
 	entries  []Entry
@@ -20,7 +20,7 @@
 	leaving  bool
 }
 
-// renew makes one call, and a second one if the allocator has moved. It reports whether it reached the allocator.
+// renew makes one call, and a second call if the allocator has moved. It reports false if it did not reach the allocator.
 func (l *Limiter) renew(ctx context.Context, all bool) bool {
 	round, needed := l.startRound(time.Now(), all)
 	if !needed {
@@ -42,8 +42,8 @@
 	return false
 }
 
-// startRound takes over the waiting requests, and reports whether there is anything to ask for. The renewal is complete
-// if all is set, and when the allocator may not know all leases.
+// startRound moves the waiting requests into a round, and reports whether there is anything to ask for. The renewal is
+// complete if all is set, and when the allocator may not know all leases.
 func (l *Limiter) startRound(now time.Time, all bool) (round renewalRound, needed bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -62,7 +62,7 @@
 	return round, l.mustReclaim || len(round.entries) > 0
 }
 
-// call sends a renewal to the node that is believed to be the allocator.
+// call sends a renewal to the node that is presumably the allocator, and checks the answer.
 func (l *Limiter) call(ctx context.Context, round renewalRound) (*renewalAnswer, error) {
 	to, epoch, err := l.destination()
 	if err != nil {
@@ -115,8 +115,8 @@
 	return controls[rand.IntN(len(controls))], l.epoch, nil
 }
 
-// checkAnswer checks an answer and records where the allocator is. Grants of an older epoch than the newest known are
-// rejected: the limiter has presented its leases to a newer allocator.
+// checkAnswer checks an answer and records the address of the allocator. It rejects grants of an older epoch than the
+// newest known one, since the limiter may have presented its leases to a newer allocator.
 func (l *Limiter) checkAnswer(from netip.AddrPort, answer *renewalAnswer, entries int) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -138,8 +138,9 @@
 	return nil
 }
 
-// dropAllocator forgets the allocator after a failed call. An allocator that takes this process for a former one at its
-// address (fault.Conflict) accepts renewals only of a new identity, which starts without leases.
+// dropAllocator discards the address of the allocator after a failed call. After fault.Conflict the allocator considers
+// this process a former one and will not accept its renewals any more, so the limiter starts again without leases under a
+// new generation.
 func (l *Limiter) dropAllocator(to netip.AddrPort, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -153,7 +154,7 @@
 	}
 }
 
-// applyAnswer takes over the grants of an answer and resolves the requests that wait.
+// applyAnswer applies the grants of an answer and resolves the waiting requests of the round.
 func (l *Limiter) applyAnswer(askedAt time.Time, round renewalRound, answer *renewalAnswer) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -166,7 +167,7 @@
 	}
 }
 
-// updateReclaim records whether the allocator knows all leases, and renews again if not.
+// updateReclaim records whether the allocator knows all leases, and makes Run renew again if it does not.
 func (l *Limiter) updateReclaim(round renewalRound, answer *renewalAnswer) {
 	if round.complete {
 		l.mustReclaim = false
@@ -177,7 +178,7 @@
 	}
 }
 
-// failRound resolves the requests that wait without the allocator, which is out of reach.
+// failRound resolves the waiting requests of a round for which the allocator could not be reached.
 func (l *Limiter) failRound(round renewalRound, err error) {
 	l.log.Debug("renew quota leases failed", zap.Error(err))
 	l.mutex.Lock()
--- a/internal/quota/reserves_test.go
+++ b/internal/quota/reserves_test.go
@@ -9,7 +9,7 @@
 
 const testTenant = "tenant"
 
-// reserveFixture is an allocator with one registered proxy, whose reserves a test records by hand.
+// reserveFixture is an allocator with one registered proxy. The test takes the part of the registry for its reserves.
 type reserveFixture struct {
 	*Allocator
 	t        *testing.T
@@ -18,7 +18,7 @@
 }
 
 func newReserveFixture(t *testing.T, inherited ...string) *reserveFixture {
-	a := NewAllocator(rulePolicy, oneLimit(testLimit), RegistryState{}, inherited, testStart)
+	a := NewAllocator(testPolicy, oneLimit(testLimit), RegistryState{}, inherited, testStart)
 	a.SetRegistered(testStart, []Leaseholder{testLeaseholder})
 	return &reserveFixture{Allocator: a, t: t, now: testStart}
 }
@@ -35,7 +35,7 @@
 	return grants[0]
 }
 
-// fillUp lets time pass until the bucket is full and its reserve is to be kept.
+// fillUp advances the time until the bucket is full and its reserve is due to be kept.
 func (f *reserveFixture) fillUp() {
 	f.t.Helper()
 	for range 20 {
@@ -44,7 +44,7 @@
 	}
 }
 
-// keepReserve has the reserve recorded as kept.
+// keepReserve fills the bucket and records its reserve as kept.
 func (f *reserveFixture) keepReserve() {
 	f.t.Helper()
 	f.fillUp()
@@ -56,7 +56,7 @@
 }
 
 func TestAllocatorBeginsWithTheReserve(t *testing.T) {
-	reserve := int(rulePolicy.reserve(testLimit))
+	reserve := int(testPolicy.reserve(testLimit))
 	f := newReserveFixture(t, testTenant)
 	if got := f.ask(1000).Granted; got != reserve {
 		t.Errorf("granted at the start: got %d, want the reserve of %d", got, reserve)
@@ -66,10 +66,10 @@
 	}
 }
 
-// The reserve is spent before the grace period ends: no former allocator and no leaseholder can use it.
+// The reserve can be granted before the grace period ends: no former allocator and no leaseholder can use it.
 func TestReserveIsGrantedInTheGracePeriod(t *testing.T) {
 	registered := []Leaseholder{testLeaseholder, otherLeaseholder}
-	a := NewAllocator(rulePolicy, oneLimit(testLimit), RegistryState{Leaseholders: registered}, []string{testTenant}, testStart)
+	a := NewAllocator(testPolicy, oneLimit(testLimit), RegistryState{Leaseholders: registered}, []string{testTenant}, testStart)
 	renewal := &Renewal{Sequence: 1, Entries: []Entry{{Tenant: testTenant, Need: 5}}}
 	grants, err := a.Renew(testStart, testLeaseholder, renewal)
 	if err != nil || grants[0].Granted != 5 || a.graceEnded(testStart) {
@@ -80,10 +80,10 @@
 func TestKeptReserveIsGrantedOnlyOnceItIsRecordedAsSpent(t *testing.T) {
 	f := newReserveFixture(t)
 	f.keepReserve()
-	reserve := int(rulePolicy.reserve(testLimit))
+	reserve := int(testPolicy.reserve(testLimit))
 	first := f.ask(1000)
 	if first.Granted == 0 || !first.Unsettled || first.RetryAfter != reserveRetryAfter {
-		t.Errorf("grant beyond the reserve: got %+v, want some, and an unsettled rest", first)
+		t.Errorf("grant beyond the reserve: got %+v, want a part granted and the rest unsettled", first)
 	}
 	if got := f.ask(1000); got.Granted != 0 || !got.Unsettled {
 		t.Errorf("grant of a kept reserve: got %+v, want none", got)
@@ -101,7 +101,7 @@
 	}
 }
 
-// A change to keep a reserve that seems to have failed may still be committed: the reserve is not granted.
+// A change to keep a reserve may be committed though it seems to fail, so the reserve is not granted.
 func TestReserveOfAnUnclearChangeIsNotGranted(t *testing.T) {
 	f := newReserveFixture(t)
 	f.fillUp()
@@ -112,11 +112,12 @@
 	}
 }
 
-// A bucket that goes low has its reserve recorded as spent before requests wait for it, and not kept again at once.
+// The reserve of a bucket that runs low is recorded as spent before requests wait for that, and kept again only after
+// reserveKeepDelay.
 func TestReserveIsSpentAheadAndKeptAfterADelay(t *testing.T) {
 	f := newReserveFixture(t)
 	f.keepReserve()
-	capacity := rulePolicy.capacity(testLimit)
+	capacity := testPolicy.capacity(testLimit)
 	account := f.tenants[testTenant]
 	f.ask(int(account.tokens - (reserveSpendLevel-0.02)*capacity))
 	f.reviewReserves(f.now)
@@ -135,7 +136,7 @@
 	}
 }
 
-// Reserves of tenants without requests are kept again: a further loss does not cost them theirs.
+// Reserves of tenants without requests are kept again, so that a second loss of the allocator does not lose them.
 func TestInheritedReservesAreKeptAgain(t *testing.T) {
 	f := newReserveFixture(t, "idle")
 	f.fillUp()
@@ -145,10 +146,10 @@
 	}
 }
 
-// A try of the first change that was committed without the allocator learning of it does not cost the reserves.
+// If the first change of an allocator is committed but seems to fail, the next attempt must not lose the reserves.
 func TestInheritanceSurvivesAnUnclearFirstChange(t *testing.T) {
 	kept := []string{"a", "b"}
-	first := inheritanceOf(nil, 3, RegistryState{Epoch: 2, Revision: 7, Reserves: kept})
+	first := inheritedReservesOf(nil, 3, RegistryState{Epoch: 2, Revision: 7, Reserves: kept})
 	for _, test := range []struct {
 		name    string
 		epoch   uint64
@@ -161,19 +162,19 @@
 		{"another allocator's first change", 4, RegistryState{Epoch: 4, Revision: 8}, nil},
 		{"more changes since", 3, RegistryState{Epoch: 3, Revision: 9}, nil},
 	} {
-		got := inheritanceOf(first, test.epoch, test.current)
+		got := inheritedReservesOf(first, test.epoch, test.current)
 		if !reflect.DeepEqual(got.reserves, test.want) || got.revision != test.current.Revision {
 			t.Errorf("%s: got %+v, want %v", test.name, got, test.want)
 		}
 	}
-	second := inheritanceOf(first, 3, RegistryState{Epoch: 3, Revision: 8})
-	if got := inheritanceOf(second, 3, RegistryState{Epoch: 3, Revision: 9}); !reflect.DeepEqual(got.reserves, kept) {
-		t.Errorf("two tries committed: got %v, want %v", got.reserves, kept)
+	second := inheritedReservesOf(first, 3, RegistryState{Epoch: 3, Revision: 8})
+	if got := inheritedReservesOf(second, 3, RegistryState{Epoch: 3, Revision: 9}); !reflect.DeepEqual(got.reserves, kept) {
+		t.Errorf("two attempts committed: got %v, want %v", got.reserves, kept)
 	}
 }
 
-// TestSimulatedRepeatedKills kills all proxies and the head again and again, with tenants that rest and then send far beyond
-// their limits. What a reserve serves after a loss must not have been granted before.
+// TestSimulatedRepeatedKills repeatedly kills all proxies and the head, with tenants that first send little and then far more
+// than their limits. Tokens that a reserve grants after a loss must not have been granted before it.
 func TestSimulatedRepeatedKills(t *testing.T) {
 	const (
 		round   = 8 * time.Second
@@ -184,7 +185,7 @@
 	for seed := range uint64(12) {
 		s := newSimulation(t, seed, 10, eightTenants(0.3))
 		for r := range rounds {
-			from := lead + time.Duration(r)*round
+			from := warmUp + time.Duration(r)*round
 			burst := from + burstAt
 			for _, tenant := range s.tenants {
 				s.traffic(tenant, tenant.demand, from, burst)
@@ -198,17 +199,17 @@
 			s.restartHead(killedAt, down)
 			s.clock.At(killedAt+down+150*time.Millisecond, func() { granted += len(s.heads[0].inheritedReserves()) })
 		}
-		s.clock.RunUntil(lead + rounds*round + time.Second)
+		s.clock.RunUntil(warmUp + rounds*round + time.Second)
 	}
 	if granted == 0 {
-		t.Error("reserves that new allocators began with: got none, want some")
+		t.Error("reserves that new allocators took over: got none, want some")
 	}
 }
 
-// inheritedReserves returns the tenants with whose reserves the head's allocator began.
+// inheritedReserves returns the tenants whose reserves the head's allocator took over.
 func (h *simulatedHead) inheritedReserves() []string {
-	if h.start == nil {
+	if h.inherited == nil {
 		return nil
 	}
-	return h.start.reserves
+	return h.inherited.reserves
 }
--- a/internal/quota/scenarios_test.go
+++ b/internal/quota/scenarios_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// eightTenants returns a few large and some small tenants, which use a part of their rates.
-func eightTenants(use float64) []*simulatedTenant {
+// eightTenants returns tenants with large and small limits and a demand of utilization times their rate.
+func eightTenants(utilization float64) []*simulatedTenant {
 	var tenants []*simulatedTenant
 	for i, rate := range []float64{120, 80, 50, 30, 20, 15, 10, 8} {
 		tenants = append(tenants, &simulatedTenant{
-			name: fmt.Sprintf("tenant-%d", i), limit: Limit{Rate: rate, Burst: rate}, demand: rate * use,
+			name: fmt.Sprintf("tenant-%d", i), limit: Limit{Rate: rate, Burst: rate}, demand: rate * utilization,
 		})
 	}
 	return tenants
 }
 
-const lead = 10 * time.Second // before traffic
+const warmUp = 10 * time.Second // simulated time before the traffic starts
 
-// idealRefusedFraction is the part that one bucket would have refused.
+// idealRefusedFraction returns the fraction of requests that one bucket for all proxies would have refused.
 func idealRefusedFraction(tenants []*simulatedTenant) float64 {
 	sent, refused := 0, 0
 	for _, t := range tenants {
@@ -43,15 +43,15 @@
 	for seed := range uint64(5) {
 		s := newSimulation(t, seed, 10, eightTenants(0.62))
 		for _, tenant := range s.tenants {
-			s.traffic(tenant, tenant.demand, lead, lead+30*time.Second)
+			s.traffic(tenant, tenant.demand, warmUp, warmUp+30*time.Second)
 		}
-		s.clock.RunUntil(lead + 31*time.Second)
+		s.clock.RunUntil(warmUp + 31*time.Second)
 		worst = max(worst, refusedFraction(s.tenants))
 		t.Logf("seed %d: %d calls in 30 s", seed, s.calls)
 	}
 	t.Logf("refused under the limit: %.4f at worst", worst)
 	if worst > 0.01 {
-		t.Errorf("requests refused below the limits: got a fraction of %.4f", worst)
+		t.Errorf("requests refused below the limits: got a fraction of %.4f, want 0.01 at most", worst)
 	}
 }
 
@@ -63,16 +63,16 @@
 			if i == 2 {
 				demand *= 8
 			}
-			s.traffic(tenant, demand, lead, lead+20*time.Second)
+			s.traffic(tenant, demand, warmUp, warmUp+20*time.Second)
 		}
-		s.clock.RunUntil(lead + 21*time.Second)
+		s.clock.RunUntil(warmUp + 21*time.Second)
 		hot := s.tenants[2]
 		if served := float64(len(hot.admitted)) / 20; served < 0.9*hot.limit.Rate {
-			t.Errorf("seed %d: hot tenant: got %.1f a second admitted, its rate is %v", seed, served, hot.limit.Rate)
+			t.Errorf("seed %d: hot tenant: got %.1f requests a second admitted, want 0.9 of its rate of %v at least", seed, served, hot.limit.Rate)
 		}
 		others := append(append([]*simulatedTenant{}, s.tenants[:2]...), s.tenants[3:]...)
-		if part := refusedFraction(others); part > idealRefusedFraction(others)+0.005 {
-			t.Errorf("seed %d: other tenants: got a fraction of %.4f refused, by one bucket %.4f", seed, part, idealRefusedFraction(others))
+		if fraction := refusedFraction(others); fraction > idealRefusedFraction(others)+0.005 {
+			t.Errorf("seed %d: other tenants: got a fraction of %.4f refused, want that of one bucket (%.4f) plus 0.005 at most", seed, fraction, idealRefusedFraction(others))
 		}
 	}
 }
@@ -82,37 +82,38 @@
 	for seed := range uint64(6) {
 		s := newSimulation(t, seed, 10, eightTenants(0.62))
 		for _, tenant := range s.tenants {
-			s.traffic(tenant, tenant.demand, lead, lead+20*time.Second)
+			s.traffic(tenant, tenant.demand, warmUp, warmUp+20*time.Second)
 		}
-		s.failOver(lead+5*time.Second, 2500*time.Millisecond, 0)
-		s.clock.RunUntil(lead + 21*time.Second)
+		s.failOver(warmUp+5*time.Second, 2500*time.Millisecond, 0)
+		s.clock.RunUntil(warmUp + 21*time.Second)
 		worst = max(worst, refusedFraction(s.tenants))
 	}
 	t.Logf("refused under the limit over a fail-over: %.4f at worst", worst)
 	if worst > 0.1 {
-		t.Errorf("requests refused during a fail-over: got a fraction of %.4f", worst)
+		t.Errorf("requests refused during a fail-over: got a fraction of %.4f, want 0.1 at most", worst)
 	}
 }
 
-// TestSimulatedFaults keeps the rule's window through everything at once, with all tenants beyond their limits.
+// TestSimulatedFaults checks that the policy's bound holds while messages are lost, proxies freeze, restart and are
+// partitioned, and heads change, with all tenants beyond their limits.
 func TestSimulatedFaults(t *testing.T) {
 	for seed := range uint64(12) {
 		s := newSimulation(t, seed, 10, eightTenants(3))
 		s.lossy = true
 		for _, tenant := range s.tenants {
-			s.traffic(tenant, tenant.demand, lead/2, lead+25*time.Second)
+			s.traffic(tenant, tenant.demand, warmUp/2, warmUp+25*time.Second)
 		}
 		for range 4 {
-			at := lead + time.Duration(s.random.Int64N(int64(20*time.Second)))
+			at := warmUp + time.Duration(s.random.Int64N(int64(20*time.Second)))
 			span := time.Duration(s.random.Int64N(int64(6 * time.Second)))
 			s.proxies[s.random.IntN(10)].freeze(at, at+span)
 			s.proxies[s.random.IntN(10)].partition(at, at+span)
 			s.proxies[s.random.IntN(10)].restart(at)
 		}
-		s.failOver(lead+3*time.Second, time.Second, 0)
-		s.failOver(lead+11*time.Second, 0, HeadProofLifetime)
-		s.failOver(lead+18*time.Second, 0, HeadProofLifetime)
-		s.clock.RunUntil(lead + 26*time.Second)
+		s.failOver(warmUp+3*time.Second, time.Second, 0)
+		s.failOver(warmUp+11*time.Second, 0, HeadProofLifetime)
+		s.failOver(warmUp+18*time.Second, 0, HeadProofLifetime)
+		s.clock.RunUntil(warmUp + 26*time.Second)
 	}
 }
 
@@ -121,28 +122,28 @@
 	for seed := range uint64(4) {
 		s := newSimulation(t, seed, 10, eightTenants(0.62))
 		for _, tenant := range s.tenants {
-			s.traffic(tenant, tenant.demand, lead, lead+12*time.Second)
+			s.traffic(tenant, tenant.demand, warmUp, warmUp+12*time.Second)
 		}
 		for i := range 5 {
-			s.proxies[i].restart(lead + 6*time.Second)
+			s.proxies[i].restart(warmUp + 6*time.Second)
 		}
-		s.clock.RunUntil(lead + 13*time.Second)
-		if part := refusedFraction(s.tenants); part > 0.05 {
-			t.Errorf("seed %d: requests refused: got a fraction of %.4f", seed, part)
+		s.clock.RunUntil(warmUp + 13*time.Second)
+		if fraction := refusedFraction(s.tenants); fraction > 0.05 {
+			t.Errorf("seed %d: requests refused: got a fraction of %.4f, want 0.05 at most", seed, fraction)
 		}
 	}
 }
 
-// TestSimulatedDeposedHeads keeps the rule's window while heads that are partitioned from the other control nodes, but not
-// from proxies, still think themselves heads, and proxies restart, freeze and wake meanwhile.
+// TestSimulatedDeposedHeads checks that the policy's bound holds while former heads, which are partitioned from the other
+// control nodes but not from the proxies, still act as heads, and proxies restart, freeze and thaw meanwhile.
 func TestSimulatedDeposedHeads(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newSimulation(t, seed, 10, eightTenants(3))
 		s.lossy = true
 		for _, tenant := range s.tenants {
-			s.traffic(tenant, tenant.demand, lead/2, lead+25*time.Second)
+			s.traffic(tenant, tenant.demand, warmUp/2, warmUp+25*time.Second)
 		}
-		for at := lead + 2*time.Second; at < lead+24*time.Second; at += 2500 * time.Millisecond {
+		for at := warmUp + 2*time.Second; at < warmUp+24*time.Second; at += 2500 * time.Millisecond {
 			s.failOver(at, 0, HeadProofLifetime)
 			s.clock.At(at, s.partitionHeads)
 			s.clock.At(at+time.Duration(s.random.Int64N(int64(6*time.Second))), s.healHeads)
@@ -154,11 +155,11 @@
 				s.proxies[s.random.IntN(10)].partition(within-span, within)
 			}
 		}
-		s.clock.RunUntil(lead + 26*time.Second)
+		s.clock.RunUntil(warmUp + 26*time.Second)
 	}
 }
 
-// partitionHeads lets some proxies reach the oldest or the newest head only, and cuts some off from all.
+// partitionHeads restricts each proxy at random to the oldest head, the newest head or no head, or lets it reach all.
 func (s *simulation) partitionHeads() {
 	for _, p := range s.proxies {
 		p.reach = reach(s.random.IntN(int(reachNewest) + 1))
@@ -174,76 +175,77 @@
 	}
 }
 
-// TestSimulatedKillOfAll kills all proxies and the head, which return one after the other, the head in the same epoch.
+// TestSimulatedKillOfAll kills all proxies and the head at the same time. They restart one after the other, and the head
+// stays in its epoch.
 func TestSimulatedKillOfAll(t *testing.T) {
 	for seed := range uint64(8) {
-		for _, use := range []float64{0.62, 3} {
-			s := newSimulation(t, seed, 10, eightTenants(use))
+		for _, utilization := range []float64{0.62, 3} {
+			s := newSimulation(t, seed, 10, eightTenants(utilization))
 			for _, tenant := range s.tenants {
-				s.traffic(tenant, tenant.demand, lead, lead+20*time.Second)
+				s.traffic(tenant, tenant.demand, warmUp, warmUp+20*time.Second)
 			}
 			const down = 1100 * time.Millisecond
-			at := lead + 8*time.Second
+			at := warmUp + 8*time.Second
 			for _, p := range s.proxies {
 				p.kill(at, at+down+time.Duration(s.random.Int64N(int64(300*time.Millisecond))))
 			}
 			s.restartHead(at, down+400*time.Millisecond)
 			s.clock.RunUntil(at + down + 900*time.Millisecond)
 			sent, refused := s.counts()
-			s.clock.RunUntil(lead + 21*time.Second)
+			s.clock.RunUntil(warmUp + 21*time.Second)
 			sentAfter, refusedAfter := s.counts()
-			part := float64(refusedAfter-refused) / float64(sentAfter-sent)
-			if use < 1 && part > 0.05 {
-				t.Errorf("seed %d: requests refused from half a second after the return: got a fraction of %.4f", seed, part)
+			fraction := float64(refusedAfter-refused) / float64(sentAfter-sent)
+			if utilization < 1 && fraction > 0.05 {
+				t.Errorf("seed %d: requests refused from half a second after the restart: got a fraction of %.4f, want 0.05 at most", seed, fraction)
 			}
 		}
 	}
 }
 
-// TestSimulatedDownProxies has proxies go for good together with the head: the new allocator waits for their leases no
-// longer than these may last, and later ones do not wait for them.
+// TestSimulatedDownProxies kills some proxies for good together with the head. The new allocator waits for their leases no
+// longer than leases last, and later allocators do not wait for these proxies.
 func TestSimulatedDownProxies(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newSimulation(t, seed, 10, eightTenants(0.62))
 		for _, tenant := range s.tenants {
-			s.traffic(tenant, tenant.demand, lead, lead+45*time.Second)
+			s.traffic(tenant, tenant.demand, warmUp, warmUp+45*time.Second)
 		}
-		at := lead + 5*time.Second
+		at := warmUp + 5*time.Second
 		for _, p := range s.proxies[:3] {
 			p.kill(at, at+time.Hour)
 		}
 		s.failOver(at, time.Second, 0)
-		s.clock.RunUntil(at + time.Second + rulePolicy.Lease + HeadProofLifetime + 100*time.Millisecond)
+		s.clock.RunUntil(at + time.Second + testPolicy.Lease + HeadProofLifetime + 100*time.Millisecond)
 		if a := s.heads[0].allocator; a == nil || !a.graceEnded(s.now()) {
-			t.Errorf("seed %d: grace period: got longer than leases last", seed)
+			t.Errorf("seed %d: grace period: want it ended once all former leases have expired", seed)
 		}
 		s.failOver(at+30*time.Second, time.Second, 0)
 		s.clock.RunUntil(at + 31500*time.Millisecond)
 		if a := s.heads[0].allocator; a == nil || !a.graceEnded(s.now()) {
-			t.Errorf("seed %d: second allocator: got a grace period for proxies that are down, want none", seed)
+			t.Errorf("seed %d: second allocator: want no grace period for proxies that are down", seed)
 		}
-		s.clock.RunUntil(lead + 46*time.Second)
+		s.clock.RunUntil(warmUp + 46*time.Second)
 	}
 }
 
-// TestSimulatedHeadKill replaces a killed head. Proxies, which are alive, go on with their leases.
+// TestSimulatedHeadKill replaces a killed head. The proxies stay alive and continue with their leases.
 func TestSimulatedHeadKill(t *testing.T) {
 	worst := 0.0
 	for seed := range uint64(8) {
 		s := newSimulation(t, seed, 10, eightTenants(0.62))
 		for _, tenant := range s.tenants {
-			s.traffic(tenant, tenant.demand, lead, lead+20*time.Second)
+			s.traffic(tenant, tenant.demand, warmUp, warmUp+20*time.Second)
 		}
-		at := lead + 5*time.Second
+		at := warmUp + 5*time.Second
 		s.failOver(at, 2*time.Second, 0)
 		s.clock.RunUntil(at + 2300*time.Millisecond)
 		sent, refused := s.counts()
-		s.clock.RunUntil(lead + 21*time.Second)
+		s.clock.RunUntil(warmUp + 21*time.Second)
 		sentAfter, refusedAfter := s.counts()
 		worst = max(worst, float64(refusedAfter-refused)/float64(sentAfter-sent))
 	}
 	t.Logf("refused from 0.3 s after the start of the new head: %.4f at worst", worst)
 	if worst > 0.03 {
-		t.Errorf("requests refused after the start of a new head: got a fraction of %.4f", worst)
+		t.Errorf("requests refused after the start of a new head: got a fraction of %.4f, want 0.03 at most", worst)
 	}
 }
--- a/internal/quota/service.go
+++ b/internal/quota/service.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// A node that becomes head starts its allocator as soon as there is a proof that it is the head, and not only when the
-	// first proxy asks.
+	// A node that becomes head starts its allocator as soon as there is a proof that it is the head, without waiting for the
+	// first renewal. It looks for the proof every activationInterval, activationAttempts times at most.
 	activationInterval = 50 * time.Millisecond
 	activationAttempts = 200
-	// announceInterval lies between two announcements to proxies that have still to reclaim their leases.
+	// announceInterval is the time between two announcements to proxies that have not yet reclaimed their leases.
 	announceInterval = 200 * time.Millisecond
-	// renewTimeout bounds how long a renewal waits for the allocator to start and for the proxy to be registered.
+	// renewTimeout bounds the time that a renewal waits until the allocator has started and the proxy is registered.
 	renewTimeout = 200 * time.Millisecond
 )
 
-// Service answers proxies' renewals at a control node: as the allocator where the node is the head, elsewhere with the
-// allocator's address.
+// Service answers the renewals of proxies at a control node: as the allocator if the node is the head, otherwise with the
+// address of the allocator. It is safe for concurrent use.
 type Service struct {
 	policy     Policy
 	headStatus HeadStatus
@@ -40,8 +40,8 @@
 	activating bool
 }
 
-// NewService returns the service of a control node and sets its handler at the transport. isDown reports whether the
-// process at an address is known not to run; nil: it is never known.
+// NewService returns the service of a control node and registers its handler with the transport. isDown reports whether the
+// process at an address is known not to run; nil means that it is never known.
 func NewService(
 	p Policy, h HeadStatus, r Registry, limits func(tenant string) Limit, isDown func(netip.AddrPort) bool,
 	t *peer.Transport, log *zap.Logger,
@@ -69,8 +69,8 @@
 	return peer.Message{Kind: kindRenew, Body: body}, err
 }
 
-// answer answers a renewal. It waits for the start of the allocator and the registration of the proxy where they are
-// pending.
+// answer answers a renewal. If the start of the allocator or the registration of the proxy is pending, it waits for that
+// until ctx ends.
 func (s *Service) answer(ctx context.Context, from Leaseholder, renewal *Renewal) (*renewalAnswer, error) {
 	for {
 		answer, registered, err := s.tryAnswer(time.Now(), from, renewal)
@@ -85,7 +85,8 @@
 	}
 }
 
-// tryAnswer answers a renewal, or returns a channel that is closed when it is worth trying again.
+// tryAnswer answers a renewal. If the allocator has not started or the proxy is not registered, it returns a channel that is
+// closed when the renewal should be tried again.
 func (s *Service) tryAnswer(now time.Time, from Leaseholder, renewal *Renewal) (*renewalAnswer, <-chan struct{}, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/quota/service_test.go
+++ b/internal/quota/service_test.go
@@ -14,7 +14,7 @@
 	"nickelline/internal/peer"
 )
 
-// fakeHead is the position of a control node in the control chain.
+// fakeHead is a HeadStatus whose values the test sets.
 type fakeHead struct {
 	fresh atomic.Bool
 	epoch atomic.Uint64
@@ -27,7 +27,7 @@
 
 func (h *fakeHead) Head() (netip.AddrPort, bool) { return h.head, h.head.IsValid() }
 
-// fakeRegistry is a Registry that commits at once.
+// fakeRegistry is a Registry that commits changes immediately, or fails with fault if that is set.
 type fakeRegistry struct {
 	mutex   sync.Mutex
 	epoch   uint64
@@ -104,7 +104,7 @@
 	return transport
 }
 
-func newControl(t *testing.T, h *fakeHead, l Limit) (*peer.Transport, *Service) {
+func newControlNode(t *testing.T, h *fakeHead, l Limit) (*peer.Transport, *Service) {
 	t.Helper()
 	transport := startTransport(t)
 	return transport, newServiceAt(t, transport, h, &fakeRegistry{}, l)
@@ -112,12 +112,12 @@
 
 func newServiceAt(t *testing.T, transport *peer.Transport, h *fakeHead, r Registry, l Limit) *Service {
 	t.Helper()
-	s := NewService(rulePolicy, h, r, oneLimit(l), nil, transport, zap.NewNop())
+	s := NewService(testPolicy, h, r, oneLimit(l), nil, transport, zap.NewNop())
 	transport.Start()
 	return s
 }
 
-// activate lets a service whose node is head begin its allocator.
+// activate starts the allocator of a service whose node is the head, and waits for it.
 func activate(t *testing.T, s *Service) {
 	t.Helper()
 	for range 1000 {
@@ -133,7 +133,7 @@
 		}
 		<-changed
 	}
-	t.Fatal("no allocator was started")
+	t.Fatal("allocator was not started")
 }
 
 // allocatorOf returns the allocator of a service.
@@ -149,36 +149,36 @@
 	activate(t, s)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.allocator.graceEndsAt = s.allocator.graceEndsAt.Add(-2 * rulePolicy.Lease)
+	s.allocator.graceEndsAt = s.allocator.graceEndsAt.Add(-2 * testPolicy.Lease)
 }
 
 func TestHeadThatStaysKeepsItsLeases(t *testing.T) {
 	head := &fakeHead{}
 	head.fresh.Store(true)
 	head.epoch.Store(3)
-	_, service := newControl(t, head, Limit{Rate: 10})
+	_, service := newControlNode(t, head, Limit{Rate: 10})
 	activate(t, service)
 	first := allocatorOf(service)
 	service.ObserveView(4, true)
 	head.epoch.Store(4)
 	activate(t, service)
 	if allocatorOf(service) != first {
-		t.Error("head stays: got a new allocator, want the same")
+		t.Error("node remains head: got a new allocator, want the same")
 	}
 	head.epoch.Store(6)
 	activate(t, service)
 	if allocatorOf(service) == first {
-		t.Error("other head in between: got the same allocator, want a new one")
+		t.Error("another head in between: got the same allocator, want a new one")
 	}
 	service.ObserveView(7, false)
 	if allocatorOf(service) != nil {
-		t.Error("no head any more: got an allocator, want none")
+		t.Error("node is not the head any more: got an allocator, want none")
 	}
 }
 
 func TestHeadActivatesWithoutARequest(t *testing.T) {
 	head := &fakeHead{}
-	_, service := newControl(t, head, Limit{Rate: 10})
+	_, service := newControlNode(t, head, Limit{Rate: 10})
 	activateOnce(service)
 	if allocatorOf(service) != nil {
 		t.Error("without proof of being head: got an allocator, want none")
@@ -192,7 +192,7 @@
 	}
 }
 
-// activateOnce lets a service look for a proof that it is the head, and waits for what it does then.
+// activateOnce makes a service look once for a proof that its node is the head, and waits for the outcome.
 func activateOnce(s *Service) {
 	s.mutex.Lock()
 	changed := s.updater.finished
@@ -204,11 +204,11 @@
 func TestAllocatorDoesNotStartWithoutTheRegistry(t *testing.T) {
 	head := &fakeHead{}
 	head.fresh.Store(true)
-	register := &fakeRegistry{fault: fault.New(fault.NotReady, "no commit")}
-	service := newServiceAt(t, startTransport(t), head, register, Limit{Rate: 10})
+	registry := &fakeRegistry{fault: fault.New(fault.NotReady, "no commit")}
+	service := newServiceAt(t, startTransport(t), head, registry, Limit{Rate: 10})
 	activateOnce(service)
 	if allocatorOf(service) != nil {
-		t.Error("registry not changed: got an allocator, want none")
+		t.Error("change of the registry failed: got an allocator, want none")
 	}
-	head.fresh.Store(false) // ends the tries
+	head.fresh.Store(false) // ends the attempts
 }
--- a/internal/quota/simulation_head_test.go
+++ b/internal/quota/simulation_head_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// simulatedRegistry is the registry in the control state.
+// simulatedRegistry is the registry that the control chain replicates.
 type simulatedRegistry struct {
 	current RegistryState
 }
 
-// commit applies a change, and reports whether it was allowed.
+// commit applies a change. It reports false, and changes nothing, if the epoch or the revision is out of date.
 func (r *simulatedRegistry) commit(change RegistryChange) bool {
 	if change.Epoch < r.current.Epoch || change.ExpectedRevision != r.current.Revision {
 		return false
@@ -25,7 +25,7 @@
 	return true
 }
 
-// simulatedHead is a control node that takes itself for the head of the chain.
+// simulatedHead is a control node that considers itself the head of the chain.
 type simulatedHead struct {
 	s           *simulation
 	epoch       uint64
@@ -33,12 +33,12 @@
 	stopped     bool
 	partitioned bool // from the other control nodes
 	changing    bool
-	start       *inheritance
+	inherited   *inheritedReserves
 	waiting     map[netip.AddrPort]uint64
-	deferred    []func() // renewals that wait for a change
+	deferred    []func() // handle renewals that wait for a change of the registry
 }
 
-// startHead starts a view with a new head.
+// startHead starts a new head in an epoch.
 func (s *simulation) startHead(epoch uint64) *simulatedHead {
 	h := &simulatedHead{s: s, epoch: epoch, waiting: map[netip.AddrPort]uint64{}}
 	s.heads = append(s.heads, h)
@@ -46,18 +46,19 @@
 	return h
 }
 
-// endHeads lets all heads end that are older than one, or all.
-func (s *simulation) endHeads(newest *simulatedHead) {
+// stopHeads stops all heads that are older than the given one, or all heads if it is nil.
+func (s *simulation) stopHeads(newest *simulatedHead) {
 	for len(s.heads) > 0 && s.heads[0] != newest {
 		s.heads[0].stopped = true
 		s.heads = s.heads[1:]
 	}
 }
 
-// failOver lets a head end and a new one begin; for a while both may think themselves head.
-func (s *simulation) failOver(at, gap, both time.Duration) {
+// failOver replaces the head. With a gap, the old head stops and the new one starts after the gap. Without a gap, both
+// consider themselves the head until the overlap has passed.
+func (s *simulation) failOver(at, gap, overlap time.Duration) {
 	if gap > 0 {
-		s.clock.At(at, func() { s.endHeads(nil) })
+		s.clock.At(at, func() { s.stopHeads(nil) })
 	}
 	s.clock.At(at+gap, func() {
 		for _, h := range s.heads {
@@ -65,17 +66,17 @@
 		}
 		s.epoch++
 		newest := s.startHead(s.epoch)
-		s.clock.After(both, func() { s.endHeads(newest) })
+		s.clock.After(overlap, func() { s.stopHeads(newest) })
 	})
 }
 
-// restartHead kills the head, which returns in the same epoch.
+// restartHead kills the head and starts a head in the same epoch after the given time.
 func (s *simulation) restartHead(at, down time.Duration) {
-	s.clock.At(at, func() { s.endHeads(nil) })
+	s.clock.At(at, func() { s.stopHeads(nil) })
 	s.clock.At(at+down, func() { s.startHead(s.epoch) })
 }
 
-// receive answers a renewal, after the allocator has started and the proxy is registered.
+// receive answers a renewal once the allocator has started and the proxy is registered.
 func (h *simulatedHead) receive(from Leaseholder, renewal *Renewal, reply func(*renewalAnswer)) {
 	switch {
 	case h.stopped:
@@ -106,7 +107,7 @@
 	h.change()
 }
 
-// change makes the next change of the register. Some are committed without the head hearing of it.
+// change proposes the next change of the registry. Some changes are committed without a confirmation to the head.
 func (h *simulatedHead) change() {
 	if h.changing || h.stopped {
 		return
@@ -115,7 +116,7 @@
 	change := RegistryChange{Epoch: h.epoch, ExpectedRevision: h.s.registry.current.Revision}
 	if starts {
 		change.SpendAll = true
-		h.start = inheritanceOf(h.start, h.epoch, h.s.registry.current)
+		h.inherited = inheritedReservesOf(h.inherited, h.epoch, h.s.registry.current)
 	} else {
 		change.Add, change.Remove = h.changes()
 		change.Keep, change.Spend = h.allocator.TakeReserveChanges()
@@ -124,11 +125,11 @@
 		return
 	}
 	h.changing = true
-	h.s.clock.After(5*h.s.trip(), func() {
+	h.s.clock.After(5*h.s.messageDelay(), func() {
 		committed := !h.partitioned && h.s.registry.commit(change)
 		after := h.s.registry.current
 		confirmed := committed && h.s.random.IntN(20) > 0
-		h.s.clock.After(2*h.s.trip(), func() { h.finish(starts, confirmed, after) })
+		h.s.clock.After(2*h.s.messageDelay(), func() { h.finish(starts, confirmed, after) })
 	})
 }
 
@@ -143,7 +144,7 @@
 	return added, h.allocator.TakeRemovable(h.s.now())
 }
 
-// finish takes over the register after a change, or tries again.
+// finish applies the registry after a confirmed change, or schedules a retry.
 func (h *simulatedHead) finish(starts, done bool, after RegistryState) {
 	h.changing = false
 	switch {
@@ -153,7 +154,7 @@
 		h.s.clock.After(changePause, h.retry)
 		return
 	case starts:
-		h.allocator = NewAllocator(h.s.policy, h.s.limitOf, after, h.start.reserves, h.s.now())
+		h.allocator = NewAllocator(h.s.policy, h.s.limitOf, after, h.inherited.reserves, h.s.now())
 		h.announce()
 	default:
 		h.allocator.SetRegistered(h.s.now(), after.Leaseholders)
@@ -162,7 +163,7 @@
 	h.runDeferred()
 }
 
-// retry goes on after a change that failed.
+// retry continues after a change that failed.
 func (h *simulatedHead) retry() {
 	if h.allocator == nil {
 		h.change()
@@ -179,7 +180,7 @@
 	}
 }
 
-// announce notifies proxies of a new allocator until they have reclaimed their leases.
+// announce sends announcements of the allocator to proxies until they have reclaimed their leases.
 func (h *simulatedHead) announce() {
 	addresses := h.allocator.Unreclaimed(h.s.now())
 	if h.stopped || len(addresses) == 0 {
@@ -188,7 +189,7 @@
 	for _, p := range h.s.proxies {
 		for _, address := range addresses {
 			if p.address == address {
-				h.s.clock.After(h.s.trip(), func() { p.follow(h.epoch) })
+				h.s.clock.After(h.s.messageDelay(), func() { p.follow(h.epoch) })
 			}
 		}
 	}
--- a/internal/quota/simulation_proxy_test.go
+++ b/internal/quota/simulation_proxy_test.go
@@ -7,6 +7,7 @@
 	"nickelline/internal/simnet"
 )
 
+// simulatedProxy is a proxy with the token buckets of the Limiter and a simulation of its calls.
 type simulatedProxy struct {
 	s           *simulation
 	address     netip.AddrPort
@@ -18,11 +19,12 @@
 	process     simnet.Process
 	partitioned bool
 	reach       reach
-	epoch       uint64 // the newest that is known
+	epoch       uint64 // newest known epoch of an allocator
 	mustReclaim bool   // the allocator may not know all leases
 	failedAt    time.Time
 }
 
+// reset starts a new process at the address of the proxy.
 func (p *simulatedProxy) reset() {
 	p.generation = p.s.random.Uint64()
 	p.sequence = 0
@@ -35,7 +37,7 @@
 	p.call(true)
 }
 
-// whileRunning runs something now, or when the proxy thaws. What a former process at its address was to do is dropped.
+// whileRunning calls run now, or when the proxy thaws. It drops calls of former processes at the address.
 func (p *simulatedProxy) whileRunning(generation uint64, run func()) {
 	p.process.Do(func() {
 		if generation == p.generation {
@@ -46,7 +48,7 @@
 
 func (p *simulatedProxy) arrive(t *simulatedTenant) {
 	if p.process.Stopped() {
-		return // clients go elsewhere
+		return // clients send their requests to other proxies
 	}
 	t.sent++
 	t.ideal.arrive(p.s.now(), t.limit)
@@ -68,7 +70,7 @@
 	p.whileRunning(p.generation, func() { p.call(true) })
 }
 
-// call sends a renewal to one of the heads, unless one is under way.
+// call sends a renewal to one of the heads, unless a renewal is in progress.
 func (p *simulatedProxy) call(all bool) {
 	if p.calling || p.process.Stopped() {
 		return
@@ -99,16 +101,16 @@
 		return
 	}
 	head := p.reachedHead()
-	p.s.clock.After(p.s.trip(), func() {
+	p.s.clock.After(p.s.messageDelay(), func() {
 		head.receive(Leaseholder{Address: p.address, Generation: generation}, renewal, func(answer *renewalAnswer) {
 			if !p.partitioned && !(p.s.lossy && p.s.random.IntN(200) == 0) {
-				p.s.clock.After(p.s.trip(), func() { finish(answer) })
+				p.s.clock.After(p.s.messageDelay(), func() { finish(answer) })
 			}
 		})
 	})
 }
 
-// reach says which heads a proxy can call while there are several.
+// reach tells which heads a proxy can call while there are several.
 type reach uint8
 
 const (
@@ -129,7 +131,7 @@
 	return heads[p.s.random.IntN(len(heads))]
 }
 
-// follow has the proxy present its leases to a new allocator.
+// follow handles the announcement of a new allocator: the proxy presents its leases to it.
 func (p *simulatedProxy) follow(epoch uint64) {
 	if p.partitioned || p.reach == reachOldest || p.s.lossy && p.s.random.IntN(10) == 0 {
 		return
@@ -148,7 +150,7 @@
 	return answer != nil && !answer.moved && answer.epoch >= p.epoch
 }
 
-// answer applies an answer, or notes the lack of one.
+// answer applies an answer, or records that the call failed, and resolves the waiting requests.
 func (p *simulatedProxy) answer(askedAt time.Time, needs map[string]int, renewal *Renewal, answer *renewalAnswer) {
 	granted := map[string]int{}
 	pause := callPause
@@ -187,7 +189,7 @@
 	})
 }
 
-// freeze puts off all that a proxy does in a span.
+// freeze delays everything that a proxy does between two times until the second.
 func (p *simulatedProxy) freeze(from, to time.Duration) {
 	p.s.clock.At(from, p.process.Freeze)
 	p.s.clock.At(to, p.process.Thaw)
@@ -200,7 +202,7 @@
 
 func (p *simulatedProxy) restart(at time.Duration) { p.s.clock.At(at, p.reset) }
 
-// kill ends a proxy for some time.
+// kill stops a proxy and starts a new process at its address later.
 func (p *simulatedProxy) kill(from, to time.Duration) {
 	p.s.clock.At(from, p.process.Stop)
 	p.s.clock.At(to, func() {
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -9,22 +9,23 @@
 	"nickelline/internal/simnet"
 )
 
-// A simulation of proxies and allocators: requests arrive in clumps at random proxies, messages take time, allocators
-// change, proxies freeze, restart, are partitioned and stop. After each admitted request the rule's window is checked.
+// This file simulates proxies and allocators: requests arrive in bursts at random proxies, messages are delayed, allocators
+// change, and proxies freeze, restart, stop and are partitioned. After each admitted request, the policy's bound is checked
+// for the window that ends with the request.
 
 type simulatedTenant struct {
 	name     string
 	limit    Limit
 	demand   float64 // requests a second
 	admitted []time.Time
-	first    int // of those in the window
+	first    int // index in admitted of the first request in the current window
 	sent     int
 	refused  int
-	ideal    idealBucket
-	total    idealBucket // of what was admitted: all buckets together, which no loss may fill
+	ideal    idealBucket // receives all requests, for comparison
+	total    idealBucket // models all buckets together and receives the admitted requests
 }
 
-// idealBucket is one bucket with the tenant's limit, for comparison.
+// idealBucket is one bucket for all proxies, with the tenant's limit.
 type idealBucket struct {
 	used    float64
 	at      time.Time
@@ -40,7 +41,7 @@
 	b.used++
 }
 
-// drain takes off what the rate has given since the last call.
+// drain subtracts the tokens that the rate has given since the last call.
 func (b *idealBucket) drain(now time.Time, l Limit) {
 	b.used = max(0, b.used-l.Rate*now.Sub(b.at).Seconds())
 	b.at = now
@@ -54,19 +55,19 @@
 	policy   Policy
 	tenants  []*simulatedTenant
 	proxies  []*simulatedProxy
-	heads    []*simulatedHead // those that think themselves head
-	epoch    uint64           // of the newest view
+	heads    []*simulatedHead // nodes that consider themselves the head, oldest first
+	epoch    uint64           // of the newest head
 	registry simulatedRegistry
 	calls    int
 	violated bool
 	lossy    bool // some answers are lost
 }
 
-var rulePolicy = Policy{Window: 5 * time.Second, Lease: 4 * time.Second, Overshoot: 0.1, Allowance: 20}
+var testPolicy = Policy{Window: 5 * time.Second, Lease: 4 * time.Second, Overshoot: 0.1, Allowance: 20}
 
 func newSimulation(t *testing.T, seed uint64, proxies int, tenants []*simulatedTenant) *simulation {
 	s := &simulation{
-		t: t, start: time.Now(), random: rand.New(rand.NewPCG(seed, 7)), policy: rulePolicy, tenants: tenants,
+		t: t, start: time.Now(), random: rand.New(rand.NewPCG(seed, 7)), policy: testPolicy, tenants: tenants,
 	}
 	for i := range proxies {
 		p := &simulatedProxy{s: s, address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7661)}
@@ -91,15 +92,15 @@
 
 func (s *simulation) limitOf(name string) Limit { return s.tenantOf(name).limit }
 
-// trip is how long a message takes.
-func (s *simulation) trip() time.Duration {
+// messageDelay returns a random delay for a message.
+func (s *simulation) messageDelay() time.Duration {
 	return time.Duration((1 + s.random.ExpFloat64()) * float64(time.Millisecond))
 }
 
 // now returns the time of the simulated clock.
 func (s *simulation) now() time.Time { return s.start.Add(s.clock.Now()) }
 
-// traffic lets a tenant's requests arrive in clumps at proxies of uneven shares.
+// traffic schedules a tenant's requests, which arrive in bursts. Each proxy gets a random share of the bursts.
 func (s *simulation) traffic(t *simulatedTenant, rate float64, from, to time.Duration) {
 	shares := make([]float64, len(s.proxies))
 	sum := 0.0
@@ -107,10 +108,10 @@
 		shares[i] = s.random.ExpFloat64()
 		sum += shares[i]
 	}
-	const clump = 3
-	for at := from.Seconds(); at < to.Seconds(); at += s.random.ExpFloat64() * clump / rate {
+	const meanBurst = 3
+	for at := from.Seconds(); at < to.Seconds(); at += s.random.ExpFloat64() * meanBurst / rate {
 		proxy := s.proxies[pickShare(s.random.Float64()*sum, shares)]
-		for i := range 1 + s.random.IntN(2*clump-1) {
+		for i := range 1 + s.random.IntN(2*meanBurst-1) {
 			s.clock.At(time.Duration((at+0.005*float64(i))*float64(time.Second)), func() { proxy.arrive(t) })
 		}
 	}
@@ -126,7 +127,7 @@
 	return len(shares) - 1
 }
 
-// admit notes a request that is sent, and checks the window that ends with it.
+// admit records an admitted request and checks the window that ends with it.
 func (s *simulation) admit(t *simulatedTenant) {
 	t.admitted = append(t.admitted, s.now())
 	most := (t.limit.Rate*s.policy.Window.Seconds()+t.limit.Burst)*(1+s.policy.Overshoot) + s.policy.Allowance
@@ -141,8 +142,8 @@
 	s.checkTotal(t)
 }
 
-// checkTotal checks that what was admitted fits one bucket with the tenant's rate and the capacity of all buckets, and what
-// proxies may have to return besides: a lost allocator or proxy loses tokens, and never gains any.
+// checkTotal checks that the admitted requests fit into one bucket with the tenant's rate and the capacity of all buckets,
+// plus the surplus that proxies have yet to return: the loss of an allocator or a proxy loses tokens but never adds any.
 func (s *simulation) checkTotal(t *simulatedTenant) {
 	t.total.drain(s.now(), t.limit)
 	t.total.used++
@@ -153,7 +154,7 @@
 	}
 }
 
-// checkLeases checks, for the tenants whose leases have just been renewed, that no more is leased than their limits allow.
+// checkLeases checks for the tenants of a renewal that the leases in force add up to no more than the limit allows.
 func (s *simulation) checkLeases(renewed []Entry) {
 	for _, entry := range renewed {
 		t := s.tenantOf(entry.Tenant)
--- a/internal/quota/size_bench_test.go
+++ b/internal/quota/size_bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkRenewalSize reports how large the messages of a renewal are, for each tenant that the proxy has requests of.
+// BenchmarkRenewalSize reports the sizes of the messages of a renewal, divided by the number of tenants in it.
 func BenchmarkRenewalSize(b *testing.B) {
 	for _, tenants := range []int{8, 100, 940} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
--- a/internal/quota/stats.go
+++ b/internal/quota/stats.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Stats are the figures of a limiter.
+// Stats holds the current statistics of a limiter.
 type Stats struct {
-	// Leases counts the tenants with a lease that is in force, Waiting the requests that wait for a grant.
+	// Leases is the number of tenants with a lease in force, Waiting the number of requests that wait for a token.
 	Leases, Waiting int
-	// Rate is what all leases allow, requests a second.
+	// Rate is the sum of the rates of all leases in force, in requests a second.
 	Rate float64
 }
 
-// Stats returns the current figures.
+// Stats returns the statistics of the limiter at the given time.
 func (l *Limiter) Stats(now time.Time) Stats {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/quota/stats_test.go
+++ b/internal/quota/stats_test.go
@@ -17,6 +17,6 @@
 	}
 	l.waiting["one"] = []*waitingRequest{{}, {}}
 	if stats := l.Stats(now); stats != (Stats{Leases: 2, Waiting: 2, Rate: 7}) {
-		t.Errorf("Stats: got %+v", stats)
+		t.Errorf("Stats: got %+v, want 2 leases, 2 waiting requests and a rate of 7", stats)
 	}
 }
--- a/internal/quota/take.go
+++ b/internal/quota/take.go
@@ -10,7 +10,8 @@
 
 type maxWaitKey struct{}
 
-// WithMaxWait returns a context with which Take waits for a token no longer than the given time.
+// WithMaxWait returns a context with which Take waits for a token no longer than the given time. Take ignores a time that is
+// not positive, and never waits longer than maxWait.
 func WithMaxWait(ctx context.Context, wait time.Duration) context.Context {
 	return context.WithValue(ctx, maxWaitKey{}, wait)
 }
@@ -23,9 +24,9 @@
 	return maxWait
 }
 
-// Take admits one request of a tenant. It may wait for a token for a short time. It refuses with fault.QuotaExceeded,
-// for which RetryAfter returns when to try again, or with fault.NotReady when there is neither a lease nor an
-// allocator.
+// Take admits one request of a tenant. It may wait for a token for a short time. It refuses a request with
+// fault.QuotaExceeded if the tenant's rate is used up, and with fault.NotReady if the lease gives no token and the
+// allocator does not answer or cannot tell yet. RetryAfter of the error returns the time after which to retry.
 func (l *Limiter) Take(ctx context.Context, tenant *configuration.Tenant) error {
 	if tenant == nil || !tenant.Limited() {
 		return nil
@@ -38,7 +39,7 @@
 	return l.await(ctx, tenant.Name, request, wait)
 }
 
-// takeOrWait takes a token, or returns a waiting request, or refuses with an error.
+// takeOrWait takes a token, returns a request that waits for a token, or refuses the request with an error.
 func (l *Limiter) takeOrWait(now time.Time, tenant string, wait time.Duration) (*waitingRequest, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -58,7 +59,7 @@
 	return nil, l.refusalError(now, tenant, refusal)
 }
 
-// outcomeError returns the error of an outcome, nil if a token was granted.
+// outcomeError returns the error for an outcome, nil if a token was granted.
 func (l *Limiter) outcomeError(tenant string, r outcome) error {
 	if r == granted {
 		return nil
@@ -68,7 +69,7 @@
 	return l.refusalError(time.Now(), tenant, r)
 }
 
-// refusalError returns the error of a request that gets no token.
+// refusalError returns the error for a request that gets no token. The caller holds the mutex.
 func (l *Limiter) refusalError(now time.Time, tenant string, r outcome) error {
 	switch r {
 	case unreachable:
--- a/internal/quota/waiting.go
+++ b/internal/quota/waiting.go
@@ -7,8 +7,8 @@
 
 // waitingRequest is a request that waits for a token.
 type waitingRequest struct {
-	outcome   chan outcome // receives the decision once; has room for it
-	deadline  time.Time    // after which the request does not wait any more
+	outcome   chan outcome // receives the decision once; buffered, so that the sender does not block
+	deadline  time.Time    // when the request stops waiting
 	abandoned bool         // its caller has stopped waiting
 }
 
@@ -19,10 +19,11 @@
 	granted     outcome = iota
 	exhausted           // the tenant's rate is used up
 	unsettled           // the allocator cannot tell yet whether the tenant's rate is used up
-	unreachable         // there is no token of a lease, and the allocator does not answer
+	unreachable         // the lease gives no token, and the allocator does not answer
 )
 
-// expectedOutcome returns what the allocator would answer now. granted means that it has to be asked.
+// expectedOutcome returns the outcome that a request to the allocator would have now. granted means that the allocator may
+// grant a token and has to be asked. The caller holds the mutex.
 func (l *Limiter) expectedOutcome(now time.Time, tenant string) outcome {
 	switch {
 	case now.Sub(l.failedAt) < unreachableSpan:
@@ -33,8 +34,8 @@
 	return granted
 }
 
-// keepWaiting has a request wait if it can expect a token before its deadline, from the lease of its proxy or from the
-// allocator. It reports whether the request waits.
+// keepWaiting makes a request wait if a token can be expected before its deadline, from the lease of this proxy or from the
+// allocator. It reports whether the request waits. The caller holds the mutex.
 func (l *Limiter) keepWaiting(now time.Time, tenant string, request *waitingRequest, refusal outcome) bool {
 	after := l.buckets.tokenAfter(now, tenant, len(l.waiting[tenant]))
 	if refusal == exhausted || refusal == unsettled {
@@ -50,7 +51,7 @@
 	return true
 }
 
-// resolveLater resolves a tenant's waiting requests after a time.
+// resolveLater resolves a tenant's waiting requests after the given time, but not before callPause.
 func (l *Limiter) resolveLater(tenant string, wait time.Duration) {
 	time.AfterFunc(max(wait, callPause), func() {
 		l.mutex.Lock()
@@ -59,8 +60,8 @@
 	})
 }
 
-// resolveTenant gives a tenant's waiting requests the tokens of its lease, and has the allocator asked for the others
-// if it may have something.
+// resolveTenant gives a tenant's waiting requests the tokens of its lease. If the allocator may grant more tokens, the
+// other requests wait for its answer; otherwise they are resolved without it. The caller holds the mutex.
 func (l *Limiter) resolveTenant(now time.Time, tenant string) {
 	requests := l.waiting[tenant]
 	delete(l.waiting, tenant)
@@ -78,7 +79,7 @@
 	}
 }
 
-// takeFor gives a waiting request a token of the lease. It reports whether there was one.
+// takeFor gives a waiting request a token of the lease. It reports whether there was a token.
 func (l *Limiter) takeFor(now time.Time, tenant string, request *waitingRequest) bool {
 	if !l.buckets.bucket(now, tenant).take() {
 		return false
@@ -87,8 +88,8 @@
 	return true
 }
 
-// resolveRequests gives tokens to requests in order of arrival. The others wait on or are refused. Tokens that abandoned
-// requests leave over go back to the bucket.
+// resolveRequests gives the granted tokens, then those of the lease, to requests in order of arrival. The other requests
+// keep waiting or are refused. Granted tokens that abandoned requests leave over go to the bucket.
 func (l *Limiter) resolveRequests(now time.Time, tenant string, requests []*waitingRequest, tokens int, refusal outcome) {
 	for _, request := range requests {
 		switch {
@@ -108,7 +109,7 @@
 	}
 }
 
-// await waits for the outcome of a request.
+// await waits for the outcome of a request, until the wait or the context ends.
 func (l *Limiter) await(ctx context.Context, tenant string, request *waitingRequest, wait time.Duration) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -121,7 +122,7 @@
 	return l.outcomeError(tenant, l.abandon(tenant, request))
 }
 
-// abandon stops waiting, and returns the outcome if it has just come.
+// abandon marks a request as abandoned and returns its outcome. A decision that has already been made is returned instead.
 func (l *Limiter) abandon(tenant string, request *waitingRequest) outcome {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
