--- a/internal/discovery/backend.go
+++ b/internal/discovery/backend.go
@@ -7,17 +7,17 @@
 
 // Backend is one incarnation of a backend of a service, as the platform lists it.
 type Backend struct {
-	// ID identifies the incarnation: a restarted backend has another one.
+	// ID identifies the incarnation: a restarted backend has a new one.
 	ID      string
 	Service string
 	Address netip.AddrPort
 	Zone    string
 	// Version is the version of the backend's software.
 	Version string
-	// Slots is how many requests it works on at the same time; 0: not known.
+	// Slots is the number of requests that the backend processes concurrently, 0 if unknown.
 	Slots int
-	// Draining backends are about to end and must not be sent new requests.
+	// Draining is set if the backend is about to shut down. It must not be sent new requests.
 	Draining bool
-	// Cold is for how long after the poll it was expected to be slow, as it had just started.
+	// Cold is how long after the poll a recently started backend was expected to remain slow.
 	Cold time.Duration
 }
--- a/internal/discovery/codec.go
+++ b/internal/discovery/codec.go
@@ -12,7 +12,7 @@
 	"nickelline/internal/discovery/discoverywire"
 )
 
-// Encode returns the encoded list.
+// Encode returns the encoded list, a Cap'n Proto message.
 func Encode(l *List) ([]byte, error) {
 	data, err := capnpcodec.Marshal(0, discoverywire.NewRootReading, func(message discoverywire.Reading) error {
 		message.SetPages(uint16(min(l.pages, math.MaxUint16)))
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// nameTable numbers the names that many backends share, so that each is encoded once.
+// nameTable assigns indexes to the names that many backends share, so that each name is encoded once.
 type nameTable struct {
 	numbers map[string]uint32
 	texts   []string
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// Decode decodes what Encode returned.
+// Decode decodes a list that Encode has encoded.
 func Decode(data []byte) (*List, error) {
 	message, err := capnpcodec.Unmarshal(data, discoverywire.ReadRootReading)
 	if err != nil {
@@ -106,7 +106,7 @@
 	return list, nil
 }
 
-// pageCount returns how many calls the poll of an encoded list took, 0 if that is not known.
+// pageCount returns the number of calls of the poll that produced an encoded list, 0 if unknown.
 func pageCount(data []byte) int {
 	message, err := capnpcodec.Unmarshal(data, discoverywire.ReadRootReading)
 	if err != nil {
@@ -160,7 +160,7 @@
 	}
 	for _, number := range []uint32{entry.Service(), entry.Zone(), entry.Version()} {
 		if uint64(number) >= uint64(len(names)) {
-			return Backend{}, merry.Errorf("backend %q refers to name %d of %d", id, number, len(names))
+			return Backend{}, merry.Errorf("backend %q refers to name index %d of %d names", id, number, len(names))
 		}
 	}
 	var address [4]byte
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -8,8 +8,8 @@
 	"nickelline/internal/golden"
 )
 
-// The golden file records the protocol as it was when it was written. Processes of different releases must understand
-// each other's messages, so a test that fails here has found a change of the protocol.
+// The golden file pins the wire format. Processes of different releases must understand each other's messages, so a
+// failure of this test means that the wire format has changed.
 
 func TestGoldenList(t *testing.T) {
 	list := NewList([]Backend{
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -2,15 +2,16 @@
 
 import "slices"
 
-// List is the content of one complete listing. It is immutable.
+// List holds the backends of one complete listing. It is immutable.
 type List struct {
 	backends  []Backend
-	pages     int // calls that the poll took, 0 if not known
+	pages     int // number of calls of the poll, 0 if unknown
 	byID      map[string]int
 	byService map[string][]Backend
 }
 
-// NewList returns a list of backends, which it keeps. Of entries with the same ID the last one counts.
+// NewList returns a list of the given backends and takes ownership of the slice. Of entries with the same ID, Get and
+// ByService return only the last.
 func NewList(backends []Backend) *List {
 	l := &List{
 		backends:  backends,
@@ -29,13 +30,13 @@
 	return l
 }
 
-// All returns every listed backend, draining ones too. The caller must not change it.
+// All returns all listed backends, including draining ones. The caller must not change the slice.
 func (l *List) All() []Backend { return l.backends }
 
-// ByService returns the backends of a service that take requests. The caller must not change it.
+// ByService returns the backends of a service that are not draining. The caller must not change the slice.
 func (l *List) ByService(service string) []Backend { return l.byService[service] }
 
-// Get returns the backend with the ID of an incarnation, draining or not.
+// Get returns the backend with the given ID, draining or not, and whether it is listed.
 func (l *List) Get(id string) (Backend, bool) {
 	i, ok := l.byID[id]
 	if !ok {
@@ -44,13 +45,13 @@
 	return l.backends[i], true
 }
 
-// withDraining returns a copy of the list in which the backends that drain in the given page drain too. It reports
-// whether any of them did not before.
-func (l *List) withDraining(given []Backend) (*List, bool) {
+// withDraining returns a copy of the list in which the backends that are draining in the given page are marked as
+// draining, and true. If that changes no entry, it returns nil and false.
+func (l *List) withDraining(page []Backend) (*List, bool) {
 	var backends []Backend
-	for i := range given {
-		at, listed := l.byID[given[i].ID]
-		if !given[i].Draining || !listed || l.backends[at].Draining {
+	for i := range page {
+		at, listed := l.byID[page[i].ID]
+		if !page[i].Draining || !listed || l.backends[at].Draining {
 			continue
 		}
 		if backends == nil {
@@ -66,5 +67,5 @@
 	return drained, true
 }
 
-// Len returns the number of entries.
+// Len returns the number of entries, including draining ones.
 func (l *List) Len() int { return len(l.backends) }
--- a/internal/discovery/platform.go
+++ b/internal/discovery/platform.go
@@ -21,25 +21,26 @@
 const (
 	callTimeout       = 400 * time.Millisecond
 	idleTimeout       = 10 * time.Second
-	pageRetries       = 2                      // retries of a page after status 429
-	minPageRetryDelay = 100 * time.Millisecond // before the first retry; doubles
-	maxPages          = 4096                   // a longer listing is taken for a loop
+	maxPageRetries    = 2                      // retries of a page after status 429
+	minPageRetryDelay = 100 * time.Millisecond // before the first retry; doubles with each retry
+	maxPages          = 4096                   // a longer listing is assumed to loop
 	stateReady        = "ready"
 )
 
-// ErrRateLimited means that the platform refused a call because of its rate limit.
-var ErrRateLimited = merry.New("the platform's listing is over its rate")
+// ErrRateLimited is returned when the platform refuses a call with status 429.
+var ErrRateLimited = merry.New("read platform listing: rate limit exceeded")
 
 // Platform is a client of the platform's listing of backends.
 type Platform struct {
 	address  netip.AddrPort
-	ratePerS float64 // of calls; 0: not limited
+	ratePerS float64 // rate limit in calls per second; 0: unlimited
 	client   *client.Client
 	// pause waits between calls; tests replace it.
 	pause func(ctx context.Context, d time.Duration) error
 }
 
-// NewPlatform returns a client of the listing at an address that takes ratePerS calls a second, 0 for no limit.
+// NewPlatform returns a client of the listing at an address. ratePerS is the platform's limit in calls per second, 0
+// for no limit.
 func NewPlatform(address netip.AddrPort, ratePerS float64) (*Platform, error) {
 	c, err := client.NewClient(
 		client.WithDialer(standard.NewDialer()),
@@ -50,7 +51,7 @@
 		client.WithMaxConnsPerHost(1),
 	)
 	if err != nil {
-		return nil, merry.Prepend(err, "client of the platform's listing")
+		return nil, merry.Prepend(err, "create client of platform listing")
 	}
 	return &Platform{address: address, ratePerS: ratePerS, client: c, pause: pause}, nil
 }
@@ -86,16 +87,17 @@
 	}
 }
 
-// Listing is the result of a poll; List is nil unless the poll was complete.
+// Listing is the result of a poll.
 type Listing struct {
+	// List is nil unless all pages arrived.
 	List *List
-	// Pages is how many pages arrived.
+	// Pages is the number of pages that arrived.
 	Pages int
 }
 
-// Read polls all pages of the listing. It calls onPage with each page as it arrives. On an error the Listing has only
-// the number of pages that arrived. The primary goes on when the platform refuses calls because of its rate limit;
-// other nodes give up after a few retries.
+// Read polls all pages of the listing. It calls onPage with each page as it arrives. On an error, only Pages of the
+// returned Listing is set. When the platform refuses calls because of its rate limit, the primary retries until the
+// context ends; other nodes give up after a few retries and return ErrRateLimited.
 func (p *Platform) Read(ctx context.Context, primary bool, onPage func(page []Backend)) (Listing, error) {
 	var backends []Backend
 	token := ""
@@ -117,11 +119,11 @@
 		}
 		token = *answer.NextToken
 	}
-	return Listing{Pages: maxPages}, merry.Errorf("the platform's listing has more than %d pages", maxPages)
+	return Listing{Pages: maxPages}, merry.Errorf("read platform listing: got more than %d pages", maxPages)
 }
 
-// sortedByID sorts entries and drops repeated ones, which a listing that changes between pages may have. The later
-// entry is the newer one.
+// sortedByID sorts entries by ID, in place, and removes duplicates, which occur when the listing changes between two
+// pages. It keeps the last entry of each ID, as it is the newest.
 func sortedByID(backends []Backend) []Backend {
 	slices.SortStableFunc(backends, func(a, b Backend) int { return cmp.Compare(a.ID, b.ID) })
 	kept := backends[:0]
@@ -134,7 +136,7 @@
 	return kept
 }
 
-// readNextPage requests the page after so many others, at the pace that the rate limit allows.
+// readNextPage requests the next page after the given number of pages, at the pace that the rate limit allows.
 func (p *Platform) readNextPage(ctx context.Context, token string, pages int, pacing callPacing) (*page, error) {
 	if gap := pacing.callGap(pages); gap > 0 {
 		if err := p.pause(ctx, gap); err != nil {
@@ -172,23 +174,23 @@
 	}
 	request.SetRequestURI(target)
 	if err := p.client.Do(ctx, request, response); err != nil {
-		return nil, merry.Prepend(err, "read the platform's listing")
+		return nil, merry.Prepend(err, "read platform listing")
 	}
 	switch status := response.StatusCode(); status {
 	case http.StatusOK:
 	case http.StatusTooManyRequests:
 		return nil, ErrRateLimited
 	default:
-		return nil, merry.Errorf("the platform's listing answers %d", status)
+		return nil, merry.Errorf("read platform listing: got status %d, want 200", status)
 	}
 	answer := &page{}
 	if err := json.Unmarshal(response.Body(), answer); err != nil {
-		return nil, merry.Prepend(err, "read the platform's listing")
+		return nil, merry.Prepend(err, "decode page of platform listing")
 	}
 	return answer, nil
 }
 
-// pause waits for a time, or until the context ends.
+// pause waits for the given time. It returns the context's error if the context ends first.
 func pause(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -200,7 +202,7 @@
 	}
 }
 
-// jittered returns a random time of 0.75 to 1.25 of the given one.
+// jittered returns a random duration of 0.75 to 1.25 times the given one.
 func jittered(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + 0.5*rand.Float64()))
 }
--- a/internal/discovery/platform_test.go
+++ b/internal/discovery/platform_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// fakePlatform serves entries in pages of two.
+// fakePlatform serves entries in pages of two, and counts the calls. fail returns the status with which a call fails,
+// or 0.
 func fakePlatform(t *testing.T, entries []instance, fail func(call int64) int) (*Platform, *atomic.Int64) {
 	t.Helper()
 	calls := &atomic.Int64{}
@@ -67,7 +68,7 @@
 		t.Fatal(err)
 	}
 	if listing.List.Len() != 5 || listing.Pages != 3 || calls.Load() != 3 {
-		t.Errorf("Read: got %d backends in %d pages by %d calls, want 5, 3 and 3", listing.List.Len(), listing.Pages, calls.Load())
+		t.Errorf("Read: got %d backends in %d pages with %d calls, want 5, 3 and 3", listing.List.Len(), listing.Pages, calls.Load())
 	}
 	if b, ok := listing.List.Get("i-7"); !ok || !b.Draining {
 		t.Errorf("draining backend: got %+v", b)
@@ -86,7 +87,7 @@
 	})
 	listing, err := platform.Read(t.Context(), false, ignorePage)
 	if err != nil || listing.List.Len() != 5 || calls.Load() != 4 {
-		t.Errorf("Read: got %+v by %d calls, error %v; want 5 backends by 4 calls", listing, calls.Load(), err)
+		t.Errorf("Read: got %+v with %d calls, error %v; want 5 backends with 4 calls", listing, calls.Load(), err)
 	}
 }
 
@@ -104,7 +105,8 @@
 	}
 }
 
-// Each page is reported at once, and a listing of many pages is called for no faster than the platform's rate allows.
+// Each page is reported as it arrives, and a listing of many pages is polled no faster than the platform's rate limit
+// allows.
 func TestReadReportsPagesAndKeepsToTheRate(t *testing.T) {
 	const pages = 60
 	entries := make([]instance, 2*pages)
@@ -124,11 +126,11 @@
 		t.Fatalf("Read: got %d pages, %d of them reported, error %v; want %d", listing.Pages, reported, err, pages)
 	}
 	if least := fraction(time.Second, (pages-testRate)/testRate); paused < least {
-		t.Errorf("%d pages: got pauses of %v, too short for a rate of %v", pages, paused, testRate)
+		t.Errorf("%d pages: got pauses of %v in all, too short for a rate of %v", pages, paused, testRate)
 	}
 }
 
-// A listing without an end is given up, and all of its pages count as calls.
+// A listing that never ends is given up after maxPages pages, all of which count as calls.
 func TestReadGivesUpAListingWithoutAnEnd(t *testing.T) {
 	entries := make([]instance, 2*(maxPages+1))
 	for i := range entries {
@@ -140,6 +142,6 @@
 		t.Errorf("Read: got %+v, error %v; want no list and an error", listing.List, err)
 	}
 	if int64(listing.Pages) != calls.Load() || listing.Pages != maxPages {
-		t.Errorf("pages: got %d by %d calls, want %d", listing.Pages, calls.Load(), maxPages)
+		t.Errorf("pages: got %d with %d calls, want %d", listing.Pages, calls.Load(), maxPages)
 	}
 }
--- a/internal/discovery/poller.go
+++ b/internal/discovery/poller.go
@@ -13,41 +13,42 @@
 
 // Distribution disseminates the list among the nodes. Versions are ordered; the higher one replaces the lower.
 type Distribution interface {
-	// Current returns the newest version that the node knows, and the encoded list.
+	// Current returns the newest version that the node knows and its encoded list. ok is false if the node knows none.
 	Current() (sequence uint64, data []byte, ok bool)
 	// Publish disseminates a new version.
 	Publish(sequence uint64, data []byte)
-	// Certify records and disseminates the proof that at asOf the version was the platform's list.
+	// Certify records and disseminates the proof that the version matched the platform's listing at asOf.
 	Certify(sequence uint64, asOf time.Time)
-	// ProofAge returns the age of the newest proof of the current version, unproven without one.
+	// ProofAge returns the age of the newest proof of the current version, or math.MaxInt64 if there is none.
 	ProofAge() time.Duration
 	// Pull gets a newer version, or a younger proof of the current one, from another node.
 	Pull(ctx context.Context, node netip.AddrPort) error
 }
 
-// Ranks returns the rank of this node among the live control nodes, which are ordered by address.
+// Ranks provides the rank of this node among the live control nodes, which are ordered by address.
 type Ranks interface {
-	// Rank returns the rank, whether this is a control node at all, and the number of live nodes of all roles.
+	// Rank returns the rank, whether this node is a control node, and the number of live nodes of all roles.
 	Rank() (rank int, control bool, members int)
 	// Peers returns the other live control nodes, ordered by address.
 	Peers() []netip.AddrPort
 }
 
-// Source is what a Poller polls. It is a *Platform.
+// Source is the listing that a Poller polls; *Platform implements it.
 type Source interface {
-	// Read polls all pages, as Platform.Read does.
+	// Read polls all pages of the listing; see Platform.Read.
 	Read(ctx context.Context, primary bool, onPage func(page []Backend)) (Listing, error)
 }
 
 const (
-	minPause        = 50 * time.Millisecond
-	maxStartPause   = 100 * time.Millisecond  // longest pause while no list is known
-	defaultPollTime = 1500 * time.Millisecond // an older listing is of little use
-	firstPollTime   = 4 * time.Second         // while no list is known
-	pullTimeout     = 200 * time.Millisecond
+	minPause           = 50 * time.Millisecond
+	maxStartPause      = 100 * time.Millisecond  // while the list has no proof
+	defaultPollTimeout = 1500 * time.Millisecond // a listing that takes longer is too stale to be useful
+	firstPollTimeout   = 4 * time.Second         // while no list is known
+	pullTimeout        = 200 * time.Millisecond
 )
 
-// Poller polls the platform's listing when it is its node's turn, and publishes what has changed.
+// Poller polls the platform's listing when its node is due to poll, and publishes changes. It is not safe for
+// concurrent use.
 type Poller struct {
 	source         Source
 	distribution   Distribution
@@ -56,20 +57,20 @@
 	self           netip.AddrPort
 	log            *zap.Logger
 	decoded        decodedList
-	pagesVersion   uint64 // version whose number of pages the schedule knows
-	fruitlessPulls int    // in a row, which brought no younger proof
+	pagesVersion   uint64 // version whose number of pages has been passed to the schedule
+	fruitlessPulls int    // consecutive pulls that brought no younger proof
 }
 
 // NewPoller returns the poller of the node whose internal address is self.
 func NewPoller(s *settings.Settings, self netip.AddrPort, source Source, d Distribution, r Ranks,
 	log *zap.Logger) *Poller {
 	heartbeat := time.Duration(s.HeartbeatMs) * time.Millisecond
-	drain := settings.Milliseconds(s.Bounds.DrainTimeoutMs)
+	drainTimeout := settings.Milliseconds(s.Bounds.DrainTimeoutMs)
 	return &Poller{
 		source:       source,
 		distribution: d,
 		ranks:        r,
-		schedule:     newSchedule(heartbeat, drain, s.CloudAPI.RatePerS, seedOf(self), time.Now()),
+		schedule:     newSchedule(heartbeat, drainTimeout, s.CloudAPI.RatePerS, seedOf(self), time.Now()),
 		self:         self,
 		log:          log,
 	}
@@ -97,7 +98,7 @@
 		}
 		wait := min(pollWait, pullWait)
 		if role.ProofAge == unproven {
-			wait = min(wait, maxStartPause) // the rank changes while nodes join
+			wait = min(wait, maxStartPause) // the rank can change at any time while nodes join
 		}
 		if pause(ctx, max(wait, minPause)) != nil {
 			return
@@ -105,7 +106,8 @@
 	}
 }
 
-// role returns what the schedule depends on, and passes on the number of pages of a list that another node has polled.
+// role returns the inputs of the schedule. When the current version has changed, it also tells the schedule the number
+// of pages of that list, which another node may have polled.
 func (p *Poller) role() nodeRole {
 	if sequence, data, known := p.distribution.Current(); known && sequence != p.pagesVersion {
 		p.pagesVersion = sequence
@@ -115,8 +117,8 @@
 	return nodeRole{Control: control, Rank: rank, Members: members, ProofAge: p.distribution.ProofAge()}
 }
 
-// pull gets a younger proof from a control node: from the first of them, and from the next one after each pull that
-// brought none.
+// pull requests a younger proof from a control node. It starts with the first control node, and moves on to the next
+// after each pull that brings no younger proof.
 func (p *Poller) pull(ctx context.Context, now time.Time, before nodeRole) {
 	p.schedule.pullStarted(now)
 	peers := p.ranks.Peers()
@@ -132,15 +134,15 @@
 		p.fruitlessPulls = 0
 	}
 	if err != nil {
-		p.log.Debug("pull proof of the list of backends failed", zap.Stringer("peer", peer), zap.Error(err))
+		p.log.Debug("pull proof of list of backends failed", zap.Stringer("peer", peer), zap.Error(err))
 	}
 }
 
-// poll polls the listing once and publishes what has changed.
+// poll polls the listing once and publishes changes.
 func (p *Poller) poll(ctx context.Context, primary bool) {
 	startedAt := time.Now()
 	before, _, known := p.distribution.Current()
-	timeout := p.schedule.maxPollTime(known)
+	timeout := p.schedule.pollTimeout(known)
 	p.schedule.pollStarted(startedAt)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/discovery/poller_test.go
+++ b/internal/discovery/poller_test.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	testHeartbeat = 1200 * time.Millisecond
-	testDrain     = 3 * time.Second
-	testRate      = 42.0
-	unknownAge    = time.Duration(1<<63 - 1)
+	testHeartbeat    = 1200 * time.Millisecond
+	testDrainTimeout = 3 * time.Second
+	testRate         = 42.0
+	unknownAge       = time.Duration(1<<63 - 1)
 )
 
 var selfAddress = netip.MustParseAddrPort("10.1.0.7:7661")
 
-// fakeDistribution keeps what is published, with the times of proofs.
+// fakeDistribution keeps the last published version and the time of its proof.
 type fakeDistribution struct {
 	sequence uint64
 	data     []byte
@@ -56,18 +56,18 @@
 
 func (f sourceFunc) Read(context.Context, bool, func([]Backend)) (Listing, error) { return f() }
 
-// pagedSource reports its pages one by one.
+// pagedSource reports its pages one by one, and calls afterPage after each.
 type pagedSource struct {
-	pages [][]Backend
-	err   error
-	each  func()
+	pages     [][]Backend
+	err       error
+	afterPage func()
 }
 
-func (s *pagedSource) Read(_ context.Context, _ bool, notice func([]Backend)) (Listing, error) {
+func (s *pagedSource) Read(_ context.Context, _ bool, onPage func([]Backend)) (Listing, error) {
 	var all []Backend
 	for _, page := range s.pages {
-		notice(page)
-		s.each()
+		onPage(page)
+		s.afterPage()
 		all = append(all, page...)
 	}
 	if s.err != nil {
@@ -86,22 +86,22 @@
 func TestPollerPublishesChangesOnly(t *testing.T) {
 	backends := manyBackends(12)
 	d := &fakeDistribution{}
-	r := newTestPoller(d, sourceFunc(func() (Listing, error) {
+	poller := newTestPoller(d, sourceFunc(func() (Listing, error) {
 		return Listing{List: NewList(append([]Backend(nil), backends...)), Pages: 1}, nil
 	}))
-	r.poll(t.Context(), true)
+	poller.poll(t.Context(), true)
 	first := d.sequence
 	if d.changes != 1 || d.proof.IsZero() {
 		t.Fatalf("first poll: got %d changes, proof %v; want 1 and a proof", d.changes, d.proof)
 	}
 	proof := d.proof
 	backends[1].Cold -= time.Millisecond // still cold
-	r.poll(t.Context(), true)
+	poller.poll(t.Context(), true)
 	if d.changes != 1 || !d.proof.After(proof) {
 		t.Errorf("same listing: got %d changes, proof %v after %v; want 1 and a younger proof", d.changes, d.proof, proof)
 	}
 	backends[1].Draining = true
-	r.poll(t.Context(), true)
+	poller.poll(t.Context(), true)
 	if d.changes != 2 || d.sequence <= first {
 		t.Errorf("changed listing: got %d changes, version %d after %d; want 2 and a higher version", d.changes, d.sequence, first)
 	}
@@ -109,16 +109,16 @@
 
 func TestPollerDropsAnOutdatedListing(t *testing.T) {
 	d := &fakeDistribution{}
-	var r *Poller
+	var poller *Poller
 	other, err := Encode(NewList(manyBackends(5)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r = newTestPoller(d, sourceFunc(func() (Listing, error) {
+	poller = newTestPoller(d, sourceFunc(func() (Listing, error) {
 		d.Publish(nextSequence(d.sequence, netip.MustParseAddrPort("10.2.0.7:7660")), other)
 		return Listing{List: NewList(manyBackends(6)), Pages: 1}, nil
 	}))
-	r.poll(t.Context(), true)
+	poller.poll(t.Context(), true)
 	if d.changes != 1 {
 		t.Errorf("newer version during the poll: got %d changes, want 1", d.changes)
 	}
@@ -129,8 +129,8 @@
 
 func TestFailedPollChangesNothing(t *testing.T) {
 	d := &fakeDistribution{}
-	r := newTestPoller(d, sourceFunc(func() (Listing, error) { return Listing{}, errors.New("timeout") }))
-	r.poll(t.Context(), true)
+	poller := newTestPoller(d, sourceFunc(func() (Listing, error) { return Listing{}, errors.New("timeout") }))
+	poller.poll(t.Context(), true)
 	if d.changes != 0 || !d.proof.IsZero() {
 		t.Error("failed poll: got a change or a proof, want neither")
 	}
@@ -147,8 +147,8 @@
 	}
 }
 
-// A backend that a page shows draining is published at once, and stays so whether the poll succeeds or not. New and
-// missing backends wait for the end.
+// A backend that a page shows as draining is published as draining at once, and stays so whether the poll succeeds or
+// not. New and missing backends are published only when a poll is complete.
 func TestDrainingIsPublishedBeforeThePollEnds(t *testing.T) {
 	for _, failure := range []error{nil, errors.New("timeout")} {
 		backends := manyBackends(12)
@@ -156,9 +156,9 @@
 			backends[i].Draining = false
 		}
 		d := &fakeDistribution{}
-		source := &pagedSource{pages: [][]Backend{backends}, each: func() {}}
-		r := newTestPoller(d, source)
-		r.poll(t.Context(), true)
+		source := &pagedSource{pages: [][]Backend{backends}, afterPage: func() {}}
+		poller := newTestPoller(d, source)
+		poller.poll(t.Context(), true)
 		proof, first := d.proof, d.changes
 
 		later := append([]Backend(nil), backends...)
@@ -168,8 +168,8 @@
 		source.pages = [][]Backend{later[:4], later[4:8], append(append([]Backend(nil), later[8:11]...), fresh)}
 		source.err = failure
 		var published []int
-		source.each = func() { published = append(published, d.changes-first) }
-		r.poll(t.Context(), true)
+		source.afterPage = func() { published = append(published, d.changes-first) }
+		poller.poll(t.Context(), true)
 		if len(published) != 3 || published[0] != 0 || published[1] != 1 || published[2] != 1 {
 			t.Fatalf("changes after each page: got %v, want [0 1 1]", published)
 		}
@@ -194,29 +194,31 @@
 	}
 }
 
-// heldUpDistribution takes a while to tell the age of its proof, as on a machine that is held up.
-type heldUpDistribution struct{ *fakeDistribution }
+// slowDistribution returns the age of its proof 1 ms after reading it, as on an overloaded machine.
+type slowDistribution struct{ *fakeDistribution }
 
-func (d heldUpDistribution) ProofAge() time.Duration {
+func (d slowDistribution) ProofAge() time.Duration {
 	age := d.fakeDistribution.ProofAge()
 	for began := time.Now(); time.Since(began) < time.Millisecond; {
 	}
 	return age
 }
 
-// A version that is published within a poll has the proof of the one before, and none that is younger.
+// A version that is published during a poll inherits the proof of the previous version. It got a younger one when the
+// age of the proof was read before the clock and the process was delayed between the two. The poll then took the version
+// for one of another node and did not publish its own list.
 func TestDrainingIsPublishedWithTheProofOfTheVersionBefore(t *testing.T) {
 	backends := manyBackends(3)
 	for i := range backends {
 		backends[i].Draining = false
 	}
 	d := &fakeDistribution{}
-	r := newTestPoller(heldUpDistribution{d}, &pagedSource{pages: [][]Backend{backends}, each: func() {}})
-	r.poll(t.Context(), true)
+	poller := newTestPoller(slowDistribution{d}, &pagedSource{pages: [][]Backend{backends}, afterPage: func() {}})
+	poller.poll(t.Context(), true)
 	proof := d.proof
 	draining := append([]Backend(nil), backends...)
 	draining[1].Draining = true
-	if _, published := r.publishDraining(draining); !published {
+	if _, published := poller.publishDraining(draining); !published {
 		t.Fatal("draining backend: got no new version")
 	}
 	if d.proof.After(proof) {
--- a/internal/discovery/publish.go
+++ b/internal/discovery/publish.go
@@ -13,9 +13,9 @@
 	list     *List
 }
 
-// publishOrCertify certifies the current version if the polled list is the same. Otherwise it publishes the polled
-// list, unless something newer has arrived since the poll started: version before is the one that the poll started
-// from.
+// publishOrCertify certifies the current version if the polled list has the same backends. Otherwise it publishes the
+// polled list, unless a newer version or proof has arrived since the poll started. The version that was current when
+// the poll started, or that the poll itself has published since, is passed as before.
 func (p *Poller) publishOrCertify(list *List, before uint64, startedAt, now time.Time) {
 	sequence, data, known := p.distribution.Current()
 	if known && p.decodeCurrent(sequence, data) && sameBackends(p.decoded.list, list) {
@@ -34,9 +34,9 @@
 	p.log.Info("list of backends changed", zap.Int("backends", list.Len()), zap.Uint64("version", next>>writerBits))
 }
 
-// publishDraining publishes the current list with those backends draining that a page shows as draining, and returns
-// its version. They are about to end, so this does not wait for the rest of a long listing. The proof of the new
-// version is as old as that of the former one.
+// publishDraining marks those backends of the current list that a page shows as draining, publishes the list, and
+// returns its version. It returns false if nothing was published. Draining backends are about to shut down, so this
+// does not wait for the rest of a long listing. The proof of the new version is as old as that of the previous one.
 func (p *Poller) publishDraining(page []Backend) (uint64, bool) {
 	sequence, data, known := p.distribution.Current()
 	if !known || !p.decodeCurrent(sequence, data) {
@@ -46,7 +46,7 @@
 	if !changed {
 		return 0, false
 	}
-	now := time.Now() // before the age is read: the proof must not seem younger than it is
+	now := time.Now() // read before the age, so that the proof does not appear younger than it is
 	age := p.distribution.ProofAge()
 	next, published := p.publish(sequence, list)
 	if published && age != unproven {
@@ -55,7 +55,8 @@
 	return next, published
 }
 
-// publish publishes a list as the version after the given one, and returns its version.
+// publish publishes a list as the version after the given one. It returns the new version, and false if encoding
+// failed.
 func (p *Poller) publish(sequence uint64, list *List) (uint64, bool) {
 	encoded, err := Encode(list)
 	if err != nil {
@@ -68,7 +69,7 @@
 	return next, true
 }
 
-// decodeCurrent decodes the current version unless it is decoded already. It reports whether that succeeded.
+// decodeCurrent decodes the current version into p.decoded, unless it is there already. It reports success.
 func (p *Poller) decodeCurrent(sequence uint64, data []byte) bool {
 	if p.decoded.list != nil && p.decoded.sequence == sequence {
 		return true
@@ -85,7 +86,7 @@
 // The low bits of a sequence number identify its writer, so that no two writers use the same number.
 const (
 	writerBits = 36
-	portBits   = 4 // internal ports of the processes of a machine differ in these
+	portBits   = 4 // the internal ports of the processes on one machine differ in their low 4 bits
 )
 
 // nextSequence returns a sequence number above the given one that no other writer uses.
@@ -96,8 +97,8 @@
 	return (sequence>>writerBits+1)<<writerBits | number
 }
 
-// sameBackends reports whether two lists, ordered by ID, are the same. How long a backend stays cold changes all the
-// time, so only whether it is cold counts.
+// sameBackends reports whether two lists, ordered by ID, hold the same backends. The remaining cold time differs in
+// each poll, so only whether a backend is cold is compared.
 func sameBackends(a, b *List) bool {
 	if len(a.backends) != len(b.backends) {
 		return false
--- a/internal/discovery/scenarios_test.go
+++ b/internal/discovery/scenarios_test.go
@@ -6,11 +6,11 @@
 )
 
 func TestSimulatedPolls(t *testing.T) {
-	t.Run("small", func(t *testing.T) { testSimulatedPolls(t, smallSite) })
-	t.Run("large", func(t *testing.T) { testSimulatedPolls(t, largeSite) })
+	t.Run("small", func(t *testing.T) { testSimulatedPolls(t, smallCluster) })
+	t.Run("large", func(t *testing.T) { testSimulatedPolls(t, largeCluster) })
 }
 
-func testSimulatedPolls(t *testing.T, site simulatedSite) {
+func testSimulatedPolls(t *testing.T, cluster simulatedCluster) {
 	for name, fault := range map[string]func(*simulation){
 		"calm": func(*simulation) {},
 		"primary frozen": func(s *simulation) {
@@ -24,7 +24,7 @@
 		},
 		"control nodes partitioned": func(s *simulation) {
 			s.clock.At(10*time.Second, func() {
-				for _, n := range s.nodes[:site.controls] {
+				for _, n := range s.nodes[:cluster.controls] {
 					n.partitioned = true
 				}
 			})
@@ -34,8 +34,8 @@
 			worst, calls := time.Duration(0), 0
 			const end = 40 * time.Second
 			for seed := range uint64(10) {
-				s := newSimulation(seed, site)
-				s.scheduleDrains(firstDrain, end-site.drain)
+				s := newSimulation(seed, cluster)
+				s.scheduleDrains(firstDrain, end-cluster.drainTimeout)
 				fault(s)
 				s.clock.RunUntil(end)
 				for _, n := range s.nodes {
@@ -48,7 +48,7 @@
 			}
 			rate := float64(calls) / end.Seconds()
 			t.Logf("known everywhere after %v, %.1f calls a second", worst, rate)
-			if limit := site.drain * 9 / 10; worst > limit {
+			if limit := cluster.drainTimeout * 9 / 10; worst > limit {
 				t.Errorf("time until a drain is known: got %v, want %v at most", worst, limit)
 			}
 			if limit := testRate / 2; rate > limit {
@@ -58,27 +58,28 @@
 	}
 }
 
-// TestSimulatedPollsAtTargetSize: where the primary takes nearly all of the platform's rate, a drain is known within a
-// cycle of calls, without faults and with a partitioned node. After the primary has failed, polling goes on once another
-// node is the primary.
+// TestSimulatedPollsAtTargetSize simulates a cluster in which the primary uses nearly all of the platform's rate limit.
+// A drain must be known within one polling cycle, both without faults and with a partitioned node, and within two
+// cycles when the primary fails and another node becomes the primary.
 func TestSimulatedPollsAtTargetSize(t *testing.T) {
-	// In the first seconds polls of several nodes compete for the rate.
-	const started, lost, noticed, end = 10 * time.Second, 15 * time.Second, 17 * time.Second, 45 * time.Second
-	// A drain waits for the next call for its page, which takes what the rate allows, and then for two exchanges at most:
-	// about the drain time-out of the site. No larger listing could be read in time at this rate.
-	cycle := fraction(time.Second, float64(targetSite.pages)/(steadyRateFraction*testRate)) + 2*testHeartbeat
+	// Drains start after 10 s: in the first seconds polls of several nodes compete for the rate limit.
+	const drainsFrom, faultAt, rankChangeAt, end = 10 * time.Second, 15 * time.Second, 17 * time.Second, 45 * time.Second
+	// A drain waits for the next call for its page, at most one pass over all pages at the rate limit, and then for at
+	// most two exchanges. The sum is about the drain timeout of the cluster: at this rate no larger listing could be
+	// read in time.
+	cycle := fraction(time.Second, float64(targetCluster.pages)/(steadyRateFraction*testRate)) + 2*testHeartbeat
 	for name, c := range map[string]struct {
 		fault func(*simulation)
 		worst time.Duration
 	}{
 		"calm": {func(*simulation) {}, cycle},
 		"node partitioned": {func(s *simulation) {
-			s.clock.At(lost, func() { s.nodes[17].partitioned = true })
+			s.clock.At(faultAt, func() { s.nodes[17].partitioned = true })
 		}, cycle},
 		"primary frozen": {func(s *simulation) {
-			s.clock.At(lost, func() { s.nodes[0].frozen = true })
-			s.clock.At(noticed, func() {
-				for _, n := range s.nodes[:s.site.controls] {
+			s.clock.At(faultAt, func() { s.nodes[0].frozen = true })
+			s.clock.At(rankChangeAt, func() {
+				for _, n := range s.nodes[:s.cluster.controls] {
 					n.rank--
 				}
 			})
@@ -87,8 +88,8 @@
 		t.Run(name, func(t *testing.T) {
 			worst, calls := time.Duration(0), 0
 			for seed := range uint64(10) {
-				s := newSimulation(seed, targetSite)
-				s.scheduleDrains(started, end-2*targetSite.drain)
+				s := newSimulation(seed, targetCluster)
+				s.scheduleDrains(drainsFrom, end-2*targetCluster.drainTimeout)
 				c.fault(s)
 				s.clock.RunUntil(end)
 				for i, n := range s.nodes {
@@ -110,13 +111,14 @@
 	}
 }
 
-// TestOnlyThePrimaryPollsWithoutFaults: without faults the other nodes learn from the primary and do not poll.
+// TestOnlyThePrimaryPollsWithoutFaults checks that without faults the other nodes get the list from the primary and do
+// not poll.
 func TestOnlyThePrimaryPollsWithoutFaults(t *testing.T) {
-	const start, end = 5 * time.Second, 65 * time.Second // without the start, when the nodes have not joined yet
-	for name, site := range map[string]simulatedSite{"small": smallSite, "large": largeSite} {
-		site.pages = 1 // so that calls are polls
+	const start, end = 5 * time.Second, 65 * time.Second // excludes the start, when the nodes do not know each other yet
+	for name, cluster := range map[string]simulatedCluster{"small": smallCluster, "large": largeCluster} {
+		cluster.pages = 1 // so that each poll is one call
 		for seed := range uint64(5) {
-			s := newSimulation(seed, site)
+			s := newSimulation(seed, cluster)
 			s.scheduleDrains(firstDrain, end)
 			s.clock.RunUntil(start)
 			calls, pulls := s.calls, s.pulls
@@ -131,14 +133,14 @@
 	}
 }
 
-// TestSimulatedSimultaneousStart: many nodes that start together share the platform's rate so that one of them gets the
-// whole list soon, and the others get it from that one.
+// TestSimulatedSimultaneousStart checks that of many nodes that start at the same time, one gets the complete list soon
+// despite the shared rate limit, and the others get it from that node.
 func TestSimulatedSimultaneousStart(t *testing.T) {
 	const bound = 5 * time.Second
-	for name, site := range map[string]simulatedSite{"large": largeSite, "huge": hugeSite} {
-		site.joined = 400 * time.Millisecond
+	for name, cluster := range map[string]simulatedCluster{"large": largeCluster, "huge": hugeCluster} {
+		cluster.joinedAt = 400 * time.Millisecond
 		for seed := range uint64(5) {
-			s := newSimulation(seed, site)
+			s := newSimulation(seed, cluster)
 			s.platformVersion = 1
 			known := func() int {
 				count := 0
@@ -147,11 +149,11 @@
 				}
 				return count
 			}
-			for s.clock.Now() < bound && known() < site.nodes {
+			for s.clock.Now() < bound && known() < cluster.nodes {
 				s.clock.RunUntil(s.clock.Now() + 20*time.Millisecond)
 			}
 			t.Logf("%s, seed %d: %d nodes know the list after %v, %d calls", name, seed, known(), s.clock.Now(), s.calls)
-			if known() < site.nodes {
+			if known() < cluster.nodes {
 				t.Errorf("%s, seed %d: nodes that know the list: got %d after %v", name, seed, known(), bound)
 			}
 		}
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// Times of the schedule. Those named PerDrain are fractions of the drain time-out, within which a change of the listing
-// has to be in force on all nodes.
+// Parameters of the schedule. Those whose names end in PerDrain are fractions of the drain timeout, within which a
+// change of the listing has to be in force on all nodes.
 const (
-	periodPerHeartbeat  = 0.7                     // the primary's period: this fraction of the heartbeat,
-	periodPerDrain      = 0.25                    // at most
-	rankStepPerDrain    = 0.1                     // by how much each further rank polls later,
-	maxRankAgePerDrain  = 0.55                    // at most
-	fallbackAgePerDrain = 0.75                    // age of the proof at which other nodes poll,
-	fallbackJitter      = 0.15                    // or sooner, by up to this fraction
-	pullMarginPerDrain  = 0.05                    // beyond the expected age of the proof: when another rank pulls
-	pullLeadPerDrain    = 0.1                     // before its poll: when a node that is no control node pulls
-	pullGapPerDrain     = 0.05                    // between two pulls of a node
-	steadyRateFraction  = 0.8                     // of the platform's rate, used by steady polling
-	burstSeconds        = 0.5                     // calls of so many seconds are made without a gap at the start of a poll
-	maxRankSteps        = 3                       // by which a rank polls later, at most
-	fallbackSteps       = 4                       // by which nodes that are no control nodes poll later
-	slowPollFactor      = 1.5                     // duration of a poll with some refused calls, per duration without
-	joinTime            = 600 * time.Millisecond  // for a started control node to join the others, so that it has a rank
-	startStep           = 500 * time.Millisecond  // by how much each further rank polls later, while it has no list
-	maxStartSteps       = 8                       // for so many ranks at most
-	assumedPages        = 10                      // length of a listing before it was polled
-	startWait           = 1500 * time.Millisecond // before other nodes poll, while they have no list
-	minRetryDelay       = 120 * time.Millisecond  // before the poll after a failed one; doubles
+	periodPerHeartbeat  = 0.7                     // the primary's polling period: this fraction of the heartbeat interval,
+	periodPerDrain      = 0.25                    // and at most this fraction of the drain timeout
+	rankStepPerDrain    = 0.1                     // additional age of the proof at which each further rank polls,
+	maxRankAgePerDrain  = 0.55                    // up to this age
+	fallbackAgePerDrain = 0.75                    // age of the proof at which nodes that are not control nodes poll,
+	fallbackJitter      = 0.15                    // reduced by a random part of up to this fraction
+	pullMarginPerDrain  = 0.05                    // a control node pulls when the proof is older than expected by this
+	pullLeadPerDrain    = 0.1                     // a node that is not a control node pulls this long before it polls
+	pullGapPerDrain     = 0.05                    // least time between two pulls of a node
+	steadyRateFraction  = 0.8                     // part of the platform's rate limit that steady polling uses
+	burstSeconds        = 0.5                     // the primary's polls start with a burst of this many seconds' calls
+	maxRankSteps        = 3                       // limit on the rank steps by which a poll is delayed
+	fallbackSteps       = 4                       // rank steps by which nodes that are not control nodes poll later
+	slowPollFactor      = 1.5                     // duration of a poll with some refused calls, relative to one without
+	joinTime            = 600 * time.Millisecond  // time for a started control node to join the others and get its rank
+	startStep           = 500 * time.Millisecond  // additional delay of each further rank while it has no list,
+	maxStartSteps       = 8                       // for at most this many ranks
+	assumedPages        = 10                      // number of pages of the listing until its first poll
+	startWait           = 1500 * time.Millisecond // least wait before other nodes poll while they have no list
+	minRetryDelay       = 120 * time.Millisecond  // before the poll after a failed one; doubles with each failure
 	maxRetryDelay       = 1500 * time.Millisecond
 )
 
-// never is a wait that does not end.
+// never is a wait without end.
 const never = time.Duration(math.MaxInt64)
 
-// unproven is the age of a proof that does not exist.
+// unproven is the proof age of a list without a proof.
 const unproven = time.Duration(math.MaxInt64)
 
-// nodeRole is what a node's schedule depends on.
+// nodeRole holds the inputs of a node's schedule.
 type nodeRole struct {
-	// Control nodes poll by their rank, others only when no one else seems to.
+	// Control is set for control nodes, which poll in the order of their ranks. Other nodes poll only when no control
+	// node seems to.
 	Control bool
 	Rank    int
 	// Members is the number of live nodes of all roles.
@@ -49,37 +50,37 @@
 	ProofAge time.Duration
 }
 
-// isPrimary reports whether the node is the one that polls all the time.
+// isPrimary reports whether the node is the one that polls periodically.
 func (role nodeRole) isPrimary() bool { return role.Control && role.Rank == 0 }
 
-// schedule decides when a node polls and pulls. It reads no clock.
+// schedule decides when a node polls and pulls. It reads no clock: callers pass the current time.
 type schedule struct {
-	heartbeat time.Duration
-	drain     time.Duration
-	ratePerS  float64
-	random    *rand.Rand
+	heartbeat    time.Duration
+	drainTimeout time.Duration
+	ratePerS     float64
+	random       *rand.Rand
 
-	started    time.Time
+	startedAt  time.Time
 	lastPollAt time.Time
 	pages      int
 	failures   int
 	retryAt    time.Time
-	jitter     float64 // of 0 to 1, drawn anew for each poll
+	jitter     float64 // from 0 to 1, drawn again after each poll
 	lastPullAt time.Time
 }
 
-func newSchedule(heartbeat, drain time.Duration, ratePerS float64, seed uint64, now time.Time) *schedule {
-	s := &schedule{heartbeat: heartbeat, drain: drain, ratePerS: ratePerS, started: now, pages: assumedPages}
+func newSchedule(heartbeat, drainTimeout time.Duration, ratePerS float64, seed uint64, now time.Time) *schedule {
+	s := &schedule{heartbeat: heartbeat, drainTimeout: drainTimeout, ratePerS: ratePerS, startedAt: now, pages: assumedPages}
 	s.random = rand.New(rand.NewPCG(seed, seed))
 	s.jitter = s.random.Float64()
 	return s
 }
 
-// pollWait returns how long the node waits before it polls, unless a younger proof arrives; 0: it polls now.
+// pollWait returns how long the node has to wait before it polls, unless a younger proof arrives; 0 means poll now.
 func (s *schedule) pollWait(now time.Time, role nodeRole) time.Duration {
-	due, retry := s.pollAge(role)-min(role.ProofAge, s.drain), s.retryAt
+	due, retry := s.pollAge(role)-min(role.ProofAge, s.drainTimeout), s.retryAt
 	if role.ProofAge == unproven {
-		due = s.startDelay(role) - now.Sub(s.started)
+		due = s.startDelay(role) - now.Sub(s.startedAt)
 		retry = retry.Add(startStagger(role.Rank))
 	}
 	if !role.Control {
@@ -91,55 +92,56 @@
 	return max(0, due)
 }
 
-// pullWait returns how long the node waits before it pulls a younger proof, 0: it pulls now. A pull costs less than a
-// poll and does not put it off: one that brings nothing leaves pollWait as it is.
+// pullWait returns how long the node has to wait before it pulls a younger proof; 0 means pull now. A pull is cheaper
+// than a poll and does not delay the next poll: a pull that brings no younger proof leaves pollWait unchanged.
 func (s *schedule) pullWait(now time.Time, role nodeRole) time.Duration {
 	if role.isPrimary() {
 		return never
 	}
-	due := s.pullAge(role) - min(role.ProofAge, s.drain)
-	return max(0, due, s.lastPullAt.Add(fraction(s.drain, pullGapPerDrain)).Sub(now))
+	due := s.pullAge(role) - min(role.ProofAge, s.drainTimeout)
+	return max(0, due, s.lastPullAt.Add(fraction(s.drainTimeout, pullGapPerDrain)).Sub(now))
 }
 
 // pullAge returns the age of the proof at which the node pulls.
 func (s *schedule) pullAge(role nodeRole) time.Duration {
 	if !role.Control {
-		return s.pollAge(role) - fraction(s.drain, pullLeadPerDrain)
+		return s.pollAge(role) - fraction(s.drainTimeout, pullLeadPerDrain)
 	}
-	return s.nextExpectedAge() + fraction(s.drain, pullMarginPerDrain)
+	return s.nextExpectedAge() + fraction(s.drainTimeout, pullMarginPerDrain)
 }
 
 // pullStarted records that a pull starts.
 func (s *schedule) pullStarted(now time.Time) { s.lastPullAt = now }
 
-// period returns the time between two polls of the primary. It is longer for a long listing, as the platform's rate
-// requires.
+// period returns the time between the starts of two polls of the primary. The platform's rate limit makes it longer for
+// a long listing.
 func (s *schedule) period() time.Duration {
-	return max(min(fraction(s.heartbeat, periodPerHeartbeat), fraction(s.drain, periodPerDrain)), s.fairInterval(1))
+	return max(min(fraction(s.heartbeat, periodPerHeartbeat), fraction(s.drainTimeout, periodPerDrain)), s.fairInterval(1))
 }
 
 // pollAge returns the age of the proof at which the node polls.
 func (s *schedule) pollAge(role nodeRole) time.Duration {
 	if !role.Control {
-		early := max(fraction(s.drain, fallbackAgePerDrain), s.nextExpectedAge()+fallbackSteps*fraction(s.drain, rankStepPerDrain))
-		return early - fraction(s.drain, fallbackJitter*s.jitter)
+		early := max(fraction(s.drainTimeout, fallbackAgePerDrain), s.nextExpectedAge()+fallbackSteps*fraction(s.drainTimeout, rankStepPerDrain))
+		return early - fraction(s.drainTimeout, fallbackJitter*s.jitter)
 	}
 	if role.Rank == 0 {
 		return s.period()
 	}
-	step := fraction(s.drain, rankStepPerDrain)
-	last := max(fraction(s.drain, maxRankAgePerDrain), s.nextExpectedAge()+maxRankSteps*step)
+	step := fraction(s.drainTimeout, rankStepPerDrain)
+	last := max(fraction(s.drainTimeout, maxRankAgePerDrain), s.nextExpectedAge()+maxRankSteps*step)
 	return min(s.nextExpectedAge()+time.Duration(role.Rank)*step, last)
 }
 
-// nextExpectedAge returns the age of the proof at which the next one of the primary is expected, less one step of
-// ranks. It allows for the duration of a poll of a long listing.
+// nextExpectedAge returns the age of the proof at which the primary's next proof is expected: the period plus the
+// duration of a poll, less one rank step, but no less than the period.
 func (s *schedule) nextExpectedAge() time.Duration {
-	return s.period() + max(0, fraction(s.fairInterval(1), slowPollFactor)-fraction(s.drain, rankStepPerDrain))
+	return s.period() + max(0, fraction(s.fairInterval(1), slowPollFactor)-fraction(s.drainTimeout, rankStepPerDrain))
 }
 
-// startDelay returns how long a started node waits for the list from others before it polls. Control nodes that start
-// at the same time poll one after the other: together they would use up the rate, and none would get a whole listing.
+// startDelay returns how long a node waits after its start for the list from other nodes before it polls. Control nodes
+// that start at the same time poll one after the other: together they would use up the rate limit, and none would get a
+// complete listing.
 func (s *schedule) startDelay(role nodeRole) time.Duration {
 	switch {
 	case !role.Control:
@@ -153,11 +155,11 @@
 	return joinTime + startStagger(role.Rank)
 }
 
-// startStagger returns by how much a rank polls later than rank 0 after its start.
+// startStagger returns how much later than rank 0 a rank polls after its start.
 func startStagger(rank int) time.Duration { return time.Duration(min(rank, maxStartSteps)) * startStep }
 
-// minInterval returns the least time between two polls of a node that is no control node, with which all nodes together
-// stay below the rate.
+// minInterval returns the least time between two polls of a node that is not a control node, so that all nodes together
+// stay below the rate limit. It is 0 before the first poll.
 func (s *schedule) minInterval(members int) time.Duration {
 	if s.lastPollAt.IsZero() {
 		return 0
@@ -165,7 +167,7 @@
 	return s.fairInterval(members)
 }
 
-// fairInterval returns the time in which so many nodes can poll once each.
+// fairInterval returns the time in which the given number of nodes can poll once each within the rate limit.
 func (s *schedule) fairInterval(members int) time.Duration {
 	if s.ratePerS <= 0 {
 		return 0
@@ -173,16 +175,18 @@
 	return fraction(time.Second, float64(members*s.pages)/(steadyRateFraction*s.ratePerS))
 }
 
-// maxPollTime returns how long a poll may take. While no list is known, an old one is better than none.
-func (s *schedule) maxPollTime(known bool) time.Duration {
-	longest := firstPollTime
+// pollTimeout returns how long a poll may take. It is longer while no list is known, as a stale list is better than
+// none.
+func (s *schedule) pollTimeout(known bool) time.Duration {
+	longest := firstPollTimeout
 	if known {
-		longest = defaultPollTime
+		longest = defaultPollTimeout
 	}
 	return max(longest, 2*s.fairInterval(1))
 }
 
-// setPages sets the number of pages of the listing, from a list that another node has polled.
+// setPages sets the number of pages of the listing, as recorded in a list that another node may have polled. It ignores
+// 0.
 func (s *schedule) setPages(pages int) {
 	if pages > 0 {
 		s.pages = pages
@@ -192,10 +196,10 @@
 // pollStarted records that a poll starts.
 func (s *schedule) pollStarted(now time.Time) { s.lastPollAt = now }
 
-// pollFinished records the result of a poll and how many pages arrived.
+// pollFinished records the result of a poll and the number of pages that arrived.
 func (s *schedule) pollFinished(now time.Time, pages int, err error) {
 	s.jitter = s.random.Float64()
-	s.pages = max(s.pages, pages+1) // unless the poll was complete
+	s.pages = max(s.pages, pages+1) // after a failed poll: at least one page is missing
 	if err == nil {
 		s.pages, s.failures = max(1, pages), 0
 		s.retryAt = time.Time{}
--- a/internal/discovery/schedule_test.go
+++ b/internal/discovery/schedule_test.go
@@ -7,7 +7,7 @@
 )
 
 func newTestSchedule(now time.Time) *schedule {
-	return newSchedule(testHeartbeat, testDrain, testRate, 1, now)
+	return newSchedule(testHeartbeat, testDrainTimeout, testRate, 1, now)
 }
 
 func TestRanksPollInOrder(t *testing.T) {
@@ -18,8 +18,8 @@
 		if wait < last {
 			t.Errorf("rank %d: got a wait of %v, want no less than that of the rank below (%v)", rank, wait, last)
 		}
-		if wait >= testDrain*6/10 {
-			t.Errorf("rank %d: got a wait of %v, want less than 0.6 of the drain time-out", rank, wait)
+		if wait >= testDrainTimeout*6/10 {
+			t.Errorf("rank %d: got a wait of %v, want less than 0.6 of the drain timeout", rank, wait)
 		}
 		last = wait
 	}
@@ -54,23 +54,24 @@
 		t.Errorf("started node: got a wait of %v, want %v at least", wait, startWait)
 	}
 	now = now.Add(10 * time.Second)
-	role := nodeRole{Members: 13, ProofAge: testDrain / 2}
+	role := nodeRole{Members: 13, ProofAge: testDrainTimeout / 2}
 	if s.pollWait(now, role) == 0 {
 		t.Error("node with a young proof: got no wait, want one")
 	}
-	role.ProofAge = testDrain * 3 / 4
+	role.ProofAge = testDrainTimeout * 3 / 4
 	if wait := s.pollWait(now, role); wait != 0 {
 		t.Errorf("node with an old proof: got a wait of %v, want 0", wait)
 	}
 }
 
-// TestOtherNodesStayUnderTheRate runs many nodes without any proof from control nodes.
+// TestOtherNodesStayUnderTheRate runs many nodes that get no proof from control nodes: all of their polls together must
+// stay within the rate limit.
 func TestOtherNodesStayUnderTheRate(t *testing.T) {
 	const nodes, pages, span = 95, 2, 60 * time.Second
 	start := time.Now()
 	calls := 0
 	for node := range nodes {
-		s := newSchedule(testHeartbeat, testDrain, testRate, uint64(node), start)
+		s := newSchedule(testHeartbeat, testDrainTimeout, testRate, uint64(node), start)
 		for now := start; now.Sub(start) < span; {
 			age := min(now.Sub(start), unknownAge)
 			if !s.lastPollAt.IsZero() {
@@ -111,7 +112,7 @@
 	}
 }
 
-// The period follows the platform's rate where the listing is long, and ranks still poll one after the other.
+// For a long listing the period follows from the platform's rate limit, and ranks still poll one after the other.
 func TestPeriodFollowsTheRate(t *testing.T) {
 	const pages = 74
 	now := time.Now()
@@ -121,8 +122,8 @@
 	if calls := pages / s.period().Seconds(); calls > testRate*0.81 || calls < testRate*0.79 {
 		t.Errorf("calls a second: got %.1f, want 0.8 of the rate", calls)
 	}
-	if s.maxPollTime(true) < s.period() {
-		t.Errorf("maxPollTime: got %v, want the %v that the pages need", s.maxPollTime(true), s.period())
+	if s.pollTimeout(true) < s.period() {
+		t.Errorf("pollTimeout: got %v, want at least the %v that the pages need", s.pollTimeout(true), s.period())
 	}
 	last := time.Duration(0)
 	for rank := range 4 {
--- a/internal/discovery/simulation_test.go
+++ b/internal/discovery/simulation_test.go
@@ -8,8 +8,9 @@
 	"nickelline/internal/simnet"
 )
 
-// A simulation of who polls the listing and how lists spread: nodes exchange proofs with a partner each heartbeat, and
-// changes are gossiped. For each drain that the listing shows, the time until all nodes know it is measured.
+// This file simulates which nodes poll the listing and how lists spread. Nodes exchange proofs with a partner in each
+// heartbeat interval, and changes are gossiped. The simulation measures the longest time from when the listing shows a
+// drain until a node knows of it.
 
 type simulatedNode struct {
 	control        bool
@@ -17,11 +18,11 @@
 	zone           int
 	schedule       *schedule
 	version        int          // of the listing
-	knownChanges   map[int]bool // changes of the listing, also those of a page before the end of the poll
+	knownChanges   map[int]bool // changes of the listing, including those seen on a page before the end of the poll
 	asOf           time.Duration
 	frozen         bool
 	partitioned    bool // from all nodes, not from the platform
-	fruitlessPulls int  // that brought nothing
+	fruitlessPulls int  // consecutive pulls that brought no younger proof
 }
 
 type simulation struct {
@@ -29,31 +30,31 @@
 	start           time.Time
 	random          *rand.Rand
 	nodes           []*simulatedNode
-	platformVersion int // changes that the platform shows
+	platformVersion int // number of changes that the platform shows
 	shownAt         map[int]time.Duration
 	calls           int
-	worstDelay      time.Duration // from showing to knowing
+	worstDelay      time.Duration // longest time from when a change is shown until a node knows it
 	pulls           int
-	site            simulatedSite
+	cluster         simulatedCluster
 
-	tokens   float64 // calls that the platform admits
+	tokens   float64 // token bucket of the platform's rate limit
 	tokensAt time.Duration
 }
 
-// simulatedSite is how many nodes there are in three zones, and how soon a drain has to be known.
-type simulatedSite struct {
+// simulatedCluster describes the nodes, spread over three zones, the listing, and how soon a drain has to be known.
+type simulatedCluster struct {
 	controls, nodes int
-	drain           time.Duration
+	drainTimeout    time.Duration
 	pages           int           // of the listing
-	joined          time.Duration // when the nodes know each other
+	joinedAt        time.Duration // when the nodes know each other
 }
 
 var (
-	smallSite = simulatedSite{controls: 3, nodes: 13, drain: testDrain, pages: 1}
-	// targetSite is that of docs/CAPACITY.md, 3,700 backends in pages of 50.
-	targetSite = simulatedSite{controls: 9, nodes: 390, drain: 4 * time.Second, pages: 74}
-	largeSite  = simulatedSite{controls: 6, nodes: 101, drain: 4 * time.Second, pages: 1}
-	hugeSite   = simulatedSite{controls: 21, nodes: 321, drain: 4 * time.Second, pages: 31}
+	smallCluster = simulatedCluster{controls: 3, nodes: 13, drainTimeout: testDrainTimeout, pages: 1}
+	// targetCluster has the size given in docs/CAPACITY.md, with 3,700 backends in pages of 50.
+	targetCluster = simulatedCluster{controls: 9, nodes: 390, drainTimeout: 4 * time.Second, pages: 74}
+	largeCluster  = simulatedCluster{controls: 6, nodes: 101, drainTimeout: 4 * time.Second, pages: 1}
+	hugeCluster   = simulatedCluster{controls: 21, nodes: 321, drainTimeout: 4 * time.Second, pages: 31}
 )
 
 const (
@@ -61,13 +62,13 @@
 	firstDrain     = 2 * time.Second
 )
 
-func newSimulation(seed uint64, site simulatedSite) *simulation {
+func newSimulation(seed uint64, cluster simulatedCluster) *simulation {
 	s := &simulation{start: time.Now(), random: rand.New(rand.NewPCG(seed, 3)), shownAt: map[int]time.Duration{}}
-	s.site = site
-	s.tokens = testRate // nobody has called before
-	for i := range site.nodes {
-		n := &simulatedNode{control: i < site.controls, rank: i, zone: i % simulatedZones, asOf: -time.Hour, knownChanges: map[int]bool{}}
-		n.schedule = newSchedule(testHeartbeat, site.drain, testRate, seed<<8|uint64(i), s.start)
+	s.cluster = cluster
+	s.tokens = testRate // the bucket is full
+	for i := range cluster.nodes {
+		n := &simulatedNode{control: i < cluster.controls, rank: i, zone: i % simulatedZones, asOf: -time.Hour, knownChanges: map[int]bool{}}
+		n.schedule = newSchedule(testHeartbeat, cluster.drainTimeout, testRate, seed<<8|uint64(i), s.start)
 		s.nodes = append(s.nodes, n)
 		s.clock.After(0, func() { s.step(n) })
 		s.clock.After(time.Duration(s.random.Int64N(int64(testHeartbeat))), func() { s.exchange(n) })
@@ -78,17 +79,17 @@
 // now returns the time of the simulated clock.
 func (s *simulation) now() time.Time { return s.start.Add(s.clock.Now()) }
 
-// step has a node poll or pull if it is due, or wait, as Poller.Run does.
+// step makes a node poll or pull if that is due, or else wait, as Poller.Run does.
 func (s *simulation) step(n *simulatedNode) {
 	if n.frozen {
 		s.clock.After(minPause, func() { s.step(n) })
 		return
 	}
-	role := nodeRole{Control: n.control, Rank: n.rank, Members: s.site.nodes, ProofAge: s.clock.Now() - n.asOf}
+	role := nodeRole{Control: n.control, Rank: n.rank, Members: s.cluster.nodes, ProofAge: s.clock.Now() - n.asOf}
 	if n.version == 0 && n.asOf < 0 {
 		role.ProofAge = unproven
 	}
-	if s.clock.Now() < s.site.joined {
+	if s.clock.Now() < s.cluster.joinedAt {
 		role.Rank, role.Members = 0, 1
 	}
 	wait, pullWait := n.schedule.pollWait(s.now(), role), n.schedule.pullWait(s.now(), role)
@@ -106,25 +107,25 @@
 	}
 	n.schedule.pollStarted(s.now())
 	s.readPage(n, simulatedPoll{
-		began:   s.clock.Now(),
-		version: s.platformVersion,
-		pacing:  callPacing{ratePerS: testRate, primary: role.isPrimary()},
+		startedAt: s.clock.Now(),
+		version:   s.platformVersion,
+		pacing:    callPacing{ratePerS: testRate, primary: role.isPrimary()},
 	})
 }
 
 // simulatedPoll is a poll in progress.
 type simulatedPoll struct {
-	began    time.Duration
-	version  int
-	pages    int // that have been read
-	refusals int // calls for the next one
-	pacing   callPacing
+	startedAt time.Duration
+	version   int
+	pages     int // that have arrived
+	refusals  int // refused calls for the next page
+	pacing    callPacing
 }
 
 // readPage requests the next page, as Platform.Read does.
 func (s *simulation) readPage(n *simulatedNode, r simulatedPoll) {
 	s.calls++
-	if s.clock.Now()-r.began > n.schedule.maxPollTime(n.version > 0) {
+	if s.clock.Now()-r.startedAt > n.schedule.pollTimeout(n.version > 0) {
 		s.pollEnded(n, r, context.DeadlineExceeded)
 		return
 	}
@@ -140,26 +141,26 @@
 	}
 	r.pages, r.refusals = r.pages+1, 0
 	s.handlePage(n, r.pages-1)
-	if r.pages < s.site.pages {
+	if r.pages < s.cluster.pages {
 		s.clock.After(5*time.Millisecond+r.pacing.callGap(r.pages), func() { s.readPage(n, r) })
 		return
 	}
 	s.clock.After(5*time.Millisecond, func() {
-		s.learnVersion(n, r.version, r.began)
+		s.learnVersion(n, r.version, r.startedAt)
 		s.pollEnded(n, r, nil)
 	})
 }
 
-// handlePage has a node learn the changes that a page shows, and spread them, as Poller.publishDraining does.
+// handlePage lets a node learn the changes that a page shows, and spread them, as Poller.publishDraining does.
 func (s *simulation) handlePage(n *simulatedNode, page int) {
-	for change := page; change <= s.platformVersion; change += s.site.pages { // a page shows every so manieth
+	for change := page; change <= s.platformVersion; change += s.cluster.pages { // changes are spread evenly over the pages
 		if change > n.version && s.learnChange(n, change) {
 			s.spreadChange(n, change)
 		}
 	}
 }
 
-// learnChange notes when a node knows of a change, and reports whether that is new.
+// learnChange records that a node knows of a change, and reports whether the change is new to it.
 func (s *simulation) learnChange(n *simulatedNode, change int) bool {
 	if change == 0 || n.knownChanges[change] || n.frozen {
 		return false
@@ -182,7 +183,7 @@
 	s.clock.After(time.Millisecond, func() { s.step(n) })
 }
 
-// admitsCall counts a call against the platform's rate, with a second's worth saved up at most.
+// admitsCall takes a token for a call. The bucket refills at the platform's rate and holds the tokens of one second.
 func (s *simulation) admitsCall() bool {
 	s.tokens = min(testRate, s.tokens+(s.clock.Now()-s.tokensAt).Seconds()*testRate)
 	s.tokensAt = s.clock.Now()
@@ -193,15 +194,15 @@
 	return true
 }
 
-// pull has a node exchange with the control nodes in their order, as Poller.pull does.
+// pull makes a node pull from the control nodes in their order, as Poller.pull does.
 func (s *simulation) pull(n *simulatedNode) {
 	s.pulls++
 	n.schedule.pullStarted(s.now())
-	if s.clock.Now() < s.site.joined {
+	if s.clock.Now() < s.cluster.joinedAt {
 		s.clock.After(minPause, func() { s.step(n) })
 		return
 	}
-	partner := s.nodes[n.fruitlessPulls%s.site.controls]
+	partner := s.nodes[n.fruitlessPulls%s.cluster.controls]
 	n.fruitlessPulls++
 	if partner == n || n.partitioned || partner.partitioned || partner.frozen {
 		s.clock.After(pullTimeout, func() { s.step(n) })
@@ -216,13 +217,13 @@
 	})
 }
 
-// learnVersion gives a node a version and its proof. A new version is gossiped on.
+// learnVersion passes a version and its proof to a node, which gossips a version that is new to it.
 func (s *simulation) learnVersion(n *simulatedNode, version int, asOf time.Duration) {
 	if n.frozen || version < n.version {
 		return
 	}
 	if asOf >= 0 {
-		n.schedule.setPages(s.site.pages)
+		n.schedule.setPages(s.cluster.pages)
 	}
 	if version > n.version {
 		for v := n.version + 1; v <= version; v++ {
@@ -239,13 +240,13 @@
 	s.sendToSome(from, func(to *simulatedNode) { s.learnVersion(to, version, asOf) })
 }
 
-// sendToSome has a node send a few others something.
+// sendToSome sends a message from a node to three random nodes, where receive handles it.
 func (s *simulation) sendToSome(from *simulatedNode, receive func(to *simulatedNode)) {
 	if from.partitioned {
 		return
 	}
 	for range 3 {
-		to := s.nodes[s.random.IntN(s.site.nodes)]
+		to := s.nodes[s.random.IntN(s.cluster.nodes)]
 		s.clock.After(time.Duration(2+s.random.IntN(20))*time.Millisecond, func() {
 			if !to.partitioned {
 				receive(to)
@@ -254,12 +255,12 @@
 	}
 }
 
-// exchange exchanges versions and proofs with a partner, each heartbeat.
+// exchange exchanges versions and proofs with a partner, once in each heartbeat interval.
 func (s *simulation) exchange(n *simulatedNode) {
 	s.clock.After(testHeartbeat, func() { s.exchange(n) })
-	partner := s.nodes[s.random.IntN(s.site.nodes)]
+	partner := s.nodes[s.random.IntN(s.cluster.nodes)]
 	if s.random.IntN(4) > 0 {
-		partner = s.nodes[n.zone+simulatedZones*s.random.IntN(s.site.controls/simulatedZones)]
+		partner = s.nodes[n.zone+simulatedZones*s.random.IntN(s.cluster.controls/simulatedZones)]
 	}
 	if n.frozen || partner.frozen || n.partitioned || partner.partitioned {
 		return
@@ -272,12 +273,12 @@
 		}
 	}
 	s.learnVersion(n, partner.version, partner.asOf)
-	if n.version > partner.version { // which the partner fetches; the exchange has no proof of a known one
+	if n.version > partner.version { // the partner fetches a newer version; without one it gets no proof in this exchange
 		s.learnVersion(partner, n.version, n.asOf)
 	}
 }
 
-// scheduleDrains lets the listing change now and then.
+// scheduleDrains changes the listing at random intervals of 0.2 to 1.7 s.
 func (s *simulation) scheduleDrains(from, until time.Duration) {
 	for at := from; at < until; at += time.Duration(200+s.random.IntN(1500)) * time.Millisecond {
 		s.clock.At(at, func() {
