--- a/internal/nodestate/nodestate.go
+++ b/internal/nodestate/nodestate.go
@@ -1,8 +1,8 @@
-// Package nodestate holds what a process knows of the shared state of the system: the configuration, the list of
-// backends, the placement of batch partitions, and the admission pools of the services.
+// Package nodestate holds a process's copy of the shared state of the system: the configuration, the list of backends
+// and the placement of batch partitions. It also holds the admission pools of the services, and keeps them up to date.
 //
-// Each is an immutable snapshot that is swapped whole when gossip brings a newer version. A version that cannot be read
-// is logged and ignored.
+// The configuration, the list and the placement are immutable snapshots. Each is replaced as a whole when gossip brings
+// a newer version. A version that cannot be decoded is logged and ignored.
 package nodestate
 
 import (
@@ -21,7 +21,7 @@
 	"nickelline/internal/view"
 )
 
-// Source is where versions come from: a *gossip.Service.
+// Source delivers new versions of the shared state; *gossip.Service implements it.
 type Source interface {
 	Subscribe(topic gossip.Topic, notify func(gossip.Value))
 	ProofAge(topic gossip.Topic) time.Duration
@@ -29,36 +29,37 @@
 
 // Options set up a State.
 type Options struct {
-	// Node and Zone say to admission whose pools these are.
+	// Node and Zone identify this node to the admission pools.
 	Node, Zone string
 	Seed       uint64
 	Source     Source
-	// OnPool, if set, is called with each new admission pool.
+	// OnPool, if set, is called with each new admission pool, with the lock of the pools held: it must not call Pool or
+	// Pools.
 	OnPool func(service string, pool *admission.Pool)
 	Log    *zap.Logger
 }
 
-// State is what a process knows. Its methods are safe for concurrent use.
+// State holds the newest known version of each kind of shared state. Its methods are safe for concurrent use.
 type State struct {
 	options       Options
 	configuration atomic.Pointer[configuration.Snapshot]
 	backends      atomic.Pointer[discovery.List]
 	placement     atomic.Pointer[placement.Table]
 
-	mu    sync.Mutex // of the pools
+	mu    sync.Mutex // guards pools
 	pools map[string]*admission.Pool
 
-	notifications sync.Mutex // of the functions below, which run one at a time, and of the order of versions
-	onBackends    []func(*discovery.List)
-	onPlacement   []func(*placement.Table)
+	notifyMu    sync.Mutex // guards the functions below, runs them one at a time and keeps versions in order
+	onBackends  []func(*discovery.List)
+	onPlacement []func(*placement.Table)
 }
 
-// New makes the state and subscribes it to its source.
+// New returns a State that is subscribed to its source.
 func New(options Options) *State {
 	s := &State{options: options, pools: map[string]*admission.Pool{}}
-	options.Source.Subscribe(gossip.Configuration, s.takeConfiguration)
-	options.Source.Subscribe(gossip.Backends, s.takeBackends)
-	options.Source.Subscribe(gossip.Placement, s.takePlacement)
+	options.Source.Subscribe(gossip.Configuration, s.applyConfiguration)
+	options.Source.Subscribe(gossip.Backends, s.applyBackends)
+	options.Source.Subscribe(gossip.Placement, s.applyPlacement)
 	return s
 }
 
@@ -71,34 +72,36 @@
 // Placement returns the newest placement, nil before the first.
 func (s *State) Placement() *placement.Table { return s.placement.Load() }
 
-// ConfigurationAge returns the age of the latest proof that the configuration was the newest.
+// ConfigurationAge returns the time since the configuration was last proven to be the newest.
 func (s *State) ConfigurationAge() time.Duration {
 	return s.options.Source.ProofAge(gossip.Configuration)
 }
 
-// OnBackends adds a function that is called with each new list of backends, after the pools have it, and at once with the
-// one that there is, one call at a time. It must not call OnBackends or OnPlacement.
+// OnBackends registers a function that is called with each new list of backends, after the pools have been updated. If
+// a list is known, the function is called with it at once. Calls are made one at a time. The function must not call
+// OnBackends or OnPlacement.
 func (s *State) OnBackends(notify func(*discovery.List)) {
-	s.notifications.Lock()
-	defer s.notifications.Unlock()
+	s.notifyMu.Lock()
+	defer s.notifyMu.Unlock()
 	s.onBackends = append(s.onBackends, notify)
 	if list := s.backends.Load(); list != nil {
 		notify(list)
 	}
 }
 
-// OnPlacement adds a function that is called with each new placement, and at once with the one that there is, one call at a
-// time. It must not call OnBackends or OnPlacement.
+// OnPlacement registers a function that is called with each new placement. If a placement is known, the function is
+// called with it at once. Calls are made one at a time. The function must not call OnBackends or OnPlacement.
 func (s *State) OnPlacement(notify func(*placement.Table)) {
-	s.notifications.Lock()
-	defer s.notifications.Unlock()
+	s.notifyMu.Lock()
+	defer s.notifyMu.Unlock()
 	s.onPlacement = append(s.onPlacement, notify)
 	if table := s.placement.Load(); table != nil {
 		notify(table)
 	}
 }
 
-// Partition returns the newest known view of the partition that a tenant's batch jobs are in.
+// Partition returns the newest known view of the partition that holds a tenant's batch jobs, and false if none is
+// known.
 func (s *State) Partition(tenant string) (view.View, bool) {
 	table := s.placement.Load()
 	if table == nil {
@@ -111,7 +114,7 @@
 	return table.Partitions[partition].View, true
 }
 
-// Pool returns the admission pool of a service.
+// Pool returns the admission pool of a service, and creates it at the first call.
 func (s *State) Pool(service string) *admission.Pool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,7 +122,7 @@
 	if pool == nil {
 		pool = admission.NewPool(service, s.options.Node, s.options.Zone, s.options.Seed)
 		s.pools[service] = pool
-		s.fill(service, pool)
+		s.updatePool(service, pool)
 		if s.options.OnPool != nil {
 			s.options.OnPool(service, pool)
 		}
@@ -127,14 +130,14 @@
 	return pool
 }
 
-// Pools returns the admission pools of all services that have been asked for.
+// Pools returns the admission pools that Pool has created, by service. The caller may change the map.
 func (s *State) Pools() map[string]*admission.Pool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.pools)
 }
 
-func (s *State) takeConfiguration(v gossip.Value) {
+func (s *State) applyConfiguration(v gossip.Value) {
 	document, err := configuration.Parse(v.Data)
 	if err != nil {
 		s.logInvalid("configuration", v, err)
@@ -146,55 +149,55 @@
 		return
 	}
 	s.configuration.Store(snapshot)
-	s.fillAll()
+	s.updatePools()
 }
 
-func (s *State) takeBackends(v gossip.Value) {
+func (s *State) applyBackends(v gossip.Value) {
 	list, err := discovery.Decode(v.Data)
 	if err != nil {
 		s.logInvalid("list of backends", v, err)
 		return
 	}
-	s.notifications.Lock()
-	defer s.notifications.Unlock()
+	s.notifyMu.Lock()
+	defer s.notifyMu.Unlock()
 	s.backends.Store(list)
-	s.fillAll()
+	s.updatePools()
 	for _, notify := range s.onBackends {
 		notify(list)
 	}
 }
 
-func (s *State) takePlacement(v gossip.Value) {
+func (s *State) applyPlacement(v gossip.Value) {
 	table, err := placement.Decode(v.Data)
 	if err != nil {
 		s.logInvalid("placement", v, err)
 		return
 	}
-	s.notifications.Lock()
-	defer s.notifications.Unlock()
+	s.notifyMu.Lock()
+	defer s.notifyMu.Unlock()
 	s.placement.Store(&table)
 	for _, notify := range s.onPlacement {
 		notify(&table)
 	}
 }
 
-// logInvalid logs a version that cannot be decoded, and so is ignored.
+// logInvalid logs a version that is ignored because it cannot be decoded.
 func (s *State) logInvalid(what string, v gossip.Value, err error) {
 	s.options.Log.Error("decode version failed", zap.String("of", what), zap.Uint64("sequence", v.Version.Sequence),
 		zap.Error(err))
 }
 
-// fillAll brings all pools up to date with the list of backends and the configuration.
-func (s *State) fillAll() {
+// updatePools updates all pools to the current list of backends and configuration.
+func (s *State) updatePools() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for service, pool := range s.pools {
-		s.fill(service, pool)
+		s.updatePool(service, pool)
 	}
 }
 
-// fill sets the backends of a pool to those of its service.
-func (s *State) fill(service string, pool *admission.Pool) {
+// updatePool sets the backends of a pool to those of its service, with the number of slots from the configuration.
+func (s *State) updatePool(service string, pool *admission.Pool) {
 	list := s.backends.Load()
 	if list == nil {
 		return
--- a/internal/nodestate/nodestate_test.go
+++ b/internal/nodestate/nodestate_test.go
@@ -12,14 +12,15 @@
 	"nickelline/internal/placement"
 )
 
-// fakeSource keeps the functions that a State subscribes, by topic.
+// fakeSource holds the functions that a State has subscribed, by topic.
 type fakeSource map[gossip.Topic]func(gossip.Value)
 
 func (f fakeSource) Subscribe(topic gossip.Topic, notify func(gossip.Value)) { f[topic] = notify }
 
 func (f fakeSource) ProofAge(gossip.Topic) time.Duration { return 0 }
 
-// What is notified of a list of backends or of a placement may ask for pools: a notification holds no lock of theirs.
+// Functions registered with OnBackends and OnPlacement may call Pool and Pools: a call made while the lock of the pools
+// is held would deadlock.
 func TestNotifiedMayAskForPools(t *testing.T) {
 	source := fakeSource{}
 	state := New(Options{Node: "n", Zone: "z", Source: source, Log: zap.NewNop()})
@@ -43,7 +44,7 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("a notification that asks for a pool waits for ever")
+		t.Fatal("notifications that call Pool and Pools: got a deadlock, want them to return")
 	}
 	if len(pools) != 2 || pools[0] == nil || pools[0] != pools[1] {
 		t.Errorf("pools in notifications: got %v, want the same one twice", pools)
