--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks the settings file of a process: what the platform tells it about its machine,
-// its addresses, its limits and the bounds that the deployment holds it to.
+// Package settings reads and checks the settings file of a process. The platform provides the
+// file: it describes the machine, its addresses, the resource limits and the bounds that the deployment must meet.
 package settings
 
 import (
@@ -18,7 +18,7 @@
 // PathVariable is the environment variable that names the settings file.
 const PathVariable = "NICKELLINE_BOOT"
 
-// defaultHeartbeat is the period where the settings name none.
+// defaultHeartbeat is the heartbeat interval if the settings name none.
 const defaultHeartbeat = time.Second
 
 // Services that a role may offer to callers outside the system.
@@ -28,46 +28,48 @@
 	ServesStorage      = "storage"
 )
 
-// Offsets of the roles' internal ports from the first one of InternalPorts. Two roles may share a machine.
+// Offsets of the roles' internal ports from the first port of InternalPorts. They differ because two roles may share a
+// machine.
 const (
 	controlPortOffset = iota
 	proxyPortOffset
 	storePortOffset
-	rolePorts
+	rolePortCount
 )
 
-// Settings are the settings that a process starts with. They are immutable: a reload returns new ones.
+// Settings holds the settings that a process starts with. It is immutable: reading the file again returns a new value.
 type Settings struct {
-	NodeName       string            `toml:"nodeName"`
-	Role           string            `toml:"role"`
-	Serves         []string          `toml:"serves"`
-	IP             netip.Addr        `toml:"ipAddress"`
-	Zone           string            `toml:"zone"`
-	Region         string            `toml:"region"`
-	InternalPorts  []uint16          `toml:"internalPorts"`
-	SeedNodes      []netip.AddrPort  `toml:"seedNodes"`
-	InitialStart   bool              `toml:"initialStart"`
-	CountsForLoss  bool              `toml:"countsForQuorum"`
-	DataDirectory  string            `toml:"dataDirectory"`
-	HeartbeatMs    int               `toml:"heartbeatIntervalMs"`
-	Zones          map[string]string `toml:"zones"`
-	Listen         Listen            `toml:"listenAddresses"`
-	Limits         Limits            `toml:"limits"`
-	FaultTolerance FaultTolerance    `toml:"faultTolerance"`
-	Bounds         Bounds            `toml:"bounds"`
-	CloudAPI       CloudAPI          `toml:"cloudApi"`
-	// Metrics is where the process serves its figures, as PORT/PATH; empty: nowhere.
+	NodeName        string            `toml:"nodeName"`
+	Role            string            `toml:"role"`
+	Serves          []string          `toml:"serves"`
+	IP              netip.Addr        `toml:"ipAddress"`
+	Zone            string            `toml:"zone"`
+	Region          string            `toml:"region"`
+	InternalPorts   []uint16          `toml:"internalPorts"`
+	SeedNodes       []netip.AddrPort  `toml:"seedNodes"`
+	InitialStart    bool              `toml:"initialStart"`
+	CountsForQuorum bool              `toml:"countsForQuorum"`
+	DataDirectory   string            `toml:"dataDirectory"`
+	HeartbeatMs     int               `toml:"heartbeatIntervalMs"`
+	Zones           map[string]string `toml:"zones"`
+	Listen          Listen            `toml:"listenAddresses"`
+	Limits          Limits            `toml:"limits"`
+	FaultTolerance  FaultTolerance    `toml:"faultTolerance"`
+	Bounds          Bounds            `toml:"bounds"`
+	CloudAPI        CloudAPI          `toml:"cloudApi"`
+	// Metrics is the endpoint of the process's metrics, as PORT/PATH; empty: metrics are not served.
 	Metrics string `toml:"metrics"`
 }
 
-// Listen holds the addresses that callers outside the system use. One that the role does not serve is invalid.
+// Listen holds the addresses that callers outside the system use. The address of an interface that the role does not
+// serve is the zero value, which is not valid.
 type Listen struct {
 	Frontend     netip.AddrPort `toml:"frontend"`
 	Readiness    netip.AddrPort `toml:"readiness"`
 	ControlPlane netip.AddrPort `toml:"controlPlane"`
 }
 
-// Limits are what the process may use.
+// Limits holds the resources that the process may use.
 type Limits struct {
 	CPUFraction     float64 `toml:"cpuFraction"`
 	CPUCores        float64 `toml:"cpuCores"`
@@ -77,17 +79,18 @@
 	DiskMB          int     `toml:"diskMb"`
 }
 
-// FaultTolerance is how many machines with a disk, zones or regions may be lost at one time.
+// FaultTolerance holds the numbers of machines with a disk, of zones and of regions that may be lost at the same time.
 type FaultTolerance struct {
 	Machines int `toml:"machines"`
 	Zones    int `toml:"zones"`
 	Regions  int `toml:"regions"`
 }
 
-// Losses is how many machines with a disk may be lost at one time: a zone or a region counts as one machine.
+// Losses returns how many machines with a disk may be lost at the same time: a zone or a region counts as one machine.
 func (t FaultTolerance) Losses() int { return max(t.Machines, t.Zones, t.Regions) }
 
-// Bounds are the limits in time and number that the deployment's rules set.
+// Bounds holds the limits on times and amounts that the deployment must meet. The suffix of a name is the unit: S for
+// seconds, Ms for milliseconds.
 type Bounds struct {
 	SeedStalenessS      float64 `toml:"seedStalenessS"`
 	AddressReuseS       float64 `toml:"addressReuseS"`
@@ -112,7 +115,8 @@
 	SettlementMs        float64 `toml:"settlementMs"`
 }
 
-// CloudAPI says where the platform lists the backends, and how often all nodes together may ask.
+// CloudAPI holds the address at which the platform lists the backends, and the rate limit of calls, in calls per
+// second, that all nodes share.
 type CloudAPI struct {
 	Address  netip.AddrPort `toml:"address"`
 	RatePerS float64        `toml:"ratePerS"`
@@ -131,7 +135,7 @@
 func Load() (*Settings, error) {
 	path := os.Getenv(PathVariable)
 	if path == "" {
-		return nil, merry.Errorf("%s is not set: it has to name the settings file", PathVariable)
+		return nil, merry.Errorf("environment variable %s is not set: it must name the settings file", PathVariable)
 	}
 	return ReadFile(path)
 }
@@ -140,7 +144,7 @@
 func ReadFile(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, merry.Prepend(err, "settings file")
+		return nil, merry.Prepend(err, "read settings file")
 	}
 	s, err := Parse(text)
 	if err != nil {
@@ -149,7 +153,8 @@
 	return s, nil
 }
 
-// Parse reads settings from TOML and checks them. Unknown keys are ignored.
+// Parse reads settings from TOML and checks them. Unknown keys are ignored. An error is one line that names the key,
+// or the line that is not valid TOML.
 func Parse(text []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := toml.Unmarshal(text, s); err != nil {
@@ -175,9 +180,9 @@
 	case s.Zone == "":
 		return merry.New("zone is missing")
 	case len(s.InternalPorts) != 2:
-		return merry.New("internalPorts must hold two numbers, the first and the last port")
-	case int(s.InternalPorts[1])-int(s.InternalPorts[0]) < rolePorts-1:
-		return merry.Errorf("internalPorts must span %d ports at least", rolePorts)
+		return merry.Errorf("internalPorts holds %d numbers, want two: the first and the last port", len(s.InternalPorts))
+	case int(s.InternalPorts[1])-int(s.InternalPorts[0]) < rolePortCount-1:
+		return merry.Errorf("internalPorts must span at least %d ports", rolePortCount)
 	case len(s.SeedNodes) == 0:
 		return merry.New("seedNodes is empty")
 	case s.Limits.MemoryMB <= 0:
@@ -203,7 +208,8 @@
 	return err == nil
 }
 
-// Heartbeat is the period in which processes compare what they know.
+// Heartbeat returns the interval at which processes exchange state by gossip, defaultHeartbeat if the settings name
+// none.
 func (s *Settings) Heartbeat() time.Duration {
 	if s.HeartbeatMs <= 0 {
 		return defaultHeartbeat
@@ -211,25 +217,25 @@
 	return Milliseconds(float64(s.HeartbeatMs))
 }
 
-// Has reports whether the role serves the named kind of caller.
+// Has reports whether the role serves the named service, such as ServesFrontend.
 func (s *Settings) Has(service string) bool { return slices.Contains(s.Serves, service) }
 
-// ControlInternal is where the control role of a machine listens for other nodes.
+// ControlInternal returns the address at which the control role of a machine listens for other nodes.
 func (s *Settings) ControlInternal(machine netip.Addr) netip.AddrPort {
 	return netip.AddrPortFrom(machine, s.InternalPorts[0]+controlPortOffset)
 }
 
-// ProxyInternal is where this machine's proxy role listens for other nodes.
+// ProxyInternal returns the address at which the proxy role of this machine listens for other nodes.
 func (s *Settings) ProxyInternal() netip.AddrPort {
 	return netip.AddrPortFrom(s.IP, s.InternalPorts[0]+proxyPortOffset)
 }
 
-// StoreInternal is where this machine's store role listens for other nodes.
+// StoreInternal returns the address at which the store role of this machine listens for other nodes.
 func (s *Settings) StoreInternal() netip.AddrPort {
 	return netip.AddrPortFrom(s.IP, s.InternalPorts[0]+storePortOffset)
 }
 
-// SeedInternal returns the internal addresses of the control nodes that the settings name.
+// SeedInternal returns the internal addresses of the control nodes that SeedNodes lists.
 func (s *Settings) SeedInternal() []netip.AddrPort {
 	var seeds []netip.AddrPort
 	for _, seed := range s.SeedNodes {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -51,13 +51,13 @@
 		t.Fatal(err)
 	}
 	if want := netip.MustParseAddrPort("10.1.0.7:8407"); s.Listen.ControlPlane != want {
-		t.Errorf("control plane at %v, want %v", s.Listen.ControlPlane, want)
+		t.Errorf("control plane address: got %v, want %v", s.Listen.ControlPlane, want)
 	}
 	if !s.Has(ServesControlPlane) || s.Has(ServesFrontend) {
-		t.Errorf("serves %v", s.Serves)
+		t.Errorf("serves: got %v, want only %q", s.Serves, ServesControlPlane)
 	}
 	if s.Bounds.ConfigApplyMs != 2000 || !s.Bounds.RevocationClosed || s.CloudAPI.RatePerS != 42 {
-		t.Errorf("bounds %+v, cloud %+v", s.Bounds, s.CloudAPI)
+		t.Errorf("parsed: got bounds %+v and cloud API %+v, want those of the example", s.Bounds, s.CloudAPI)
 	}
 }
 
@@ -68,11 +68,11 @@
 	}
 	seeds := s.SeedInternal()
 	if len(seeds) != 2 || seeds[1] != netip.MustParseAddrPort("10.2.0.42:7660") {
-		t.Errorf("seeds at %v", seeds)
+		t.Errorf("seeds: got %v, want two, the second at 10.2.0.42:7660", seeds)
 	}
 	own := map[netip.AddrPort]bool{s.ControlInternal(s.IP): true, s.ProxyInternal(): true, s.StoreInternal(): true}
-	if len(own) != rolePorts {
-		t.Errorf("roles share a port: %v", own)
+	if len(own) != rolePortCount {
+		t.Errorf("internal addresses of the roles: got %v, want %d different ones", own, rolePortCount)
 	}
 }
 
@@ -82,18 +82,18 @@
 		want      int
 	}{{FaultTolerance{}, 0}, {FaultTolerance{Machines: 2}, 2}, {FaultTolerance{Machines: 1, Zones: 2}, 2}, {FaultTolerance{Regions: 1}, 1}} {
 		if got := test.tolerance.Losses(); got != test.want {
-			t.Errorf("%+v: %d losses, want %d", test.tolerance, got, test.want)
+			t.Errorf("losses with %+v: got %d, want %d", test.tolerance, got, test.want)
 		}
 	}
 	if got := (&Settings{HeartbeatMs: 1200}).Heartbeat(); got != 1200*time.Millisecond {
-		t.Errorf("heartbeat %v", got)
+		t.Errorf("heartbeat: got %v, want 1.2s", got)
 	}
 	if got := (&Settings{}).Heartbeat(); got != defaultHeartbeat {
-		t.Errorf("heartbeat %v where none is set", got)
+		t.Errorf("heartbeat if none is set: got %v, want %v", got, defaultHeartbeat)
 	}
 }
 
-// A file that cannot be used ends the start with one message that names the key.
+// An invalid settings file gives an error of one line that names the key.
 func TestBadSettingsNameTheKey(t *testing.T) {
 	for name, change := range map[string]struct{ from, to, want string }{
 		"no name":         {`nodeName = "frontend-a-1"`, "", "nodeName"},
@@ -119,10 +119,10 @@
 			}
 			_, err := Parse([]byte(text))
 			if err == nil {
-				t.Fatal("taken")
+				t.Fatal("invalid settings: got no error, want one")
 			}
 			if !strings.Contains(err.Error(), change.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("message %q, want one line naming %s", err, change.want)
+				t.Errorf("error: got %q, want one line that names %s", err, change.want)
 			}
 		})
 	}
@@ -131,12 +131,12 @@
 func TestLoad(t *testing.T) {
 	t.Setenv(PathVariable, "")
 	if _, err := Load(); err == nil || !strings.Contains(err.Error(), PathVariable) {
-		t.Errorf("without the variable: %v", err)
+		t.Errorf("without the environment variable: got error %v, want one that names it", err)
 	}
 	path := filepath.Join(t.TempDir(), "node.toml")
 	t.Setenv(PathVariable, path)
 	if _, err := Load(); err == nil || !strings.Contains(err.Error(), path) {
-		t.Errorf("without the file: %v", err)
+		t.Errorf("without the file: got error %v, want one that names the file", err)
 	}
 	if err := os.WriteFile(path, []byte(example), 0o600); err != nil {
 		t.Fatal(err)
