--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,7 +1,8 @@
-// Package fault defines the closed list of kinds of errors of the serving tier, and the answer that a caller gets for each kind.
+// Package fault defines the kinds of errors of the serving tier, a closed list, and the HTTP response that a caller
+// gets for each kind.
 //
-// An error gets its kind from New or Wrap, and keeps it when it is wrapped further, also by fmt.Errorf with %w. KindOf returns
-// the kind; errors.Is and errors.As match the wrapped errors as usual.
+// New and Wrap attach a kind to an error. The error keeps it when it is wrapped further, including by fmt.Errorf with
+// %w. KindOf returns the kind; errors.Is and errors.As match the wrapped errors as usual.
 package fault
 
 import (
@@ -10,52 +11,52 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Kind classifies an error by the answer that the caller gets.
+// Kind classifies an error by the response that the caller gets.
 type Kind uint8
 
-// The kinds of errors.
+// The kinds of errors. The comments describe the request that fails with an error of the kind.
 const (
-	// Internal is the kind of any error that has no other.
+	// Internal is the kind of any error without another kind.
 	Internal Kind = iota
-	// BadRequest cannot be read as a request of the protocol.
+	// BadRequest: the request is not valid in its protocol.
 	BadRequest
-	// InvalidConfiguration breaks a rule of the operator's document.
+	// InvalidConfiguration: the operator's configuration document is not valid.
 	InvalidConfiguration
-	// Unauthorized carries no known API key.
+	// Unauthorized: the request carries no known API key.
 	Unauthorized
-	// RouteNotFound matches no route.
+	// RouteNotFound: the request matches no route.
 	RouteNotFound
-	// NotFound names an object that does not exist.
+	// NotFound: the request names an object that does not exist.
 	NotFound
-	// BodyTooLarge has a body over the limit.
+	// BodyTooLarge: the body exceeds the limit.
 	BodyTooLarge
-	// HeaderTooLarge has a header over the limit.
+	// HeaderTooLarge: the header exceeds the limit.
 	HeaderTooLarge
-	// RequestTimeout was not received completely within the time limit.
+	// RequestTimeout: the request was not received completely within the time limit.
 	RequestTimeout
-	// QuotaExceeded is beyond what its tenant may send or have queued. It was not executed and will not be.
+	// QuotaExceeded: the request exceeds what its tenant may send or have queued. It was not executed and will not be.
 	QuotaExceeded
-	// Overloaded found no backend or store that may accept it. It was not executed and will not be.
+	// Overloaded: no backend or store may accept the request. It was not executed and will not be.
 	Overloaded
-	// NotReady reached a node that may not act now (no proof that its state is current, no view, a drain). It was not executed
-	// and will not be.
+	// NotReady: the node must not process requests at present, because it has no proof that its state is current, has
+	// no view, or is draining. The request was not executed and will not be.
 	NotReady
-	// VersionConflict builds on a version that is not the current one.
+	// VersionConflict: the request is based on a version that is not the current one.
 	VersionConflict
-	// Conflict cannot be done in the present state.
+	// Conflict: the request is not possible in the current state.
 	Conflict
-	// UpstreamFailed was sent to a backend and may have been executed.
+	// UpstreamFailed: the request was sent to a backend, which failed. It may have been executed.
 	UpstreamFailed
-	// UpstreamTimeout was sent to a backend, may have been executed, and its time limit is over.
+	// UpstreamTimeout: the request was sent to a backend and its time limit has passed. It may have been executed.
 	UpstreamTimeout
-	// Unclear may or may not have been executed: nothing is guaranteed.
+	// Unclear: the request may or may not have been executed; nothing is guaranteed.
 	Unclear
 
-	kinds
+	kindCount
 )
 
 // kindNames are the names of the kinds in metrics and logs.
-var kindNames = [kinds]string{
+var kindNames = [kindCount]string{
 	Internal:             "internal",
 	BadRequest:           "bad request",
 	InvalidConfiguration: "invalid configuration",
@@ -75,9 +76,9 @@
 	Unclear:              "unclear",
 }
 
-// String returns the kind's name in metrics and logs.
+// String returns the name of the kind in metrics and logs, that of Internal if the kind is unknown.
 func (k Kind) String() string {
-	if k >= kinds {
+	if k >= kindCount {
 		return kindNames[Internal]
 	}
 	return kindNames[k]
@@ -85,21 +86,22 @@
 
 // Kinds returns all kinds.
 func Kinds() []Kind {
-	all := make([]Kind, kinds)
+	all := make([]Kind, kindCount)
 	for i := range all {
 		all[i] = Kind(i)
 	}
 	return all
 }
 
-// Answer is the HTTP answer to a request that failed with an error of a kind.
+// Answer describes the HTTP response to a request that failed with an error of a kind.
 type Answer struct {
 	Status int
-	// NotExecuted guarantees that the request was not executed and never will be: only such answers may name a time to retry.
+	// NotExecuted guarantees that the request was not executed and never will be. Only such responses may name a time
+	// to retry.
 	NotExecuted bool
 }
 
-var answers = [kinds]Answer{
+var answers = [kindCount]Answer{
 	Internal:             {Status: http.StatusInternalServerError},
 	BadRequest:           {Status: http.StatusBadRequest},
 	InvalidConfiguration: {Status: http.StatusBadRequest},
@@ -119,9 +121,9 @@
 	Unclear:              {Status: http.StatusGatewayTimeout},
 }
 
-// AnswerOf returns the answer for a kind, that for Internal if the kind is unknown.
+// AnswerOf returns the response for a kind, that for Internal if the kind is unknown.
 func AnswerOf(kind Kind) Answer {
-	if kind >= kinds {
+	if kind >= kindCount {
 		kind = Internal
 	}
 	return answers[kind]
@@ -135,7 +137,7 @@
 	return Wrap(kind, merry.Errorf(format, arguments...))
 }
 
-// Wrap returns an error with a kind, in place of the one that it may have. It returns nil for nil.
+// Wrap returns err with the given kind, which replaces any kind that err has. It returns nil if err is nil.
 func Wrap(kind Kind, err error) error {
 	if err == nil {
 		return nil
