--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics serves a process's figures as text in the Prometheus format. Figures are gathered when they are asked for:
-// a source keeps plain counters, so that requests pay for an addition and no more.
+// Package metrics serves the metrics of a process in the Prometheus text format. Metrics are collected when they are
+// scraped: a source keeps plain counters, so that a request costs no more than an addition.
 package metrics
 
 import (
@@ -20,48 +20,48 @@
 )
 
 const (
-	contentType  = "text/plain; version=0.0.4; charset=utf-8"
-	callTimeout  = 2 * time.Second
-	shutdownTime = 100 * time.Millisecond
+	contentType     = "text/plain; version=0.0.4; charset=utf-8"
+	callTimeout     = 2 * time.Second
+	shutdownTimeout = 100 * time.Millisecond
 )
 
-// Endpoint is where figures are served.
+// Endpoint is the port and path at which metrics are served.
 type Endpoint struct {
 	Port uint16
 	Path string
 }
 
-// ParseEndpoint reads "PORT/PATH".
+// ParseEndpoint parses an endpoint of the form "PORT/PATH".
 func ParseEndpoint(text string) (Endpoint, error) {
 	port, path, found := strings.Cut(text, "/")
 	number, err := strconv.ParseUint(port, 10, 16)
 	if !found || err != nil || number == 0 || path == "" {
-		return Endpoint{}, merry.Errorf("metrics: %q is not PORT/PATH", text)
+		return Endpoint{}, merry.Errorf("parse metrics endpoint: got %q, want PORT/PATH", text)
 	}
 	return Endpoint{Port: uint16(number), Path: "/" + path}, nil
 }
 
-// Label is a label of a figure.
+// Label is a label of a metric.
 type Label struct{ Name, Value string }
 
-// Writer writes figures.
+// Writer writes metrics in the Prometheus text format. The zero value is ready to use.
 type Writer struct{ buffer bytes.Buffer }
 
-// Counter writes a figure that only grows.
+// Counter writes a counter, a value that only increases.
 func (w *Writer) Counter(name string, value uint64, labels ...Label) {
-	metrics.WriteCounterUint64(&w.buffer, nameWith(name, labels), value)
+	metrics.WriteCounterUint64(&w.buffer, nameWithLabels(name, labels), value)
 }
 
-// Gauge writes a figure that goes up and down.
+// Gauge writes a gauge, a value that can increase and decrease.
 func (w *Writer) Gauge(name string, value float64, labels ...Label) {
-	metrics.WriteGaugeFloat64(&w.buffer, nameWith(name, labels), value)
+	metrics.WriteGaugeFloat64(&w.buffer, nameWithLabels(name, labels), value)
 }
 
 // String returns what has been written.
 func (w *Writer) String() string { return w.buffer.String() }
 
-// nameWith returns a name with its labels.
-func nameWith(name string, labels []Label) string {
+// nameWithLabels returns a metric name followed by its labels, as in name{label="value"}.
+func nameWithLabels(name string, labels []Label) string {
 	if len(labels) == 0 {
 		return name
 	}
@@ -81,22 +81,23 @@
 	return text.String()
 }
 
-// Source writes figures of one part of a process. It is called at the same time as that works.
+// Source writes the metrics of one component of the process. It is called while the component runs, so it has to
+// synchronize its reads.
 type Source func(w *Writer)
 
-// Server answers with the figures of its sources.
+// Server serves the metrics of its sources and of the process over HTTP.
 type Server struct {
 	server  *server.Hertz
 	mutex   sync.Mutex
 	sources []Source
 }
 
-// Listen opens an endpoint at an address of the machine. Serve has to be called.
+// Listen opens an endpoint at an address of the machine. The caller has to call Serve to answer requests.
 func Listen(ip netip.Addr, endpoint Endpoint) (*Server, error) {
 	address := net.TCPAddrFromAddrPort(netip.AddrPortFrom(ip, endpoint.Port))
 	listener, err := net.ListenTCP("tcp4", address)
 	if err != nil {
-		return nil, merry.Prepend(err, "metrics")
+		return nil, merry.Prepend(err, "listen on metrics endpoint")
 	}
 	return newServer(listener, endpoint.Path), nil
 }
@@ -108,31 +109,31 @@
 		server.WithReadTimeout(callTimeout),
 		server.WithWriteTimeout(callTimeout),
 		server.WithIdleTimeout(callTimeout),
-		server.WithExitWaitTime(shutdownTime),
+		server.WithExitWaitTime(shutdownTimeout),
 		server.WithDisablePrintRoute(true),
 	)}
-	s.server.GET(path, s.answer)
+	s.server.GET(path, s.serveMetrics)
 	return s
 }
 
-// Add adds a source. Its figures come behind those of the earlier ones.
+// Add adds a source. Its metrics follow those of the sources added before.
 func (s *Server) Add(source Source) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.sources = append(s.sources, source)
 }
 
-// Serve answers calls until Close.
+// Serve answers requests until Close is called.
 func (s *Server) Serve() error { return s.server.Run() }
 
-// Close ends the server.
+// Close stops the server, and waits at most shutdownTimeout for requests in progress.
 func (s *Server) Close() {
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownTime)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	_ = s.server.Shutdown(ctx)
 }
 
-func (s *Server) answer(_ context.Context, request *app.RequestContext) {
+func (s *Server) serveMetrics(_ context.Context, request *app.RequestContext) {
 	s.mutex.Lock()
 	sources := s.sources
 	s.mutex.Unlock()
