--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,4 +1,5 @@
-// Package measure gives benchmarks what their time does not show: the memory that is held, and the processor time used.
+// Package measure provides measurements that benchmarks do not report themselves: the heap memory that a value holds,
+// and the CPU time used by the process.
 package measure
 
 import (
@@ -7,8 +8,8 @@
 	"time"
 )
 
-// Heap returns the heap, in bytes, that one value of T holds while it is referred to: the mean over the given number of
-// copies that create makes.
+// Heap returns the heap memory, in bytes, that one value of T retains: the mean over the given number of values
+// returned by create.
 func Heap[T any](copies int, create func() T) float64 {
 	kept := make([]T, 0, copies)
 	before := heapInUse()
@@ -20,13 +21,13 @@
 	return float64(after-before) / float64(copies)
 }
 
-// collections is how often the collector runs before the heap is read: what lies in a sync.Pool is freed by the second
-// run, and what had a finalizer by the one after it.
-const collections = 3
+// gcRuns is the number of garbage collections before the heap is measured: the second one frees the content of a
+// sync.Pool, and the third one frees objects that had a finalizer.
+const gcRuns = 3
 
-// Memory returns the memory statistics of the process once the collector has freed all that it can.
+// Memory returns the memory statistics of the process after gcRuns garbage collections.
 func Memory() runtime.MemStats {
-	for range collections {
+	for range gcRuns {
 		runtime.GC()
 	}
 	var state runtime.MemStats
@@ -36,8 +37,8 @@
 
 func heapInUse() int64 { return int64(Memory().HeapAlloc) }
 
-// ProcessorTime returns the processor time, user and system, that the process has used since its start; 0 if that is not
-// known.
+// ProcessorTime returns the CPU time, user and system, that the process has used since its start, or 0 if it is
+// unknown.
 func ProcessorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -7,29 +7,31 @@
 	"testing"
 )
 
-// checkHeld allows for the few bytes that the runtime and the test's own frame get and free meanwhile.
-func checkHeld(t *testing.T, held, want float64) {
+// checkHeapSize checks that the measured size is within 5% of want. The tolerance allows for the few bytes that the
+// runtime and the test itself allocate and free during the measurement.
+func checkHeapSize(t *testing.T, held, want float64) {
 	t.Helper()
 	const tolerance = 0.05
 	if math.Abs(held-want) > tolerance*want {
-		t.Errorf("%v bytes are held, want about %v", held, want)
+		t.Errorf("heap of one value: got %v bytes, want about %v", held, want)
 	}
 }
 
 func TestHeap(t *testing.T) {
 	const size = 1 << 16
 	held := Heap(10, func() []byte { return make([]byte, size) })
-	checkHeld(t, held, size)
+	checkHeapSize(t, held, size)
 }
 
-// What others leave in a pool is let go during the measurement, and must not be taken off the value's own heap.
+// The collector frees the content of a sync.Pool during the measurement, which must not be subtracted from the size of
+// the value.
 func TestHeapBesidePool(t *testing.T) {
 	const size = 1 << 16
 	var pool sync.Pool
 	pooled := make([]byte, 64*size)
 	pool.Put(&pooled)
 	held := Heap(10, func() []byte { return make([]byte, size) })
-	checkHeld(t, held, size)
+	checkHeapSize(t, held, size)
 	runtime.KeepAlive(&pool)
 }
 
