--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that the end of a context cuts short.
+// Package pause provides waits that the end of a context interrupts.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d, or until ctx ends, and reports whether ctx has not ended.
+// For waits for d or until ctx ends. It returns false if ctx has ended.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -21,8 +21,8 @@
 	}
 }
 
-// Every calls do once in each period, and whenever wake is signalled, until ctx ends. wake may be nil. Calls that come due
-// while do runs are made up for by one.
+// Every calls do once in each period, and whenever a value arrives on wake, until ctx ends. wake may be nil. Periods
+// that end while do runs are made up for by one call.
 func Every(ctx context.Context, period time.Duration, wake <-chan struct{}, do func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -10,17 +10,17 @@
 	const wanted = 20 * time.Millisecond
 	start := time.Now()
 	if !For(t.Context(), wanted) {
-		t.Error("the context had not ended")
+		t.Error("For with a live context: got false, want true")
 	}
 	if waited := time.Since(start); waited < wanted {
-		t.Errorf("waited for %v", waited)
+		t.Errorf("wait: got %v, want at least %v", waited, wanted)
 	}
 }
 
 func TestDoesNotWaitForNoTime(t *testing.T) {
 	for _, d := range []time.Duration{0, -time.Hour} {
 		if !For(t.Context(), d) {
-			t.Errorf("the context had not ended at a wait of %v", d)
+			t.Errorf("For %v with a live context: got false, want true", d)
 		}
 	}
 }
@@ -29,11 +29,11 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(time.Millisecond, cancel)
 	if For(ctx, time.Hour) {
-		t.Error("the context had ended")
+		t.Error("For with a context that ends: got true, want false")
 	}
 	for _, d := range []time.Duration{0, time.Hour} {
 		if For(ctx, d) {
-			t.Errorf("the context had ended before a wait of %v", d)
+			t.Errorf("For %v with an ended context: got true, want false", d)
 		}
 	}
 }
