--- a/internal/delta/delta_test.go
+++ b/internal/delta/delta_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// testValue returns a value of many entries. Some of them have another number in another version.
+// testValue returns a value with the given number of entries. One entry of 500 contains the version.
 func testValue(entries, version int) []byte {
 	var value bytes.Buffer
 	for i := range entries {
@@ -20,8 +20,8 @@
 	return value.Bytes()
 }
 
-// mustEncode returns a difference.
-func mustEncode(t testing.TB, earlier, value []byte) []byte {
+// mustDifference returns the difference of two values, and fails the test on an error.
+func mustDifference(t testing.TB, earlier, value []byte) []byte {
 	t.Helper()
 	difference, err := Difference(earlier, value)
 	if err != nil {
@@ -46,7 +46,7 @@
 		"changed entries of a large value": {long, testValue(40_000, 2)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, err := Apply(c.earlier, mustEncode(t, c.earlier, c.value))
+			got, err := Apply(c.earlier, mustDifference(t, c.earlier, c.value))
 			if err != nil || !bytes.Equal(got, c.value) {
 				t.Fatalf("value: got %d bytes, %v, want %d bytes", len(got), err, len(c.value))
 			}
@@ -66,20 +66,22 @@
 	}
 }
 
-// TestDifferenceIsSmall changes a few numbers, which must take a few hundred bytes whatever the size of the value.
+// TestDifferenceIsSmall checks that a difference that changes 1 entry of 500 takes at most 500 bytes per 1000 entries,
+// for small and for large values.
 func TestDifferenceIsSmall(t *testing.T) {
 	const bytesPerThousandEntries = 500
 	for _, entries := range []int{1000, 20_000} {
-		if difference := mustEncode(t, testValue(entries, 1), testValue(entries, 2)); len(difference) > bytesPerThousandEntries*entries/1000 {
+		if difference := mustDifference(t, testValue(entries, 1), testValue(entries, 2)); len(difference) > bytesPerThousandEntries*entries/1000 {
 			t.Errorf("difference of %d entries: got %d bytes, want at most %d", entries, len(difference), bytesPerThousandEntries*entries/1000)
 		}
 	}
 }
 
-// TestInvalidDifference applies a difference to another value, truncated or damaged: it must never return a wrong value.
+// TestInvalidDifference checks that a difference never gives a wrong value when it is truncated or damaged, or applied
+// to another value.
 func TestInvalidDifference(t *testing.T) {
 	earlier, value := testValue(1000, 1), testValue(1000, 2)
-	difference := mustEncode(t, earlier, value)
+	difference := mustDifference(t, earlier, value)
 	if got, err := Apply(testValue(1000, 3), difference); err == nil && !bytes.Equal(got, value) {
 		t.Error("difference applied to another value: got a wrong value, want an error")
 	}
@@ -105,7 +107,7 @@
 	earlier, value := testValue(2000, 1), testValue(2000, 2)
 	var difference []byte
 	for b.Loop() {
-		difference = mustEncode(b, earlier, value)
+		difference = mustDifference(b, earlier, value)
 	}
 	b.SetBytes(int64(len(value)))
 	b.ReportMetric(float64(len(difference)), "bytes")
@@ -113,7 +115,7 @@
 
 func BenchmarkApply(b *testing.B) {
 	earlier, value := testValue(2000, 1), testValue(2000, 2)
-	difference := mustEncode(b, earlier, value)
+	difference := mustDifference(b, earlier, value)
 	for b.Loop() {
 		if _, err := Apply(earlier, difference); err != nil {
 			b.Fatal(err)
