--- a/internal/golden/directory.go
+++ b/internal/golden/directory.go
@@ -9,8 +9,9 @@
 	"testing"
 )
 
-// StoredDirectory returns a copy of a directory that is committed under testdata. When the test was asked to write its golden files
-// anew, and only where the directory is missing, it is written first: a stored directory is one of an earlier version.
+// StoredDirectory returns the path of a copy of a directory that is committed under testdata, as CopyDirectory does. If
+// the directory is missing and the test runs with -update, it calls write to create it first. It never overwrites an
+// existing directory, which holds data written by an earlier version.
 func StoredDirectory(t *testing.T, directory string, write func(*testing.T)) string {
 	t.Helper()
 	if _, err := os.Stat(directory); Updating() && errors.Is(err, fs.ErrNotExist) {
@@ -30,7 +31,7 @@
 	return target
 }
 
-// FileNames returns the names of the files below a directory, relative to it, one a line in lexical order.
+// FileNames returns the names of the files below a directory, relative to it, one per line in lexical order.
 func FileNames(t *testing.T, directory string) string {
 	t.Helper()
 	var names strings.Builder
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,8 +1,8 @@
-// Package golden compares what a test produces with a file that is committed under testdata.
+// Package golden compares the output of a test with a file that is committed under testdata.
 //
-// A golden file records a format that other programs or earlier versions rely on: messages on the wire, records on disk,
-// answers of the interfaces. A test that fails against its golden file has found a change of that format. Run the test
-// with -update to write the files anew, and review the difference before committing it.
+// A golden file records a format that other programs or other versions rely on: messages on the wire, records on disk,
+// responses of the APIs. A test that fails against its golden file has found a change of that format. Run the test with
+// -update to rewrite the files, and review the difference before committing it.
 package golden
 
 import (
@@ -19,7 +19,7 @@
 	fileMode      = 0o644
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 // Text fails the test unless got equals the content of the named file below testdata.
 func Text(t *testing.T, name, got string) {
@@ -35,7 +35,7 @@
 }
 
 // Bytes fails the test unless got equals the bytes that the named file below testdata holds as a hex dump. It returns
-// the bytes of the file, for a test that decodes what an earlier version has written.
+// the bytes of the file, so that a test can decode what an earlier version has written.
 func Bytes(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -59,26 +59,27 @@
 	return content
 }
 
-// ReadBytes returns the bytes that the named file below testdata has in hexadecimal: a form that is read, and written no more.
+// ReadBytes returns the bytes that the named file below testdata holds as a hex dump. It is for formats that are still
+// read but no longer written, so -update does not rewrite the file.
 func ReadBytes(t *testing.T, name string) []byte {
 	t.Helper()
 	return parseHex(t, name, Read(t, name))
 }
 
-// Updating reports whether the test was asked to write its golden files anew.
+// Updating reports whether the test runs with -update, which rewrites its golden files.
 func Updating() bool { return *update }
 
 func write(t *testing.T, path, content string) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), directoryMode); err != nil {
-		t.Fatalf("make directory of golden file: %v", err)
+		t.Fatalf("create directory of golden file: %v", err)
 	}
 	if err := os.WriteFile(path, []byte(content), fileMode); err != nil {
 		t.Fatalf("write golden file: %v", err)
 	}
 }
 
-// hexLines returns the bytes in hexadecimal, 32 a line.
+// hexLines returns a hex dump with 32 bytes per line.
 func hexLines(content []byte) string {
 	const bytesPerLine = 32
 	var lines bytes.Buffer
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -22,7 +22,7 @@
 func TestBytes(t *testing.T) {
 	want := []byte{0, 1, 2, 0xff}
 	if got := Bytes(t, "sample.hex", want); !bytes.Equal(got, want) {
-		t.Errorf("got %x, want %x", got, want)
+		t.Errorf("Bytes: got %x, want %x", got, want)
 	}
 }
 
@@ -42,6 +42,6 @@
 		t.Errorf("file names: got %q, want %q", got, want)
 	}
 	if got, err := os.ReadFile(filepath.Join(target, "a", "c")); err != nil || string(got) != "content of a/c" {
-		t.Errorf("copied file: got %q, %v, want its content", got, err)
+		t.Errorf("copied file: got %q, error %v; want %q", got, err, "content of a/c")
 	}
 }
--- a/internal/golden/roundtrip.go
+++ b/internal/golden/roundtrip.go
@@ -6,7 +6,7 @@
 )
 
 // RoundTrip fails the test unless encoding the message gives the bytes that the named file below testdata holds as a hex
-// dump, decoding these gives the message, and encoding that once more gives the same bytes.
+// dump, decoding these bytes gives the message, and encoding the decoded message gives the same bytes again.
 func RoundTrip[M any](
 	t *testing.T, name string, message M, encode func(M) ([]byte, error), decode func([]byte) (M, error),
 ) {
