--- a/internal/capnpcodec/address.go
+++ b/internal/capnpcodec/address.go
@@ -13,17 +13,17 @@
 	addressBytes = ipBytes + portBytes
 )
 
-// EncodeAddress returns the four bytes of the IPv4 address and the two of the port, in network order. It panics if the
-// address is not an IPv4 address.
+// EncodeAddress returns the four bytes of the IPv4 address followed by the two bytes of the port, in network byte
+// order. It panics if the address is not an IPv4 address.
 func EncodeAddress(address netip.AddrPort) []byte {
 	ip := address.Addr().As4()
 	return binary.BigEndian.AppendUint16(ip[:], address.Port())
 }
 
-// DecodeAddress decodes what EncodeAddress returned.
+// DecodeAddress decodes an address that EncodeAddress has encoded. It returns an error unless data has 6 bytes.
 func DecodeAddress(data []byte) (netip.AddrPort, error) {
 	if len(data) != addressBytes {
-		return netip.AddrPort{}, merry.Errorf("address of %d bytes", len(data))
+		return netip.AddrPort{}, merry.Errorf("decode address: got %d bytes, want %d", len(data), addressBytes)
 	}
 	ip := netip.AddrFrom4([ipBytes]byte(data[:ipBytes]))
 	return netip.AddrPortFrom(ip, binary.BigEndian.Uint16(data[ipBytes:])), nil
--- a/internal/capnpcodec/capnpcodec.go
+++ b/internal/capnpcodec/capnpcodec.go
@@ -1,5 +1,5 @@
-// Package capnpcodec marshals and unmarshals Cap'n Proto messages. It bounds the time and memory that a damaged or hostile message
-// can cost its reader.
+// Package capnpcodec marshals and unmarshals Cap'n Proto messages. It bounds the time and memory that a damaged or
+// malicious message can cost its reader.
 package capnpcodec
 
 import (
@@ -8,19 +8,19 @@
 )
 
 const (
-	// traverseFactor is how many times the bytes of a message may be read, on average.
-	traverseFactor = 4
-	// leastTraverseLimit is the number of bytes that may be read from a small message.
-	leastTraverseLimit = 1 << 20
-	// wordBytes is the size of a word of Cap'n Proto.
+	// readLimitFactor is the number of bytes that may be read from a message for each byte of its length.
+	readLimitFactor = 4
+	// minReadLimit is the read limit, in bytes, of a small message.
+	minReadLimit = 1 << 20
+	// wordBytes is the size of a Cap'n Proto word.
 	wordBytes = 8
 )
 
-// Marshal returns the bytes of a message of one segment. The function newRoot adds the root, and fill sets its fields. An error of
-// either is returned.
+// Marshal returns the bytes of a message with a single segment. newRoot adds the root, and fill sets its fields.
+// Marshal returns the errors of both.
 //
-// The size hint is an estimate of the length of the whole message in bytes, which saves copies while it is built; 0 is unknown. A
-// message that outgrows its hint is built again from the beginning, so fill may be called twice.
+// sizeHint is an estimate of the length of the whole message in bytes, 0 if unknown. A good estimate saves copies while
+// the message is built. A message that does not fit is built again from the beginning, so fill may be called twice.
 func Marshal[T any](sizeHint int, newRoot func(*capnp.Segment) (T, error), fill func(T) error) ([]byte, error) {
 	if sizeHint > 0 {
 		data, err := marshalIn(fixedArena(sizeHint), newRoot, fill)
@@ -31,12 +31,13 @@
 	return marshalIn(growingArena(), newRoot, fill)
 }
 
-// fixedArena returns an arena that fails to allocate beyond its size: Cap'n Proto grows only arenas on memory of its own.
+// fixedArena returns an arena that fails to allocate beyond its size: Cap'n Proto grows an arena only if it has
+// allocated the arena's memory itself.
 func fixedArena(size int) capnp.Arena {
 	return capnp.SingleSegment(make([]byte, 0, size))
 }
 
-// growingArena returns an arena on pooled memory.
+// growingArena returns an arena that grows as needed, in memory from the pool of Cap'n Proto.
 func growingArena() capnp.Arena {
 	return capnp.SingleSegment(nil)
 }
@@ -59,21 +60,22 @@
 
 // Unmarshal returns the root of a message. Byte fields of the message share the memory of data.
 //
-// The number of bytes that can be read from the message is limited to a multiple of its length, or to 1 MiB if that is more. A
-// message whose pointers lead to the same object again and again returns errors from there on.
+// The number of bytes that can be read from the message is limited to 4 times its length, or to 1 MiB if that is more.
+// Reads beyond the limit return errors. This protects against a message in which many pointers refer to the same
+// object.
 func Unmarshal[T any](data []byte, readRoot func(*capnp.Message) (T, error)) (T, error) {
 	message, err := capnp.Unmarshal(data)
 	if err != nil {
 		var none T
 		return none, err
 	}
-	message.ResetReadLimit(traverseLimit(len(data)))
+	message.ResetReadLimit(readLimit(len(data)))
 	return readRoot(message)
 }
 
-// traverseLimit returns the number of bytes that may be read from a message of a size.
-func traverseLimit(size int) uint64 {
-	return max(traverseFactor*uint64(size), leastTraverseLimit)
+// readLimit returns the number of bytes that may be read from a message of the given size.
+func readLimit(size int) uint64 {
+	return max(readLimitFactor*uint64(size), minReadLimit)
 }
 
 // List is a list of structs or pointers within a message.
@@ -82,9 +84,9 @@
 	Message() *capnp.Message
 }
 
-// CheckLength returns an error for a list that claims more elements than its message has words: elements without content take no
-// space, so that a short message can claim a great many. Readers have to call it before they allocate memory for the elements.
-// It is only for lists of structs and of pointers, as smaller elements share a word.
+// CheckLength returns an error if a list claims more elements than its message has words. Empty elements take no space,
+// so a short message can claim a very large number of them. Readers have to call CheckLength before they allocate
+// memory for the elements. It applies only to lists of structs or pointers, as smaller elements share a word.
 func CheckLength(list List) error {
 	if list.Len() == 0 {
 		return nil
--- a/internal/capnpcodec/capnpcodec_test.go
+++ b/internal/capnpcodec/capnpcodec_test.go
@@ -9,7 +9,7 @@
 	"capnproto.org/go/capnp/v3"
 )
 
-// rootSize is the size of the roots of these tests: a number, and a pointer to data or to a list.
+// rootSize is the size of the root structs in these tests: a number, and a pointer to data or to a list.
 var rootSize = capnp.ObjectSize{DataSize: wordBytes, PointerCount: 1}
 
 func newRoot(segment *capnp.Segment) (capnp.Struct, error) {
@@ -46,7 +46,7 @@
 	return root
 }
 
-// marshalList returns a message with a list of structs of a size.
+// marshalList returns a message with a list of structs of the given size.
 func marshalList(t *testing.T, element capnp.ObjectSize, length int32) []byte {
 	t.Helper()
 	data, err := Marshal(0, newRoot, func(root capnp.Struct) error {
@@ -79,7 +79,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(pointer.Data(), content) {
-		t.Errorf("content: got %d other bytes, want what was marshalled", len(pointer.Data()))
+		t.Errorf("content: got %d bytes that differ, want the %d marshalled bytes", len(pointer.Data()), len(content))
 	}
 }
 
@@ -127,7 +127,7 @@
 	for _, size := range []int{100 << 10, 2 << 20} {
 		data := marshal(t, 0, make([]byte, size))
 		reads := countReads(t, unmarshal(t, data))
-		limit := max(traverseFactor*len(data), leastTraverseLimit)
+		limit := max(readLimitFactor*len(data), minReadLimit)
 		if reads*size > limit {
 			t.Errorf("reads of %d bytes: got %d, want at most %d bytes in all", size, reads, limit)
 		}
@@ -137,7 +137,7 @@
 	}
 }
 
-// countReads reads the content of a message until that fails.
+// countReads reads the content of a message until a read fails, and returns the number of successful reads.
 func countReads(t *testing.T, root capnp.Struct) int {
 	t.Helper()
 	const most = 1000
@@ -178,6 +178,6 @@
 		t.Errorf("error: got %v, want one that names the number of elements", err)
 	}
 	if _, err := readList(t, marshalList(t, capnp.ObjectSize{}, 1<<28)); err == nil {
-		t.Error("list beyond the limit of reading: got no error, want one")
+		t.Error("list beyond the read limit: got no error, want one")
 	}
 }
