--- a/cmd/nickelline/golden_test.go
+++ b/cmd/nickelline/golden_test.go
@@ -102,7 +102,7 @@
 func samplePoolStats() admission.Stats {
 	return admission.Stats{
 		Backends: 6, Ejected: 1, InFlight: 4, Others: 2.5,
-		Latency: 120 * time.Millisecond, Uncrowded: 80 * time.Millisecond,
+		Latency: 120 * time.Millisecond, UnloadedLatency: 80 * time.Millisecond,
 		LiveFraction: 0.75, Shared: true,
 		Classes: []admission.ClassStats{{
 			Class:    admission.ClassLive,
@@ -126,8 +126,8 @@
 	writeTraffic(&w, []peer.PackageTraffic{{Package: "gossip", Traffic: peer.Traffic{SameZone: 100, OtherZones: 200}}})
 	writePool(&w, metrics.Label{Name: "service", Value: "models"}, samplePoolStats())
 	writeRequests(&w, proxy.Stats{
-		Faults: map[fault.Kind]uint64{fault.Overloaded: 21, fault.QuotaExceeded: 22},
-		Passed: 23, Attempts: 24, Retries: 25,
+		ErrorResponses:   map[fault.Kind]uint64{fault.Overloaded: 21, fault.QuotaExceeded: 22},
+		BackendResponses: 23, Attempts: 24, Retries: 25,
 	})
 	writeLeases(&w, quota.Stats{Leases: 31, Rate: 32.5, Waiting: 33})
 	writeItems(&w, store.Stats{
@@ -141,7 +141,7 @@
 func TestErrorKindsAreUnchanged(t *testing.T) {
 	var lines bytes.Buffer
 	for _, kind := range fault.Kinds() {
-		answer := fault.AnswerOf(kind)
+		answer := fault.ResponseFor(kind)
 		if err := printJSON(&lines, map[string]any{
 			"kind": kind.String(), "status": answer.Status, "notExecuted": answer.NotExecuted,
 		}); err != nil {
--- a/cmd/nickelline/metrics.go
+++ b/cmd/nickelline/metrics.go
@@ -74,7 +74,7 @@
 	w.Gauge("nickelline_in_flight", float64(stats.InFlight), service, metrics.Label{Name: "of", Value: "this node"})
 	w.Gauge("nickelline_in_flight", stats.Others, service, metrics.Label{Name: "of", Value: "others"})
 	w.Gauge("nickelline_first_part_smoothed_seconds", stats.Latency.Seconds(), service)
-	w.Gauge("nickelline_first_part_uncrowded_seconds", stats.Uncrowded.Seconds(), service)
+	w.Gauge("nickelline_first_part_uncrowded_seconds", stats.UnloadedLatency.Seconds(), service)
 	w.Gauge("nickelline_live_slots_part", stats.LiveFraction, service)
 	w.Gauge("nickelline_loads_shared", gaugeOf(stats.Shared), service)
 	for i := range stats.Classes {
@@ -125,9 +125,9 @@
 }
 
 func writeRequests(w *metrics.Writer, stats proxy.Stats) {
-	w.Counter("nickelline_answers_passed_total", stats.Passed)
-	for _, kind := range slices.Sorted(maps.Keys(stats.Faults)) {
-		w.Counter("nickelline_answers_own_total", stats.Faults[kind], metrics.Label{Name: "kind", Value: kind.String()})
+	w.Counter("nickelline_answers_passed_total", stats.BackendResponses)
+	for _, kind := range slices.Sorted(maps.Keys(stats.ErrorResponses)) {
+		w.Counter("nickelline_answers_own_total", stats.ErrorResponses[kind], metrics.Label{Name: "kind", Value: kind.String()})
 	}
 	w.Counter("nickelline_sends_total", stats.Attempts)
 	w.Counter("nickelline_retries_total", stats.Retries)
--- a/cmd/nickelline/proxy.go
+++ b/cmd/nickelline/proxy.go
@@ -76,7 +76,7 @@
 		Sender:        n.sender,
 		Quota:         n.limiter,
 		Batch:         newBatchClient(n.node, n.state),
-		Grace:         settings.Seconds(n.settings.Bounds.GracePeriodS),
+		GracePeriod:   settings.Seconds(n.settings.Bounds.GracePeriodS),
 		Connections:   int(clientDescriptors * float64(n.settings.Limits.FileDescriptors)),
 		Log:           n.log,
 	}
--- a/internal/admission/backend.go
+++ b/internal/admission/backend.go
@@ -63,7 +63,7 @@
 // applies if the entry has none.
 func (b *backend) update(listed discovery.Backend, serviceSlots int) {
 	b.listed = listed
-	b.coldRemaining = listed.Cold
+	b.coldRemaining = listed.ColdRemaining
 	b.slots = defaultSlots
 	switch {
 	case listed.Slots > 0:
--- a/internal/admission/pool_test.go
+++ b/internal/admission/pool_test.go
@@ -160,7 +160,7 @@
 
 func TestColdBackendsGetFewerRequests(t *testing.T) {
 	backends := backendsOf(4, 96, "a")
-	backends[0].Cold = 10 * time.Second
+	backends[0].ColdRemaining = 10 * time.Second
 	p := newTestPool(backends)
 	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	cold := 0
--- a/internal/admission/stats.go
+++ b/internal/admission/stats.go
@@ -97,8 +97,8 @@
 	// InFlight is the number of requests of this node at the backends, Others the estimated number of other nodes.
 	InFlight int
 	Others   float64
-	// Latency is the smoothed time to first byte, Uncrowded an estimate of the time to first byte without load.
-	Latency, Uncrowded time.Duration
+	// Latency is the smoothed time to first byte, UnloadedLatency an estimate of the time to first byte without load.
+	Latency, UnloadedLatency time.Duration
 	// LiveFraction is the expected fraction of the slots that live requests of all nodes take. It follows a decline with a
 	// delay.
 	LiveFraction float64
@@ -111,11 +111,11 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	stats := Stats{
-		Backends:     len(p.backends),
-		Latency:      seconds(p.meanLatency),
-		Uncrowded:    seconds(p.unloadedLatency),
-		LiveFraction: p.liveFraction,
-		Shared:       p.hasSharedLoads(now),
+		Backends:        len(p.backends),
+		Latency:         seconds(p.meanLatency),
+		UnloadedLatency: seconds(p.unloadedLatency),
+		LiveFraction:    p.liveFraction,
+		Shared:          p.hasSharedLoads(now),
 	}
 	for _, b := range p.backends {
 		stats.InFlight += b.inFlight
--- a/internal/control/responses.go
+++ b/internal/control/responses.go
@@ -16,7 +16,7 @@
 
 // answerError answers with the status of an error's kind, and its text for the operator.
 func answerError(request *app.RequestContext, err error) {
-	answer := fault.AnswerOf(fault.KindOf(err))
+	answer := fault.ResponseFor(fault.KindOf(err))
 	if answer.NotExecuted {
 		request.Header("Retry-After", retryAfterSeconds)
 	}
--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -24,11 +24,11 @@
 	maxValueBytes = 64 << 20
 )
 
-// Pack returns a frame that contains the whole value.
-func Pack(value []byte) ([]byte, error) { return encode(value, len(value), zstd.SpeedFastest) }
+// Compress returns a frame that contains the whole value.
+func Compress(value []byte) ([]byte, error) { return encode(value, len(value), zstd.SpeedFastest) }
 
-// Unpack returns the value of a frame that Pack returned.
-func Unpack(frame []byte) ([]byte, error) { return decode(frame) }
+// Decompress returns the value of a frame that Compress returned.
+func Decompress(frame []byte) ([]byte, error) { return decode(frame) }
 
 // Difference returns a frame from which a receiver that has the earlier value can restore the value.
 func Difference(earlier, value []byte) ([]byte, error) {
--- a/internal/delta/delta_test.go
+++ b/internal/delta/delta_test.go
@@ -56,11 +56,11 @@
 
 func TestPack(t *testing.T) {
 	for _, value := range [][]byte{nil, []byte("short"), testValue(2000, 1)} {
-		frame, err := Pack(value)
+		frame, err := Compress(value)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Unpack(frame); err != nil || !bytes.Equal(got, value) {
+		if got, err := Decompress(frame); err != nil || !bytes.Equal(got, value) {
 			t.Errorf("value: got %d bytes, %v, want %d bytes", len(got), err, len(value))
 		}
 	}
@@ -88,7 +88,7 @@
 	if got, err := Apply(nil, difference); err == nil {
 		t.Errorf("difference applied to nothing: got %d bytes, want an error", len(got))
 	}
-	if got, err := Unpack(difference); err == nil {
+	if got, err := Decompress(difference); err == nil {
 		t.Errorf("difference unpacked by itself: got %d bytes, want an error", len(got))
 	}
 	for i := range difference {
--- a/internal/discovery/backend.go
+++ b/internal/discovery/backend.go
@@ -18,6 +18,6 @@
 	Slots int
 	// Draining is set if the backend is about to shut down. It must not be sent new requests.
 	Draining bool
-	// Cold is how long after the poll a recently started backend was expected to remain slow.
-	Cold time.Duration
+	// ColdRemaining is how long after the poll a recently started backend was expected to remain slow.
+	ColdRemaining time.Duration
 }
--- a/internal/discovery/codec.go
+++ b/internal/discovery/codec.go
@@ -87,7 +87,7 @@
 	entry.SetPort(b.Address.Port())
 	entry.SetDraining(b.Draining)
 	entry.SetSlots(uint32(max(0, b.Slots)))
-	entry.SetColdMs(uint32(max(0, b.Cold.Milliseconds())))
+	entry.SetColdMs(uint32(max(0, b.ColdRemaining.Milliseconds())))
 	return nil
 }
 
@@ -166,13 +166,13 @@
 	var address [4]byte
 	binary.BigEndian.PutUint32(address[:], entry.Address())
 	return Backend{
-		ID:       id,
-		Service:  names[entry.Service()],
-		Address:  netip.AddrPortFrom(netip.AddrFrom4(address), entry.Port()),
-		Zone:     names[entry.Zone()],
-		Version:  names[entry.Version()],
-		Slots:    int(entry.Slots()),
-		Draining: entry.Draining(),
-		Cold:     time.Duration(entry.ColdMs()) * time.Millisecond,
+		ID:            id,
+		Service:       names[entry.Service()],
+		Address:       netip.AddrPortFrom(netip.AddrFrom4(address), entry.Port()),
+		Zone:          names[entry.Zone()],
+		Version:       names[entry.Version()],
+		Slots:         int(entry.Slots()),
+		Draining:      entry.Draining(),
+		ColdRemaining: time.Duration(entry.ColdMs()) * time.Millisecond,
 	}, nil
 }
--- a/internal/discovery/codec_test.go
+++ b/internal/discovery/codec_test.go
@@ -11,14 +11,14 @@
 	backends := make([]Backend, n)
 	for i := range backends {
 		backends[i] = Backend{
-			ID:       fmt.Sprintf("i-%08x", i),
-			Service:  fmt.Sprintf("service%d", i%5),
-			Address:  netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 128, byte(i >> 8), byte(i)}), 8080),
-			Zone:     fmt.Sprintf("zone%d", i%8),
-			Version:  "v1",
-			Slots:    96,
-			Draining: i%7 == 3,
-			Cold:     time.Duration(i%3) * time.Second,
+			ID:            fmt.Sprintf("i-%08x", i),
+			Service:       fmt.Sprintf("service%d", i%5),
+			Address:       netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 128, byte(i >> 8), byte(i)}), 8080),
+			Zone:          fmt.Sprintf("zone%d", i%8),
+			Version:       "v1",
+			Slots:         96,
+			Draining:      i%7 == 3,
+			ColdRemaining: time.Duration(i%3) * time.Second,
 		}
 	}
 	return backends
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -15,11 +15,11 @@
 	list := NewList([]Backend{
 		{
 			ID: "i-0001", Service: "search", Address: netip.MustParseAddrPort("10.20.30.40:5060"), Zone: "north",
-			Version: "v7", Slots: 11, Draining: true, Cold: 12 * time.Millisecond,
+			Version: "v7", Slots: 11, Draining: true, ColdRemaining: 12 * time.Millisecond,
 		},
 		{
 			ID: "i-0002", Service: "images", Address: netip.MustParseAddrPort("10.21.31.41:5161"), Zone: "south",
-			Version: "v8", Slots: 13, Draining: false, Cold: 14 * time.Millisecond,
+			Version: "v8", Slots: 13, Draining: false, ColdRemaining: 14 * time.Millisecond,
 		},
 	})
 	list.pages = 15
--- a/internal/discovery/platform.go
+++ b/internal/discovery/platform.go
@@ -76,14 +76,14 @@
 
 func (i *instance) backend() Backend {
 	return Backend{
-		ID:       i.Identifier,
-		Service:  i.Service,
-		Address:  i.Address,
-		Zone:     i.Zone,
-		Version:  i.Version,
-		Slots:    int(i.CapacitySlots),
-		Draining: i.State != stateReady,
-		Cold:     time.Duration(i.ColdRemainingMs * float64(time.Millisecond)),
+		ID:            i.Identifier,
+		Service:       i.Service,
+		Address:       i.Address,
+		Zone:          i.Zone,
+		Version:       i.Version,
+		Slots:         int(i.CapacitySlots),
+		Draining:      i.State != stateReady,
+		ColdRemaining: time.Duration(i.ColdRemainingMs * float64(time.Millisecond)),
 	}
 }
 
--- a/internal/discovery/poller_test.go
+++ b/internal/discovery/poller_test.go
@@ -95,7 +95,7 @@
 		t.Fatalf("first poll: got %d changes, proof %v; want 1 and a proof", d.changes, d.proof)
 	}
 	proof := d.proof
-	backends[1].Cold -= time.Millisecond // still cold
+	backends[1].ColdRemaining -= time.Millisecond // still cold
 	poller.poll(t.Context(), true)
 	if d.changes != 1 || !d.proof.After(proof) {
 		t.Errorf("same listing: got %d changes, proof %v after %v; want 1 and a younger proof", d.changes, d.proof, proof)
--- a/internal/discovery/publish.go
+++ b/internal/discovery/publish.go
@@ -105,10 +105,10 @@
 	}
 	for i := range a.backends {
 		x, y := a.backends[i], b.backends[i]
-		if (x.Cold > 0) != (y.Cold > 0) {
+		if (x.ColdRemaining > 0) != (y.ColdRemaining > 0) {
 			return false
 		}
-		x.Cold, y.Cold = 0, 0
+		x.ColdRemaining, y.ColdRemaining = 0, 0
 		if x != y {
 			return false
 		}
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -93,15 +93,15 @@
 	return all
 }
 
-// Answer describes the HTTP response to a request that failed with an error of a kind.
-type Answer struct {
+// Response describes the HTTP response to a request that failed with an error of a kind.
+type Response struct {
 	Status int
 	// NotExecuted guarantees that the request was not executed and never will be. Only such responses may name a time
 	// to retry.
 	NotExecuted bool
 }
 
-var answers = [kindCount]Answer{
+var answers = [kindCount]Response{
 	Internal:             {Status: http.StatusInternalServerError},
 	BadRequest:           {Status: http.StatusBadRequest},
 	InvalidConfiguration: {Status: http.StatusBadRequest},
@@ -121,8 +121,8 @@
 	Unclear:              {Status: http.StatusGatewayTimeout},
 }
 
-// AnswerOf returns the response for a kind, that for Internal if the kind is unknown.
-func AnswerOf(kind Kind) Answer {
+// ResponseFor returns the response for a kind, that for Internal if the kind is unknown.
+func ResponseFor(kind Kind) Response {
 	if kind >= kindCount {
 		kind = Internal
 	}
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -30,7 +30,7 @@
 func TestStatusesOfRequestsNotExecuted(t *testing.T) {
 	notExecuted := map[int]bool{408: true, 421: true, 429: true, 503: true}
 	for kind := range kindCount {
-		answer := AnswerOf(kind)
+		answer := ResponseFor(kind)
 		if answer.Status < 400 || answer.Status > 599 {
 			t.Errorf("status of kind %d: got %d, want one of an error", kind, answer.Status)
 		}
@@ -38,7 +38,7 @@
 			t.Errorf("kind %d with status %d: got not executed %v, want %v", kind, answer.Status, answer.NotExecuted, notExecuted[answer.Status])
 		}
 	}
-	if AnswerOf(kindCount).Status != 500 {
-		t.Errorf("status of an unknown kind: got %d, want 500", AnswerOf(kindCount).Status)
+	if ResponseFor(kindCount).Status != 500 {
+		t.Errorf("status of an unknown kind: got %d, want 500", ResponseFor(kindCount).Status)
 	}
 }
--- a/internal/forward/roundtrip.go
+++ b/internal/forward/roundtrip.go
@@ -44,7 +44,7 @@
 	if err := appendRequest(buffer, rt.backendID, r, now); err != nil {
 		return rt.releaseUnsent(err, true)
 	}
-	rt.history = rt.conn.Use(now)
+	rt.history = rt.conn.RecordRequest(now)
 	rt.conn.SetDeadline(r.Deadline)
 	rt.stopAfterFunc = context.AfterFunc(rt.ctx, func() { rt.conn.SetDeadline(pastDeadline) })
 	if _, err := rt.conn.Write(buffer.Bytes()); err != nil {
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, rt.abort(err)
 	}
-	rt.client.pool.RecordAnswer(rt.backend, time.Now())
+	rt.client.pool.RecordResponse(rt.backend, time.Now())
 	id := head.Header.Get(HeaderAttemptID)
 	notExecuted := reportsNotExecuted(head)
 	// A response without an attempt id is taken as the response to this request only if it reports that the request was not
--- a/internal/gossip/packer.go
+++ b/internal/gossip/packer.go
@@ -25,7 +25,7 @@
 	if cached.frame != nil && cached.version == v.Version {
 		return cached.frame, nil
 	}
-	frame, err := delta.Pack(v.Data)
+	frame, err := delta.Compress(v.Data)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/gossip/update_codec.go
+++ b/internal/gossip/update_codec.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return update{}, err
 	}
-	u.value.Data, err = delta.Unpack(packed)
+	u.value.Data, err = delta.Decompress(packed)
 	return u, err
 }
 
--- a/internal/node/left_test.go
+++ b/internal/node/left_test.go
@@ -208,7 +208,7 @@
 			t.Errorf("on a kept connection: got outcome %v (%v), want OK", r.code, r.err)
 		}
 	}
-	if dialled := tr.stats.Dialled.Load(); dialled != int64(want) {
+	if dialled := tr.stats.Dialed.Load(); dialled != int64(want) {
 		t.Errorf("got %d dialed connections, want %d", dialled, want)
 	}
 }
--- a/internal/node/loadreport.go
+++ b/internal/node/loadreport.go
@@ -22,7 +22,7 @@
 		if err != nil || !(value >= 0 && value <= maxLoadValue) {
 			return nil
 		}
-		known = wire.SetReport(&report, name, value) || known
+		known = wire.SetReportField(&report, name, value) || known
 	}
 	if !known {
 		return nil
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -46,7 +46,7 @@
 	}
 	return []slog.Attr{take("accepted", &s.accepted), take("turned_away", &s.connsRefused), take("evicted", &s.evicted),
 		take("requests", &s.requests), take("rejected", &s.rejected), take("served", &s.served), take("refused", &s.refused),
-		take("failed", &s.failed), take("gone", &s.clientsGone), take("overdue", &s.overdue), take("dialled", &s.Dialled),
+		take("failed", &s.failed), take("gone", &s.clientsGone), take("overdue", &s.overdue), take("dialled", &s.Dialed),
 		take("dial_failed", &s.DialFailed), take("retired", &s.Retired), slog.Any("ended", ended)}
 }
 
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -169,7 +169,7 @@
 
 // exchange writes the request to a connection, reads the response, and releases the connection.
 func (t *transport) exchange(ctx context.Context, backend *upstream.Backend, conn *upstream.Conn, x *exchange, now time.Time) result {
-	history := conn.Use(now)
+	history := conn.RecordRequest(now)
 	conn.SetDeadline(x.deadline)
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	res, keep := t.roundTrip(conn, x)
@@ -180,7 +180,7 @@
 	}
 	switch {
 	case res.err == nil:
-		t.RecordAnswer(backend, time.Now())
+		t.RecordResponse(backend, time.Now())
 	case res.code == decide.ConnectFailed:
 	case ctx.Err() != nil:
 		res.code = decide.Cancelled
--- a/internal/node/transport_test.go
+++ b/internal/node/transport_test.go
@@ -386,7 +386,7 @@
 		}
 		time.Sleep(2 * minIdleBeforeReuse)
 		if responded {
-			tr.RecordAnswer(h, time.Now().Add(testTimeout))
+			tr.RecordResponse(h, time.Now().Add(testTimeout))
 		}
 		if r := tr.do(t.Context(), h, getExchange(time.Second)); r.code != decide.TimedOut {
 			t.Errorf("got outcome %v (%v), want TimedOut", r.code, r.err)
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -29,7 +29,7 @@
 // until the platform has had time to react. Then it closes idle connections, waits for the responses in flight, and
 // closes the rest. Drain returns within the grace period, less a margin for the exit of the process.
 func (p *Proxy) Drain(ctx context.Context) {
-	grace := p.options.Grace
+	grace := p.options.GracePeriod
 	ctx, cancel := context.WithTimeout(ctx, grace-min(drainMargin, grace/drainMarginDivisor))
 	defer cancel()
 	p.draining.Store(true)
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -170,7 +170,7 @@
 
 func TestDrainEndsWithinTheGracePeriod(t *testing.T) {
 	b := startBackend(t, replyAndKeepOpen(""))
-	s := startTestProxy(t, func(o *Options) { o.Grace = 200 * time.Millisecond }, b)
+	s := startTestProxy(t, func(o *Options) { o.GracePeriod = 200 * time.Millisecond }, b)
 	c := s.connect(t)
 	c.send(t, requestText("/many/x", "", ""))
 	wait(t, b.requests, "request")
--- a/internal/proxy/errors.go
+++ b/internal/proxy/errors.go
@@ -17,7 +17,7 @@
 	if w.onError != nil {
 		w.onError(kind)
 	}
-	response := fault.AnswerOf(kind)
+	response := fault.ResponseFor(kind)
 	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
 	if response.Status == http.StatusTooManyRequests || response.Status == http.StatusServiceUnavailable {
 		header["Retry-After"] = []string{formatRetryAfter(retryAfter(err))}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -46,8 +46,8 @@
 	Quota QuotaLimiter
 	// Batch serves the batch API; nil: its requests are answered 503.
 	Batch BatchAPI
-	// Grace is the grace period: how long the process may run after a drain has begun.
-	Grace time.Duration
+	// GracePeriod is the grace period: how long the process may run after a drain has begun.
+	GracePeriod time.Duration
 	// Connections is the maximum number of concurrent client connections.
 	Connections int
 	Log         *zap.Logger
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -260,7 +260,7 @@
 		},
 		Selector:    SelectorFunc(s.selectBackend),
 		Sender:      client,
-		Grace:       testTimeout,
+		GracePeriod: testTimeout,
 		Connections: 100,
 		Log:         zap.NewNop(),
 	}
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -32,10 +32,10 @@
 
 // Stats are counters of a proxy since its start.
 type Stats struct {
-	// Faults counts the proxy's own error responses, by kind.
-	Faults map[fault.Kind]uint64
-	// Passed counts the responses of backends that were delivered to clients.
-	Passed uint64
+	// ErrorResponses counts the proxy's own error responses, by kind.
+	ErrorResponses map[fault.Kind]uint64
+	// BackendResponses counts the responses of backends that were delivered to clients.
+	BackendResponses uint64
 	// Attempts counts the attempts to send a request to a backend, Retries those that were not the first for their
 	// request.
 	Attempts, Retries uint64
@@ -44,13 +44,13 @@
 // Stats returns the counters of the proxy.
 func (p *Proxy) Stats() Stats {
 	stats := Stats{
-		Faults:   make(map[fault.Kind]uint64, len(p.counters.errors)),
-		Passed:   p.counters.delivered.Load(),
-		Attempts: p.counters.attempts.Load(),
-		Retries:  p.counters.retries.Load(),
+		ErrorResponses:   make(map[fault.Kind]uint64, len(p.counters.errors)),
+		BackendResponses: p.counters.delivered.Load(),
+		Attempts:         p.counters.attempts.Load(),
+		Retries:          p.counters.retries.Load(),
 	}
 	for kind, count := range p.counters.errors {
-		stats.Faults[kind] = count.Load()
+		stats.ErrorResponses[kind] = count.Load()
 	}
 	return stats
 }
--- a/internal/proxy/stats_test.go
+++ b/internal/proxy/stats_test.go
@@ -64,10 +64,10 @@
 		t.Fatalf("status: got %d, want %d", a.StatusCode, http.StatusNotFound)
 	}
 	stats := s.Stats()
-	if stats.Attempts != 2 || stats.Retries != 1 || stats.Passed != 1 {
-		t.Errorf("Stats: got %+v, want Attempts 2, Retries 1, Passed 1", stats)
+	if stats.Attempts != 2 || stats.Retries != 1 || stats.BackendResponses != 1 {
+		t.Errorf("Stats: got %+v, want Attempts 2, Retries 1, BackendResponses 1", stats)
 	}
-	for kind, count := range stats.Faults {
+	for kind, count := range stats.ErrorResponses {
 		want := uint64(0)
 		if kind == fault.RouteNotFound {
 			want = 1
--- a/internal/upstream/acquire.go
+++ b/internal/upstream/acquire.go
@@ -26,7 +26,7 @@
 	if c != nil || err != nil {
 		return c, err
 	}
-	p.counters.Dialled.Add(1)
+	p.counters.Dialed.Add(1)
 	return p.dialReserved(ctx, b, deadline)
 }
 
--- a/internal/upstream/backends.go
+++ b/internal/upstream/backends.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// RecordAnswer records when a response came from a backend.
-func (p *Pool[K]) RecordAnswer(b *Backend, at time.Time) {
+// RecordResponse records when a response came from a backend.
+func (p *Pool[K]) RecordResponse(b *Backend, at time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	b.lastResponse = at
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -31,8 +31,8 @@
 	Idle     time.Duration // since the connection was made or last released
 }
 
-// Use counts a request that is about to be written, and returns the history of the connection before it.
-func (c *Conn) Use(now time.Time) ConnHistory {
+// RecordRequest counts a request that is about to be written, and returns the history of the connection before it.
+func (c *Conn) RecordRequest(now time.Time) ConnHistory {
 	history := ConnHistory{Requests: c.requests, Age: now.Sub(c.createdAt), Idle: now.Sub(c.idleSince)}
 	c.requests++
 	return history
--- a/internal/upstream/options.go
+++ b/internal/upstream/options.go
@@ -60,7 +60,7 @@
 
 // Counters holds counts of what the pool does, for logs.
 type Counters struct {
-	Dialled    atomic.Int64 // dials that were started
+	Dialed     atomic.Int64 // dials that were started
 	DialFailed atomic.Int64 // dials that failed
 	Retired    atomic.Int64 // idle connections that were closed as no longer usable
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -73,7 +73,7 @@
 		if p.Open() != c.open {
 			t.Errorf("idle for %v: got %d open connections, want %d", c.idleFor, p.Open(), c.open)
 		}
-		if fresh := conn.Use(time.Now()).Requests == 0; fresh != (p.Open() > open) {
+		if fresh := conn.RecordRequest(time.Now()).Requests == 0; fresh != (p.Open() > open) {
 			t.Errorf("idle for %v: new connection: got %v, but open connections went from %d to %d", c.idleFor, fresh, open, p.Open())
 		}
 		p.Release(conn, true)
@@ -282,7 +282,7 @@
 		began := time.Now()
 		p.Release(acquire(t, p, "a"), true)
 		if answered {
-			p.RecordAnswer(p.Find("a"), began)
+			p.RecordResponse(p.Find("a"), began)
 		}
 		p.CloseUnresponsive(p.Find("a"), began)
 		if kept := len(p.Idle(p.Find("a"))); kept != want {
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -18,7 +18,7 @@
 		if err != nil {
 			continue
 		}
-		known = SetReport(&report, name, value) || known
+		known = SetReportField(&report, name, value) || known
 	}
 	if !known {
 		return nil
@@ -26,9 +26,9 @@
 	return &report
 }
 
-// SetReport sets the field of a load report that has the given name, either in the simulator's events or in a header of
+// SetReportField sets the field of a load report that has the given name, either in the simulator's events or in a header of
 // a real backend. It reports whether the name is known.
-func SetReport(report *decide.Report, name string, value float64) bool {
+func SetReportField(report *decide.Report, name string, value float64) bool {
 	switch name {
 	case "active", "inflight":
 		report.InFlight, report.HasInFlight = value, true
