--- a/decide/attempts.go
+++ b/decide/attempts.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// retryTokensPerArrival bounds further attempts as a part of the arrivals: the node makes no retry
-	// storm.
+	// retryTokensPerArrival is the number of further attempts that each arrival pays for. The limit
+	// keeps the node from causing a retry storm.
 	retryTokensPerArrival = 0.1
-	// maxRetryTokens is what the budget of further attempts may save up.
+	// maxRetryTokens is the largest budget of further attempts that can accumulate.
 	maxRetryTokens = 10.0
-	// retryAfterShare is the part of its class's latency target that a refused client is asked to wait,
-	// jittered.
+	// retryAfterShare is the share of its class's latency target that a refused client is asked to
+	// wait, before jitter.
 	retryAfterShare = 0.15
 )
 
-// send starts an attempt, if there is a backend and the rules allow one, and reports whether it has.
-// It is the only way to a backend.
+// send starts an attempt if there is a backend and the rules allow the attempt, and reports whether it
+// did. Every attempt goes through send.
 func (m *Module) send(r *request, b *backend, timeout time.Duration) bool {
 	if b == nil || !m.maySend(r, b) {
 		return false
@@ -31,8 +31,8 @@
 	return true
 }
 
-// ended takes the end of an attempt.
-func (m *Module) ended(e AttemptEnded) {
+// attemptEnded handles the outcome of an attempt.
+func (m *Module) attemptEnded(e AttemptEnded) {
 	r := m.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
 		return
@@ -51,23 +51,24 @@
 	case r.answered && r.inFlight == 0:
 		delete(m.requests, r.id)
 	case e.Over && !r.answered:
-		m.close(r)
+		m.closeRequest(r)
 	case !r.answered && r.inFlight == 0:
 		m.retry(r, a.mayRun)
 	}
 }
 
-// retry makes a further attempt if rules, budget and backends allow one, else answers the request.
-// costly: the ended attempt may have run, so that a further one spends a retry token.
-func (m *Module) retry(r *request, costly bool) {
+// retry makes a further attempt if the rules, the budget and the backends allow one, and otherwise
+// answers the request. With spendsToken, the ended attempt may have run, and a further one spends a
+// retry token.
+func (m *Module) retry(r *request, spendsToken bool) {
 	worthless := r.class.LateValue == 0 && r.class.Target > 0 && m.now-r.arrived >= r.class.Target
-	if !worthless && (m.retryTokens >= 1 || !costly) {
+	if !worthless && (m.retryTokens >= 1 || !spendsToken) {
 		b, mode := m.pick(m.subset, r)
 		if b == nil && !m.mayRefuse(r) {
-			b, mode = m.pick(m.listed, r) // its key may bind it to backends outside the subset
+			b, mode = m.pick(m.listed, r) // its key may bind the request to backends outside the subset
 		}
 		if (mode == Normal || r.priority) && m.send(r, b, r.deadline) {
-			if costly {
+			if spendsToken {
 				m.retryTokens--
 			}
 			return
@@ -76,8 +77,9 @@
 	m.answerFinally(r)
 }
 
-// answerFinally gives the final answer where no backend did: a refusal if the rules allow one. Its
-// wait brings the client back while an answer still has value, else as late as it may.
+// answerFinally gives the final answer where no backend did: a refusal if the rules allow one, else a
+// failure. A refused client is asked to wait for a fraction of its class's target, so that it comes
+// back while an answer still has value, but never longer than MaxRetryAfter.
 func (m *Module) answerFinally(r *request) {
 	wait := m.jitter(time.Duration(retryAfterShare * float64(r.class.Target)))
 	wait = min(wait, m.settings.MaxRetryAfter)
@@ -88,11 +90,12 @@
 		m.tally.refused++
 		m.emit(Refuse{ID: r.id, RetryAfter: wait})
 	}
-	m.close(r)
+	m.closeRequest(r)
 }
 
-// close forgets a request once its attempts have ended; those in flight are cancelled.
-func (m *Module) close(r *request) {
+// closeRequest marks a request as answered, cancels its attempts in flight unless it streams, and
+// forgets it once all attempts have ended.
+func (m *Module) closeRequest(r *request) {
 	r.answered = true
 	for i := range r.attempts {
 		if m.settings.MayCancel && !r.attempts[i].ended && !r.streaming {
--- a/decide/backend.go
+++ b/decide/backend.go
@@ -2,68 +2,68 @@
 
 import "time"
 
-// backend is what this node knows of a backend.
+// backend is the state that this node keeps of one backend.
 type backend struct {
 	Backend
-	ringPosition uint64 // in the order of backends that all nodes share
-	firstSeen    Time   // first listed, or last started
-	subsetNumber int    // the last choice of a subset that it was in
+	ringPosition     uint64 // order of the backends on the ring that all nodes share
+	firstSeen        Time   // when it was first listed or last started
+	subsetGeneration int    // the last subset that it was in
 
 	// Overload (modes.go, thresholds.go).
-	mode         Mode // by own count
-	reportedMode Mode // by reports
+	mode         Mode // by its load (modeOf)
+	reportedMode Mode // by the requests in flight that it reports
 	imposedMode  Mode // by a rejection or a report, until imposedUntil
 	imposedUntil Time
-	inFlight     float64 // own attempts
-	dither       float64 // in [0,1), drawn each period
+	inFlight     float64 // this node's attempts
+	dither       float64 // in [0,1); rounds H up or down at random, drawn each shed period
 
 	// Reports (reports.go).
-	reportedInFlight float64 // requests that it last reported to hold, at reportAt
-	reportExcess     float64 // that over the typical number, or the excess that a time-out shows
+	reportedInFlight float64 // requests in flight that it last reported, at reportAt
+	inFlightExcess   float64 // these minus Module.meanInFlight, or the excess that a time-out implies
 	reportAt         Time
-	utilisation      float64 // part of its cores that is busy, smoothed from 0; 0: never reported
+	utilisation      float64 // share of its cores that is busy, smoothed from 0; 0: never reported
 	utilisationAt    Time
 
 	// Latency and rate (latency.go, capacity.go).
-	latencyExcess float64 // seconds; smoothed latency of a mean request over Module.meanLatency
+	latencyExcess float64 // seconds; smoothed latency of a mean request minus Module.meanLatency
 	latencyAt     Time
-	answerRate    float64 // own answers each second, smoothed
+	answerRate    float64 // answers per second to this node, smoothed
 	answerRateAt  Time
 
 	// Health (health.go, trials.go).
-	faults          []fault // by class
-	failuresInRow   int     // since the last success
-	unanswered      int     // sends since the last answer
-	unansweredSince Time    // the first of those sends
-	suspect         bool
-	trialAt         Time // of the next trial of a suspect
-	trialWait       time.Duration
-	backoff         time.Duration // added to a block after rejections in a row
+	healthByClass       []classHealth // by class.index
+	consecutiveFailures int           // since the last success
+	unanswered          int           // sends since the last answer
+	unansweredSince     Time          // time of the first of those sends
+	suspect             bool
+	trialAt             Time // of the next trial while it is a suspect
+	trialWait           time.Duration
+	backoff             time.Duration // added to a block after consecutive rejections
 
 	// Cold start (coldstart.go).
 	cold      bool
 	coldSince Time
-	tokens    float64 // sends that its budget allows while cold
+	tokens    float64 // sends that the cold-start budget allows
 	tokensAt  Time
 
-	logQuietUntil Time // no log line about it until then
+	logQuietUntil Time // no log line about the backend until then
 }
 
-// fault is how a backend does with one class.
-type fault struct {
-	lossRate    float64 // part of the class's attempts that it leaves undone, smoothed
-	avoided     bool    // it gets no requests of the class, but for trials
+// classHealth is how well a backend serves one class.
+type classHealth struct {
+	failureRate float64 // share of the class's attempts that fails, smoothed
+	avoided     bool    // it gets only trial requests of the class
 	lastAttempt Time
 	trialAt     Time
 }
 
-// backendOf returns the backend with an id, and makes it if it is new.
+// backendOf returns the backend with an id and creates it if it is new.
 func (m *Module) backendOf(id BackendID) *backend {
 	if m.backends[id] == nil {
 		m.backends[id] = &backend{
 			firstSeen:     m.now,
 			utilisationAt: m.now,
-			faults:        make([]fault, len(m.classOrder)),
+			healthByClass: make([]classHealth, len(m.classOrder)),
 			logQuietUntil: m.now,
 			ringPosition:  mix(uint64(id) * mixIncrement),
 		}
@@ -71,11 +71,11 @@
 	return m.backends[id]
 }
 
-// faultOf returns how the backend does with a class.
-func (b *backend) faultOf(c *class) *fault { return &b.faults[c.index] }
+// healthOf returns how well the backend serves a class.
+func (b *backend) healthOf(c *class) *classHealth { return &b.healthByClass[c.index] }
 
-// forget drops a backend that is gone once its last attempt has ended: new ones come under new ids for
-// ever.
+// forget drops a backend that is gone once its last attempt has ended: new backends keep coming under
+// new ids, and the map would grow without bound.
 func (m *Module) forget(b *backend) {
 	if b.State == Gone && b.inFlight <= 0 && m.backends[b.ID] == b {
 		delete(m.backends, b.ID)
--- a/decide/behaviour_test.go
+++ b/decide/behaviour_test.go
@@ -8,8 +8,8 @@
 	"nickelline/decide"
 )
 
-// A backend that does not answer is left out and its requests are answered elsewhere, also while the list is down; it then comes
-// back paced, as it may be cold.
+// A backend that stops answering gets few requests, and they are answered elsewhere, also while the list is
+// unavailable. When it answers again, its load rises slowly, as it may be cold.
 func TestUnresponsiveBackendWhileListIsDown(t *testing.T) {
 	s := rigSettings()
 	s.ListOnRequest = true
@@ -25,10 +25,10 @@
 	r.reset()
 	r.run(6*time.Second, 100, "cheap")
 	if r.sent[3] > 25 || r.failed > 0 || r.refused > 5 {
-		t.Errorf("unresponsive backend got %d, %d failed, %d refused", r.sent[3], r.failed, r.refused)
+		t.Errorf("unresponsive backend got %d requests, %d failed, %d refused", r.sent[3], r.failed, r.refused)
 	}
 	if r.subscriptions < 3 {
-		t.Errorf("the list was asked for %d times only", r.subscriptions)
+		t.Errorf("the list was requested only %d times", r.subscriptions)
 	}
 	r.delay = quick
 	r.reset()
@@ -38,7 +38,7 @@
 	r.reset()
 	r.run(5*time.Second, 100, "cheap")
 	if early > 50 || r.sent[3] < 60 {
-		t.Errorf("answering again: %d in the first 3 s, %d in 5 s once warm", early, r.sent[3])
+		t.Errorf("answering again: got %d sends in the first 3 s and %d in 5 s once warm, want at most 50 and at least 60", early, r.sent[3])
 	}
 }
 
@@ -46,21 +46,22 @@
 func TestUnsafeTimeOutFails(t *testing.T) {
 	r := newRig(t, rigSettings(), 3)
 	r.delay = func(decide.BackendID) (time.Duration, decide.OutcomeCode) { return time.Hour, decide.TimedOut }
-	r.run(5*time.Millisecond, 200, "once")
-	r.run(3*time.Second, 0, "once")
+	r.run(5*time.Millisecond, 200, "unsafe")
+	r.run(3*time.Second, 0, "unsafe")
 	if n := r.sent[1] + r.sent[2] + r.sent[3]; n != 1 || r.failed != 1 || r.refused != 0 {
 		t.Errorf("%d sends, %d failed, %d refused; want 1, 1, 0", n, r.failed, r.refused)
 	}
 }
 
-// Each effect after outcomes that prove nothing and after one that proves it never ran.
+// Checks for each effect whether a request is sent again after outcomes that leave open whether it ran, and after one
+// that proves that it never ran.
 func TestFurtherAttemptsByEffect(t *testing.T) {
 	for _, c := range []struct {
 		class string
 		code  decide.OutcomeCode
 		again bool
-	}{{"cheap", decide.BackendError, true}, {"cheap", decide.ConnectFailed, true}, {"once", decide.BackendError, false},
-		{"once", decide.Reset, false}, {"once", decide.ConnectFailed, true}, {"once", decide.Full, true}} {
+	}{{"cheap", decide.BackendError, true}, {"cheap", decide.ConnectFailed, true}, {"unsafe", decide.BackendError, false},
+		{"unsafe", decide.Reset, false}, {"unsafe", decide.ConnectFailed, true}, {"unsafe", decide.Full, true}} {
 		r := newRig(t, rigSettings(), 3)
 		r.run(3*time.Second, 100, "cheap")
 		r.run(time.Second, 0, "cheap")
@@ -76,13 +77,13 @@
 		r.run(5*time.Millisecond, 200, c.class)
 		r.run(time.Second, 0, c.class)
 		if n := r.sent[1] + r.sent[2] + r.sent[3]; (n == 2) != c.again || (r.failed == 1) == c.again {
-			t.Errorf("%s after code %d: %d sends, %d failed", c.class, c.code, n, r.failed)
+			t.Errorf("%s after code %d: got %d sends, %d failed", c.class, c.code, n, r.failed)
 		}
 	}
 }
 
-// A backend that fails fast must not attract work.
-func TestFastFailerAttractsNothing(t *testing.T) {
+// A backend that fails fast must not attract traffic by its short latency.
+func TestFastFailingBackendAttractsNoTraffic(t *testing.T) {
 	r := newRig(t, rigSettings(), 4)
 	r.delay = func(id decide.BackendID) (time.Duration, decide.OutcomeCode) {
 		if id == 2 {
@@ -96,8 +97,8 @@
 	}
 }
 
-// When all slow down at once nobody is ejected: every backend is kept as busy as it was, in requests in flight.
-func TestAllSlowAtOnceEjectsNobody(t *testing.T) {
+// When all backends slow down at once, none is made a suspect: each keeps as many requests in flight as before.
+func TestFleetWideSlowdownMakesNoSuspects(t *testing.T) {
 	r := newRig(t, rigSettings(), 4)
 	r.run(5*time.Second, 80, "cheap")
 	r.delay = func(decide.BackendID) (time.Duration, decide.OutcomeCode) { return 150 * time.Millisecond, decide.OK }
@@ -108,31 +109,32 @@
 	}
 	for id := decide.BackendID(1); id <= 4; id++ {
 		if r.sent[id] < 25 { // one in flight, as before, is 33 in 5 s
-			t.Errorf("backend %d got %d only", id, r.sent[id])
+			t.Errorf("backend %d got only %d requests", id, r.sent[id])
 		}
 	}
 }
 
+// Without a ready backend a request is refused at once. Empty settings and events about unknown requests do no harm.
 func TestNoUsableBackendOrOddSettings(t *testing.T) {
 	drained := []decide.Backend{{ID: 1, State: decide.Draining}}
 	for _, list := range [][]decide.Backend{nil, drained} {
 		for _, s := range []decide.Settings{{}, rigSettings()} {
 			r := newRig(t, s, 0)
 			r.feed(decide.ListUpdate{Kind: decide.ListFull, Entries: list})
-			r.feed(decide.RequestArrived{ID: "a", Class: "unheard of", Patience: time.Second})
-			if _, ok := r.last["a"].(decide.Refuse); !ok || len(r.sent) != 0 {
-				t.Errorf("%v: answer %v, sends %v", list, r.last["a"], r.sent)
+			r.feed(decide.RequestArrived{ID: "a", Class: "unknown", Patience: time.Second})
+			if _, ok := r.finalActions["a"].(decide.Refuse); !ok || len(r.sent) != 0 {
+				t.Errorf("%v: answer %v, sends %v", list, r.finalActions["a"], r.sent)
 			}
 		}
 	}
 	r := newRig(t, decide.Settings{}, 2) // no classes at all
 	r.feed(decide.RequestArrived{ID: "a", Class: "x", Patience: 0})
-	if _, ok := r.last["a"].(decide.Refuse); !ok {
+	if _, ok := r.finalActions["a"].(decide.Refuse); !ok {
 		t.Error("zero patience was not refused")
 	}
 	r.feed(decide.RequestArrived{ID: "b", Class: "x", Patience: time.Second})
-	r.feed(decide.AttemptEnded{ID: "nobody", Attempt: 3, Backend: 9, Code: decide.OK, Report: &decide.Report{}})
-	r.feed(decide.RequestAbandoned{ID: "nobody"})
+	r.feed(decide.AttemptEnded{ID: "unknown", Attempt: 3, Backend: 9, Code: decide.OK, Report: &decide.Report{}})
+	r.feed(decide.RequestAbandoned{ID: "unknown"})
 	r.feed(decide.TimerFired{Token: 99})
 	r.run(2*time.Second, 50, "x")
 	if r.sent[1]+r.sent[2] == 0 {
@@ -140,8 +142,9 @@
 	}
 }
 
-// A zone is lost together with the nodes there: its backends stop answering, this node gets twice the traffic, the list says
-// late, and the backends come back as new processes. What is left is not crowded, and those that return are paced.
+// A zone fails together with the nodes in it: its backends stop answering, this node gets twice the traffic, the list
+// is late, and the backends come back as new processes. The remaining backends must not be overloaded, and the load on
+// those that return must rise slowly.
 func TestZoneLostWithItsNodesAndBackCold(t *testing.T) {
 	s := rigSettings()
 	s.Nodes = 2
@@ -167,7 +170,7 @@
 		}
 	}
 	if dead > 60 || alive < 300 || r.failed > 0 {
-		t.Errorf("zone lost: %d sends into it, %d to the rest, %d failed", dead, alive, r.failed)
+		t.Errorf("zone lost: %d sends to it, %d to the rest, %d failed", dead, alive, r.failed)
 	}
 	var gone, back []decide.Backend
 	for id := decide.BackendID(5); id <= 8; id++ {
@@ -199,8 +202,9 @@
 	}
 }
 
-// Guards against the burst that none of many nodes sees: each one's first requests to a backend that has just started.
-func TestManyNodesTogetherSpareAColdBackend(t *testing.T) {
+// Guards against a burst that no single node can see: the first requests of many nodes to a backend that has just
+// started.
+func TestManyNodesTogetherKeepColdBudget(t *testing.T) {
 	const nodes = 60
 	s := rigSettings()
 	s.Nodes = nodes
@@ -216,11 +220,11 @@
 		r.feed(decide.ListUpdate{Kind: decide.ListCached, Entries: list})
 		r.delay = func(id decide.BackendID) (time.Duration, decide.OutcomeCode) {
 			if id == 3 {
-				return 10 * time.Millisecond, decide.OK // the one that everybody likes best
+				return 10 * time.Millisecond, decide.OK // the fastest, which every node prefers
 			}
 			return 50 * time.Millisecond, decide.OK
 		}
-		r.run(10*time.Second, 4, "cheap") // of all nodes, 24 a second at each backend
+		r.run(10*time.Second, 4, "cheap") // from all nodes together, 24 per second to each backend
 		list[2].StartedAt = r.now
 		r.feed(decide.ListUpdate{Kind: decide.ListChanges, Entries: list[2:3]})
 		r.reset()
@@ -232,7 +236,7 @@
 	}
 }
 
-// Log lines are few even where a backend fails and recovers all the time.
+// Log lines are limited even where a backend keeps failing and recovering.
 func TestLogIsLimited(t *testing.T) {
 	r := newRig(t, rigSettings(), 3)
 	r.run(3*time.Second, 100, "cheap")
@@ -248,10 +252,10 @@
 	r.backendLines, r.statusLines = 0, 0
 	r.run(60*time.Second, 100, "cheap")
 	if r.backendLines == 0 || r.backendLines > 13 {
-		t.Errorf("%d log lines in a minute about one backend", r.backendLines)
+		t.Errorf("got %d log lines about one backend in a minute, want 1 to 13", r.backendLines)
 	}
 	if r.statusLines < 3*11 || r.statusLines > 3*13 {
-		t.Errorf("%d lines of status in some 60 s, want 3 every 5 s", r.statusLines)
+		t.Errorf("got %d status lines in about 60 s, want 3 every 5 s", r.statusLines)
 	}
 }
 
--- a/decide/capacity.go
+++ b/decide/capacity.go
@@ -6,45 +6,48 @@
 )
 
 const (
-	// minEvenShare of an even part of all nodes' requests: what is less is noise.
+	// minEvenShare is the least share of the traffic, as a multiple of an even share among the nodes,
+	// that capacityOf extrapolates from; a smaller one is noise.
 	minEvenShare = 0.25
-	// historyAfter is the time after a start from which figures of a backend count: reports are late, and
-	// means take a while to hold.
-	historyAfter = 3 * time.Second
-	// rateTau, in seconds, smooths a backend's rate of answers and its utilisation.
-	rateTau = 3.0
+	// minHistory is the time after a backend's start from which its measurements count: reports lag,
+	// and averages take a while to settle.
+	minHistory = 3 * time.Second
+	// rateTauSeconds is the time constant of a backend's smoothed answer rate and utilisation.
+	rateTauSeconds = 3.0
 )
 
-// rateOf returns the answers each second that this node gets from a backend, unbiased from the first
-// second on.
+// rateOf returns the answers per second that this node gets from a backend, corrected for the start of
+// the smoothed rate at 0.
 func (m *Module) rateOf(b *backend) float64 {
-	weightSeen := 1 - decay(m.now-b.firstSeen+tickInterval, rateTau)
-	return b.answerRate * decay(m.now-b.answerRateAt, rateTau) / weightSeen
+	weightSeen := 1 - decay(m.now-b.firstSeen+tickInterval, rateTauSeconds)
+	return b.answerRate * decay(m.now-b.answerRateAt, rateTauSeconds) / weightSeen
 }
 
-// capacityOf returns the rate at which a backend would answer this node with all its cores busy. What
-// it answers now is only what was let through to it: thresholds drawn from that would hold a backend
-// where it is, however idle.
+// capacityOf returns the rate at which a backend would answer this node with all its cores busy. The
+// current rate is only what was let through to the backend: thresholds computed from it would keep a
+// backend at its current load, however idle it is.
 func (m *Module) capacityOf(b *backend) float64 {
 	rate := m.rateOf(b)
-	if b.utilisation > 0 && m.now-b.utilisationAt <= 2*validity {
-		// Cores are busy for all nodes. A node that has just started causes little of that yet, and by its own
-		// rate alone would keep to that little: its share of the capacity is an even one at least.
-		evenShares := math.Min(1, math.Max(m.trafficShare*float64(m.settings.Nodes), minEvenShare))
-		rate /= math.Max(m.utilisationOf(b), minUtilisation) * evenShares
+	if b.utilisation > 0 && m.now-b.utilisationAt <= 2*validityPeriod {
+		// Cores are busy with the requests of all nodes. A node that has just started causes little of
+		// that, and if it went by its own rate alone it would stay at that little. So its share of the
+		// capacity counts as at least an even one.
+		relativeShare := math.Min(1, math.Max(m.trafficShare*float64(m.settings.Nodes), minEvenShare))
+		rate /= math.Max(m.utilisationOf(b), minUtilisation) * relativeShare
 	}
 	if m.capacityKnown && !m.hasHistory(b) {
-		rate = m.warmth(b) * m.fleetCapacity
+		rate = m.warmth(b) * m.meanCapacity
 	}
 	return rate
 }
 
-// hasHistory reports whether a backend's reports can be of the load that it has now. The first ones,
-// late as they are, are of a process that had none: by them it could do ten times what it does.
-func (m *Module) hasHistory(b *backend) bool { return m.now-b.firstSeen > historyAfter }
+// hasHistory reports whether a backend's reports can reflect the load that it has now. Reports lag, so
+// the first ones are of a process without load, and a capacity computed from them would be ten times
+// its rate.
+func (m *Module) hasHistory(b *backend) bool { return m.now-b.firstSeen > minHistory }
 
-// utilisationOf returns the part of a backend's cores that is busy, unbiased as rateOf is and over the
-// same time: first reports are of its idle time.
+// utilisationOf returns the share of a backend's cores that is busy, with the time constant and the
+// correction of rateOf: the first reports are of idle time.
 func (m *Module) utilisationOf(b *backend) float64 {
-	return b.utilisation / (1 - decay(b.utilisationAt-b.firstSeen+tickInterval, rateTau))
+	return b.utilisation / (1 - decay(b.utilisationAt-b.firstSeen+tickInterval, rateTauSeconds))
 }
--- a/decide/coldstart.go
+++ b/decide/coldstart.go
@@ -3,22 +3,24 @@
 import "math"
 
 const (
-	// coldStartRate is the rate, in requests a second, of all nodes together to a cold backend while there
-	// is no warm one to compare with.
+	// coldStartRate is the rate, in requests per second from all nodes together, at which a cold
+	// backend is used while there is no warm one to compare it with.
 	coldStartRate = 4.0
-	// coldOverloadShare is the part, for all nodes together, of the load that makes a cold backend fall
-	// over.
+	// coldOverloadShare is the load that all nodes together may send to a cold backend, as a share of
+	// the load that makes it fall over.
 	coldOverloadShare = 0.5
 )
 
-// startCold gives a cold backend's budget a random beginning: a first request from every node at once
-// would be a burst that none of them sees. What an older process answered says nothing of this one.
+// startCold marks a backend as cold and sets its budget to a random part of a request: a first request
+// from every node at once would be a burst that no single node can see. The measurements are reset, as
+// those of an earlier process say nothing about this one.
 func (m *Module) startCold(b *backend, at Time) {
 	b.cold, b.coldSince, b.tokens, b.tokensAt = true, at, m.random(), m.now
 	b.answerRate, b.utilisation, b.answerRateAt, b.utilisationAt, b.firstSeen = 0, 0, m.now, m.now, m.now
 }
 
-// warmth returns the part of its full capacity that a backend has by now, at least.
+// warmth returns the share of its full capacity that a backend has reached, at least. It ends the cold
+// state of a backend that is warm.
 func (m *Module) warmth(b *backend) float64 {
 	warm := (m.now - b.coldSince).Seconds() / math.Max(m.settings.ColdTime.Seconds(), 1e-9)
 	if b.cold = b.cold && warm < 1; !b.cold {
@@ -27,28 +29,30 @@
 	return m.settings.ColdFrom + (1-m.settings.ColdFrom)*math.Max(0, warm)
 }
 
-// overColdBudget reports whether a cold backend's budget is spent. The budget is refilled by the part
-// that the backend can do by now of this node's share of a warm one's capacity: the budgets of all
-// nodes then sum up to what it can do. What the warm ones answer just now would be too little: a
-// release that makes most backends cold cuts it, and with it the budgets. Nodes that do not have it in
-// their subsets send nothing. The settings give the least that it can do; most can do more, and what
-// it holds shows if not: so budgets are of half the load that would make it fall over.
+// overColdBudget reports whether a cold backend's budget of sends is spent. The budget is a token
+// bucket that refills at this node's share of a warm backend's capacity, times the share of its
+// capacity that the cold backend has reached. The budgets of all nodes then add up to what the backend
+// can do. The rate at which warm backends currently answer would be too low a basis: a release that
+// makes most backends cold cuts it, and the budgets with it. Nodes that do not have the backend in
+// their subsets send it nothing. The settings give the least that a cold backend can do. Most can do
+// more, and the load that it reports shows if it cannot: so budgets allow half the load that would make
+// it fall over.
 func (m *Module) overColdBudget(b *backend) bool {
 	part := m.warmth(b)
 	if !b.cold {
 		return false
 	}
-	warmRate := math.Max(m.fleetCapacity, coldStartRate/float64(m.settings.Nodes))
+	warmRate := math.Max(m.meanCapacity, coldStartRate/float64(m.settings.Nodes))
 	rate := math.Max(1, coldOverloadShare*m.settings.OverloadFactor) * warmRate
 	rate *= part
-	if m.hasHistory(b) { // it has shown by now what it can do itself; the warm ones may be few, and slow
+	if m.hasHistory(b) { // its own rate shows what it can do; the warm backends may be few and slow
 		rate = math.Max(rate, m.capacityOf(b))
 	}
 	b.tokens, b.tokensAt = math.Min(2, b.tokens+rate*(m.now-b.tokensAt).Seconds()), m.now
-	return b.tokens < 1 || b.subsetNumber < m.subsetNumber
+	return b.tokens < 1 || b.subsetGeneration < m.subsetGeneration
 }
 
-// warmCapacity returns what all ready backends can do by now, in warm backends.
+// warmCapacity returns the current capacity of all ready backends, in units of one warm backend.
 func (m *Module) warmCapacity() (sum float64) {
 	for _, b := range m.ready {
 		sum += m.warmth(b)
--- a/decide/estimates.go
+++ b/decide/estimates.go
@@ -3,93 +3,95 @@
 import "math"
 
 const (
-	// leastNoise is the part by which chance alone takes a mean under its true value.
-	leastNoise = 0.15
-	// memoryTau, in seconds, is the time in which peaks and uncrowded latencies are forgotten: longer than
+	// minimumBias is the share by which chance alone takes the minimum of a noisy mean below its true
+	// value.
+	minimumBias = 0.15
+	// memoryTauSeconds is the time constant with which peaks and minima are forgotten: longer than
 	// faults last.
-	memoryTau = 600.0
+	memoryTauSeconds = 600.0
 )
 
-// updateEstimates renews, once a tick, what the thresholds need to know of the whole fleet.
+// updateEstimates updates, once per tick, the estimates of the whole fleet that the thresholds need.
 func (m *Module) updateEstimates() {
 	rate, capacity := m.updateCapacity()
 	m.answersSuffice = rate > 0 && m.answers >= 2*float64(len(m.subset))
-	growth := 1 + tickInterval.Seconds()/memoryTau
-	m.updateLeastLatency(growth)
+	growth := 1 + tickInterval.Seconds()/memoryTauSeconds
+	m.updateMinLatency(growth)
 	m.updateSaturation(growth)
-	m.updatePeak(growth, rate, capacity)
+	m.updatePeakCapacity(growth, rate, capacity)
 	m.updateLatencies(growth)
 }
 
-// updateCapacity renews the capacity of the mean backend and the share that this node has of all
-// requests. It returns the sums of the rates and of the capacities of the backends in use.
+// updateCapacity updates the capacity of the mean backend and this node's share of all requests. It
+// returns the sums of the rates and of the capacities of the backends in use that are neither suspect
+// nor cold.
 func (m *Module) updateCapacity() (rate, capacity float64) {
-	count, tried, triedCapacity, own, all := 0.0, 0.0, 0.0, 0.0, 0.0
+	count, measured, measuredCapacity, own, all := 0.0, 0.0, 0.0, 0.0, 0.0
 	for _, b := range m.subset {
 		if !b.suspect && !b.cold {
 			rate, count, capacity = rate+m.rateOf(b), count+1, capacity+m.capacityOf(b)
 			if m.hasHistory(b) {
-				tried, triedCapacity = tried+1, triedCapacity+m.capacityOf(b)
+				measured, measuredCapacity = measured+1, measuredCapacity+m.capacityOf(b)
 			}
 		}
-		if b.reportedInFlight > 0 && m.now-b.reportAt < 2*validity {
+		if b.reportedInFlight > 0 && m.now-b.reportAt < 2*validityPeriod {
 			own, all = own+b.inFlight, all+b.reportedInFlight
 		}
 	}
 	if all > 0 {
-		m.trafficShare += (own/all - m.trafficShare) * tickInterval.Seconds() / rateTau
+		m.trafficShare += (own/all - m.trafficShare) * tickInterval.Seconds() / rateTauSeconds
 	}
-	if tried > 0 {
-		m.fleetCapacity = triedCapacity / tried
-	} else if count > 0 && !m.capacityKnown { // with none warm, what the last ones could do still holds
-		m.fleetCapacity = capacity / count
+	if measured > 0 {
+		m.meanCapacity = measuredCapacity / measured
+	} else if count > 0 && !m.capacityKnown { // once known, it stays while no backend has a history
+		m.meanCapacity = capacity / count
 	}
-	m.capacityKnown = m.capacityKnown || tried > 0
+	m.capacityKnown = m.capacityKnown || measured > 0
 	return rate, capacity
 }
 
-// updateLeastLatency follows the least that the mean latency has been. The least of a noisy mean lies
-// below its true value.
-func (m *Module) updateLeastLatency(growth float64) {
-	few := m.answers < 1/classGain // they say nothing of a least
-	m.leastLatency *= growth
-	if few && m.sizesKnownSince == m.startAt || !few && m.meanLatency < m.leastLatency*(1-leastNoise) {
-		m.leastLatency = m.meanLatency / (1 - leastNoise)
+// updateMinLatency tracks the lowest mean latency, corrected for the bias of a minimum.
+func (m *Module) updateMinLatency(growth float64) {
+	few := m.answers < 1/fleetGain // too few for a minimum
+	m.minMeanLatency *= growth
+	if few && m.estimatesKnownSince == m.startAt || !few && m.meanLatency < m.minMeanLatency*(1-minimumBias) {
+		m.minMeanLatency = m.meanLatency / (1 - minimumBias)
 	}
 }
 
-// updateSaturation follows the least that backends have reported to hold for each busy one.
+// updateSaturation tracks the lowest number of unqueued requests in flight per busy backend, by
+// reports.
 func (m *Module) updateSaturation(growth float64) {
-	held := m.reportedHeld / math.Max(m.reportedBusy, minReportedBusy)
-	m.leastSaturation *= growth
-	if m.reportedBusy >= minReportedBusy &&
-		(m.leastSaturation == 0 || held < m.leastSaturation*(1-leastNoise)) {
-		m.leastSaturation = held / (1 - leastNoise)
+	saturation := m.unqueuedSum / math.Max(m.utilisationSum, minUtilisationSum)
+	m.minSaturationInFlight *= growth
+	if m.utilisationSum >= minUtilisationSum &&
+		(m.minSaturationInFlight == 0 || saturation < m.minSaturationInFlight*(1-minimumBias)) {
+		m.minSaturationInFlight = saturation / (1 - minimumBias)
 	}
 }
 
-// updatePeak follows the most that the mean backend has been able to do. Where backends report how
-// busy they are, what they once did says less, and there is no peak.
-func (m *Module) updatePeak(growth, rate, capacity float64) {
+// updatePeakCapacity tracks the highest capacity of the mean backend. Where backends report how busy
+// they are, which shows as a capacity above the rate, past capacity says less and no peak is kept.
+func (m *Module) updatePeakCapacity(growth, rate, capacity float64) {
 	m.peakCapacity /= growth
 	if capacity > rate {
 		m.peakCapacity = 0
 	} else if m.answersSuffice {
-		m.peakCapacity = math.Max(m.peakCapacity, m.fleetCapacity)
+		m.peakCapacity = math.Max(m.peakCapacity, m.meanCapacity)
 	}
 }
 
-// updateLatencies renews the uncrowded latency of each class and of the mean request, and the latency
-// at which every class still meets its target.
+// updateLatencies updates the baseline latency of each class and of the mean request, and the mean
+// latency at which every class still meets its target.
 func (m *Module) updateLatencies(growth float64) {
-	m.targetLatency, m.uncrowdedLatency = math.Inf(1), m.meanLatency
-	uncrowded, expectedSum := 0.0, 0.0
+	m.targetLatency, m.baselineLatency = math.Inf(1), m.meanLatency
+	baselineSum, expectedSum := 0.0, 0.0
 	for _, c := range m.classOrder {
 		expected := m.meanLatency * c.relativeCost
-		c.updateUncrowdedLatency(growth)
-		if c.uncrowdedLatency > 0 && expected > 0 {
-			uncrowded, expectedSum = uncrowded+c.uncrowdedLatency, expectedSum+expected
-			m.uncrowdedLatency = m.meanLatency * uncrowded / expectedSum
+		c.updateBaselineLatency(growth)
+		if c.baselineLatency > 0 && expected > 0 {
+			baselineSum, expectedSum = baselineSum+c.baselineLatency, expectedSum+expected
+			m.baselineLatency = m.meanLatency * baselineSum / expectedSum
 		}
 		if c.answers > 0 && c.Target > 0 {
 			m.targetLatency = math.Min(m.targetLatency, m.meanLatency*targetShare*c.Target.Seconds()/expected)
@@ -97,11 +99,11 @@
 	}
 }
 
-// updateUncrowdedLatency follows the least that the class's latency has been.
-func (c *class) updateUncrowdedLatency(growth float64) {
-	c.uncrowdedLatency *= growth
-	if c.answers >= 1/classGain &&
-		(c.uncrowdedLatency == 0 || c.latency < c.uncrowdedLatency*(1-leastNoise)) {
-		c.uncrowdedLatency = c.latency / (1 - leastNoise)
+// updateBaselineLatency tracks the lowest latency of the class, corrected for the bias of a minimum.
+func (c *class) updateBaselineLatency(growth float64) {
+	c.baselineLatency *= growth
+	if c.answers >= 1/fleetGain &&
+		(c.baselineLatency == 0 || c.latency < c.baselineLatency*(1-minimumBias)) {
+		c.baselineLatency = c.latency / (1 - minimumBias)
 	}
 }
--- a/decide/events.go
+++ b/decide/events.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Report is a backend's own account of its load. It is late and not exact.
+// Report is a backend's own account of its load. It lags and is approximate.
 type Report struct {
 	InFlight, Queue       float64 // requests held; requests waiting
 	HasInFlight, HasQueue bool
 	Utilisation           float64 // 0 if absent
 	ServiceTime           time.Duration
-	Rate, ErrorRate       float64 // each second
+	Rate, ErrorRate       float64 // per second
 }
 
 // BackendState is what discovery says of a backend.
@@ -30,11 +30,11 @@
 	Kind      string
 	Cell      int
 	State     BackendState
-	Size      float64 // without unit; compare with other backends
+	Size      float64 // no unit; meaningful only relative to other backends
 	StartedAt Time    // 0: long ago
 }
 
-// Event is something that happened; the types with the method event are all there are.
+// Event is an input of Module.Handle. The types with the method event are the only implementations.
 type Event interface{ event() }
 
 // ListKind is the form of a ListUpdate.
@@ -43,9 +43,9 @@
 const (
 	// ListChanges holds only the changed entries.
 	ListChanges ListKind = iota
-	// ListFull holds all; a backend not in it is gone.
+	// ListFull holds all entries; a backend that is missing is gone.
 	ListFull
-	// ListCached is a full list as this node had it last; it can be old.
+	// ListCached is a full list from this node's cache; it may be outdated.
 	ListCached
 	// ListFailed has no entries: a call failed or the subscription broke.
 	ListFailed
@@ -59,9 +59,9 @@
 	OK OutcomeCode = iota
 	// BackendError means that the backend failed; the request may have run.
 	BackendError
-	// Full means that the backend rejected the request unseen, as it has no room.
+	// Full means that the backend had no room and rejected the request without processing it.
 	Full
-	// TimedOut means that no answer came in time; the request may have run and may run still.
+	// TimedOut means that no answer came in time; the request may have run or may still be running.
 	TimedOut
 	// ConnectFailed means that the request was never sent.
 	ConnectFailed
@@ -69,7 +69,7 @@
 	Reset
 	// Cancelled means that the node cancelled the attempt; the request may have run.
 	Cancelled
-	// NotSent means that the request was not sent, as it was over or the node had no room.
+	// NotSent means that the request was not sent, because it was over or because the node had no room.
 	NotSent
 )
 
@@ -84,8 +84,8 @@
 		Class    string
 		Tenant   string
 		Key      string
-		Patience time.Duration // until the client stops waiting for this try
-		WorkHint time.Duration // expected work, where HasHint
+		Patience time.Duration // until the client gives up on this try
+		WorkHint time.Duration // expected work; valid if HasHint
 		HasHint  bool
 		Repeat   bool // the client has tried before
 		Write    bool
@@ -96,16 +96,16 @@
 		Version uint64
 		Entries []Backend
 	}
-	// AttemptEnded is the outcome of one attempt. Each Send gets one.
+	// AttemptEnded is the outcome of one attempt. Each Send has exactly one.
 	AttemptEnded struct {
 		ID      RequestID
 		Attempt int
 		Backend BackendID
-		Over    bool // the request has had its final answer
+		Over    bool // the request already has its final answer
 		Elapsed time.Duration
 		Code    OutcomeCode
 		Report  *Report // nil if none came
-		Opened  bool    // it was the first on its connection, which a full table of connections rejects
+		Opened  bool    // it was the first on its connection; a full connection table rejects these
 	}
 	// StreamStarted reports that a streamed answer has begun.
 	StreamStarted struct {
@@ -114,7 +114,7 @@
 		Backend BackendID
 		Elapsed time.Duration
 	}
-	// RequestAbandoned reports that the client is gone; no answer is owed.
+	// RequestAbandoned reports that the client is gone and that no answer is owed.
 	RequestAbandoned struct{ ID RequestID }
 	// ProbeEnded is the result of a Probe.
 	ProbeEnded struct {
@@ -128,7 +128,7 @@
 		From int
 		Data []byte
 	}
-	// TimerFired answers a SetTimer.
+	// TimerFired is the expiry of a timer set with SetTimer.
 	TimerFired struct{ Token int64 }
 )
 
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -7,7 +7,7 @@
 	"nickelline/decide"
 )
 
-// A node asks the module where a request goes, with no wire in between.
+// A node asks the module where to send a request.
 func Example() {
 	m := decide.New(decide.Settings{
 		Nodes: 1, MaxAttempts: 3, ColdFrom: 0.5, ColdTime: 5 * time.Second,
--- a/decide/golden_test.go
+++ b/decide/golden_test.go
@@ -14,8 +14,8 @@
 	"nickelline/internal/wire"
 )
 
-// The golden files hold digests of every action, in its wire form, of long simulated runs: the same events must bring
-// about the same decisions, the same random draws and the same log lines.
+// The golden files hold digests of all actions, in their wire form, of long simulated runs: the same events must
+// produce the same decisions, the same random numbers and the same log lines.
 
 type digest struct {
 	hash    hash.Hash
@@ -38,7 +38,7 @@
 	var text strings.Builder
 	for seed := int64(1); seed <= 25; seed++ {
 		d := newDigest()
-		play(seed, 15*time.Second, func(w *world, actions []decide.Action) []decide.Action {
+		simulate(seed, 15*time.Second, func(w *world, actions []decide.Action) []decide.Action {
 			d.add(0, w.now, actions)
 			return actions
 		})
@@ -53,7 +53,7 @@
 		name     string
 		nodes    int
 		backends int
-		rate     float64 // requests a second at each node
+		rate     float64 // requests per second at each node
 		via      decide.ReportVia
 	}{
 		{"few busy nodes without reports", 2, 6, 80, decide.ReportNone},
@@ -70,7 +70,7 @@
 	golden.Text(t, "fleet.txt", text.String())
 }
 
-// goldenFleet is some nodes that share backends whose answers slow down as they fill.
+// goldenFleet is a number of nodes that share backends whose latency grows with their load.
 type goldenFleet struct {
 	settings decide.Settings
 	rate     float64
@@ -87,7 +87,7 @@
 type goldenEvent struct {
 	at      time.Duration
 	node    int
-	backend int // whose request ends by it; -1 for others
+	backend int // whose request the event ends; -1 for other events
 	event   decide.Event
 }
 
@@ -227,7 +227,7 @@
 		Tenant: []string{"a", ""}[f.random.Intn(2)], Patience: patience, Repeat: f.random.Intn(5) == 0})
 }
 
-// changeList tells all nodes that one backend has started anew, drains or is gone, or the whole list.
+// changeList notifies all nodes that one backend has restarted, drains or is gone, or sends them the full list.
 func (f *goldenFleet) changeList() {
 	list := decide.ListUpdate{Kind: decide.ListChanges, Version: uint64(f.next)}
 	backend := f.random.Intn(len(f.held))
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -18,7 +18,7 @@
 	maxLineLength    = 110
 )
 
-// interfaceFiles hold no decisions, but the types through which they are asked for and given.
+// interfaceFiles hold no decisions but the types of the module's input and output.
 var interfaceFiles = []string{"doc.go", "settings.go", "events.go", "actions.go"}
 
 func decisionFiles(t *testing.T) []string {
@@ -32,7 +32,7 @@
 	})
 }
 
-// TestPolicyNamesDecisionFiles compares the files of this package with those that the deploy file names as the policy.
+// TestPolicyNamesDecisionFiles compares the files of this package with the policy files that the deploy file names.
 func TestPolicyNamesDecisionFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestFileLimits bounds the decision files, their functions and their lines.
+// TestFileLimits checks the length of the decision files, of their functions and of their lines.
 func TestFileLimits(t *testing.T) {
 	for _, name := range decisionFiles(t) {
 		text, err := os.ReadFile(name)
--- a/decide/list.go
+++ b/decide/list.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// firstSubscribeWait is the time until the list is asked for again. It doubles with each failure.
+	// firstSubscribeWait is the time until the list is requested again. It doubles with each failure.
 	firstSubscribeWait = 200 * time.Millisecond
 )
 
-// updateList takes an update of the list of backends, or the failure of a call for it.
+// updateList handles an update of the list of backends, or the failure of a request for it.
 func (m *Module) updateList(e ListUpdate) {
 	if e.Kind == ListFailed {
 		m.subscriptionFailed()
@@ -30,26 +30,26 @@
 		m.updateBackend(entry)
 	}
 	m.rebuildRing()
-	if after := m.warmCapacity(); after > 0 && before > after { // those that are left will hold the more
-		m.surge = before/after*(1+m.surge*decay(m.now-m.surgeAt, surgeTau)) - 1
-		m.surgeAt = m.now
+	if after := m.warmCapacity(); after > 0 && before > after { // the remaining backends take over the load
+		m.loadIncrease = before/after*(1+m.loadIncrease*decay(m.now-m.loadIncreaseAt, reportLagTauSeconds)) - 1
+		m.loadIncreaseAt = m.now
 	}
 	m.chooseSubset()
 }
 
-// subscriptionFailed plans the next attempt to subscribe.
+// subscriptionFailed schedules the next attempt to subscribe.
 func (m *Module) subscriptionFailed() {
 	m.subscribed, m.subscribing, m.subscribeAt = false, false, m.now+m.jitter(m.subscribeWait)
 	m.subscribeWait = min(2*m.subscribeWait, max(firstSubscribeWait, m.settings.MaxListAge/4))
 }
 
-// updateBackend takes an entry of the list. Nothing that was learned of an older process of a backend
-// holds for a new one.
+// updateBackend applies an entry of the list. What was learned about an earlier process of a backend
+// does not hold for a new one.
 func (m *Module) updateBackend(entry Backend) {
 	b := m.backendOf(entry.ID)
 	if entry.State == Ready && entry.StartedAt > b.StartedAt {
-		b.suspect, b.failuresInRow, b.unanswered, b.imposedUntil = false, 0, 0, m.now
-		clear(b.faults)
+		b.suspect, b.consecutiveFailures, b.unanswered, b.imposedUntil = false, 0, 0, m.now
+		clear(b.healthByClass)
 		m.startCold(b, entry.StartedAt)
 	}
 	b.Backend = entry
@@ -68,8 +68,8 @@
 	m.ready = slices.DeleteFunc(slices.Clone(m.listed), func(b *backend) bool { return b.State != Ready })
 }
 
-// renewSubscription keeps a subscription where the list must be asked for: spread at the start,
-// backing off after failures.
+// renewSubscription subscribes where list changes come only on request. First attempts are spread over
+// the nodes by jitter, and further ones back off.
 func (m *Module) renewSubscription() {
 	if m.settings.ListOnRequest && !m.subscribed && m.now >= m.subscribeAt &&
 		!(m.subscribing && m.now-m.subscribeSentAt < m.settings.MaxListAge/4) {
--- a/decide/many_test.go
+++ b/decide/many_test.go
@@ -7,17 +7,18 @@
 	"time"
 )
 
-// Many nodes that see little: each test here guards against what only many nodes do together.
+// Tests of fleets of many nodes, each with a partial view: each test guards against a failure that only many nodes
+// together cause.
 
-func sparseSettings(nodes int) Settings {
+func largeFleetSettings(nodes int) Settings {
 	return Settings{Nodes: nodes, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond, ColdFrom: 0.2,
 		ColdTime: 20 * time.Second, OverloadFactor: 3, OverloadTime: 2 * time.Second,
 		Classes: []Class{
-			{Name: "dear", Value: 8, Target: 600 * time.Millisecond, Deadline: 2 * time.Second, Effect: Safe},
+			{Name: "valuable", Value: 8, Target: 600 * time.Millisecond, Deadline: 2 * time.Second, Effect: Safe},
 			{Name: "cheap", Value: 1, Target: 600 * time.Millisecond, Deadline: 2 * time.Second, Effect: Safe}}}
 }
 
-func sparseList(backends int) ListUpdate {
+func readyList(backends int) ListUpdate {
 	l := ListUpdate{Kind: ListCached}
 	for i := range backends {
 		l.Entries = append(l.Entries, Backend{ID: BackendID(i + 1)})
@@ -25,8 +26,8 @@
 	return l
 }
 
-// drive plays seconds of traffic at one node, four requests a second, each answered after took. It returns how many of
-// each class were sent and the last time.
+// drive simulates seconds of traffic at one node, four requests per second, each answered after took. It returns how
+// many of each class were sent, and the time of the last step.
 func drive(m *Module, from Time, seconds int, took time.Duration, report *Report) (map[string]int, Time) {
 	sent, id := map[string]int{}, 0
 	now := from
@@ -46,7 +47,7 @@
 			continue
 		}
 		id++
-		class := []string{"dear", "cheap"}[id%2]
+		class := []string{"valuable", "cheap"}[id%2]
 		for _, a := range m.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(from, id)), Class: class, Patience: 2 * time.Second}) {
 			if s, ok := a.(Send); ok {
 				sent[class]++
@@ -57,19 +58,19 @@
 	return sent, now
 }
 
-// A node with few requests keeps to few backends, and all nodes together use all backends alike: else connection tables
-// fill, or some backends are crowded.
+// A node with few requests uses few backends, and all nodes together use all backends evenly: otherwise connection
+// tables fill, or some backends are overloaded.
 func TestSubsetsCoverBackendsEvenly(t *testing.T) {
 	const nodes, backends = 600, 180
 	use := map[BackendID]int{}
 	for self := range nodes {
-		s := sparseSettings(nodes)
+		s := largeFleetSettings(nodes)
 		s.Self = self
 		m := New(s, int64(self))
-		m.Handle(time.Hour, sparseList(backends))
+		m.Handle(time.Hour, readyList(backends))
 		drive(m, time.Hour, 3, 100*time.Millisecond, nil)
 		if len(m.subset) < 8 || len(m.subset) > 16 {
-			t.Fatalf("node %d uses %d of %d backends", self, len(m.subset), backends)
+			t.Fatalf("node %d uses %d of %d backends, want 8 to 16", self, len(m.subset), backends)
 		}
 		for _, b := range m.subset {
 			use[b.ID]++
@@ -84,112 +85,115 @@
 
 // A busy node uses every backend.
 func TestBusyNodeUsesAll(t *testing.T) {
-	m := New(sparseSettings(2), 1)
-	m.Handle(time.Hour, sparseList(20))
+	m := New(largeFleetSettings(2), 1)
+	m.Handle(time.Hour, readyList(20))
 	for i := range 400 {
 		now := time.Hour + time.Duration(i)*10*time.Millisecond
-		m.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: "dear", Patience: time.Second})
+		m.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: "valuable", Patience: time.Second})
 		m.Handle(now, TimerFired{})
 	}
 	if len(m.subset) != 20 {
-		t.Errorf("%d of 20 backends in use at 100 requests a second", len(m.subset))
+		t.Errorf("got %d of 20 backends in use at 100 requests per second, want all", len(m.subset))
 	}
 }
 
-// In a quiet many-node fleet nothing is shed; in a crowded one the cheap class is, then part of the dear one, although
-// this node's own count is nearly always 0; and what it knows lapses, so that it does not refuse for ever.
-func TestSparseNodeShedsByDelayAndRecovers(t *testing.T) {
-	m := New(sparseSettings(600), 3)
-	m.Handle(time.Hour, sparseList(180))
-	quiet, now := drive(m, time.Hour, 20, 60*time.Millisecond, nil)
-	if quiet["dear"] < 39 || quiet["cheap"] < 39 {
-		t.Errorf("quiet: %v sent of 40 each", quiet)
-	}
-	crowded, now := drive(m, now, 10, 240*time.Millisecond, nil)
-	if crowded["cheap"] > 15 || crowded["dear"] < 6 || m.otherDrop == 0 {
-		t.Errorf("crowded: %v sent of 20 each, q2 %v", crowded, m.otherDrop)
-	}
-	jammed, now := drive(m, now, 10, 700*time.Millisecond, nil)
-	if jammed["cheap"] > 10 || jammed["dear"] > 15 || m.priorityDrop == 0 {
-		t.Errorf("jammed: %v sent of 20 each, q1 %v", jammed, m.priorityDrop)
+// A node of a large fleet sheds nothing under light load. Under high load it sheds the cheap class, then part of the
+// valuable one, although its own attempts in flight are nearly always 0. Its estimates lapse, so that it does not
+// refuse for ever.
+func TestPartialViewShedsByLatencyAndRecovers(t *testing.T) {
+	m := New(largeFleetSettings(600), 3)
+	m.Handle(time.Hour, readyList(180))
+	light, now := drive(m, time.Hour, 20, 60*time.Millisecond, nil)
+	if light["valuable"] < 39 || light["cheap"] < 39 {
+		t.Errorf("light load: %v sent of 40 each", light)
+	}
+	high, now := drive(m, now, 10, 240*time.Millisecond, nil)
+	if high["cheap"] > 15 || high["valuable"] < 6 || m.otherDrop == 0 {
+		t.Errorf("high load: %v sent of 20 each, q2 %v", high, m.otherDrop)
+	}
+	overloaded, now := drive(m, now, 10, 700*time.Millisecond, nil)
+	if overloaded["cheap"] > 10 || overloaded["valuable"] > 15 || m.priorityDrop == 0 {
+		t.Errorf("overload: %v sent of 20 each, q1 %v", overloaded, m.priorityDrop)
 	}
 	_, now = drive(m, now, 15, 60*time.Millisecond, nil)
-	if after, _ := drive(m, now, 10, 60*time.Millisecond, nil); after["cheap"] < 18 || after["dear"] < 18 {
-		t.Errorf("calm again: %v sent of 20 each", after)
+	if after, _ := drive(m, now, 10, 60*time.Millisecond, nil); after["cheap"] < 18 || after["valuable"] < 18 {
+		t.Errorf("light load again: %v sent of 20 each", after)
 	}
 }
 
-// What backends report counts all nodes' requests, and brings all three modes about at a node that has none there. What
-// they hold in ordinary work is no overload, however much it is: here 20 requests keep all cores of one busy.
-func TestSparseNodeTakesModesFromReports(t *testing.T) {
+// Reports count the requests of all nodes, and cause all three modes at a node that has no attempt in flight. Requests
+// in flight under ordinary load are no overload, however many they are: here 20 requests keep all cores of a backend
+// busy.
+func TestPartialViewTakesModesFromReports(t *testing.T) {
 	for _, c := range []struct {
 		inFlight float64
 		want     Mode
 	}{{0, Normal}, {10, Normal}, {16, Normal}, {45, Overloaded}, {120, Blocking}} {
-		m := New(sparseSettings(600), 3)
-		m.Handle(time.Hour, sparseList(8))
+		m := New(largeFleetSettings(600), 3)
+		m.Handle(time.Hour, readyList(8))
 		_, now := drive(m, time.Hour, 10, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
 		m.now = now
 		b := m.subset[0]
 		m.recordReport(b, &Report{InFlight: c.inFlight, HasInFlight: true})
 		if got := m.modeOf(b); got != c.want {
-			t.Errorf("a report of %v requests makes mode %v, want %v", c.inFlight, got, c.want)
+			t.Errorf("after a report of %v requests: got mode %v, want %v", c.inFlight, got, c.want)
 		}
 	}
 }
 
-// Two failed connects are no dead process: the connection table may be full. Three in a row make a suspect.
-func TestFailedConnectsAreStrikesLikeOthers(t *testing.T) {
-	m := New(sparseSettings(600), 1)
-	m.Handle(time.Hour, sparseList(1))
+// Two failed connects do not prove that a backend is dead, as its connection table may be full. Three consecutive ones
+// make it a suspect.
+func TestThreeFailedConnectsMakeSuspect(t *testing.T) {
+	m := New(largeFleetSettings(600), 1)
+	m.Handle(time.Hour, readyList(1))
 	for i := range 3 {
 		id := RequestID(fmt.Sprint(i))
 		now := time.Hour + time.Duration(i)*time.Second
-		m.Handle(now, RequestArrived{ID: id, Class: "dear", Patience: time.Second})
+		m.Handle(now, RequestArrived{ID: id, Class: "valuable", Patience: time.Second})
 		m.Handle(now+100*time.Millisecond, AttemptEnded{ID: id, Backend: 1, Code: ConnectFailed, Elapsed: 100 * time.Millisecond})
 		if got, want := m.subset[0].suspect, i == 2; got != want {
-			t.Errorf("after %d failed connects: suspect %v", i+1, got)
+			t.Errorf("after %d failed connects: got suspect %v", i+1, got)
 		}
 	}
 }
 
-// Absurd reports change little, and not for long.
-func TestAbsurdReportsAreBounded(t *testing.T) {
+// Implausible reports have a small effect, and not for long.
+func TestImplausibleReportsAreBounded(t *testing.T) {
 	for _, v := range []float64{math.NaN(), math.Inf(1), -5, 1e300} {
-		m := New(sparseSettings(600), 3)
-		m.Handle(time.Hour, sparseList(8))
+		m := New(largeFleetSettings(600), 3)
+		m.Handle(time.Hour, readyList(8))
 		_, now := drive(m, time.Hour, 5, 60*time.Millisecond, &Report{InFlight: v, HasInFlight: true})
 		_, now = drive(m, now, 30, 60*time.Millisecond, nil)
-		if sent, _ := drive(m, now, 10, 60*time.Millisecond, nil); sent["dear"]+sent["cheap"] < 36 {
+		if sent, _ := drive(m, now, 10, 60*time.Millisecond, nil); sent["valuable"]+sent["cheap"] < 36 {
 			t.Errorf("35 s after reports of %v: %v sent of 20 each", v, sent)
 		}
 	}
 }
 
-// In a jam only quick answers come, from backends with long queues. What they hold then is not what backends hold with
-// their cores just busy.
-func TestJamRaisesNoThreshold(t *testing.T) {
-	m := New(sparseSettings(600), 3)
-	m.Handle(time.Hour, sparseList(8))
+// In an overload only fast answers arrive, from backends with long queues. Their requests in flight must not raise the
+// estimate of how many keep a backend's cores just busy.
+func TestOverloadDoesNotRaiseSaturation(t *testing.T) {
+	m := New(largeFleetSettings(600), 3)
+	m.Handle(time.Hour, readyList(8))
 	_, now := drive(m, time.Hour, 20, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
-	if full := m.saturation(); full < 18 || full > 25 {
-		t.Fatalf("backends hold 10 at half of their cores: %.1f at all of them", full)
+	if saturation := m.saturationInFlight(); saturation < 18 || saturation > 25 {
+		t.Fatalf("with 10 requests in flight at a utilisation of 0.5: got saturation %.1f, want 18 to 25", saturation)
 	}
 	drive(m, now, 20, 60*time.Millisecond, &Report{InFlight: 80, HasInFlight: true, Utilisation: 1})
-	if full := m.saturation(); full < 18 || full > 25 {
-		t.Errorf("in a jam backends are said to hold %.1f with their cores just busy, it is 20", full)
+	if saturation := m.saturationInFlight(); saturation < 18 || saturation > 25 {
+		t.Errorf("in an overload: got saturation %.1f, want 18 to 25", saturation)
 	}
 }
 
-// An attempt that times out brings no report, and is information all the same: a backend that answers nothing in time is no
-// empty one, though its last report is long ago. It lapses.
+// An attempt that times out brings no report, but shows load all the same: a backend that does not answer in time must
+// not look empty, even if its last report is old. The estimate lapses.
 func TestTimeOutsShowOverload(t *testing.T) {
-	m := New(sparseSettings(600), 3)
-	m.Handle(time.Hour, sparseList(8))
+	m := New(largeFleetSettings(600), 3)
+	m.Handle(time.Hour, readyList(8))
 	_, now := drive(m, time.Hour, 20, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
 	now += 20 * time.Second
 	var b *backend
-	for _, a := range m.Handle(now, RequestArrived{ID: "late", Class: "dear", Patience: 500 * time.Millisecond}) {
+	for _, a := range m.Handle(now, RequestArrived{ID: "late", Class: "valuable", Patience: 500 * time.Millisecond}) {
 		if a, ok := a.(Send); ok {
 			b = m.backends[a.Backend]
 		}
@@ -200,21 +204,22 @@
 	now += 500 * time.Millisecond
 	m.Handle(now, AttemptEnded{ID: "late", Backend: b.ID, Code: TimedOut, Elapsed: 500 * time.Millisecond})
 	if mode := m.modeOf(b); mode != Blocking {
-		t.Errorf("mode %v after a time-out of eight times the usual, want blocking", mode)
+		t.Errorf("got mode %v after a time-out of eight times the usual latency, want blocking", mode)
 	}
 	m.now += 10 * time.Second
 	if mode := m.modeOf(b); mode == Blocking {
-		t.Errorf("mode %v 10 s later", mode)
+		t.Errorf("got mode %v 10 s later, want a lower one", mode)
 	}
 }
 
-// Suspects are tried again with requests that a healthy one answers in time, and with a small part of all requests, however
-// many suspects there are: in a jam each of many nodes has many, and trials of them all would keep it up.
+// Trials of suspects are long enough for a healthy backend to answer, and a small share of all requests, however many
+// suspects there are: in an overload each of many nodes has many suspects, and trials of them all would keep the
+// overload going.
 func TestTrialsAreFewAndLongEnough(t *testing.T) {
 	const arrivals = 200
 	const took = 250 * time.Millisecond // of a target of 600 ms
-	m := New(sparseSettings(600), 3)
-	m.Handle(time.Hour, sparseList(40))
+	m := New(largeFleetSettings(600), 3)
+	m.Handle(time.Hour, readyList(40))
 	_, now := drive(m, time.Hour, 20, took, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
 	for _, b := range m.backends {
 		m.markSuspect(b, "test")
@@ -226,60 +231,61 @@
 		for _, a := range m.Handle(now, RequestArrived{ID: id, Class: "cheap", Patience: time.Second}) {
 			if a, ok := a.(Send); ok {
 				if sent++; a.Timeout < took*5/4 {
-					t.Fatalf("a trial has %v, an ordinary answer takes %v", a.Timeout, took)
+					t.Fatalf("trial time-out %v is too short for an ordinary answer, which takes %v", a.Timeout, took)
 				}
 				m.Handle(now, AttemptEnded{ID: id, Backend: a.Backend, Code: TimedOut, Elapsed: a.Timeout})
 			}
 		}
 	}
 	if most := int(arrivals*retryTokensPerArrival + maxRetryTokens); sent == 0 || sent > most {
-		t.Errorf("%d of %d requests went to suspects, %d at most are to", sent, arrivals, most)
+		t.Errorf("%d of %d requests went to suspects, want 1 to %d", sent, arrivals, most)
 	}
 }
 
-// A node of many learns of each of its backends about once in a validity, and so seldom opens a connection anew; and goes
-// by what backends report, as the others have most of the requests there.
+// One of many nodes sends to each backend of its subset about once per validity period, so it seldom opens a new
+// connection. It goes by the reports of the backends, as other nodes send them most of their requests.
 func TestSubsetsKeepReportsFresh(t *testing.T) {
-	m := New(sparseSettings(300), 1)
-	m.Handle(time.Hour, sparseList(200))
+	m := New(largeFleetSettings(300), 1)
+	m.Handle(time.Hour, readyList(200))
 	for i := range 800 {
 		now := time.Hour + time.Duration(i)*25*time.Millisecond
-		m.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: "dear", Patience: time.Second})
+		m.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: "valuable", Patience: time.Second})
 		m.Handle(now, TimerFired{})
 	}
-	if each := 40 * validity.Seconds() / float64(len(m.subset)); each < 0.9 || !m.seesLittle() {
-		t.Errorf("at 40 requests a second one of %d backends has %.2f in a validity (sparse: %v)", len(m.subset), each, m.seesLittle())
+	if each := 40 * validityPeriod.Seconds() / float64(len(m.subset)); each < 0.9 || !m.hasPartialView() {
+		t.Errorf("at 40 requests per second each of %d backends gets %.2f per validity period, want 0.9 at least (partial view: %v)",
+			len(m.subset), each, m.hasPartialView())
 	}
 }
 
-// A backend of which a node knows nothing, or nothing of late, is no empty one: in a jam all nodes would have such backends, and
-// each would send them all that it has. It holds what the others do, until that is old too.
-func TestBackendsWithoutReportsAreNotCrowded(t *testing.T) {
-	m := New(sparseSettings(300), 3)
-	m.Handle(time.Hour, sparseList(40))
+// A backend without a recent report must not look empty: in an overload every node would have such backends and send
+// them all of its requests. It counts as loaded like the others, until their reports are old too.
+func TestBackendsWithoutReportsDoNotLookEmpty(t *testing.T) {
+	m := New(largeFleetSettings(300), 3)
+	m.Handle(time.Hour, readyList(40))
 	_, now := drive(m, time.Hour, 20, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
 	now += 10 * time.Second
 	if mode := m.modeOf(m.subset[0]); mode != Normal {
-		t.Fatalf("mode %v in ordinary work", mode)
+		t.Fatalf("got mode %v under ordinary load, want normal", mode)
 	}
 	m.now = now
 	for _, b := range m.subset[1:] {
 		m.recordReport(b, &Report{InFlight: 60, HasInFlight: true, Utilisation: 1})
 	}
 	if b := m.subset[0]; m.modeOf(b) == Normal {
-		t.Error("a backend that has reported nothing for 10 s is normal in a jam")
+		t.Error("in an overload, a backend without a report for 10 s is normal")
 	}
 	m.now += 10 * time.Second
 	if b := m.subset[0]; m.modeOf(b) != Normal {
-		t.Error("10 s later the jam is still taken for current")
+		t.Error("10 s later the old reports still count")
 	}
 }
 
-// What a node has at one backend by itself counts by its share of all requests: each of the others has as many. A share of
-// H is seldom a whole number, and so a single request counts by chance.
+// A node's own attempts at a backend are divided by its share of all requests, as the other nodes have as many in
+// proportion. Its share of H is seldom a whole number, so whether a single request exceeds it is decided at random.
 func TestOwnRequestsCountByShare(t *testing.T) {
-	m := New(sparseSettings(300), 3)
-	m.Handle(time.Hour, sparseList(40))
+	m := New(largeFleetSettings(300), 3)
+	m.Handle(time.Hour, readyList(40))
 	_, now := drive(m, time.Hour, 20, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
 	m.now = now + time.Second
 	b := m.subset[0]
@@ -287,24 +293,24 @@
 		own, dither float64
 		want        Mode
 	}{{0, 0, Normal}, {1, 0.8, Normal}, {1, 0.1, Overloaded}, {2, 0.9, Overloaded}, {4, 0.9, Blocking}} {
-		m.trafficShare = 1 / (2.5 * m.saturation()) // if each node has one, the backend has 2.5 times that
-		if b.mode, b.inFlight, b.dither, b.reportExcess = Normal, c.own, c.dither, -m.typicalHeld; m.modeOf(b) != c.want {
-			t.Errorf("with %v requests of its own, at chance %v: mode %v, want %v", c.own, c.dither, m.modeOf(b), c.want)
+		m.trafficShare = 1 / (2.5 * m.saturationInFlight()) // one request per node adds up to 2.5 times the saturation
+		if b.mode, b.inFlight, b.dither, b.inFlightExcess = Normal, c.own, c.dither, -m.meanInFlight; m.modeOf(b) != c.want {
+			t.Errorf("with %v own requests and dither %v: got mode %v, want %v", c.own, c.dither, m.modeOf(b), c.want)
 		}
 	}
 }
 
-// The first answer may be that of a short request: a node that took it for the least latency that there is would hold all
-// backends for crowded from then on, and refuse nearly all.
-func TestFirstAnswerIsNotTheLeast(t *testing.T) {
-	m := New(sparseSettings(600), 3)
-	m.Handle(time.Hour, sparseList(180))
+// The first answer may be that of a short request. A node that took its latency for the minimum would consider all
+// backends overloaded from then on and refuse nearly all requests.
+func TestFirstAnswerDoesNotSetMinLatency(t *testing.T) {
+	m := New(largeFleetSettings(600), 3)
+	m.Handle(time.Hour, readyList(180))
 	_, now := drive(m, time.Hour, 1, 5*time.Millisecond, nil)
-	quiet, now := drive(m, now, 20, 60*time.Millisecond, nil)
-	if quiet["dear"] < 39 || quiet["cheap"] < 39 {
-		t.Errorf("after quick first answers %v sent of 40 each", quiet)
+	light, now := drive(m, now, 20, 60*time.Millisecond, nil)
+	if light["valuable"] < 39 || light["cheap"] < 39 {
+		t.Errorf("after fast first answers: %v sent of 40 each", light)
 	}
-	if jammed, _ := drive(m, now, 10, 700*time.Millisecond, nil); jammed["cheap"] > 10 {
-		t.Errorf("jammed: %v sent of 20 each", jammed)
+	if overloaded, _ := drive(m, now, 10, 700*time.Millisecond, nil); overloaded["cheap"] > 10 {
+		t.Errorf("overload: %v sent of 20 each", overloaded)
 	}
 }
--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// What has gone is forgotten, and a class that no settings name is not remembered: both come without end.
-func TestForgets(t *testing.T) {
+// Backends that are gone and classes that the settings lack are not kept: both come in unlimited numbers.
+func TestForgetsGoneBackendsAndUnknownClasses(t *testing.T) {
 	m := New(Settings{Nodes: 1, MaxAttempts: 2, Classes: []Class{{Name: "c", Effect: Safe, Target: time.Second}}}, 1)
 	now := Time(0)
 	for i := range 1000 {
@@ -18,7 +18,7 @@
 		for _, a := range acts {
 			if s, ok := a.(Send); ok {
 				if m.backends[s.Backend] == nil {
-					t.Fatal("forgotten with an attempt out")
+					t.Fatal("backend forgotten with an attempt in flight")
 				}
 				m.Handle(now, AttemptEnded{ID: id, Backend: s.Backend, Over: true, Code: OK})
 			}
@@ -27,6 +27,7 @@
 		m.Handle(now, TimerFired{})
 	}
 	if len(m.backends) > 1 || len(m.classes) != 1 || len(m.classOrder) != 2 || len(m.requests) > 0 || len(m.openRequests) > 0 {
-		t.Errorf("left: %d backends, %d and %d classes, %d and %d requests", len(m.backends), len(m.classes), len(m.classOrder), len(m.requests), len(m.openRequests))
+		t.Errorf("kept %d backends, %d and %d classes, %d and %d requests",
+			len(m.backends), len(m.classes), len(m.classOrder), len(m.requests), len(m.openRequests))
 	}
 }
--- a/decide/module.go
+++ b/decide/module.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// tickInterval is the period of the checks: well under any latency target.
+	// tickInterval is the period of the checks; it is well below any latency target.
 	tickInterval = 25 * time.Millisecond
 )
 
-// Module decides for one node. It is not safe for concurrent use.
+// Module makes the decisions of one node. It is not safe for concurrent use.
 type Module struct {
 	settings    Settings
 	randomState uint64
 	startAt     Time
-	now         Time     // of the event at hand
-	actions     []Action // that the event at hand has brought about
+	now         Time     // of the event being handled
+	actions     []Action // caused by the event being handled
 	ticking     bool
 
 	classes      map[string]*class
@@ -25,62 +25,62 @@
 	tenants      map[string]*tenant
 
 	backends map[BackendID]*backend
-	listed   []*backend // those not gone, in an order that all nodes share
-	ready    []*backend // those of them that are ready
-	subset   []*backend // those of them that are in use
+	listed   []*backend // not gone, in ring order, which all nodes share
+	ready    []*backend // the listed backends that are ready
+	subset   []*backend // the ready backends that this node uses
 
 	requests     map[RequestID]*request
 	openRequests []*request // in order of arrival
-	retryTokens  float64    // further attempts allowed
+	retryTokens  float64    // budget of further attempts
 
 	// The subset (subset.go).
-	smoothedArrivals float64 // requests that come each second, smoothed
-	arrivalRate      float64 // the same, unbiased from the first one on
-	arrivedAt        Time
-	subsetSize       float64 // backends that the subset is to have
-	tableBound       float64 // the same, at most: what backends' tables of connections have room for
-	rejectedNew      float64 // part of the attempts on new connections that is rejected, smoothed
-	rejectedKept     float64 // the same on connections that were there
-	openingShare     float64 // part of the attempts that opens a connection, smoothed
-	subsetNumber     int     // subsets chosen so far
+	smoothedArrivals     float64 // arrivals per second, exponentially smoothed
+	arrivalRate          float64 // smoothedArrivals, corrected for its start at 0
+	lastArrivalAt        Time
+	subsetSize           float64 // number of backends that the subset is to have
+	subsetBound          float64 // upper bound on it, from the room in backends' connection tables
+	newConnRejectRate    float64 // share of the attempts on new connections that is rejected, smoothed
+	reusedConnRejectRate float64 // the same on reused connections
+	newConnShare         float64 // share of the attempts that opens a connection, smoothed
+	subsetGeneration     int     // number of subsets chosen so far
 
 	// Latencies, in seconds (latency.go, estimates.go).
-	answers          float64
-	answeredAt       Time
-	meanLatency      float64 // smoothed
-	recentLatency    float64 // smoothed over a shorter time
-	uncrowdedLatency float64
-	targetLatency    float64 // at which every class still meets its target
-	leastLatency     float64 // the least that meanLatency has been
+	answers         float64 // number of answers
+	lastAnswerAt    Time
+	meanLatency     float64 // smoothed
+	recentLatency   float64 // smoothed over a shorter time
+	baselineLatency float64 // of a mean request, without queueing
+	targetLatency   float64 // mean latency at which every class still meets its target
+	minMeanLatency  float64 // the lowest meanLatency seen
 
 	// Capacity (capacity.go, estimates.go).
-	answersSuffice bool    // there are answers enough for thresholds
-	capacityKnown  bool    // some backend has been known for long enough
-	fleetCapacity  float64 // answers each second that the mean backend is able to
-	peakCapacity   float64 // the most that this has been
-	failureRate    float64 // part of the attempts, after an answer of the same backend, that fails, smoothed
-	trafficShare   float64 // this node's part of all requests at backends
+	answersSuffice bool    // there are enough answers to compute thresholds
+	capacityKnown  bool    // the capacity of some backend with a history has been measured
+	meanCapacity   float64 // answers per second that the mean backend can give this node
+	peakCapacity   float64 // the highest meanCapacity seen
+	failureRate    float64 // share of the attempts that fails, smoothed (recordFailureRate)
+	trafficShare   float64 // this node's share of all requests at its backends
 
 	// Reports (reports.go).
-	reportedHeld    float64 // sum of what backends reported to hold without queues, fading
-	reportedBusy    float64 // sum of how busy they were, fading
-	reportedHeldAt  Time
-	leastSaturation float64 // the least that their quotient has been
-	typicalHeld     float64 // what backends report to hold, smoothed
-	typicalHeldAt   Time
-	surge           float64 // by what part more backends hold than they report, as others have gone
-	surgeAt         Time
+	unqueuedSum           float64 // sum of the reported requests in flight that are not queued, decaying
+	utilisationSum        float64 // sum of the reported utilisation, decaying
+	utilisationSumAt      Time
+	minSaturationInFlight float64 // the lowest quotient of these sums seen
+	meanInFlight          float64 // requests in flight that backends report, smoothed
+	meanInFlightAt        Time
+	loadIncrease          float64 // load taken over from backends that have gone, relative to reports
+	loadIncreaseAt        Time
 
 	// Shedding (shedding.go).
-	periodAt         Time
-	priorityArrivals float64 // of this period
+	shedPeriodStart  Time
+	priorityArrivals float64 // in this period
 	otherArrivals    float64
-	priorityDrop     float64 // drop probability
-	otherDrop        float64
-	overloadSum      float64 // sum of how far the fleet was above H, over this period's ticks
+	priorityDrop     float64 // drop probability of priority requests
+	otherDrop        float64 // of other requests
+	overloadSum      float64 // sum over this period's ticks of the fleet's overload: 0 at H, 1 at R
 	ticks            float64
 	meanValue        float64 // of the mean request
-	topValue         float64 // of the class with the most
+	maxValue         float64 // of the class with the highest value
 
 	// The subscription to the list (list.go).
 	subscribed      bool
@@ -89,22 +89,22 @@
 	subscribeSentAt Time
 	subscribeWait   time.Duration
 
-	// Sizes shared between nodes (peers.go).
-	sizesKnownSince Time // when they were learned first, here or at another node
-	sizeRequests    int  // times that peers were asked for them
-	requestSizesAt  Time
+	// Estimates shared between nodes (peers.go).
+	estimatesKnownSince   Time // when they were first known, here or at the node that sent them
+	estimateRequests      int  // rounds of requests to peers
+	nextEstimateRequestAt Time // time of the next round
 
 	tally tally
 }
 
-// New returns the module of a node that has just started. The same settings, seed and events bring
-// about the same actions.
+// New returns the module of a node that has just started. The same settings, seed and events produce
+// the same actions.
 func New(settings Settings, seed int64) *Module {
 	m := &Module{
 		settings:    settings,
 		randomState: uint64(seed)*2 + 1,
 		retryTokens: maxRetryTokens,
-		tableBound:  math.Inf(1),
+		subsetBound: math.Inf(1),
 		classes:     map[string]*class{},
 		tenants:     map[string]*tenant{},
 		backends:    map[BackendID]*backend{},
@@ -117,10 +117,10 @@
 	}
 	for _, c := range settings.Classes {
 		m.classes[c.Name] = m.newClass(c)
-		m.topValue = math.Max(m.topValue, c.Value)
+		m.maxValue = math.Max(m.maxValue, c.Value)
 	}
 	m.unknownClass = m.newClass(Class{})
-	m.meanValue = m.topValue
+	m.meanValue = m.maxValue
 	for _, t := range settings.Tenants {
 		m.tenants[t.Name] = &tenant{perNode: t.Quota / float64(m.settings.Nodes)}
 	}
@@ -133,8 +133,8 @@
 	return added
 }
 
-// Handle takes an event and returns what is to be done about it, in order. The slice is not used
-// again.
+// Handle processes an event and returns the actions that the caller must carry out, in order. The
+// caller owns the slice.
 func (m *Module) Handle(now Time, e Event) []Action {
 	m.now, m.actions = now, nil
 	timer := SetTimer{After: max(tickInterval, m.settings.MinTick)} // the only timer in use
@@ -148,12 +148,12 @@
 	case ListUpdate:
 		m.updateList(e)
 	case AttemptEnded:
-		m.ended(e)
+		m.attemptEnded(e)
 	case StreamStarted:
 		m.streamStarted(e)
 	case RequestAbandoned:
 		if r := m.requests[e.ID]; r != nil && !r.answered {
-			m.close(r)
+			m.closeRequest(r)
 		}
 	case MessageReceived:
 		m.receive(e)
@@ -164,14 +164,14 @@
 	return m.actions
 }
 
-// begin sets what depends on the time of the first event.
+// begin initialises what depends on the time of the first event.
 func (m *Module) begin() {
-	m.ticking, m.periodAt, m.startAt = true, m.now, m.now
+	m.ticking, m.shedPeriodStart, m.startAt = true, m.now, m.now
 	m.subscribeWait, m.subscribeAt = firstSubscribeWait, m.now+m.jitter(firstSubscribeWait)
-	m.subsetSize, m.tally.since, m.sizesKnownSince = minSubset, m.now, m.now
+	m.subsetSize, m.tally.since, m.estimatesKnownSince = minSubset, m.now, m.now
 }
 
-// streamStarted takes the beginning of a streamed answer, whose latency counts until then.
+// streamStarted handles the start of a streamed answer, whose latency counts up to this point.
 func (m *Module) streamStarted(e StreamStarted) {
 	r := m.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) {
@@ -181,22 +181,22 @@
 	m.recordAnswer(r.attempts[e.Attempt].backend, r.class, e.Elapsed)
 }
 
-// tick makes the periodic checks.
+// tick runs the periodic checks.
 func (m *Module) tick() {
 	m.updateEstimates()
 	m.checkBackends()
 	m.answerOverdue()
-	if m.now-m.periodAt >= shedPeriod {
+	if m.now-m.shedPeriodStart >= shedPeriod {
 		m.recomputeShedding()
 	}
 	if m.now-m.tally.since >= statusInterval {
 		m.logStatus()
 	}
 	m.renewSubscription()
-	m.requestSizes()
+	m.requestEstimates()
 }
 
-// checkBackends looks for backends that do not answer, and measures how far the others are overloaded.
+// checkBackends marks unresponsive backends as suspects and measures how far the others are overloaded.
 func (m *Module) checkBackends() {
 	overload, count := 0.0, 1e-9
 	for _, b := range m.subset {
@@ -221,8 +221,7 @@
 	m.overloadSum, m.ticks = m.overloadSum+overload/count, m.ticks+1
 }
 
-// answerOverdue answers requests whose deadline has passed, which guards against an outcome that never
-// comes.
+// answerOverdue answers requests whose deadline has passed, in case an outcome never comes.
 func (m *Module) answerOverdue() {
 	open := m.openRequests[:0]
 	for _, r := range m.openRequests {
@@ -237,5 +236,5 @@
 	m.openRequests = open
 }
 
-// emit adds an action to those that the event at hand brings about.
+// emit appends an action to those caused by the current event.
 func (m *Module) emit(a Action) { m.actions = append(m.actions, a) }
--- a/decide/peers.go
+++ b/decide/peers.go
@@ -1,7 +1,8 @@
 package decide
 
-// A node that has just started asks some others for the sizes that hold under ordinary load. By itself it
-// could only learn them from what it meets, and in a jam it would take the jam for ordinary load.
+// A node that has just started asks some others for the estimates that hold under ordinary load. On its
+// own it could learn them only from the traffic that it sees, and in an overload it would take that for
+// ordinary load.
 
 import (
 	"encoding/binary"
@@ -11,104 +12,107 @@
 )
 
 const (
-	// sizeRequestFanout is the number of nodes that are asked at once: some may be new themselves, or
+	// estimateRequestFanout is the number of nodes asked in one round: some may be new themselves, or
 	// unreachable.
-	sizeRequestFanout = 3
-	// maxSizeRequests is how often a node asks, unless it gets an answer.
-	maxSizeRequests = 4
-	// sizeRequestInterval is the time between two requests, jittered: longer than a message takes.
-	sizeRequestInterval = 500 * time.Millisecond
-	// minSizesAge: younger sizes are not sent, as they may be of an overload, as those of the asking node.
-	minSizesAge = 10 * time.Second
-	// maxAgeMillis bounds the age of sizes in a message, in milliseconds.
+	estimateRequestFanout = 3
+	// maxEstimateRequests is the number of rounds that a node makes without an answer.
+	maxEstimateRequests = 4
+	// estimateRequestInterval is the time between two rounds, jittered: longer than a message takes.
+	estimateRequestInterval = 500 * time.Millisecond
+	// minEstimatesAge: younger estimates are not sent, as they may be of an overload, like those of the
+	// asking node.
+	minEstimatesAge = 10 * time.Second
+	// maxAgeMillis bounds the age of the estimates in a message, in milliseconds.
 	maxAgeMillis = 1 << 31
-	// sizesRequest is the whole message that asks for sizes; sizesAnswer begins the message that has them.
-	sizesRequest = "?1"
-	sizesAnswer  = "=1"
-	// sizeBytes is the length of the age and of each size in a message.
-	sizeBytes = 4
-	// sizesHeaderLength is the length of what comes before the sizes of the classes.
-	sizesHeaderLength = len(sizesAnswer) + 3*sizeBytes
+	// estimatesRequest is the whole message that asks for estimates; estimatesAnswer is the prefix of
+	// the message with them.
+	estimatesRequest = "?1"
+	estimatesAnswer  = "=1"
+	// estimateBytes is the length of the age and of each estimate in a message.
+	estimateBytes = 4
+	// estimatesHeaderLength is the length of what precedes the estimates of the classes.
+	estimatesHeaderLength = len(estimatesAnswer) + 3*estimateBytes
 	// maxMessage is the length in bytes of the longest message that nodes carry.
 	maxMessage = 256
-	// maxSharedSize is more than any size can be, in requests or seconds.
-	maxSharedSize = 1e6
+	// maxEstimate is more than any estimate can be, in requests or seconds.
+	maxEstimate = 1e6
 )
 
-// requestSizes asks other nodes, chosen at random, until one has answered or enough have been asked.
-func (m *Module) requestSizes() {
-	if !m.settings.MayMessage || m.settings.Nodes < 2 || m.sizeRequests >= maxSizeRequests ||
-		m.now < m.requestSizesAt {
+// requestEstimates asks other nodes, chosen at random, until one has answered or all rounds are done.
+func (m *Module) requestEstimates() {
+	if !m.settings.MayMessage || m.settings.Nodes < 2 || m.estimateRequests >= maxEstimateRequests ||
+		m.now < m.nextEstimateRequestAt {
 		return
 	}
-	m.sizeRequests, m.requestSizesAt = m.sizeRequests+1, m.now+m.jitter(sizeRequestInterval)
-	for range min(sizeRequestFanout, m.settings.Nodes-1) {
+	m.estimateRequests, m.nextEstimateRequestAt = m.estimateRequests+1, m.now+m.jitter(estimateRequestInterval)
+	for range min(estimateRequestFanout, m.settings.Nodes-1) {
 		to := int(m.random() * float64(m.settings.Nodes-1))
 		if to >= m.settings.Self {
 			to++
 		}
-		m.emit(SendMessage{To: to, Data: []byte(sizesRequest)})
+		m.emit(SendMessage{To: to, Data: []byte(estimatesRequest)})
 	}
 }
 
-// receive takes a message from another node. Malformed ones are dropped.
+// receive handles a message from another node. Malformed ones are dropped.
 func (m *Module) receive(e MessageReceived) {
-	if string(e.Data) == sizesRequest {
-		m.sendSizes(e.From)
+	if string(e.Data) == estimatesRequest {
+		m.sendEstimates(e.From)
 		return
 	}
-	sizes, isAnswer := strings.CutPrefix(string(e.Data), sizesAnswer)
+	estimates, isAnswer := strings.CutPrefix(string(e.Data), estimatesAnswer)
 	if isAnswer && len(e.Data) == m.answerLength() {
-		m.adoptSizes([]byte(sizes))
+		m.adoptEstimates([]byte(estimates))
 	}
 }
 
-// answerLength returns the length in bytes of a message with sizes.
-func (m *Module) answerLength() int { return sizesHeaderLength + sizeBytes*len(m.classes) }
+// answerLength returns the length in bytes of a message with estimates.
+func (m *Module) answerLength() int { return estimatesHeaderLength + estimateBytes*len(m.classes) }
 
-// sendSizes answers a node that has asked, if the sizes that this one knows are old enough to be of
+// sendEstimates answers a node that has asked, if this node's estimates are old enough to be of
 // ordinary load.
-func (m *Module) sendSizes(to int) {
-	age := m.now - m.sizesKnownSince
-	unknown := m.answers < 1/classGain && m.sizesKnownSince == m.startAt // neither learned nor received
-	if !m.settings.MayMessage || age < minSizesAge || unknown || m.answerLength() > maxMessage {
+func (m *Module) sendEstimates(to int) {
+	age := m.now - m.estimatesKnownSince
+	unknown := m.answers < 1/fleetGain && m.estimatesKnownSince == m.startAt // neither learned nor received
+	if !m.settings.MayMessage || age < minEstimatesAge || unknown || m.answerLength() > maxMessage {
 		return
 	}
-	data := binary.LittleEndian.AppendUint32([]byte(sizesAnswer), uint32(min(age.Milliseconds(), maxAgeMillis)))
-	for _, size := range m.sharedSizes() {
-		data = binary.LittleEndian.AppendUint32(data, math.Float32bits(float32(*size)))
+	data := binary.LittleEndian.AppendUint32([]byte(estimatesAnswer),
+		uint32(min(age.Milliseconds(), maxAgeMillis)))
+	for _, estimate := range m.sharedEstimates() {
+		data = binary.LittleEndian.AppendUint32(data, math.Float32bits(float32(*estimate)))
 	}
 	m.emit(SendMessage{To: to, Data: data})
 }
 
-// adoptSizes takes the sizes of another node, if that has known them for longer than this one. By itself a
-// node finds a lower size soon, and a higher one hardly ever.
-func (m *Module) adoptSizes(data []byte) {
+// adoptEstimates takes over the estimates of another node if that has known them for longer. On its
+// own, a node soon finds a lower minimum, but hardly ever a higher one.
+func (m *Module) adoptEstimates(data []byte) {
 	age := time.Duration(binary.LittleEndian.Uint32(data)) * time.Millisecond
-	if m.sizeRequests == 0 || age <= m.now-m.sizesKnownSince {
+	if m.estimateRequests == 0 || age <= m.now-m.estimatesKnownSince {
 		return
 	}
-	var sizes []float64
-	for data = data[sizeBytes:]; len(data) > 0; data = data[sizeBytes:] {
-		size := float64(math.Float32frombits(binary.LittleEndian.Uint32(data)))
-		if !(size >= 0 && size <= maxSharedSize) { // not a number either
+	var estimates []float64
+	for data = data[estimateBytes:]; len(data) > 0; data = data[estimateBytes:] {
+		estimate := float64(math.Float32frombits(binary.LittleEndian.Uint32(data)))
+		if !(estimate >= 0 && estimate <= maxEstimate) { // rejects NaN too
 			return
 		}
-		sizes = append(sizes, size)
+		estimates = append(estimates, estimate)
 	}
-	m.sizesKnownSince, m.sizeRequests = m.now-age, maxSizeRequests
-	for i, into := range m.sharedSizes() {
-		if sizes[i] > 0 {
-			*into = sizes[i]
+	m.estimatesKnownSince, m.estimateRequests = m.now-age, maxEstimateRequests
+	for i, into := range m.sharedEstimates() {
+		if estimates[i] > 0 {
+			*into = estimates[i]
 		}
 	}
 }
 
-// sharedSizes returns the sizes that nodes send each other, in the order of the message.
-func (m *Module) sharedSizes() []*float64 {
-	all := []*float64{&m.leastSaturation, &m.leastLatency}
+// sharedEstimates returns the estimates that nodes send each other, in the order of the message.
+func (m *Module) sharedEstimates() []*float64 {
+	all := []*float64{&m.minSaturationInFlight, &m.minMeanLatency}
 	for _, c := range m.classOrder[:len(m.classes)] {
-		all = append(all, &c.uncrowdedLatency)
+		all = append(all, &c.baselineLatency)
 	}
 	return all
 }
--- a/decide/random.go
+++ b/decide/random.go
@@ -8,7 +8,7 @@
 // mixIncrement is the increment of splitmix64.
 const mixIncrement = 0x9e3779b97f4a7c15
 
-// decay returns the part that is left of a value after a time, with the time constant tau in seconds.
+// decay returns the share of a value that is left after a time, with the time constant tau in seconds.
 func decay(since time.Duration, tau float64) float64 { return math.Exp(-since.Seconds() / tau) }
 
 // mix spreads the bits of a number (splitmix64).
--- a/decide/request.go
+++ b/decide/request.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// class is a class of requests with what has been learned of it.
+// class is a class of requests and what has been learned about it.
 type class struct {
 	Class
-	index            int     // in Module.classOrder
-	answers          float64 // number of answers
-	latency          float64 // seconds; smoothed over all backends
-	ambientLatency   float64 // seconds; Module.meanLatency at the times of its answers
-	uncrowdedLatency float64 // seconds; the least that latency has been
-	relativeCost     float64 // its latency as a multiple of the mean request's
+	index                int     // in Module.classOrder
+	answers              float64 // number of answers
+	latency              float64 // seconds; smoothed over all backends
+	meanLatencyAtAnswers float64 // seconds; Module.meanLatency, averaged over the times of the class's answers
+	baselineLatency      float64 // seconds; the lowest latency seen, without queueing
+	relativeCost         float64 // its latency as a multiple of the mean request's
 }
 
 type attempt struct {
@@ -25,7 +25,7 @@
 	class             *class
 	arrived, deadline Time
 	attempts          []attempt
-	inFlight          int // attempts
+	inFlight          int // number of attempts in flight
 	priority          bool
 	answered          bool // it has its final answer
 	streaming         bool // a stream has begun
@@ -33,12 +33,12 @@
 }
 
 type tenant struct {
-	perNode, tokens float64 // requests each second; requests
+	perNode, tokens float64 // requests per second; requests
 	tokensAt        Time
 }
 
-// classOf returns the class with a name. Those that the settings lack are one class, unsafe and
-// without value: clients may invent any name.
+// classOf returns the class with a name. All names that the settings lack share one class, unsafe and
+// without value, since clients may invent any name.
 func (m *Module) classOf(name string) *class {
 	if c := m.classes[name]; c != nil {
 		return c
@@ -46,7 +46,7 @@
 	return m.unknownClass
 }
 
-// takeToken takes a token of the tenant's share, and reports whether there was one.
+// takeToken takes a token from the tenant's bucket and reports whether there was one.
 func (t *tenant) takeToken(now Time) bool {
 	t.tokens, t.tokensAt = math.Min(t.perNode, t.tokens+t.perNode*(now-t.tokensAt).Seconds()), now
 	ok := t.tokens >= 1
--- a/decide/rig_test.go
+++ b/decide/rig_test.go
@@ -9,26 +9,26 @@
 	"nickelline/decide"
 )
 
-// rig feeds one module with a fleet of backends whose delays the test sets.
+// rig feeds one module with the events of a simulated fleet whose latencies the test sets.
 type rig struct {
-	t        *testing.T
-	m        *decide.Module
-	now      time.Duration
-	delay    func(b decide.BackendID) (time.Duration, decide.OutcomeCode)
-	due      []rigEvent
-	sent     map[decide.BackendID]int
-	last     map[decide.RequestID]decide.Action
-	attempts map[decide.RequestID]int
-	over     map[decide.RequestID]bool
-	retries  int           // of a refused client, after the time that it was asked to wait
-	patience time.Duration // of a first try
-	work     func(decide.RequestID) time.Duration
-	// outcome, if set, decides how an attempt ends.
+	t            *testing.T
+	m            *decide.Module
+	now          time.Duration
+	delay        func(b decide.BackendID) (time.Duration, decide.OutcomeCode)
+	due          []rigEvent
+	sent         map[decide.BackendID]int
+	finalActions map[decide.RequestID]decide.Action
+	attempts     map[decide.RequestID]int
+	answered     map[decide.RequestID]bool
+	retries      int           // of a refused client, each after the wait that it was asked for
+	patience     time.Duration // of a first try
+	work         func(decide.RequestID) time.Duration
+	// outcome, if set, overrides how an attempt ends.
 	outcome     func(decide.RequestID, decide.BackendID, time.Duration, decide.OutcomeCode) (time.Duration, decide.OutcomeCode)
 	report      func(b decide.BackendID) *decide.Report // nil: backends report nothing
 	retryAfters []time.Duration                         // that refused clients were asked to wait
 	inTime      map[string]int
-	came        map[decide.RequestID]time.Duration
+	arrivedAt   map[decide.RequestID]time.Duration
 	refused, failed,
 	subscriptions, next, backendLines, suspects, statusLines int
 }
@@ -43,15 +43,15 @@
 		ConnectTimeout: 100 * time.Millisecond, ColdFrom: 0.3, ColdTime: 8 * time.Second, OverloadFactor: 2.5,
 		OverloadTime: time.Second, MayRetryAfter: true, MaxRetryAfter: time.Second,
 		Classes: []decide.Class{
-			{Name: "dear", Value: 12, Target: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond, Effect: decide.Safe},
+			{Name: "valuable", Value: 12, Target: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond, Effect: decide.Safe},
 			{Name: "cheap", Value: 1, Target: 1500 * time.Millisecond, Deadline: 4 * time.Second, Effect: decide.Safe},
-			{Name: "once", Value: 1, Target: 1500 * time.Millisecond, Deadline: 2 * time.Second, Effect: decide.Unsafe}}}
+			{Name: "unsafe", Value: 1, Target: 1500 * time.Millisecond, Deadline: 2 * time.Second, Effect: decide.Unsafe}}}
 }
 
 func newRig(t *testing.T, s decide.Settings, backends int) *rig {
-	r := &rig{t: t, m: decide.New(s, 5), now: time.Hour, sent: map[decide.BackendID]int{}, over: map[decide.RequestID]bool{},
-		last: map[decide.RequestID]decide.Action{}, attempts: map[decide.RequestID]int{}, patience: 2 * time.Second,
-		inTime: map[string]int{}, came: map[decide.RequestID]time.Duration{}}
+	r := &rig{t: t, m: decide.New(s, 5), now: time.Hour, sent: map[decide.BackendID]int{}, answered: map[decide.RequestID]bool{},
+		finalActions: map[decide.RequestID]decide.Action{}, attempts: map[decide.RequestID]int{}, patience: 2 * time.Second,
+		inTime: map[string]int{}, arrivedAt: map[decide.RequestID]time.Duration{}}
 	r.work = func(decide.RequestID) time.Duration { return 0 }
 	r.delay = func(decide.BackendID) (time.Duration, decide.OutcomeCode) { return 50 * time.Millisecond, decide.OK }
 	var list []decide.Backend
@@ -67,7 +67,7 @@
 		switch a := a.(type) {
 		case decide.Send:
 			r.sent[a.Backend]++
-			leg := r.attempts[a.ID]
+			attempt := r.attempts[a.ID]
 			r.attempts[a.ID]++
 			d, code := r.delay(a.Backend)
 			d += r.work(a.ID)
@@ -77,7 +77,7 @@
 			if d > a.Timeout {
 				d, code = a.Timeout, decide.TimedOut
 			}
-			end := decide.AttemptEnded{ID: a.ID, Attempt: leg, Backend: a.Backend, Code: code, Elapsed: d}
+			end := decide.AttemptEnded{ID: a.ID, Attempt: attempt, Backend: a.Backend, Code: code, Elapsed: d}
 			if r.report != nil {
 				end.Report = r.report(a.Backend)
 			}
@@ -86,17 +86,17 @@
 			r.due = append(r.due, rigEvent{r.now + time.Millisecond, decide.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: decide.Cancelled}})
 		case decide.Refuse:
 			r.refused++
-			r.over[a.ID], r.last[a.ID] = true, a
+			r.answered[a.ID], r.finalActions[a.ID] = true, a
 			r.retryAfters = append(r.retryAfters, a.RetryAfter)
 			class, try, _ := strings.Cut(string(a.ID), "/")
-			if left := r.patience - (r.now + a.RetryAfter - r.came[decide.RequestID(class)]); len(try) < r.retries && left > 0 {
+			if left := r.patience - (r.now + a.RetryAfter - r.arrivedAt[decide.RequestID(class)]); len(try) < r.retries && left > 0 {
 				id := decide.RequestID(class + "/" + try + "x")
 				r.due = append(r.due, rigEvent{r.now + a.RetryAfter, decide.RequestArrived{ID: id, Class: strings.TrimRight(class,
 					"0123456789"), Patience: left}})
 			}
 		case decide.Fail:
 			r.failed++
-			r.over[a.ID], r.last[a.ID] = true, a
+			r.answered[a.ID], r.finalActions[a.ID] = true, a
 		case decide.SetTimer:
 			r.due = append(r.due, rigEvent{r.now + a.After, decide.TimerFired{Token: a.Token}})
 		case decide.Log:
@@ -106,7 +106,7 @@
 					r.suspects++
 				}
 			} else {
-				r.statusLines++ // of the whole node
+				r.statusLines++ // about the whole node
 			}
 		case decide.Subscribe:
 			r.subscriptions++
@@ -115,7 +115,7 @@
 	}
 }
 
-// run plays some time with so many arrivals a second of a class.
+// run simulates a stretch of time with rate arrivals per second of a class.
 func (r *rig) run(length time.Duration, rate float64, class string) {
 	arrived := 0.0
 	for end := r.now + length; r.now < end; r.now += 5 * time.Millisecond {
@@ -130,12 +130,12 @@
 		r.due = rest
 		for _, d := range now {
 			if e, ok := d.e.(decide.AttemptEnded); ok {
-				e.Over = r.over[e.ID] || e.Code == decide.OK
+				e.Over = r.answered[e.ID] || e.Code == decide.OK
 				first, _, _ := strings.Cut(string(e.ID), "/")
-				if e.Code == decide.OK && !r.over[e.ID] && r.now-r.came[decide.RequestID(first)] < 600*time.Millisecond {
+				if e.Code == decide.OK && !r.answered[e.ID] && r.now-r.arrivedAt[decide.RequestID(first)] < 600*time.Millisecond {
 					r.inTime[strings.TrimRight(first, "0123456789")]++
 				}
-				r.over[e.ID] = e.Over
+				r.answered[e.ID] = e.Over
 				d.e = e
 			}
 			r.feed(d.e)
@@ -143,7 +143,7 @@
 		for arrived += rate * 0.005; arrived >= 1; arrived-- {
 			r.next++
 			id := decide.RequestID(fmt.Sprint(class, r.next))
-			r.came[id] = r.now
+			r.arrivedAt[id] = r.now
 			r.feed(decide.RequestArrived{ID: id, Class: class, Patience: r.patience})
 		}
 	}
--- a/decide/rules.go
+++ b/decide/rules.go
@@ -1,7 +1,7 @@
 package decide
 
-// maySend reports whether the rules allow an attempt of a request at a backend. Every attempt passes
-// it.
+// maySend reports whether the rules allow an attempt of a request at a backend. Every attempt is
+// checked with it.
 func (m *Module) maySend(r *request, b *backend) bool {
 	if r.answered || r.streaming || m.now >= r.deadline || len(r.attempts) >= max(1, m.settings.MaxAttempts) ||
 		b.State != Ready || r.inFlight >= 2 || r.inFlight > 0 && !m.settings.MayOverlap {
@@ -16,7 +16,7 @@
 	return true
 }
 
-// mayRepeat reports whether a request of a class whose earlier attempt a may have run may also run at
+// mayRepeat reports whether a request of class c whose earlier attempt a may have run may also run at
 // backend b.
 func (m *Module) mayRepeat(c *class, a *attempt, b *backend) bool {
 	switch {
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -9,9 +9,9 @@
 	"nickelline/decide"
 )
 
-const testRate = 60 // arrivals a second
+const testRate = 60 // arrivals per second
 
-func play(seed int64, length time.Duration, mutate func(*world, []decide.Action) []decide.Action) *world {
+func simulate(seed int64, length time.Duration, mutate func(*world, []decide.Action) []decide.Action) *world {
 	w := newWorld(seed)
 	w.capacity, w.mutate = testRate/3, mutate
 	w.run(length, testRate, true)
@@ -22,9 +22,9 @@
 // TestRulesUnderRandomEvents drives the module through arbitrary legal orders of events and settings.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := int64(1); seed <= 60; seed++ {
-		w := play(seed, 15*time.Second, nil)
-		if len(w.broken) > 0 {
-			t.Fatalf("seed %d: %d faults, the first:\n%s", seed, len(w.broken), strings.Join(w.broken[:min(5, len(w.broken))], "\n"))
+		w := simulate(seed, 15*time.Second, nil)
+		if len(w.violations) > 0 {
+			t.Fatalf("seed %d: %d violations, the first:\n%s", seed, len(w.violations), strings.Join(w.violations[:min(5, len(w.violations))], "\n"))
 		}
 	}
 }
@@ -34,20 +34,20 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed int64) {
-		if w := play(seed, 5*time.Second, nil); len(w.broken) > 0 {
-			t.Fatal(w.broken[0])
+		if w := simulate(seed, 5*time.Second, nil); len(w.violations) > 0 {
+			t.Fatal(w.violations[0])
 		}
 	})
 }
 
-// TestSameEventsSameActions plays recorded events to a second module.
+// TestSameEventsSameActions runs the same seed twice and compares the actions.
 func TestSameEventsSameActions(t *testing.T) {
 	w := newWorld(7)
 	w.run(10*time.Second, testRate, false)
 	again := newWorld(7)
 	again.run(10*time.Second, testRate, false)
 	if len(w.actions) < 500 || len(w.actions) != len(again.actions) {
-		t.Fatalf("%d and %d steps", len(w.actions), len(again.actions))
+		t.Fatalf("got %d and %d steps, want the same number, 500 at least", len(w.actions), len(again.actions))
 	}
 	for i := range w.actions {
 		if w.actions[i] != again.actions[i] {
@@ -56,11 +56,11 @@
 	}
 }
 
-// change is a fault of a module: it returns what comes in place of an action.
-type change func(w *world, a decide.Action) []decide.Action
+// mutation is a simulated defect of a module: it returns the actions that replace one action.
+type mutation func(w *world, a decide.Action) []decide.Action
 
-// ofSends returns the fault that changes what is sent.
-func ofSends(replace func(w *world, s decide.Send) []decide.Action) change {
+// onSends returns a mutation that replaces Sends.
+func onSends(replace func(w *world, s decide.Send) []decide.Action) mutation {
 	return func(w *world, a decide.Action) []decide.Action {
 		if s, ok := a.(decide.Send); ok {
 			return replace(w, s)
@@ -69,8 +69,8 @@
 	}
 }
 
-// toAnother returns a send to another backend, if one is ready.
-func toAnother(w *world, s decide.Send) decide.Send {
+// redirect returns s with another backend, if one is ready.
+func redirect(w *world, s decide.Send) decide.Send {
 	for _, id := range w.ids {
 		if l := w.backends[id]; id != s.Backend && l.drainNotified == 0 {
 			s.Backend = id
@@ -80,17 +80,17 @@
 	return s
 }
 
-// toLast returns a send to the last backend for which holds is true.
-func toLast(w *world, s decide.Send, holds func(*listed) bool) []decide.Action {
+// redirectToLast returns s with the last backend for which matches is true.
+func redirectToLast(w *world, s decide.Send, matches func(*listed) bool) []decide.Action {
 	for _, id := range w.ids {
-		if holds(w.backends[id]) {
+		if matches(w.backends[id]) {
 			s.Backend = id
 		}
 	}
 	return []decide.Action{s}
 }
 
-func sendTwice(w *world, s decide.Send) []decide.Action { return []decide.Action{s, toAnother(w, s)} }
+func sendTwice(w *world, s decide.Send) []decide.Action { return []decide.Action{s, redirect(w, s)} }
 
 func sendToUnlisted(_ *world, s decide.Send) []decide.Action {
 	s.Backend = 12345
@@ -98,11 +98,11 @@
 }
 
 func sendToDraining(w *world, s decide.Send) []decide.Action {
-	return toLast(w, s, func(l *listed) bool { return l.drainNotified > 0 })
+	return redirectToLast(w, s, func(l *listed) bool { return l.drainNotified > 0 })
 }
 
 func sendToCold(w *world, s decide.Send) []decide.Action {
-	return toLast(w, s, func(l *listed) bool {
+	return redirectToLast(w, s, func(l *listed) bool {
 		return l.startNotified && l.drainNotified == 0 && w.now-l.StartedAt < 2*time.Second
 	})
 }
@@ -152,8 +152,8 @@
 	return []decide.Action{a, decide.SendMessage{ToAll: true}}
 }
 
-// each applies a fault to all actions.
-func each(c change) func(*world, []decide.Action) []decide.Action {
+// mutateAll applies a mutation to all actions.
+func mutateAll(c mutation) func(*world, []decide.Action) []decide.Action {
 	return func(w *world, in []decide.Action) (out []decide.Action) {
 		for _, a := range in {
 			out = append(out, c(w, a)...)
@@ -162,35 +162,35 @@
 	}
 }
 
-// TestCheckerCatches breaks the module's answers in each way that the rules forbid.
-func TestCheckerCatches(t *testing.T) {
+// TestCheckerFindsViolations mutates the module's actions in each way that the rules forbid.
+func TestCheckerFindsViolations(t *testing.T) {
 	for _, c := range []struct {
-		want   string
-		change change
+		want     string
+		mutation mutation
 	}{
 		{"no answer in time", answerNothing},
 		{"second final answer", failTwice},
-		{"never listed", ofSends(sendToUnlisted)},
-		{"drains or is gone", ofSends(sendToDraining)},
-		{"unsafe request sent again", ofSends(sendTwice)},
-		{"two attempts out", ofSends(sendTwice)},
-		{"outside its group or window", ofSends(sendTwice)},
-		{"attempts", ofSends(sendTooOften)},
+		{"never listed", onSends(sendToUnlisted)},
+		{"drains or is gone", onSends(sendToDraining)},
+		{"unsafe request sent again", onSends(sendTwice)},
+		{"two attempts in flight", onSends(sendTwice)},
+		{"outside its group or window", onSends(sendTwice)},
+		{"attempts", onSends(sendTooOften)},
 		{"for a request that is over", sendRefused},
 		{"refused although", refuseFailed},
-		{"its budget is", ofSends(sendToCold)},
-		{"cancel", ofSends(cancelUnknown)},
+		{"its budget is", onSends(sendToCold)},
+		{"cancel", onSends(cancelUnknown)},
 		{"forbidden probe", probe},
 		{"forbidden message", sendMessage},
 	} {
 		t.Run(c.want, func(t *testing.T) {
 			found := false
 			for seed := int64(1); seed <= 25 && !found; seed++ {
-				w := play(seed, 10*time.Second, each(c.change))
-				found = strings.Contains(fmt.Sprint(w.broken), c.want)
+				w := simulate(seed, 10*time.Second, mutateAll(c.mutation))
+				found = strings.Contains(fmt.Sprint(w.violations), c.want)
 			}
 			if !found {
-				t.Errorf("a module broken so that %q was not caught", c.want)
+				t.Errorf("the checker did not find the violation %q", c.want)
 			}
 		})
 	}
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -3,12 +3,12 @@
 import "math"
 
 const (
-	// priorityValueShare of the top value makes a priority request: classes of like value are not treated
-	// as day and night.
+	// priorityValueShare is the share of the highest class value that gives a request priority even if
+	// its value is below the mean: classes of similar value must not be treated very differently.
 	priorityValueShare = 0.5
 )
 
-// arrive takes a new request: it is sent to a backend, shed, or refused.
+// arrive handles a new request: it is sent to a backend, shed or refused.
 func (m *Module) arrive(e RequestArrived) {
 	if m.requests[e.ID] != nil {
 		return
@@ -31,16 +31,16 @@
 	}
 }
 
-// newRequest registers a request, and counts it among the arrivals as a priority one or another.
-// Requests over the share of their tenant are of little value.
+// newRequest registers a request and counts it among the priority arrivals or the others. Requests over
+// their tenant's quota have no priority.
 func (m *Module) newRequest(e RequestArrived) *request {
 	c := m.classOf(e.Class)
 	r := &request{id: e.ID, class: c, arrived: m.now, deadline: m.now + e.Patience}
 	m.requests[e.ID], m.openRequests = r, append(m.openRequests, r)
-	m.smoothedArrivals = m.smoothedArrivals*decay(m.now-m.arrivedAt, arrivalTau) + 1/arrivalTau
-	m.arrivedAt = m.now
-	m.meanValue += classGain * (c.Value - m.meanValue)
-	r.priority = c.Value >= math.Min(m.meanValue, priorityValueShare*m.topValue)
+	m.smoothedArrivals = m.smoothedArrivals*decay(m.now-m.lastArrivalAt, arrivalTauSeconds) + 1/arrivalTauSeconds
+	m.lastArrivalAt = m.now
+	m.meanValue += fleetGain * (c.Value - m.meanValue)
+	r.priority = c.Value >= math.Min(m.meanValue, priorityValueShare*m.maxValue)
 	if t := m.tenants[e.Tenant]; t != nil && !t.takeToken(m.now) {
 		r.priority = false
 	}
@@ -53,7 +53,7 @@
 	return r
 }
 
-// shed decides at random, by the drop probability of its kind, whether a request is dropped.
+// shed decides at random, with the drop probability of the request's kind, whether to drop it.
 func (m *Module) shed(r *request) bool {
 	if r.priority {
 		return m.random() < m.priorityDrop
@@ -61,8 +61,9 @@
 	return m.random() < m.otherDrop
 }
 
-// pick chooses a backend of the list for a request: of two random normal ones, or else of two
-// overloaded ones, the one with the lower expected latency. It returns nil if there is none.
+// pick chooses a backend from a list and returns it with its mode: of two random normal backends, or of
+// two overloaded ones if none is normal, the one with the lower expected latency. It returns nil if
+// there is none.
 func (m *Module) pick(list []*backend, r *request) (*backend, Mode) {
 	for mode, pool := range m.candidates(list, r) {
 		if len(pool) > 0 {
@@ -72,8 +73,8 @@
 	return nil, Blocking
 }
 
-// candidates returns the backends that may have a request, normal ones first, then overloaded ones.
-// Backends that lose the class count only while no backend is trusted with it.
+// candidates returns the backends that may get a request, by mode: normal ones first, then overloaded
+// ones. Backends that are avoided for the class count only while no backend is trusted with it.
 func (m *Module) candidates(list []*backend, r *request) (pools [Blocking][]*backend) {
 	trusted := false
 	for _, b := range list {
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -17,13 +17,13 @@
 const (
 	// Unsafe requests must never run twice.
 	Unsafe Effect = iota
-	// Keyed requests carry a key by which a group of backends drops repeats.
+	// Keyed requests carry an idempotency key by which a group of backends drops repeats.
 	Keyed
 	// Safe requests may run any number of times.
 	Safe
 )
 
-// Scope is the group of backends that share knowledge of keys.
+// Scope is the group of backends that share their records of idempotency keys.
 type Scope int
 
 const (
@@ -41,22 +41,22 @@
 	Value         float64       // of one request
 	Target        time.Duration // an answer within this time has full value
 	TargetStretch float64       // the target grows by this many times the request's work
-	Deadline      time.Duration // the client's total patience, over all its tries
-	LateValue     float64       // part of the value for an answer past the target
+	Deadline      time.Duration // how long the client waits in total, over all its tries
+	LateValue     float64       // share of the value that an answer past the target has
 	Effect        Effect
 	KeyScope      Scope         // for Keyed: the group that drops repeats
-	DedupWindow   time.Duration // for Keyed: how long the group remembers
+	DedupWindow   time.Duration // for Keyed: how long the group remembers a key
 	Streamed      bool          // the answer is a stream
 }
 
 // Tenant is a customer with a guaranteed share.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests each second over all nodes
+	Quota float64 // requests per second over all nodes
 	Share float64
 }
 
-// Settings is the configuration that a node gets at its start.
+// Settings is the configuration that a node gets when it starts.
 type Settings struct {
 	Nodes   int    // how many nodes decide for these backends
 	Self    int    // this node's number among them
@@ -75,24 +75,24 @@
 	MaxRetryAfter  time.Duration // the longest such wait that clients follow
 	MarksRepeats   bool          // clients mark their repeats
 	ConnectTimeout time.Duration
-	MinTick        time.Duration // events come no closer together than this
+	MinTick        time.Duration // minimum time between events
 	ListOnRequest  bool          // list changes come only after Subscribe or FetchList
-	SizeKnown      bool          // Backend.Size says something of the machine's size
+	SizeKnown      bool          // Backend.Size reflects the size of the machine
 	SizeLive       bool          // Backend.Size falls as the backend fills
-	OverShareValue float64       // part of its value that a request over its tenant's share has
-	ValueByWork    bool          // value counts by unit of work, not by request
+	OverShareValue float64       // share of its value that a request over its tenant's share keeps
+	ValueByWork    bool          // value counts per unit of work, not per request
 	ReportVia      ReportVia     // where load reports come from
 	ReportFields   []string      // names of the values in them
 
 	Family         string   // the kind of service
 	Tier           int      // the tier that this node sends to, by its index in Tiers
 	Tiers          []string // names of the tiers
-	WarmKeys       bool     // a backend that met a key lately needs less work for it
-	PassesDeadline bool     // a backend's calls to the next tier carry what is left of the request's time
+	WarmKeys       bool     // a backend that served a key lately needs less work for it
+	PassesDeadline bool     // a backend's calls to the next tier carry the request's remaining time
 	StreamsPerConn int      // attempts that one connection carries at once
 	ConnIdle       time.Duration
 	MaxOpen        int           // requests that this node can have open
-	CPUPerSecond   time.Duration // what this node may spend on decisions
+	CPUPerSecond   time.Duration // CPU time per second that this node may spend on decisions
 	CPUPerRequest  time.Duration // the same for a request with its outcomes; 0: no limit
 	Goal           Goal
 	Prices         Prices
@@ -100,18 +100,18 @@
 	AnswerSlack    time.Duration // a final answer this long past the deadline still counts
 	MaxListAge     time.Duration // without a subscription, the list is fetched at least this often
 	DrainGrace     time.Duration // sends to a draining backend must have stopped by then
-	ColdFrom       float64       // part of its capacity a backend starts with, at least
-	ColdTime       time.Duration // a started backend is warm after this time
-	OverloadFactor float64       // a cold backend falls over beyond this multiple of its capacity
-	OverloadTime   time.Duration // when that lasts so long
+	ColdFrom       float64       // share of its full capacity that a backend has when it starts, at least
+	ColdTime       time.Duration // a backend is warm this long after its start
+	OverloadFactor float64       // a cold backend falls over beyond this multiple of its current capacity
+	OverloadTime   time.Duration // if the overload lasts this long
 }
 
-// Goal weighs the parts of the result.
+// Goal holds the weights of the parts of the result.
 type Goal struct {
 	Whole, WorstWindow, WorstClass, WorstTenant float64
 }
 
-// Prices are points off the result, each for one unit of what it names.
+// Prices are the points deducted from the result per unit of what each field names.
 type Prices struct {
 	Connection, Handshake, CrossZone, Waste, LateFail, Probe, Message, Moves, Origin, ListLines, Fleet float64
 }
@@ -120,10 +120,10 @@
 type ReportVia int
 
 const (
-	// ReportNone means there are none.
+	// ReportNone means that there are no reports.
 	ReportNone ReportVia = iota
-	// ReportProbe means only probe results carry them.
+	// ReportProbe means that only probe results carry reports.
 	ReportProbe
-	// ReportAnswers means outcomes carry them too.
+	// ReportAnswers means that outcomes of attempts carry reports too.
 	ReportAnswers
 )
--- a/decide/shedding.go
+++ b/decide/shedding.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// shedPeriod is the period of the drop probabilities: it has many arrivals, yet is far shorter than an
-	// overload.
+	// shedPeriod is the period of the drop probabilities: it has many arrivals, yet is far shorter than
+	// an overload.
 	shedPeriod = 500 * time.Millisecond
-	// arrivalsCarriedOver is the part of the counts of arrivals that a period hands on, since a period may
-	// see no arrival.
+	// arrivalsCarriedOver is the share of the arrival counts that carries over to the next period,
+	// since a period may see no arrival.
 	arrivalsCarriedOver = 0.9
 )
 
@@ -27,9 +27,9 @@
 	return q1, q2
 }
 
-// recomputeShedding sets the drop probabilities and ends the period. Requests are shed only where no
-// backend is normal: then all other requests go first, and priority ones the more, the nearer the
-// fleet is to R.
+// recomputeShedding sets the drop probabilities and ends the period. They apply only where no backend
+// is normal: then all other requests are dropped, and priority requests the more, the nearer the
+// fleet's load is to R.
 func (m *Module) recomputeShedding() {
 	q := 0.0
 	if n := m.priorityArrivals + m.otherArrivals; n > 0 {
@@ -38,7 +38,7 @@
 	m.priorityDrop, m.otherDrop = ShedSplit(q, m.priorityArrivals, m.otherArrivals)
 	m.priorityArrivals *= arrivalsCarriedOver
 	m.otherArrivals *= arrivalsCarriedOver
-	m.overloadSum, m.ticks, m.periodAt = 0, 0, m.now
+	m.overloadSum, m.ticks, m.shedPeriodStart = 0, 0, m.now
 	m.chooseSubset()
 	for _, b := range m.subset {
 		b.dither = m.random()
--- a/decide/status.go
+++ b/decide/status.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// statusInterval is the time between two lines of counts and sizes: the log of a day stays readable.
+	// statusInterval is the time between two sets of status lines; it keeps the log of a day readable.
 	statusInterval = 5 * time.Second
 )
 
-// backendLogInterval is the least time between two lines about one backend.
+// backendLogInterval is the minimum time between two log lines about one backend.
 const backendLogInterval = 5 * time.Second
 
-// tally counts what happened since the last status line, for the operators; no decision depends on it.
+// tally counts what happened since the last status lines, for operators; no decision depends on it.
 type tally struct {
 	since                          Time
 	arrived, sent, refused, failed int
-	noBackend                      int // first tries that no backend was open to
-	shed                           int // first tries that were dropped
+	noBackend                      int // new requests that no backend was available for
+	shed                           int // new requests that were dropped
 	ended                          [OutcomeCodes]int
-	byCount                        [Blocking + 1]int // backends in each mode by own count, summed over ticks
+	byCount                        [Blocking + 1]int // backends in each mode by load, summed over ticks
 	byMode                         [Blocking + 1]int // the same by the mode in force
-	suspect, cold                  int               // the same of suspects and of cold backends
+	suspect, cold                  int               // the same for suspects and for cold backends
 }
 
-// logBackend logs a line about a backend, at most one in backendLogInterval: one that fails and
-// recovers all the time must not fill the disk.
+// logBackend logs a line about a backend, at most one per backendLogInterval: a backend that keeps
+// failing and recovering must not fill the disk.
 func (m *Module) logBackend(b *backend, line string) {
 	if m.now >= b.logQuietUntil {
 		b.logQuietUntil = m.now + backendLogInterval
@@ -36,10 +36,11 @@
 	}
 }
 
-// logStatus logs the counts since the last time, and the sizes that the thresholds depend on now.
+// logStatus logs the counts since the last status lines and the estimates that the thresholds now
+// depend on.
 func (m *Module) logStatus() {
 	m.logCounts()
-	m.logSizes()
+	m.logEstimates()
 	m.logFleet()
 	m.tally = tally{since: m.now}
 }
@@ -52,7 +53,7 @@
 		t.byCount, t.byMode, t.suspect, t.cold)})
 }
 
-func (m *Module) logSizes() {
+func (m *Module) logEstimates() {
 	n, h := 0.0, 0.0
 	for _, b := range m.subset {
 		backendLoad, threshold := m.load(b)
@@ -62,8 +63,8 @@
 	m.emit(Log{fmt.Sprintf("sizes servers=%d/%d n=%.2f H=%.2f q1=%.2f q2=%.2f share=%.2f rate=%.2f peak=%.2f "+
 		"failing=%.3f mean=%.3f base=%.3f aimed=%.3f least=%.3f full=%.1f typical=%.1f turned_away=%.2f/%.2f",
 		len(m.subset), len(m.listed), n/backends, h/backends, m.priorityDrop, m.otherDrop, m.trafficShare,
-		m.fleetCapacity, m.peakCapacity, m.failureRate, m.meanLatency, m.uncrowdedLatency, m.targetLatency,
-		m.leastLatency, m.saturation(), m.typicalHeld, m.rejectedNew, m.rejectedKept)})
+		m.meanCapacity, m.peakCapacity, m.failureRate, m.meanLatency, m.baselineLatency, m.targetLatency,
+		m.minMeanLatency, m.saturationInFlight(), m.meanInFlight, m.newConnRejectRate, m.reusedConnRejectRate)})
 }
 
 func (m *Module) logFleet() {
@@ -86,7 +87,7 @@
 		line.WriteString(",cold")
 	}
 	for _, c := range m.classOrder {
-		if b.faultOf(c).avoided {
+		if b.healthOf(c).avoided {
 			line.WriteString(",loses=" + c.Name)
 		}
 	}
--- a/decide/subset.go
+++ b/decide/subset.go
@@ -3,72 +3,76 @@
 import "math"
 
 const (
-	// subsetSeconds is the time between two requests at a backend of the subset: what it says holds for a
-	// validity.
-	subsetSeconds = 1.0
-	// minSubset backends are in a subset at least; fewer leave no choice once some of them fail.
+	// requestIntervalSeconds is the mean time between two requests at a backend of the subset: what its
+	// answer says about its load holds for one validity period.
+	requestIntervalSeconds = 1.0
+	// minSubset is the smallest size of a subset; fewer backends leave no choice once some of them
+	// fail.
 	minSubset = 8.0
-	// minTableBound is the same where backends' tables of connections have no room for more.
-	minTableBound = 4.0
-	// tableGain is the weight of an attempt in the smoothed parts of attempts that are rejected.
-	tableGain = 0.1
-	// tablesFullAbove is the part of attempts: where more are rejected for it, tables are too full.
-	tablesFullAbove = 0.05
-	// tableBoundGrowth raises the bound each other period: room is tried again within half a minute.
-	tableBoundGrowth = 1.01
-	// arrivalTau, in seconds, smooths this node's arrivals, so that its subset does not flutter.
-	arrivalTau = 10.0
+	// minSubsetBound is the same where the connection tables of the backends have no room for more.
+	minSubsetBound = 4.0
+	// rejectRateGain is the weight of an attempt in the smoothed rejection rates.
+	rejectRateGain = 0.1
+	// maxTableRejectRate is the share of attempts rejected for full connection tables above which the
+	// subset shrinks.
+	maxTableRejectRate = 0.05
+	// subsetBoundGrowth raises the bound in each period without such rejections: more room is tried
+	// again within half a minute.
+	subsetBoundGrowth = 1.01
+	// arrivalTauSeconds is the time constant of this node's smoothed arrivals, long enough to keep its
+	// subset stable.
+	arrivalTauSeconds = 10.0
 )
 
-// chooseSubset picks the backends that the ordinary path uses. One of many nodes that talked to all
-// backends would know none of them, and its connections would fill their tables. All nodes have the
-// same ring of backends and start at even distances on it. Suspects are not made up for: all nodes
-// would open connections to the other backends at once.
+// chooseSubset picks the backends that the node uses. If each of many nodes sent requests to all
+// backends, it would know little of any of them, and the connections of all nodes would fill the
+// backends' connection tables. All nodes have the same ring of backends and start at evenly spread
+// positions on it. Suspects are not replaced: otherwise all nodes would open connections to the other
+// backends at once.
 func (m *Module) chooseSubset() {
-	known := 1 - decay(m.now-m.startAt+tickInterval, arrivalTau)
-	m.arrivalRate = m.smoothedArrivals * decay(m.now-m.arrivedAt, arrivalTau) / known
-	want := subsetSeconds * m.arrivalRate
+	weightSeen := 1 - decay(m.now-m.startAt+tickInterval, arrivalTauSeconds)
+	m.arrivalRate = m.smoothedArrivals * decay(m.now-m.lastArrivalAt, arrivalTauSeconds) / weightSeen
+	want := requestIntervalSeconds * m.arrivalRate
 	if want > m.subsetSize || want < m.subsetSize/2 {
-		m.subsetSize = math.Max(want, minSubset) // else unchanged: a new backend costs a connection
+		m.subsetSize = math.Max(want, minSubset) // else unchanged, as a new backend costs a connection
 	}
-	if m.subsetSize < float64(len(m.ready)) { // one of few nodes needs all backends, and finds room at others
-		m.subsetSize = math.Min(m.subsetSize, m.boundByTables())
+	if m.subsetSize < float64(len(m.ready)) { // one of few nodes uses all backends, and finds room at some
+		m.subsetSize = math.Min(m.subsetSize, m.updateSubsetBound())
 	}
 	start := int(math.Mod((float64(m.settings.Self)+0.5)*math.Phi, 1) * float64(len(m.ready)))
-	m.subset, m.subsetNumber = m.subset[:0], m.subsetNumber+1
+	m.subset, m.subsetGeneration = m.subset[:0], m.subsetGeneration+1
 	for i := 0; i < min(len(m.ready), int(m.subsetSize)); i++ {
 		b := m.ready[(start+i)%len(m.ready)]
-		b.subsetNumber = m.subsetNumber
+		b.subsetGeneration = m.subsetGeneration
 		m.subset = append(m.subset, b)
 	}
 }
 
-// boundByTables returns the bound that the room in backends' tables of connections puts on a subset.
-// No backend reports that room, but full tables reject what comes on a new connection, and full queues
-// what comes on any. All nodes see it, and all give way: a full table costs a backend a part of its
-// capacity.
-func (m *Module) boundByTables() float64 {
-	if more := (m.rejectedNew - m.rejectedKept) * m.openingShare; more > tablesFullAbove {
-		m.tableBound = math.Max(minTableBound, math.Min(m.tableBound, m.subsetSize)*(1-more/2))
-	} else if m.tableBound < float64(len(m.ready)) {
-		m.tableBound *= tableBoundGrowth
+// updateSubsetBound updates and returns the bound on the subset's size that follows from the room in
+// the backends' connection tables. No backend reports that room, but a full table rejects attempts on
+// new connections only, while a full queue rejects attempts on any. All nodes see the rejections and
+// all shrink their subsets, as a full table costs a backend part of its capacity.
+func (m *Module) updateSubsetBound() float64 {
+	if rate := (m.newConnRejectRate - m.reusedConnRejectRate) * m.newConnShare; rate > maxTableRejectRate {
+		m.subsetBound = math.Max(minSubsetBound, math.Min(m.subsetBound, m.subsetSize)*(1-rate/2))
+	} else if m.subsetBound < float64(len(m.ready)) {
+		m.subsetBound *= subsetBoundGrowth
 	}
-	return m.tableBound
+	return m.subsetBound
 }
 
-// recordRejection keeps account of what backends reject, on new connections and on those that were
-// there.
+// recordRejection updates the rejection rates of attempts on new and on reused connections.
 func (m *Module) recordRejection(e AttemptEnded) {
-	part, opened := &m.rejectedKept, 0.0
+	rate, opened := &m.reusedConnRejectRate, 0.0
 	if e.Opened {
-		part, opened = &m.rejectedNew, 1
+		rate, opened = &m.newConnRejectRate, 1
 	}
-	m.openingShare += tableGain * (opened - m.openingShare)
+	m.newConnShare += rejectRateGain * (opened - m.newConnShare)
 	switch e.Code {
 	case Full:
-		*part += tableGain * (1 - *part)
+		*rate += rejectRateGain * (1 - *rate)
 	case OK:
-		*part -= tableGain * *part
-	default: // other outcomes say nothing of the tables
+		*rate -= rejectRateGain * *rate
+	default: // other outcomes say nothing about the tables
 	}
 }
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// Where backends' tables of connections are full, as requests on new connections alone are turned away, a node keeps to
-// fewer backends, and tries more again once nothing is turned away; full queues turn away what comes on any connection.
+// When requests on new connections alone are rejected, the connection tables of the backends are full, and a node uses
+// fewer backends; it tries more again once nothing is rejected. Full queues reject requests on any connection and do
+// not shrink the subset.
 func TestFullTablesShrinkSubsets(t *testing.T) {
-	run := func(m *Module, from Time, seconds int, turns func(n int) (opened bool, code OutcomeCode)) Time {
+	run := func(m *Module, from Time, seconds int, outcome func(n int) (opened bool, code OutcomeCode)) Time {
 		now, n := from, 0
 		for step := range seconds * 40 {
 			now = from + time.Duration(step+1)*25*time.Millisecond
 			m.Handle(now, TimerFired{})
-			for _, a := range m.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(from, step)), Class: "dear", Patience: 2 * time.Second}) {
+			for _, a := range m.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(from, step)), Class: "valuable", Patience: 2 * time.Second}) {
 				if s, ok := a.(Send); ok {
 					n++
-					opened, code := turns(n)
+					opened, code := outcome(n)
 					m.Handle(now, AttemptEnded{ID: s.ID, Backend: s.Backend, Over: code == OK, Elapsed: 60 * time.Millisecond, Code: code, Opened: opened})
 				}
 			}
@@ -25,15 +26,15 @@
 		return now
 	}
 	fresh := func() *Module {
-		m := New(sparseSettings(300), 1)
-		m.Handle(time.Hour, sparseList(150))
+		m := New(largeFleetSettings(300), 1)
+		m.Handle(time.Hour, readyList(150))
 		return m
 	}
 	served := func(n int) (bool, OutcomeCode) { return n%2 == 0, OK }
 	m := fresh()
 	now := run(m, time.Hour, 20, served)
 	if len(m.subset) < 30 {
-		t.Errorf("with room: %d backends in use, 40 requests a second", len(m.subset))
+		t.Errorf("with room: got %d backends in use at 40 requests per second, want at least 30", len(m.subset))
 	}
 	now = run(m, now, 20, func(n int) (bool, OutcomeCode) {
 		if n%2 == 0 && n%4 == 0 {
@@ -42,10 +43,10 @@
 		return n%2 == 0, OK
 	})
 	if len(m.subset) > 8 {
-		t.Errorf("with full tables: %d backends in use", len(m.subset))
+		t.Errorf("with full tables: got %d backends in use, want at most 8", len(m.subset))
 	}
 	if run(m, now, 90, served); len(m.subset) < 12 {
-		t.Errorf("with room again: %d backends in use", len(m.subset))
+		t.Errorf("with room again: got %d backends in use, want at least 12", len(m.subset))
 	}
 	m = fresh()
 	run(m, time.Hour, 30, func(n int) (bool, OutcomeCode) {
@@ -55,19 +56,19 @@
 		return n%2 == 0, OK
 	})
 	if len(m.subset) < 30 {
-		t.Errorf("with full queues: %d backends in use", len(m.subset))
+		t.Errorf("with full queues: got %d backends in use, want at least 30", len(m.subset))
 	}
 }
 
-// One of few nodes, which uses all backends, keeps them though some have no room: others have, and a part of them would be
-// crowded.
-func TestBusyNodeKeepsAllBackendsBesideFullTables(t *testing.T) {
-	m := New(sparseSettings(4), 1)
-	m.Handle(time.Hour, sparseList(15))
+// One of few nodes uses all backends and keeps them though some have full tables: the others have room, and a subset of
+// them would be overloaded.
+func TestBusyNodeKeepsAllBackendsDespiteFullTables(t *testing.T) {
+	m := New(largeFleetSettings(4), 1)
+	m.Handle(time.Hour, readyList(15))
 	for i := range 2000 {
 		now := time.Hour + time.Duration(i)*10*time.Millisecond
 		m.Handle(now, TimerFired{})
-		for _, a := range m.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: "dear", Patience: 2 * time.Second}) {
+		for _, a := range m.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: "valuable", Patience: 2 * time.Second}) {
 			if s, ok := a.(Send); ok {
 				code, opened := OK, s.Backend <= 2
 				if opened {
@@ -78,6 +79,6 @@
 		}
 	}
 	if len(m.subset) != 15 {
-		t.Errorf("%d of 15 backends in use, 100 requests a second", len(m.subset))
+		t.Errorf("got %d of 15 backends in use at 100 requests per second, want all", len(m.subset))
 	}
 }
--- a/decide/suspect_test.go
+++ b/decide/suspect_test.go
@@ -9,16 +9,16 @@
 	"nickelline/decide"
 )
 
-// A network that breaks some attempts of every backend makes none of them a suspect; a backend that breaks all of
-// its own is one at once.
-func TestChanceFailuresAccuseNobody(t *testing.T) {
+// A network that breaks some attempts at every backend must make few suspects; a backend that breaks all of its
+// attempts becomes one at once.
+func TestChanceFailuresMakeFewSuspects(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		broken     uint32 // of 100 attempts, whatever the backend
 		dead       decide.BackendID
-		least, max int // accusations
+		least, max int // times that a backend becomes a suspect
 	}{
-		{"calm", 0, 0, 0, 0},
+		{"no failures", 0, 0, 0, 0},
 		{"a tenth breaks", 10, 0, 0, 1},
 		{"a fifth breaks", 20, 0, 0, 2},
 		{"one backend breaks all", 0, 2, 1, 4},
@@ -37,7 +37,7 @@
 			}
 			r.run(30*time.Second, 300, "cheap")
 			if r.suspects < c.least || r.suspects > c.max {
-				t.Errorf("%d accusations in 9000 requests, want %d to %d", r.suspects, c.least, c.max)
+				t.Errorf("got %d suspects in 9000 requests, want %d to %d", r.suspects, c.least, c.max)
 			}
 		})
 	}
--- a/decide/thresholds.go
+++ b/decide/thresholds.go
@@ -3,99 +3,107 @@
 import "math"
 
 const (
-	// targetShare is the part of a class's latency target that its mean latency may take, as tails are
-	// long.
+	// targetShare is the share of a class's latency target that its mean latency may take, as the tail
+	// of the latencies is long.
 	targetShare = 0.4
-	// sparseTargetShare replaces targetShare at nodes with few requests, whose latencies are means over
-	// the fleet.
-	sparseTargetShare = 0.6
-	// maxSparseQueue bounds the requests ahead of one's own at a node with few requests; more turns
-	// backends slow.
-	maxSparseQueue = 2.0
-	// queuedLatencyFactor is the desired latency, with queues, as a multiple of the uncrowded one: long
-	// queues harm where crowding slows backends down.
+	// partialViewTargetShare replaces targetShare at nodes with a partial view, whose latencies are
+	// means over the fleet.
+	partialViewTargetShare = 0.6
+	// maxPartialViewQueue bounds the number of requests ahead of a new one that such a node accepts at
+	// a backend; with more, backends become slow.
+	maxPartialViewQueue = 2.0
+	// queuedLatencyFactor is the desired latency, with queueing, as a multiple of the baseline latency:
+	// long queues do harm where many concurrent requests slow a backend down.
 	queuedLatencyFactor = 1.8
-	// roomyTargetShare is the part of the latency that targets allow that queues may fill where that is
-	// long,
-	roomyTargetShare = 0.6
-	// roomyLatencyFactor bounds such queues, as a multiple of the uncrowded latency.
-	roomyLatencyFactor = 4.0
-	// maxQuickening bounds by how much more of the desired latency counts where answers come faster.
-	maxQuickening = 3.0
-	// minWindow is the least number of requests of all nodes together at a backend, learned or not.
+	// looseTargetShare is the share of targetLatency that queueing may take where the targets are far
+	// above the baseline latency.
+	looseTargetShare = 0.6
+	// looseLatencyFactor bounds the latency in that case, as a multiple of the baseline latency.
+	looseLatencyFactor = 4.0
+	// maxHeadroomFactor bounds the factor by which H grows while the mean latency is below the desired
+	// one.
+	maxHeadroomFactor = 3.0
+	// minWindow is the least number of requests that all nodes together may have in flight at a
+	// backend, whether or not its capacity is known.
 	minWindow = 2.0
-	// fleetWeight is the part of H that is drawn from the whole fleet: noise in its own figures must not
-	// starve a backend.
+	// fleetWeight is the weight of the whole fleet's capacity in H: noise in a backend's own figures
+	// must not starve it.
 	fleetWeight = 0.3
 )
 
-// highThreshold returns H: by Little's law the requests that this node may have at a backend whose
-// answers come as fast as the latency targets want, and more, the faster they come. Part of it is the
-// mean of the fleet, since chance must not starve a backend. Queues stay small, as some backends turn
-// slow for long when crowded.
+// highThreshold returns H, the number of requests that this node may have in flight at a backend. By
+// Little's law it is the backend's capacity times the desired latency, and more while answers come
+// faster than desired. Part of the capacity is the mean of the fleet, since chance must not starve a
+// backend. Queues are kept short, as some backends stay slow for long after too many concurrent
+// requests.
 func (m *Module) highThreshold(b *backend) float64 {
 	if !m.answersSuffice {
 		return 2 * minWindow / float64(m.settings.Nodes)
 	}
-	quickness := math.Min(1, m.meanLatency/m.latencyOf(b))
-	rate := (1-fleetWeight)*m.capacityOf(b) + fleetWeight*m.fleetCapacity*quickness
-	want := m.desiredLatency()
-	uncrowded := m.uncrowdedLatency * math.Max(1, m.peakCapacity/m.fleetCapacity)
-	h := rate * math.Max(uncrowded, want*math.Min(maxQuickening, want/m.meanLatency))
+	relativeSpeed := math.Min(1, m.meanLatency/m.latencyOf(b))
+	rate := (1-fleetWeight)*m.capacityOf(b) + fleetWeight*m.meanCapacity*relativeSpeed
+	desired := m.desiredLatency()
+	baseline := m.baselineLatency * math.Max(1, m.peakCapacity/m.meanCapacity)
+	h := rate * math.Max(baseline, desired*math.Min(maxHeadroomFactor, desired/m.meanLatency))
 	return math.Max(h, minWindow/float64(m.settings.Nodes))
 }
 
-// desiredLatency returns the mean latency in seconds, with queues, that the latency targets leave room
-// for.
+// desiredLatency returns the mean latency in seconds, with queueing, that the latency targets leave
+// room for.
 func (m *Module) desiredLatency() float64 {
-	roomy := math.Min(roomyLatencyFactor*m.uncrowdedLatency, roomyTargetShare*m.targetLatency)
-	return math.Min(math.Max(queuedLatencyFactor*m.uncrowdedLatency, roomy), m.targetLatency)
+	loose := math.Min(looseLatencyFactor*m.baselineLatency, looseTargetShare*m.targetLatency)
+	return math.Min(math.Max(queuedLatencyFactor*m.baselineLatency, loose), m.targetLatency)
 }
 
-// load returns the load n of a backend and its threshold H. H is rounded up or down at random, so that
-// its mean over all nodes is kept. A node with few requests sends a backend less than one request in a
-// validity, so its own count says nothing: there n is estimated from reports or, without those, from
-// latency.
+// load returns the load n of a backend and its threshold H. If this node has a full view, n is its own
+// attempts in flight, and H is rounded up or down at random, so that its mean over all nodes is kept. A
+// node with a partial view sends a backend less than one request per validity period, so its own count
+// says nothing: n is estimated from reports or, without those, from latency.
 func (m *Module) load(b *backend) (n, h float64) {
-	if !m.seesLittle() {
+	if !m.hasPartialView() {
 		return b.inFlight, math.Floor(m.highThreshold(b) + b.dither)
 	}
-	if m.uncrowdedLatency == 0 || m.leastLatency == 0 || m.targetLatency == 0 {
+	if m.baselineLatency == 0 || m.minMeanLatency == 0 || m.targetLatency == 0 {
 		return b.inFlight, 1
 	}
-	if saturation := m.saturation(); saturation > 0 {
+	if saturation := m.saturationInFlight(); saturation > 0 {
 		return m.loadByReports(b, saturation)
 	}
 	return m.loadByLatency(b)
 }
 
-// loadByReports returns the load of a backend by what it reports to hold, against what backends hold
-// with their cores just busy. While the backend does not answer, the load grows with the time.
+// loadByReports returns the requests in flight at a backend by its reports, and as H the number that
+// keeps its cores just busy, raised by the queueing that the targets allow. While the backend is
+// unresponsive, n grows with the time.
 func (m *Module) loadByReports(b *backend, saturation float64) (n, h float64) {
-	h = saturation * math.Max(1, math.Min(queuedLatencyFactor, m.desiredLatency()/m.uncrowdedLatency))
-	// What this node has there, the others have by their shares. One more or less is chance, as with H.
-	n = math.Max((b.inFlight-b.dither)/math.Max(m.trafficShare, 1/float64(m.settings.Nodes)), m.estimatedHeld(b))
+	h = saturation * math.Max(1, math.Min(queuedLatencyFactor, m.desiredLatency()/m.baselineLatency))
+	// The node's share scales its own requests up to those of all nodes. As for H, dither rounds at
+	// random: one request more or less is chance.
+	n = math.Max((b.inFlight-b.dither)/math.Max(m.trafficShare, 1/float64(m.settings.Nodes)),
+		m.estimatedInFlight(b))
 	if waited := (m.now - b.unansweredSince).Seconds(); b.inFlight > 0 && m.unresponsive(b) {
-		n = math.Max(n, saturation*waited/m.uncrowdedLatency)
+		n = math.Max(n, saturation*waited/m.baselineLatency)
 	}
 	return n, math.Max(1, h)
 }
 
-// loadByLatency returns the load of a backend as the requests ahead of one's own, by its latency in
-// units of the uncrowded one. What is not renewed lapses.
+// loadByLatency returns the load of a backend by its latency: n is the number of requests ahead of a
+// new one, which is the latency in units of the lowest mean latency, less 1. It decays while no answers
+// come.
 func (m *Module) loadByLatency(b *backend) (n, h float64) {
-	target := m.targetLatency * sparseTargetShare / targetShare
-	unit := math.Min(m.leastLatency, target) // a node that starts in a jam takes that for its least
-	latency := m.recentLatency + b.latencyExcess*decay(m.now-b.latencyAt, staleLatencyTau)
-	n = (latency/unit - 1) * decay(m.now-m.answeredAt, staleLatencyTau)
-	if b.unanswered > 0 && b.inFlight > 0 { // an attempt in flight has taken at least as long as it has been out
+	target := m.targetLatency * partialViewTargetShare / targetShare
+	unit := math.Min(m.minMeanLatency, target) // a node that starts in an overload takes that for its minimum
+	latency := m.recentLatency + b.latencyExcess*decay(m.now-b.latencyAt, staleLatencyTauSeconds)
+	n = (latency/unit - 1) * decay(m.now-m.lastAnswerAt, staleLatencyTauSeconds)
+	if b.unanswered > 0 && b.inFlight > 0 { // the latency of an attempt in flight is at least its age
 		n = math.Max(n, (m.now-b.unansweredSince).Seconds()/unit-1)
 	}
-	return n, math.Max(1, math.Min(maxSparseQueue, target/unit))
+	return n, math.Max(1, math.Min(maxPartialViewQueue, target/unit))
 }
 
-// seesLittle reports whether this node's own counts say little of its backends: other nodes send them
-// most of their requests, or this node sends less than one in a validity.
-func (m *Module) seesLittle() bool {
-	return len(m.subset) < len(m.ready) || m.arrivalRate*validity.Seconds() < float64(len(m.subset))
+// hasPartialView reports whether this node's own counts say little about the load of its backends:
+// other nodes send them most of their requests, or this node sends each less than one per validity
+// period.
+func (m *Module) hasPartialView() bool {
+	return len(m.subset) < len(m.ready) || m.arrivalRate*validityPeriod.Seconds() < float64(len(m.subset))
 }
--- a/decide/trials.go
+++ b/decide/trials.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// dueTrialBackend returns a suspect, or a backend that loses the class of the request, whose trial is
-// due, for a request that may be repeated; nil if there is none.
+// dueTrialBackend returns a backend whose trial is due, for a request that may be repeated: a suspect,
+// or a backend that is avoided for the class of the request. It returns nil if there is none.
 func (m *Module) dueTrialBackend(r *request) *backend {
 	for _, b := range m.subset {
 		if r.class.Effect == Unsafe || !m.maySend(r, b) {
 			continue
 		}
-		lost := m.avoided(b, r.class)
-		if b.suspect && !lost && m.now >= b.trialAt {
+		avoided := m.avoided(b, r.class)
+		if b.suspect && !avoided && m.now >= b.trialAt {
 			return b
 		}
-		if !b.suspect && lost && m.now >= b.faultOf(r.class).trialAt &&
+		if !b.suspect && avoided && m.now >= b.healthOf(r.class).trialAt &&
 			m.modeOf(b) != Blocking && !m.overColdBudget(b) {
 			return b
 		}
@@ -21,10 +21,10 @@
 	return nil
 }
 
-// sendTrial sends a request to a backend whose trial is due, and reports whether it has. A trial has
-// the time of an ordinary answer and a half, or a healthy suspect would stay one, and leaves some for
-// a second attempt. Trials spend retry tokens as further attempts do: each node of many has many
-// suspects once all is slow.
+// sendTrial sends a request to a backend whose trial is due, and reports whether it did. The trial of a
+// suspect may take one and a half times as long as an ordinary answer; with less time, a healthy
+// suspect would never be cleared. It leaves time for a second attempt. Trials spend retry tokens as
+// further attempts do: when the whole fleet is slow, each of many nodes has many suspects.
 func (m *Module) sendTrial(r *request) bool {
 	b, c := m.dueTrialBackend(r), r.class
 	if b == nil || m.retryTokens < 2 {
@@ -35,7 +35,7 @@
 	ordinary := max(c.Target/3, expected*3/2)
 	switch {
 	case !b.suspect && m.send(r, b, c.Target/2):
-		b.faultOf(c).trialAt = m.now + m.jitter(firstTrialWait)
+		b.healthOf(c).trialAt = m.now + m.jitter(firstTrialWait)
 	case b.suspect && m.send(r, b, min(conclusive, ordinary)):
 		b.trialWait = min(2*b.trialWait, maxTrialWait)
 		r.trial, b.trialAt = true, m.now+m.jitter(b.trialWait)
--- a/decide/world_test.go
+++ b/decide/world_test.go
@@ -1,7 +1,7 @@
 package decide_test
 
-// A small simulation that drives the module through legal but unkind events. With the checker of the rules in
-// checker_test.go it uses nothing of the module beyond its interface.
+// A small simulation that drives the module through adverse but legal events. With the rule checker in checker_test.go
+// it uses only the module's interface.
 
 import (
 	"fmt"
@@ -29,11 +29,11 @@
 
 type listed struct {
 	decide.Backend
-	drainNotified time.Duration // when the node was notified that it drains or is gone; 0: it is ready
+	drainNotified time.Duration // when the node was told that it drains or is gone; 0: it is ready
 	startNotified bool
 }
 
-type pending struct {
+type scheduledEvent struct {
 	at    time.Duration
 	order int
 	event decide.Event
@@ -41,32 +41,32 @@
 }
 
 type world struct {
-	set      decide.Settings
-	r        *rand.Rand
-	now      time.Duration
-	queue    []pending
-	order    int
-	requests map[decide.RequestID]*liveRequest
-	backends map[decide.BackendID]*listed
-	ids      []decide.BackendID
-	sends    map[decide.BackendID][]time.Duration
-	capacity float64 // requests a second that this node's share of a warm backend can do
-	module   *decide.Module
-	mutate   func(w *world, a []decide.Action) []decide.Action
-	events   []decide.Event
-	times    []time.Duration
-	actions  []string
-	broken   []string
-	next     int
+	settings   decide.Settings
+	r          *rand.Rand
+	now        time.Duration
+	queue      []scheduledEvent
+	order      int
+	requests   map[decide.RequestID]*liveRequest
+	backends   map[decide.BackendID]*listed
+	ids        []decide.BackendID
+	sends      map[decide.BackendID][]time.Duration
+	capacity   float64 // requests per second; this node's share of what a warm backend can do
+	module     *decide.Module
+	mutate     func(w *world, a []decide.Action) []decide.Action
+	events     []decide.Event
+	times      []time.Duration
+	actions    []string
+	violations []string
+	next       int
 }
 
-func (w *world) fault(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
+func (w *world) violation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
 }
 
-func (w *world) later(d time.Duration, p pending) {
+func (w *world) schedule(d time.Duration, p scheduledEvent) {
 	w.order++
-	p.at, p.order = w.now+max(d, w.set.MinTick), w.order
+	p.at, p.order = w.now+max(d, w.settings.MinTick), w.order
 	w.queue = append(w.queue, p)
 }
 
@@ -87,7 +87,7 @@
 	case decide.Send:
 		q := w.requests[a.ID]
 		if q == nil {
-			w.fault("send for an unknown request")
+			w.violation("send for an unknown request")
 			return
 		}
 		w.checkSend(q, a)
@@ -105,43 +105,43 @@
 			ran := !p.ended || !neverRan(p.code)
 			if ran && (q.class.Effect == decide.Unsafe ||
 				q.class.Effect == decide.Keyed && q.class.KeyScope != decide.ScopeAll) {
-				w.fault("refused although it may have run")
+				w.violation("refused although it may have run")
 			}
 		}
 	case decide.Fail:
 		w.final(a.ID)
 	case decide.CancelAttempt:
 		q := w.requests[a.ID]
-		if !w.set.MayCancel || q == nil || a.Attempt >= len(q.attempts) {
-			w.fault("forbidden or unknown cancel")
+		if !w.settings.MayCancel || q == nil || a.Attempt >= len(q.attempts) {
+			w.violation("forbidden or unknown cancel")
 			return
 		}
-		w.later(time.Millisecond, pending{id: a.ID, event: decide.AttemptEnded{ID: a.ID, Attempt: a.Attempt,
+		w.schedule(time.Millisecond, scheduledEvent{id: a.ID, event: decide.AttemptEnded{ID: a.ID, Attempt: a.Attempt,
 			Backend: q.attempts[a.Attempt].backend, Code: decide.Cancelled}})
 	case decide.Probe:
-		if !w.set.MayProbe {
-			w.fault("forbidden probe")
+		if !w.settings.MayProbe {
+			w.violation("forbidden probe")
 		}
 	case decide.SendMessage:
-		if !w.set.MayMessage || len(a.Data) > 256 {
-			w.fault("forbidden message")
+		if !w.settings.MayMessage || len(a.Data) > 256 {
+			w.violation("forbidden message")
 		}
 	case decide.SetTimer:
 		late := time.Duration(0)
 		if w.r.Intn(20) == 0 {
 			late = time.Duration(w.r.Intn(200)) * time.Millisecond
 		}
-		w.later(a.After+late, pending{event: decide.TimerFired{Token: a.Token}})
+		w.schedule(a.After+late, scheduledEvent{event: decide.TimerFired{Token: a.Token}})
 	case decide.Subscribe, decide.FetchList:
 		if w.r.Intn(3) == 0 {
-			w.later(time.Second, pending{event: decide.ListUpdate{Kind: decide.ListFailed}})
+			w.schedule(time.Second, scheduledEvent{event: decide.ListUpdate{Kind: decide.ListFailed}})
 		} else {
-			w.later(50*time.Millisecond, pending{event: decide.ListUpdate{Kind: decide.ListChanges}})
+			w.schedule(50*time.Millisecond, scheduledEvent{event: decide.ListUpdate{Kind: decide.ListChanges}})
 		}
 	}
 }
 
-// outcome plans how an attempt ends.
+// outcome schedules the end of an attempt.
 func (w *world) outcome(a decide.Send, q *liveRequest, n int) {
 	limit := q.deadline - w.now
 	if a.Timeout != 0 {
@@ -157,18 +157,19 @@
 		code, took = decide.TimedOut, limit
 	}
 	if q.class.Streamed && code == decide.OK && took > 10*time.Millisecond && w.r.Intn(2) == 0 {
-		w.later(took/2, pending{event: decide.StreamStarted{ID: a.ID, Attempt: n, Backend: a.Backend, Elapsed: took / 2}})
+		w.schedule(took/2, scheduledEvent{event: decide.StreamStarted{ID: a.ID, Attempt: n, Backend: a.Backend, Elapsed: took / 2}})
 	}
 	var report *decide.Report
 	if w.r.Intn(3) == 0 {
 		report = &decide.Report{InFlight: float64(w.r.Intn(30)), HasInFlight: w.r.Intn(4) > 0}
 	}
-	w.later(took, pending{id: a.ID, event: decide.AttemptEnded{ID: a.ID, Attempt: n, Backend: a.Backend, Elapsed: took,
+	w.schedule(took, scheduledEvent{id: a.ID, event: decide.AttemptEnded{ID: a.ID, Attempt: n, Backend: a.Backend, Elapsed: took,
 		Code: code, Report: report}})
 }
 
-// deliver hands an event over, as the wire would: one outcome for each attempt, none for what the node forgot.
-func (w *world) deliver(p pending) {
+// deliver passes an event to the module as the wire would: one outcome for each attempt, and no events about requests
+// that the node has forgotten.
+func (w *world) deliver(p scheduledEvent) {
 	switch e := p.event.(type) {
 	case decide.AttemptEnded:
 		q := w.requests[e.ID]
@@ -199,22 +200,22 @@
 	w.handle(p.event)
 }
 
-// arrivals and changes of the list.
+// arrive adds a request of a random class.
 func (w *world) arrive() {
 	w.next++
 	id := decide.RequestID(fmt.Sprintf("%036d", w.next))
-	c := w.set.Classes[w.r.Intn(len(w.set.Classes))]
+	c := w.settings.Classes[w.r.Intn(len(w.settings.Classes))]
 	patience := time.Duration(float64(c.Deadline) * (0.3 + 0.7*w.r.Float64()))
 	if w.r.Intn(50) == 0 {
 		patience = 0
 	}
 	w.requests[id] = &liveRequest{class: c, deadline: w.now + patience}
 	if w.r.Intn(40) == 0 {
-		w.later(patience/2, pending{event: decide.RequestAbandoned{ID: id}})
+		w.schedule(patience/2, scheduledEvent{event: decide.RequestAbandoned{ID: id}})
 	}
 	e := decide.RequestArrived{ID: id, Class: c.Name, Patience: patience}
-	if len(w.set.Tenants) > 0 {
-		e.Tenant = w.set.Tenants[w.r.Intn(len(w.set.Tenants))].Name
+	if len(w.settings.Tenants) > 0 {
+		e.Tenant = w.settings.Tenants[w.r.Intn(len(w.settings.Tenants))].Name
 	}
 	w.handle(e)
 }
@@ -225,7 +226,7 @@
 		Cell: w.r.Intn(3), Size: 1, StartedAt: started}
 }
 
-// publish records what a list says and passes it on.
+// publish records an update of the list and passes it to the module.
 func (w *world) publish(kind decide.ListKind, entries []decide.Backend) {
 	in := map[decide.BackendID]bool{}
 	for _, n := range entries {
@@ -275,7 +276,7 @@
 		w.publish(decide.ListFull, all)
 		return
 	case 5:
-		if w.set.ListOnRequest {
+		if w.settings.ListOnRequest {
 			w.handle(decide.ListUpdate{Kind: decide.ListFailed})
 		}
 		return
@@ -284,7 +285,7 @@
 }
 
 func (w *world) start() {
-	w.module = decide.New(w.set, w.r.Int63())
+	w.module = decide.New(w.settings, w.r.Int63())
 	w.requests, w.queue = map[decide.RequestID]*liveRequest{}, nil
 	var all []decide.Backend
 	for _, id := range w.ids {
@@ -299,7 +300,7 @@
 	w.publish(decide.ListCached, all)
 }
 
-// run plays a stretch of time; restarts says whether the node may be restarted in between.
+// run simulates a stretch of time; restarts says whether the node may restart during it.
 func (w *world) run(length time.Duration, rate float64, restarts bool) {
 	const step = 5 * time.Millisecond
 	for end := w.now + length; w.now < end; w.now += step {
@@ -323,8 +324,8 @@
 			w.start()
 		}
 		for id, q := range w.requests {
-			if !q.final && !q.stream && w.now > q.deadline+w.set.AnswerSlack+step {
-				w.fault("request %s has no answer in time", id)
+			if !q.final && !q.stream && w.now > q.deadline+w.settings.AnswerSlack+step {
+				w.violation("request %s has no answer in time", id)
 				q.final = true
 			}
 		}
@@ -335,19 +336,19 @@
 	r := rand.New(rand.NewSource(seed))
 	w := &world{r: r, now: time.Hour, backends: map[decide.BackendID]*listed{}, sends: map[decide.BackendID][]time.Duration{}}
 	ms := func(lo, hi int) time.Duration { return time.Duration(lo+r.Intn(hi-lo)) * time.Millisecond }
-	w.set = decide.Settings{Nodes: 1 + r.Intn(6), Zone: "z0", MaxAttempts: 1 + r.Intn(5), MayOverlap: r.Intn(2) == 0,
+	w.settings = decide.Settings{Nodes: 1 + r.Intn(6), Zone: "z0", MaxAttempts: 1 + r.Intn(5), MayOverlap: r.Intn(2) == 0,
 		MayCancel: r.Intn(3) > 0, MayProbe: r.Intn(2) == 0, MayMessage: r.Intn(2) == 0, MayRetryAfter: r.Intn(2) == 0,
 		MaxRetryAfter: time.Second, ConnectTimeout: 100 * time.Millisecond, MinTick: 5 * time.Millisecond,
 		ListOnRequest: r.Intn(2) == 0, AnswerSlack: 20 * time.Millisecond, MaxListAge: 10 * time.Second,
 		DrainGrace: ms(0, 1000), ColdFrom: 0.3, ColdTime: ms(3000, 9000), OverloadFactor: 2.5, OverloadTime: time.Second}
 	for i, n := 0, 1+r.Intn(4); i < n; i++ {
 		target := ms(100, 1500)
-		w.set.Classes = append(w.set.Classes, decide.Class{Name: fmt.Sprint("c", i), Value: float64(r.Intn(13)), Target: target,
+		w.settings.Classes = append(w.settings.Classes, decide.Class{Name: fmt.Sprint("c", i), Value: float64(r.Intn(13)), Target: target,
 			Deadline: 2*target + ms(0, 2000), LateValue: float64(r.Intn(2)) / 2, Effect: decide.Effect(r.Intn(3)),
 			KeyScope: decide.Scope(r.Intn(3)), DedupWindow: ms(100, 4000), Streamed: r.Intn(4) == 0})
 	}
 	if r.Intn(3) == 0 {
-		w.set.Tenants = []decide.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 100}}
+		w.settings.Tenants = []decide.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 100}}
 	}
 	w.start()
 	return w
