--- a/decide/attempts.go
+++ b/decide/attempts.go
@@ -50,7 +50,7 @@
 	switch {
 	case r.answered && r.inFlight == 0:
 		delete(m.requests, r.id)
-	case e.Over && !r.answered:
+	case e.RequestAnswered && !r.answered:
 		m.closeRequest(r)
 	case !r.answered && r.inFlight == 0:
 		m.retry(r, a.mayRun)
--- a/decide/behaviour_test.go
+++ b/decide/behaviour_test.go
@@ -231,7 +231,7 @@
 		r.run(s.OverloadTime, 4, "cheap")
 		total += r.sent[3]
 	}
-	if budget := s.OverloadFactor * s.ColdFrom * 24 * s.OverloadTime.Seconds(); float64(total) > budget {
+	if budget := s.OverloadFactor * s.ColdStartShare * 24 * s.OverloadTime.Seconds(); float64(total) > budget {
 		t.Errorf("%d sends to a cold backend, its budget is %.0f", total, budget)
 	}
 }
@@ -272,7 +272,7 @@
 		id := decide.RequestID(fmt.Sprint(i))
 		for _, a := range m.Handle(now, decide.RequestArrived{ID: id, Class: "cheap", Patience: time.Second}) {
 			if s, ok := a.(decide.Send); ok {
-				m.Handle(now, decide.AttemptEnded{ID: id, Backend: s.Backend, Over: true, Elapsed: time.Millisecond})
+				m.Handle(now, decide.AttemptEnded{ID: id, Backend: s.Backend, RequestAnswered: true, Elapsed: time.Millisecond})
 			}
 		}
 		if i%25 == 0 {
--- a/decide/checker_test.go
+++ b/decide/checker_test.go
@@ -46,9 +46,9 @@
 		}
 	}
 	w.sends[a.Backend] = append(w.sends[a.Backend], w.now)
-	age := (w.now - s.StartedAt).Seconds() / w.settings.ColdTime.Seconds()
+	age := (w.now - s.StartedAt).Seconds() / w.settings.WarmUpTime.Seconds()
 	if s.startNotified && age < 1 {
-		part := w.settings.ColdFrom + (1-w.settings.ColdFrom)*max(0, age)
+		part := w.settings.ColdStartShare + (1-w.settings.ColdStartShare)*max(0, age)
 		n := 0
 		for _, at := range w.sends[a.Backend] {
 			if at > w.now-w.settings.OverloadTime && at >= s.StartedAt {
--- a/decide/coldstart.go
+++ b/decide/coldstart.go
@@ -22,11 +22,11 @@
 // warmth returns the share of its full capacity that a backend has reached, at least. It ends the cold
 // state of a backend that is warm.
 func (m *Module) warmth(b *backend) float64 {
-	warm := (m.now - b.coldSince).Seconds() / math.Max(m.settings.ColdTime.Seconds(), 1e-9)
+	warm := (m.now - b.coldSince).Seconds() / math.Max(m.settings.WarmUpTime.Seconds(), 1e-9)
 	if b.cold = b.cold && warm < 1; !b.cold {
 		return 1
 	}
-	return m.settings.ColdFrom + (1-m.settings.ColdFrom)*math.Max(0, warm)
+	return m.settings.ColdStartShare + (1-m.settings.ColdStartShare)*math.Max(0, warm)
 }
 
 // overColdBudget reports whether a cold backend's budget of sends is spent. The budget is a token
--- a/decide/events.go
+++ b/decide/events.go
@@ -87,7 +87,7 @@
 		Patience time.Duration // until the client gives up on this try
 		WorkHint time.Duration // expected work; valid if HasHint
 		HasHint  bool
-		Repeat   bool // the client has tried before
+		Retry    bool // the client has tried before
 		Write    bool
 	}
 	// ListUpdate is an update of the list of backends.
@@ -98,14 +98,14 @@
 	}
 	// AttemptEnded is the outcome of one attempt. Each Send has exactly one.
 	AttemptEnded struct {
-		ID      RequestID
-		Attempt int
-		Backend BackendID
-		Over    bool // the request already has its final answer
-		Elapsed time.Duration
-		Code    OutcomeCode
-		Report  *Report // nil if none came
-		Opened  bool    // it was the first on its connection; a full connection table rejects these
+		ID              RequestID
+		Attempt         int
+		Backend         BackendID
+		RequestAnswered bool // the request already has its final answer
+		Elapsed         time.Duration
+		Code            OutcomeCode
+		Report          *Report // nil if none came
+		NewConnection   bool    // it was the first on its connection; a full connection table rejects these
 	}
 	// StreamStarted reports that a streamed answer has begun.
 	StreamStarted struct {
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -10,7 +10,7 @@
 // A node asks the module where to send a request.
 func Example() {
 	m := decide.New(decide.Settings{
-		Nodes: 1, MaxAttempts: 3, ColdFrom: 0.5, ColdTime: 5 * time.Second,
+		Nodes: 1, MaxAttempts: 3, ColdStartShare: 0.5, WarmUpTime: 5 * time.Second,
 		Classes: []decide.Class{{Name: "page", Value: 1, Target: time.Second, Deadline: 2 * time.Second, Effect: decide.Safe}},
 	}, 1)
 	clock := 10 * time.Second
--- a/decide/golden_test.go
+++ b/decide/golden_test.go
@@ -99,8 +99,8 @@
 	ms := time.Millisecond
 	f.settings = decide.Settings{Nodes: nodes, Zone: "z0", MaxAttempts: 3, MayOverlap: true, MayCancel: true, MayMessage: true,
 		MayRetryAfter: true, MaxRetryAfter: time.Second, ConnectTimeout: 100 * ms, MinTick: goldenStep, ListOnRequest: true,
-		ReportVia: via, AnswerSlack: 20 * ms, MaxListAge: 10 * time.Second, DrainGrace: 500 * ms, ColdFrom: 0.3,
-		ColdTime: 8 * time.Second, OverloadFactor: 2.5, OverloadTime: time.Second,
+		ReportVia: via, AnswerSlack: 20 * ms, MaxListAge: 10 * time.Second, DrainGrace: 500 * ms, ColdStartShare: 0.3,
+		WarmUpTime: 8 * time.Second, OverloadFactor: 2.5, OverloadTime: time.Second,
 		Tenants: []decide.Tenant{{Name: "a", Quota: 30}},
 		Classes: []decide.Class{
 			{Name: "safe", Value: 8, Target: 600 * ms, Deadline: 2000 * ms, Effect: decide.Safe},
@@ -177,8 +177,8 @@
 		code, took = decide.TimedOut, a.Timeout
 	}
 	key := fmt.Sprint(node, a.ID)
-	end := decide.AttemptEnded{ID: a.ID, Attempt: f.attempts[key], Backend: a.Backend, Over: code == decide.OK, Elapsed: took, Code: code,
-		Opened: f.random.Intn(4) == 0}
+	end := decide.AttemptEnded{ID: a.ID, Attempt: f.attempts[key], Backend: a.Backend, RequestAnswered: code == decide.OK, Elapsed: took, Code: code,
+		NewConnection: f.random.Intn(4) == 0}
 	f.attempts[key]++
 	if f.settings.ReportVia == decide.ReportAnswers && code == decide.OK {
 		end.Report = &decide.Report{InFlight: float64(f.held[backend]), HasInFlight: true,
@@ -224,7 +224,7 @@
 	class := f.settings.Classes[f.random.Intn(len(f.settings.Classes))]
 	patience := time.Duration(float64(class.Deadline) * (0.4 + 0.6*f.random.Float64()))
 	f.feed(node, decide.RequestArrived{ID: decide.RequestID(fmt.Sprint("q", f.next)), Class: class.Name,
-		Tenant: []string{"a", ""}[f.random.Intn(2)], Patience: patience, Repeat: f.random.Intn(5) == 0})
+		Tenant: []string{"a", ""}[f.random.Intn(2)], Patience: patience, Retry: f.random.Intn(5) == 0})
 }
 
 // changeList notifies all nodes that one backend has restarted, drains or is gone, or sends them the full list.
--- a/decide/many_test.go
+++ b/decide/many_test.go
@@ -11,8 +11,8 @@
 // together cause.
 
 func largeFleetSettings(nodes int) Settings {
-	return Settings{Nodes: nodes, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond, ColdFrom: 0.2,
-		ColdTime: 20 * time.Second, OverloadFactor: 3, OverloadTime: 2 * time.Second,
+	return Settings{Nodes: nodes, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond, ColdStartShare: 0.2,
+		WarmUpTime: 20 * time.Second, OverloadFactor: 3, OverloadTime: 2 * time.Second,
 		Classes: []Class{
 			{Name: "valuable", Value: 8, Target: 600 * time.Millisecond, Deadline: 2 * time.Second, Effect: Safe},
 			{Name: "cheap", Value: 1, Target: 600 * time.Millisecond, Deadline: 2 * time.Second, Effect: Safe}}}
@@ -51,7 +51,7 @@
 		for _, a := range m.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(from, id)), Class: class, Patience: 2 * time.Second}) {
 			if s, ok := a.(Send); ok {
 				sent[class]++
-				out = append(out, due{now + took, AttemptEnded{ID: s.ID, Backend: s.Backend, Over: true, Elapsed: took, Report: report}})
+				out = append(out, due{now + took, AttemptEnded{ID: s.ID, Backend: s.Backend, RequestAnswered: true, Elapsed: took, Report: report}})
 			}
 		}
 	}
--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -20,7 +20,7 @@
 				if m.backends[s.Backend] == nil {
 					t.Fatal("backend forgotten with an attempt in flight")
 				}
-				m.Handle(now, AttemptEnded{ID: id, Backend: s.Backend, Over: true, Code: OK})
+				m.Handle(now, AttemptEnded{ID: id, Backend: s.Backend, RequestAnswered: true, Code: OK})
 			}
 		}
 		now += 30 * time.Millisecond
--- a/decide/rig_test.go
+++ b/decide/rig_test.go
@@ -40,7 +40,7 @@
 
 func rigSettings() decide.Settings {
 	return decide.Settings{Nodes: 1, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond, MaxListAge: 10 * time.Second,
-		ConnectTimeout: 100 * time.Millisecond, ColdFrom: 0.3, ColdTime: 8 * time.Second, OverloadFactor: 2.5,
+		ConnectTimeout: 100 * time.Millisecond, ColdStartShare: 0.3, WarmUpTime: 8 * time.Second, OverloadFactor: 2.5,
 		OverloadTime: time.Second, MayRetryAfter: true, MaxRetryAfter: time.Second,
 		Classes: []decide.Class{
 			{Name: "valuable", Value: 12, Target: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond, Effect: decide.Safe},
@@ -130,12 +130,12 @@
 		r.due = rest
 		for _, d := range now {
 			if e, ok := d.e.(decide.AttemptEnded); ok {
-				e.Over = r.answered[e.ID] || e.Code == decide.OK
+				e.RequestAnswered = r.answered[e.ID] || e.Code == decide.OK
 				first, _, _ := strings.Cut(string(e.ID), "/")
 				if e.Code == decide.OK && !r.answered[e.ID] && r.now-r.arrivedAt[decide.RequestID(first)] < 600*time.Millisecond {
 					r.inTime[strings.TrimRight(first, "0123456789")]++
 				}
-				r.answered[e.ID] = e.Over
+				r.answered[e.ID] = e.RequestAnswered
 				d.e = e
 			}
 			r.feed(d.e)
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -73,7 +73,7 @@
 	MayMessage     bool          // SendMessage is allowed
 	MayRetryAfter  bool          // clients follow Refuse.RetryAfter
 	MaxRetryAfter  time.Duration // the longest such wait that clients follow
-	MarksRepeats   bool          // clients mark their repeats
+	MarksRetries   bool          // clients mark their repeats
 	ConnectTimeout time.Duration
 	MinTick        time.Duration // minimum time between events
 	ListOnRequest  bool          // list changes come only after Subscribe or FetchList
@@ -95,13 +95,13 @@
 	CPUPerSecond   time.Duration // CPU time per second that this node may spend on decisions
 	CPUPerRequest  time.Duration // the same for a request with its outcomes; 0: no limit
 	Goal           Goal
-	Prices         Prices
+	Penalties      Penalties
 
 	AnswerSlack    time.Duration // a final answer this long past the deadline still counts
 	MaxListAge     time.Duration // without a subscription, the list is fetched at least this often
 	DrainGrace     time.Duration // sends to a draining backend must have stopped by then
-	ColdFrom       float64       // share of its full capacity that a backend has when it starts, at least
-	ColdTime       time.Duration // a backend is warm this long after its start
+	ColdStartShare float64       // share of its full capacity that a backend has when it starts, at least
+	WarmUpTime     time.Duration // a backend is warm this long after its start
 	OverloadFactor float64       // a cold backend falls over beyond this multiple of its current capacity
 	OverloadTime   time.Duration // if the overload lasts this long
 }
@@ -111,8 +111,8 @@
 	Whole, WorstWindow, WorstClass, WorstTenant float64
 }
 
-// Prices are the points deducted from the result per unit of what each field names.
-type Prices struct {
+// Penalties are the points deducted from the result per unit of what each field names.
+type Penalties struct {
 	Connection, Handshake, CrossZone, Waste, LateFail, Probe, Message, Moves, Origin, ListLines, Fleet float64
 }
 
--- a/decide/subset.go
+++ b/decide/subset.go
@@ -64,7 +64,7 @@
 // recordRejection updates the rejection rates of attempts on new and on reused connections.
 func (m *Module) recordRejection(e AttemptEnded) {
 	rate, opened := &m.reusedConnRejectRate, 0.0
-	if e.Opened {
+	if e.NewConnection {
 		rate, opened = &m.newConnRejectRate, 1
 	}
 	m.newConnShare += rejectRateGain * (opened - m.newConnShare)
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -19,7 +19,7 @@
 				if s, ok := a.(Send); ok {
 					n++
 					opened, code := outcome(n)
-					m.Handle(now, AttemptEnded{ID: s.ID, Backend: s.Backend, Over: code == OK, Elapsed: 60 * time.Millisecond, Code: code, Opened: opened})
+					m.Handle(now, AttemptEnded{ID: s.ID, Backend: s.Backend, RequestAnswered: code == OK, Elapsed: 60 * time.Millisecond, Code: code, NewConnection: opened})
 				}
 			}
 		}
@@ -74,7 +74,7 @@
 				if opened {
 					code = Full
 				}
-				m.Handle(now, AttemptEnded{ID: s.ID, Backend: s.Backend, Over: code == OK, Elapsed: 60 * time.Millisecond, Code: code, Opened: opened})
+				m.Handle(now, AttemptEnded{ID: s.ID, Backend: s.Backend, RequestAnswered: code == OK, Elapsed: 60 * time.Millisecond, Code: code, NewConnection: opened})
 			}
 		}
 	}
--- a/decide/threshold_test.go
+++ b/decide/threshold_test.go
@@ -33,7 +33,7 @@
 )
 
 func newFlow(backends int) *flow {
-	s := Settings{Nodes: 1, MaxAttempts: 1, MinTick: 5 * time.Millisecond, ColdFrom: 0.2, ColdTime: 20 * time.Second,
+	s := Settings{Nodes: 1, MaxAttempts: 1, MinTick: 5 * time.Millisecond, ColdStartShare: 0.2, WarmUpTime: 20 * time.Second,
 		Classes: []Class{{Name: "c", Value: 1, Target: 400 * time.Millisecond, Deadline: time.Second, Effect: Safe}}}
 	f := &flow{m: New(s, 1), now: time.Hour, sent: map[BackendID]int{}, inFlight: map[BackendID]float64{},
 		started: map[BackendID]Time{}}
@@ -73,7 +73,7 @@
 				f.sent[a.Backend]++
 				f.inFlight[a.Backend]++
 				took := time.Duration(float64(flowLatency) * max(1, f.inFlight[a.Backend]/f.saturation(a.Backend)))
-				f.due = append(f.due, flowEnd{f.now + took, AttemptEnded{ID: id, Backend: a.Backend, Over: true, Elapsed: took}})
+				f.due = append(f.due, flowEnd{f.now + took, AttemptEnded{ID: id, Backend: a.Backend, RequestAnswered: true, Elapsed: took}})
 			}
 		}
 		if f.next++; f.next%5 == 0 {
--- a/decide/world_test.go
+++ b/decide/world_test.go
@@ -178,7 +178,7 @@
 		}
 		at := &q.attempts[e.Attempt]
 		at.ended, at.code = true, e.Code
-		e.Over = q.final || e.Code == decide.OK
+		e.RequestAnswered = q.final || e.Code == decide.OK
 		if e.Code == decide.OK && !q.final {
 			q.final = true
 		}
@@ -340,7 +340,7 @@
 		MayCancel: r.Intn(3) > 0, MayProbe: r.Intn(2) == 0, MayMessage: r.Intn(2) == 0, MayRetryAfter: r.Intn(2) == 0,
 		MaxRetryAfter: time.Second, ConnectTimeout: 100 * time.Millisecond, MinTick: 5 * time.Millisecond,
 		ListOnRequest: r.Intn(2) == 0, AnswerSlack: 20 * time.Millisecond, MaxListAge: 10 * time.Second,
-		DrainGrace: ms(0, 1000), ColdFrom: 0.3, ColdTime: ms(3000, 9000), OverloadFactor: 2.5, OverloadTime: time.Second}
+		DrainGrace: ms(0, 1000), ColdStartShare: 0.3, WarmUpTime: ms(3000, 9000), OverloadFactor: 2.5, OverloadTime: time.Second}
 	for i, n := 0, 1+r.Intn(4); i < n; i++ {
 		target := ms(100, 1500)
 		w.settings.Classes = append(w.settings.Classes, decide.Class{Name: fmt.Sprint("c", i), Value: float64(r.Intn(13)), Target: target,
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -32,7 +32,7 @@
 func (l *loop) startAttempt(send decide.Send) {
 	r := l.requests[send.ID]
 	if r == nil {
-		l.handle(decide.AttemptEnded{ID: send.ID, Backend: send.Backend, Over: true, Code: decide.NotSent})
+		l.handle(decide.AttemptEnded{ID: send.ID, Backend: send.Backend, RequestAnswered: true, Code: decide.NotSent})
 		return
 	}
 	now := time.Now()
@@ -102,14 +102,14 @@
 		delete(l.requests, send.ID)
 	}
 	l.handle(decide.AttemptEnded{
-		ID:      send.ID,
-		Attempt: number,
-		Backend: send.Backend,
-		Over:    r.answered,
-		Elapsed: time.Since(ended.startedAt),
-		Code:    res.code,
-		Report:  res.report,
-		Opened:  res.opened,
+		ID:              send.ID,
+		Attempt:         number,
+		Backend:         send.Backend,
+		RequestAnswered: r.answered,
+		Elapsed:         time.Since(ended.startedAt),
+		Code:            res.code,
+		Report:          res.report,
+		NewConnection:   res.opened,
 	})
 }
 
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -34,7 +34,7 @@
 	}
 	return decide.Settings{Nodes: 1, Zone: "z", Zones: []string{"z"}, MaxAttempts: 4, MayOverlap: true, MayCancel: true,
 		MayProbe: true, MayRetryAfter: true, MaxRetryAfter: 2 * time.Second, ConnectTimeout: 2 * time.Second,
-		ConnIdle: time.Minute, MaxOpen: 100, DrainGrace: 20 * time.Second, ColdFrom: 0.3, ColdTime: time.Second,
+		ConnIdle: time.Minute, MaxOpen: 100, DrainGrace: 20 * time.Second, ColdStartShare: 0.3, WarmUpTime: time.Second,
 		OverloadFactor: 2.5, OverloadTime: time.Second, ReportVia: decide.ReportProbe, MinTick: 5 * time.Millisecond,
 		MaxListAge: 10 * time.Second,
 		Classes:    []decide.Class{class("read", decide.Safe), class("tag", decide.Keyed), class("order", decide.Unsafe)}}
--- a/internal/node/requestheader.go
+++ b/internal/node/requestheader.go
@@ -82,7 +82,7 @@
 		Class:  class,
 		Tenant: r.Header.Get("X-Account"),
 		Key:    r.URL.Query().Get("obj"),
-		Repeat: r.Header.Get("X-Repeat") == "1",
+		Retry:  r.Header.Get("X-Repeat") == "1",
 		Write:  hasFact(r.Header.Get("X-Facts"), "write"),
 	}
 	if us, err := strconv.ParseFloat(r.Header.Get("X-Weight-Hint"), 64); err == nil && us >= 0 && us < maxTimeLeft.Seconds()*1e6 {
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -80,7 +80,7 @@
 		Patience: time.Duration(*in.Patience),
 		WorkHint: time.Duration(in.WorkHint),
 		HasHint:  in.Flags&flagHint != 0,
-		Repeat:   in.Flags&flagRepeat != 0,
+		Retry:    in.Flags&flagRepeat != 0,
 		Write:    in.Flags&flagWrite != 0,
 	}, nil
 }
--- a/internal/wire/outcomes.go
+++ b/internal/wire/outcomes.go
@@ -90,13 +90,13 @@
 		return nil, err
 	}
 	return decide.AttemptEnded{
-		ID:      decide.RequestID(*in.Request),
-		Attempt: *in.Attempt,
-		Backend: decide.BackendID(*in.Backend),
-		Over:    in.Over,
-		Elapsed: time.Duration(in.Elapsed),
-		Code:    code,
-		Report:  decodeReport(in.Report),
+		ID:              decide.RequestID(*in.Request),
+		Attempt:         *in.Attempt,
+		Backend:         decide.BackendID(*in.Backend),
+		RequestAnswered: in.Over,
+		Elapsed:         time.Duration(in.Elapsed),
+		Code:            code,
+		Report:          decodeReport(in.Report),
 	}, nil
 }
 
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -163,7 +163,7 @@
 		Tier:           s.Tier,
 		Tiers:          s.Tiers,
 		MinTick:        time.Duration(s.MinTick),
-		MarksRepeats:   s.Clients.MarkRepeats,
+		MarksRetries:   s.Clients.MarkRepeats,
 		ListOnRequest:  s.Membership == "on_request",
 		SizeKnown:      s.SizeKind != "none",
 		SizeLive:       s.SizeKind == "live",
@@ -174,7 +174,7 @@
 		WarmKeys:       s.Specifics.WarmKeys,
 		PassesDeadline: s.Specifics.PassesDeadline,
 		Goal:           s.Goal.goal(),
-		Prices:         s.Prices.prices(),
+		Penalties:      s.Prices.prices(),
 	}
 }
 
@@ -198,8 +198,8 @@
 	settings.AnswerSlack = time.Duration(r.AnswerSlack)
 	settings.MaxListAge = time.Duration(r.MaxListAge)
 	settings.DrainGrace = time.Duration(r.DrainGrace)
-	settings.ColdFrom = r.ColdFrom
-	settings.ColdTime = time.Duration(r.ColdTime)
+	settings.ColdStartShare = r.ColdFrom
+	settings.WarmUpTime = time.Duration(r.ColdTime)
 	settings.OverloadFactor = r.OverloadFactor
 	settings.OverloadTime = time.Duration(r.OverloadTime)
 }
@@ -208,8 +208,8 @@
 	return decide.Goal{Whole: g.Whole, WorstWindow: g.WorstWindow, WorstClass: g.WorstClass, WorstTenant: g.WorstTenant}
 }
 
-func (p *pricesJSON) prices() decide.Prices {
-	return decide.Prices{
+func (p *pricesJSON) prices() decide.Penalties {
+	return decide.Penalties{
 		Connection: p.Connection,
 		Handshake:  p.Handshake,
 		CrossZone:  p.CrossZone,
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -47,9 +47,9 @@
 		MinTick: 5 * time.Millisecond, ListOnRequest: true, SizeKnown: true, SizeLive: true, WarmKeys: true,
 		ReportVia: decide.ReportAnswers, ReportFields: []string{"active"},
 		StreamsPerConn: 100, ConnIdle: 5, MaxOpen: 9, CPUPerSecond: 15 * time.Millisecond, CPUPerRequest: 2500 * time.Nanosecond,
-		Goal: decide.Goal{Whole: 0.6, WorstWindow: 0.4}, Prices: decide.Prices{CrossZone: 0.02, ListLines: 0.5},
+		Goal: decide.Goal{Whole: 0.6, WorstWindow: 0.4}, Penalties: decide.Penalties{CrossZone: 0.02, ListLines: 0.5},
 		AnswerSlack: 20 * time.Millisecond, MaxListAge: 10 * time.Second, DrainGrace: 500 * time.Millisecond,
-		ColdFrom: 0.32, ColdTime: 8300 * time.Millisecond, OverloadFactor: 2.5, OverloadTime: time.Second,
+		ColdStartShare: 0.32, WarmUpTime: 8300 * time.Millisecond, OverloadFactor: 2.5, OverloadTime: time.Second,
 		Tenants: []decide.Tenant{{Name: "a", Quota: 5, Share: 0.5}},
 		Classes: []decide.Class{{Name: "x", Value: 12, Target: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond,
 			LateValue: 0.5, Effect: decide.Keyed, KeyScope: decide.ScopeCell, DedupWindow: 8, Streamed: true}},
@@ -65,7 +65,7 @@
 		event := decodeOne(t, `{"attempt_end":{"req":"q","leg":1,"backend":7,"delay_seen_ns":5,"disposition":`+code+`,
 			"feedback":{"active":7,"unheard_of":3,"waiting":2}}}`)
 		e := event.Module.(decide.AttemptEnded)
-		if e.Code != want || e.Attempt != 1 || e.Backend != 7 || e.Over || e.Report.InFlight != 7 || e.Report.Queue != 2 {
+		if e.Code != want || e.Attempt != 1 || e.Backend != 7 || e.RequestAnswered || e.Report.InFlight != 7 || e.Report.Queue != 2 {
 			t.Errorf("code %s: got %+v with report %+v, want code %d, attempt 1 at backend 7, 7 in flight, 2 in the queue",
 				code, e, e.Report, want)
 		}
