--- a/decide/settings.go
+++ b/decide/settings.go
@@ -73,7 +73,7 @@
 	MayMessage     bool          // SendMessage is allowed
 	MayRetryAfter  bool          // clients follow Refuse.RetryAfter
 	MaxRetryAfter  time.Duration // the longest such wait that clients follow
-	MarksRetries   bool          // clients mark their repeats
+	MarksRetries   bool          // clients mark their retries
 	ConnectTimeout time.Duration
 	MinTick        time.Duration // minimum time between events
 	ListOnRequest  bool          // list changes come only after Subscribe or FetchList
