--- a/internal/segment/benchmark_test.go
+++ b/internal/segment/benchmark_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// BenchmarkOpen reads back a log of 100 MB.
+// BenchmarkOpen opens a log with 100 MiB of entries.
 func BenchmarkOpen(b *testing.B) {
 	directory := b.TempDir()
 	log := benchmarkLog(b, directory)
@@ -69,7 +69,7 @@
 	for b.Loop() {
 		log, recovered, err := Open(OperatingSystem{}, directory, Options{})
 		if err != nil || len(recovered.Entries) != count {
-			b.Fatal(len(recovered.Entries), err)
+			b.Fatalf("open: got %d entries and error %v, want %d entries", len(recovered.Entries), err, count)
 		}
 		if err := log.Close(); err != nil {
 			b.Fatal(err)
@@ -77,7 +77,7 @@
 	}
 }
 
-// BenchmarkSnapshot saves a snapshot of 16 MB.
+// BenchmarkSnapshot saves a snapshot of 16 MiB.
 func BenchmarkSnapshot(b *testing.B) {
 	log := benchmarkLog(b, b.TempDir())
 	snapshot := Snapshot{Epoch: 1, Data: make([]byte, snapshotBytes)}
--- a/internal/segment/crash_operations_test.go
+++ b/internal/segment/crash_operations_test.go
@@ -14,7 +14,7 @@
 	states := []state{h.last()}
 	h.epoch += uint64(h.random.IntN(2))
 	for range 1 + h.random.IntN(4) {
-		data := make([]byte, h.random.IntN(mostEntryBytes))
+		data := make([]byte, h.random.IntN(maxEntryBytes))
 		for i := range data {
 			data[i] = byte(h.random.Uint32())
 		}
@@ -22,7 +22,7 @@
 		entries = append(entries, entry)
 		states = append(states, states[len(states)-1].then(entry))
 	}
-	// Appending may write what was appended before, but nothing of these entries unless it succeeds.
+	// A failed Append may have written earlier entries, but none of these.
 	if h.handle(h.log.Append(entries...)) {
 		h.states = append(h.states, states[1:]...)
 		h.allow(states[1:]...)
@@ -57,7 +57,7 @@
 	data = append(data, make([]byte, h.random.IntN(100))...)
 	if h.handle(h.log.SaveSnapshot(segment.Snapshot{Epoch: h.epoch, Sequence: at, Data: data})) {
 		h.snapshotAt = at
-		h.bases = 2
+		h.recoveryBases = 2
 		h.allowed = []state{h.last()}
 	}
 }
@@ -65,7 +65,7 @@
 func (h *history) reset() {
 	fresh := state{sequence: uint64(h.random.IntN(50)), digest: h.random.Uint64()}
 	allowed := h.allowed
-	h.bases = 1
+	h.recoveryBases = 1
 	h.allowed = slices.Clone(allowed)
 	h.allow(fresh)
 	err := h.log.Reset(segment.Snapshot{Sequence: fresh.sequence, Data: binary.LittleEndian.AppendUint64(nil, fresh.digest)})
@@ -79,7 +79,8 @@
 	}
 }
 
-// stop ends the process in some way and opens the log again.
+// stop kills the process, cuts the power or closes the log, and opens the log again. In one of four cases it only schedules a
+// loss of power that hits one of the next operations.
 func (h *history) stop() {
 	switch h.random.IntN(4) {
 	case 0:
@@ -98,25 +99,26 @@
 	h.open()
 }
 
-// injectFault makes a sync fail or fills the disk.
+// injectFault makes a sync fail or leaves little free space on the disk.
 func (h *history) injectFault() {
 	switch h.random.IntN(2) {
 	case 0:
 		h.disk.FailSyncs(1)
 	case 1:
-		h.disk.SetCapacity(h.disk.Used() + h.random.IntN(longestHeadroom))
+		h.disk.SetCapacity(h.disk.Used() + h.random.IntN(maxHeadroomBytes))
 	}
 }
 
-// damageNewestSnapshot damages it where the log can be read from an older state, and opens the log again.
+// damageNewestSnapshot flips a bit of the newest snapshot and opens the log again, provided that the log can be recovered from
+// an older state.
 func (h *history) damageNewestSnapshot() {
-	if h.bases < 2 {
+	if h.recoveryBases < 2 {
 		return
 	}
 	h.disk.Kill()
 	snapshots := h.files(".snapshot")
 	h.disk.FlipBit(logDirectory + "/" + snapshots[len(snapshots)-1])
-	h.bases--
+	h.recoveryBases--
 	h.damaged = true
 	h.open()
 }
--- a/internal/segment/crash_test.go
+++ b/internal/segment/crash_test.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	histories       = 2000
-	historySteps    = 60
-	logDirectory    = "data/log"
-	mostEntryBytes  = 60
-	historySegment  = 300
-	historyBuffer   = 120
-	longestHeadroom = 400
+	historyCount       = 2000
+	historySteps       = 60
+	logDirectory       = "data/log"
+	maxEntryBytes      = 60
+	historySegmentSize = 300
+	historyBufferSize  = 120
+	maxHeadroomBytes   = 400
 )
 
-// state names a content of the log: the last sequence number and a digest of all entries up to it.
+// state identifies the contents of a log by its last sequence number and a digest of all entries up to that number.
 type state struct {
 	sequence uint64
 	digest   uint64
 }
 
+// then returns the state after a further entry.
 func (s state) then(e segment.Entry) state {
 	hash := fnv.New64a()
 	_ = binary.Write(hash, binary.LittleEndian, []uint64{s.digest, e.Epoch, e.Sequence})
@@ -36,7 +37,7 @@
 	return state{sequence: e.Sequence, digest: hash.Sum64()}
 }
 
-// history drives a log through random operations and losses, and knows what it may hold after each.
+// history applies random operations and faults to a log, and tracks the states that the log may have after each of them.
 type history struct {
 	t      *testing.T
 	seed   uint64
@@ -44,33 +45,33 @@
 	disk   *simnet.Disk
 	log    *segment.Log
 
-	// states are those after each entry of the log as it is now, from the base on.
+	// states holds the state after each entry that is now in the log, beginning with the state before the first one.
 	states []state
-	// allowed are the states that a loss may leave: the one that was synced and all later ones.
+	// allowed are the states in which a crash may leave the log: the last synced state and all later ones.
 	allowed []state
 	// snapshotAt is the sequence number of the newest snapshot.
 	snapshotAt uint64
 	epoch      uint64
-	// ever are all states that the log had.
-	ever map[state]bool
-	// bases is the number of states, at most two, from which the log can be read: the newest snapshots, and the empty
-	// state as long as no segment was dropped.
-	bases int
-	// damaged is true once a snapshot was damaged.
+	// reached is the set of all states that the log has had.
+	reached map[state]bool
+	// recoveryBases is the number of states, at most two, from which the log can be recovered: the newest snapshots, and the
+	// empty state as long as no segment was removed.
+	recoveryBases int
+	// damaged is true once a snapshot has been damaged.
 	damaged bool
 }
 
 func newHistory(t *testing.T, seed uint64) *history {
 	random := rand.New(rand.NewPCG(seed, 7))
 	h := &history{
-		t:       t,
-		seed:    seed,
-		random:  random,
-		disk:    simnet.NewDisk(random),
-		states:  []state{{}},
-		allowed: []state{{}},
-		ever:    map[state]bool{{}: true},
-		bases:   1,
+		t:             t,
+		seed:          seed,
+		random:        random,
+		disk:          simnet.NewDisk(random),
+		states:        []state{{}},
+		allowed:       []state{{}},
+		reached:       map[state]bool{{}: true},
+		recoveryBases: 1,
 	}
 	h.open()
 	return h
@@ -83,14 +84,14 @@
 
 func (h *history) last() state { return h.states[len(h.states)-1] }
 
-// open opens the log, through further losses of power, and checks what it holds.
+// open opens the log and checks the recovered state. It retries after power losses and failed syncs.
 func (h *history) open() {
 	for {
 		fileSystem := h.disk.Mount()
 		if h.random.IntN(3) == 0 {
 			h.disk.LosePowerAfter(h.random.IntN(6))
 		}
-		log, recovered, err := segment.Open(fileSystem, logDirectory, segment.Options{SegmentSize: historySegment, BufferSize: historyBuffer})
+		log, recovered, err := segment.Open(fileSystem, logDirectory, segment.Options{SegmentSize: historySegmentSize, BufferSize: historyBufferSize})
 		if errors.Is(err, simnet.ErrPowerLost) {
 			h.disk.LosePower()
 			continue
@@ -108,7 +109,7 @@
 	}
 }
 
-// replay returns the states from that of the recovered snapshot on.
+// replay returns the states of the recovered log, beginning with the state of its snapshot.
 func (h *history) replay(recovered segment.Recovered) []state {
 	states := []state{{}}
 	if s := recovered.Snapshot; s != nil {
@@ -124,6 +125,7 @@
 	return states
 }
 
+// check verifies that the recovered state is an allowed one, and continues from it.
 func (h *history) check(recovered segment.Recovered) {
 	h.states = h.replay(recovered)
 	h.snapshotAt = h.states[0].sequence
@@ -139,15 +141,15 @@
 	h.allowed = []state{h.last()}
 }
 
-// allow notes states that the log has now and that a loss may leave.
+// allow adds states in which a crash may leave the log.
 func (h *history) allow(states ...state) {
 	h.allowed = append(h.allowed, states...)
 	for _, s := range states {
-		h.ever[s] = true
+		h.reached[s] = true
 	}
 }
 
-// files returns the names of the log's files with a suffix.
+// files returns the names of the log's files that have a suffix.
 func (h *history) files(suffix string) []string {
 	names, err := h.disk.Mount().List(logDirectory)
 	if err != nil {
@@ -181,7 +183,7 @@
 	}
 }
 
-// handle looks at the error of an operation: it reports whether it succeeded, and opens the log again if it closed.
+// handle reports whether an operation succeeded. After a loss of power, or if the log has closed itself, it opens the log again.
 func (h *history) handle(err error) (succeeded bool) {
 	switch {
 	case err == nil:
@@ -195,10 +197,10 @@
 	return false
 }
 
-// TestCrashHistories checks, over seeded histories of operations, losses of power, kills, full disks and failing syncs,
-// that what was synced is there after each loss, that nothing appears that was never appended, and that order is kept.
+// TestCrashHistories runs seeded histories of operations, power losses, kills, full disks and failed syncs. After each crash
+// the log must hold all synced entries in order, and no entry that was never appended.
 func TestCrashHistories(t *testing.T) {
-	for seed := range uint64(histories) {
+	for seed := range uint64(historyCount) {
 		h := newHistory(t, seed)
 		for range historySteps {
 			h.step()
@@ -206,11 +208,11 @@
 	}
 }
 
-// TestDamageIsNeverReadAsData flips a bit somewhere in the files of a log and checks that the log either reports it or
-// opens in a state that it had before, and that what it reports as read is such a state, too.
+// TestDamageIsNeverReadAsData flips a bit somewhere in the files of a log. Open must either report the damage or recover a state
+// that the log has had, and what it returns together with the damage must be such a state, too.
 func TestDamageIsNeverReadAsData(t *testing.T) {
 	reported := 0
-	for seed := range uint64(histories) {
+	for seed := range uint64(historyCount) {
 		h := newHistory(t, seed)
 		for range historySteps / 2 {
 			h.step()
@@ -230,12 +232,12 @@
 			reported++
 		}
 		for _, s := range h.replay(recovered) {
-			if !h.ever[s] {
-				h.fatal("recovered state: got %v, want one that the log had", s)
+			if !h.reached[s] {
+				h.fatal("recovered state: got %v, want one that the log has had", s)
 			}
 		}
 	}
-	if reported < histories/10 {
-		t.Errorf("seeds with reported damage: got %d of %d, want at least %d", reported, histories, histories/10)
+	if reported < historyCount/10 {
+		t.Errorf("seeds with reported damage: got %d of %d, want at least %d", reported, historyCount, historyCount/10)
 	}
 }
--- a/internal/segment/errors.go
+++ b/internal/segment/errors.go
@@ -2,11 +2,11 @@
 
 import "errors"
 
-// ErrDamaged is matched by the error for contents that had been written completely and cannot be read back.
+// ErrDamaged is matched by the error for contents that were written completely and can no longer be read.
 var ErrDamaged = errors.New("stored data is damaged")
 
-// ErrClosed is matched by the error of a log that was closed, or that closed itself because a write or a sync failed in
-// such a way that it is not known what the disk holds. The log has to be opened again.
+// ErrClosed is matched by the error of a log that was closed, or that closed itself because the contents of the disk are
+// unknown after a failed write or sync. The log has to be opened again.
 var ErrClosed = errors.New("log is closed")
 
 // ErrOutOfOrder is matched by the error for an entry that does not follow the last one, and for a truncation or a snapshot
@@ -16,10 +16,10 @@
 // ErrTooLarge is matched by the error for an entry whose data is over MaximumEntrySize.
 var ErrTooLarge = errors.New("entry is too large")
 
-// errClosedByOwner is the reason in the error of a log on which Close was called.
+// errClosedByOwner is the reason that closedError names after a call of Close.
 var errClosedByOwner = errors.New("closed by its owner")
 
-// closedError matches ErrClosed and the reason for which the log is closed.
+// closedError matches ErrClosed and the reason why the log is closed.
 type closedError struct{ reason error }
 
 // Error implements the error interface.
--- a/internal/segment/files.go
+++ b/internal/segment/files.go
@@ -3,30 +3,32 @@
 // segmentState describes a segment file.
 type segmentState struct {
 	index uint64
-	// highestSequence is the highest of an entry in it, including entries that were truncated later.
+	// highestSequence is the highest sequence number of an entry in the segment, including entries that were truncated later.
 	highestSequence uint64
-	// size is the number of bytes of whole frames in it.
+	// size is the number of bytes of complete frames in the segment.
 	size int64
 }
 
 // files is the state of the log's files.
 type files struct {
 	generation uint32
-	// snapshots are the retained ones, oldest first.
-	snapshots    []snapshotName
+	// snapshots are the retained snapshots, oldest first.
+	snapshots []snapshotName
+	// nextSnapshot is the index of the next snapshot.
 	nextSnapshot uint64
-	// segments are those from the first one that is read after the newest snapshot to the current one. There is always one.
+	// segments are the segments from the first one that Open would read after the newest snapshot to the current one. There is
+	// always at least one.
 	segments []segmentState
 	// oldestSegment is the index of the first segment that has not been removed.
 	oldestSegment uint64
-	// current is nil until the current segment has been created.
+	// current is the file of the current segment, nil until it has been created.
 	current File
-	// sizeSinceSnapshot is the number of bytes that were written after the newest snapshot was begun.
+	// sizeSinceSnapshot is the number of bytes that were written to segments after the newest snapshot was begun.
 	sizeSinceSnapshot int64
-	// unsynced is true if the current segment was written to since it was synced.
+	// unsynced is true if the current segment has been written to since its last sync.
 	unsynced bool
-	// newName is true if the directory has not been synced since the current segment was created.
-	newName bool
+	// directoryUnsynced is true if the directory has not been synced since the current segment was created.
+	directoryUnsynced bool
 }
 
 func (f *files) currentSegment() *segmentState { return &f.segments[len(f.segments)-1] }
--- a/internal/segment/filesystem.go
+++ b/internal/segment/filesystem.go
@@ -15,34 +15,34 @@
 // File is a file that is open for writing at its end.
 type File interface {
 	io.WriteCloser
-	// Sync returns once the contents are on the disk. After a failure it is not known which of them are.
+	// Sync returns once the contents are on the disk. After an error it is unknown which of them are.
 	Sync() error
-	// Truncate reduces the file to a size in bytes. Later writes continue there.
+	// Truncate reduces the file to a size in bytes. Later writes append at its new end.
 	Truncate(size int64) error
 }
 
-// FileSystem is what the package needs of a file system. Paths are separated by slashes. Errors for files that do not exist
-// match fs.ErrNotExist.
+// FileSystem is the set of file operations that the package uses. Paths are separated by slashes. Errors for files that do not
+// exist match fs.ErrNotExist.
 type FileSystem interface {
-	// Create creates an empty file. An existing one of that name is truncated.
+	// Create creates an empty file, or truncates the existing file of that name.
 	Create(path string) (File, error)
-	// OpenAppend opens a file that exists.
+	// OpenAppend opens an existing file for writing at its end.
 	OpenAppend(path string) (File, error)
 	// ReadFile returns the contents of a file.
 	ReadFile(path string) ([]byte, error)
-	// Rename gives a file a new name, replacing the file that has it.
+	// Rename renames a file, replacing an existing file of the new name.
 	Rename(from, to string) error
 	// Remove removes a file.
 	Remove(path string) error
-	// List returns the names in a directory, sorted.
+	// List returns the names of the entries of a directory, sorted.
 	List(directory string) ([]string, error)
-	// MakeDirectory creates a directory and its parents, and does nothing if it exists.
+	// MakeDirectory creates a directory and its missing parents. It does nothing if the directory exists.
 	MakeDirectory(path string) error
-	// SyncDirectory returns once the names in the directory are on the disk.
+	// SyncDirectory returns once the entries of the directory, not the contents of its files, are on the disk.
 	SyncDirectory(path string) error
 }
 
-// OperatingSystem is the file system of the machine.
+// OperatingSystem implements FileSystem with the file system of the operating system.
 type OperatingSystem struct{}
 
 var _ FileSystem = OperatingSystem{}
@@ -87,7 +87,7 @@
 	return names, nil
 }
 
-// MakeDirectory implements FileSystem. The parent of a new directory is synced.
+// MakeDirectory implements FileSystem. It syncs the parent of each directory that it creates.
 func (o OperatingSystem) MakeDirectory(path string) error {
 	if _, err := os.Stat(path); err == nil {
 		return nil
--- a/internal/segment/frame.go
+++ b/internal/segment/frame.go
@@ -15,7 +15,8 @@
 	truncationFrame
 )
 
-// Offsets in the header of a frame, whose numbers are little-endian. The checksum covers the rest of the header and the data.
+// Offsets of the fields in the header of a frame. All fields are little-endian. The checksum covers the rest of the header and
+// the data.
 const (
 	checksumOffset  = 0
 	lengthOffset    = 4
@@ -27,26 +28,26 @@
 	frameHeaderSize = 40
 )
 
-// MaximumEntrySize is the greatest size of the data of an entry, in bytes.
+// MaximumEntrySize is the maximum size of the data of an entry, in bytes.
 const MaximumEntrySize = 8 << 20
 
 // frame is one record of a segment.
 type frame struct {
 	kind frameKind
-	// ordinal counts the frames of a generation from 1.
+	// ordinal is the number of the frame, counted from 1 in each generation.
 	ordinal uint64
-	// unsynced is how many frames before this one were not known to be on the disk when it was written. It distinguishes
-	// damage from a torn tail: a frame that a later one counts as synced was on the disk, and cannot be torn.
-	unsynced uint32
-	entry    Entry
+	// unsyncedFrames is the number of frames before this one that were not known to be on the disk when this one was appended.
+	// It distinguishes damage from a torn tail: a frame that a later one counts as synced was on the disk and cannot be torn.
+	unsyncedFrames uint32
+	entry          Entry
 }
 
-// header returns the encoded frame without its data.
+// header returns the encoded header of the frame, which the data follows.
 func (f frame) header() []byte {
 	header := make([]byte, frameHeaderSize)
 	binary.LittleEndian.PutUint32(header[lengthOffset:], uint32(len(f.entry.Data)))
 	binary.LittleEndian.PutUint32(header[kindOffset:], uint32(f.kind))
-	binary.LittleEndian.PutUint32(header[unsyncedOffset:], f.unsynced)
+	binary.LittleEndian.PutUint32(header[unsyncedOffset:], f.unsyncedFrames)
 	binary.LittleEndian.PutUint64(header[epochOffset:], f.entry.Epoch)
 	binary.LittleEndian.PutUint64(header[sequenceOffset:], f.entry.Sequence)
 	binary.LittleEndian.PutUint64(header[ordinalOffset:], f.ordinal)
@@ -56,14 +57,14 @@
 	return header
 }
 
-// size returns the number of bytes that the frame takes in a segment.
+// size returns the number of bytes of the encoded frame.
 func (f frame) size() int { return frameHeaderSize + len(f.entry.Data) }
 
-// lastSynced returns the ordinal of the last frame that was known to be on the disk when this one was written.
-func (f frame) lastSynced() uint64 { return f.ordinal - 1 - uint64(f.unsynced) }
+// lastSynced returns the ordinal of the last frame that was known to be on the disk when this one was appended.
+func (f frame) lastSynced() uint64 { return f.ordinal - 1 - uint64(f.unsyncedFrames) }
 
-// decodeFrame decodes the frame at the start of the contents, and reports whether there is a complete one. Its data shares the
-// memory of the contents.
+// decodeFrame decodes the frame at the start of the contents, and reports whether that frame is complete and undamaged. The
+// data of the frame shares the memory of the contents.
 func decodeFrame(contents []byte) (frame, bool) {
 	if len(contents) < frameHeaderSize {
 		return frame{}, false
@@ -81,9 +82,9 @@
 		return frame{}, false
 	}
 	return frame{
-		kind:     kind,
-		ordinal:  binary.LittleEndian.Uint64(contents[ordinalOffset:]),
-		unsynced: binary.LittleEndian.Uint32(contents[unsyncedOffset:]),
+		kind:           kind,
+		ordinal:        binary.LittleEndian.Uint64(contents[ordinalOffset:]),
+		unsyncedFrames: binary.LittleEndian.Uint32(contents[unsyncedOffset:]),
 		entry: Entry{
 			Epoch:    binary.LittleEndian.Uint64(contents[epochOffset:]),
 			Sequence: binary.LittleEndian.Uint64(contents[sequenceOffset:]),
@@ -92,9 +93,8 @@
 	}, true
 }
 
-// showsSynced reports whether a complete frame in the contents proves that the frame with the ordinal had been on the disk
-// before.
-func showsSynced(contents []byte, ordinal uint64) bool {
+// provesSynced reports whether a complete frame in the contents proves that the frame with the given ordinal was synced before.
+func provesSynced(contents []byte, ordinal uint64) bool {
 	for offset := 0; offset+frameHeaderSize <= len(contents); offset++ {
 		f, ok := decodeFrame(contents[offset:])
 		if ok && f.ordinal > ordinal && f.lastSynced() >= ordinal {
--- a/internal/segment/golden_test.go
+++ b/internal/segment/golden_test.go
@@ -20,7 +20,7 @@
 			name: "entry",
 			file: "frame-entry.hex",
 			want: frame{
-				kind: entryFrame, ordinal: 0x1112131415161718, unsynced: 0x21222324,
+				kind: entryFrame, ordinal: 0x1112131415161718, unsyncedFrames: 0x21222324,
 				entry: Entry{Epoch: 0x3132333435363738, Sequence: 0x4142434445464748, Data: []byte("data of an entry")},
 			},
 		},
@@ -28,7 +28,7 @@
 			name: "truncation",
 			file: "frame-truncation.hex",
 			want: frame{
-				kind: truncationFrame, ordinal: 0x5152535455565758, unsynced: 0x61626364,
+				kind: truncationFrame, ordinal: 0x5152535455565758, unsyncedFrames: 0x61626364,
 				entry: Entry{Epoch: 0x7172737475767778, Sequence: 0x8182838485868788, Data: []byte{}},
 			},
 		},
@@ -71,7 +71,8 @@
 	}
 }
 
-// TestLogFormat compares the files of a log that was reset, truncated and saved twice, and reads them back.
+// TestLogFormat compares the files of a log with the golden files and recovers the log from those. The log has been reset and
+// truncated, and has two snapshots.
 func TestLogFormat(t *testing.T) {
 	const directory = "log"
 	written := t.TempDir()
--- a/internal/segment/log.go
+++ b/internal/segment/log.go
@@ -10,12 +10,12 @@
 const (
 	// firstIndex is the index of the first segment and of the first snapshot of a generation.
 	firstIndex = 1
-	// retainedSnapshots is the number of snapshots that are not removed.
+	// retainedSnapshots is the number of newest snapshots that are kept.
 	retainedSnapshots = 2
 )
 
-// Entry is a numbered element of a log. The sequence numbers of a log rise by one from entry to entry. The epoch is stored for the
-// caller. The data must not be changed after the entry was appended.
+// Entry is a numbered entry of a log. Sequence numbers increase by one from entry to entry. The epoch is stored for the caller
+// and not interpreted. The data must not be changed after the entry has been appended.
 type Entry struct {
 	Epoch    uint64
 	Sequence uint64
@@ -29,8 +29,8 @@
 	Data     []byte
 }
 
-// Log is a log on disk. Its methods may be called from several goroutines; entries may be appended while a Sync runs. Locks are
-// taken in the order snapshotMutex, writeMutex, mutex.
+// Log is a write-ahead log on disk. Its methods may be called from several goroutines; entries may be appended while a Sync
+// runs. Locks are taken in the order snapshotMutex, writeMutex, mutex.
 type Log struct {
 	fileSystem FileSystem
 	directory  string
@@ -45,7 +45,7 @@
 
 	// mutex guards the fields below.
 	mutex sync.Mutex
-	// pending holds frames that are appended and not yet written.
+	// pending holds frames that have been appended but not yet written.
 	pending writeBuffer
 	// snapshotSequence is the sequence number of the newest snapshot.
 	snapshotSequence uint64
@@ -59,9 +59,9 @@
 	failure error
 }
 
-// Append adds entries, all of them or, if it fails, none. Their sequence numbers have to follow that of the last entry without
-// a gap. They are on the disk once a later Sync has succeeded. The error matches ErrOutOfOrder, ErrTooLarge or ErrClosed, or is
-// that of a write.
+// Append adds all entries or, if it fails, none. Their sequence numbers have to follow that of the last entry without a gap.
+// They are on the disk once a later Sync has succeeded. The error matches ErrOutOfOrder, ErrTooLarge or ErrClosed, or is that
+// of a failed write of earlier entries.
 func (l *Log) Append(entries ...Entry) error {
 	if l.bufferIsFull() {
 		if err := l.flush(); err != nil {
@@ -93,10 +93,10 @@
 	next := l.lastSequence + 1
 	for _, entry := range entries {
 		if entry.Sequence != next {
-			return merry.Prependf(ErrOutOfOrder, "entry %d where %d follows", entry.Sequence, next)
+			return merry.Prependf(ErrOutOfOrder, "append entry %d, expected %d", entry.Sequence, next)
 		}
 		if len(entry.Data) > MaximumEntrySize {
-			return merry.Prependf(ErrTooLarge, "entry %d has %d bytes", entry.Sequence, len(entry.Data))
+			return merry.Prependf(ErrTooLarge, "append entry %d of %d bytes, at most %d are allowed", entry.Sequence, len(entry.Data), MaximumEntrySize)
 		}
 		next++
 	}
@@ -104,13 +104,13 @@
 }
 
 func (l *Log) addFrame(kind frameKind, entry Entry) {
-	f := frame{kind: kind, ordinal: l.lastOrdinal + 1, unsynced: uint32(l.lastOrdinal - l.syncedOrdinal), entry: entry}
+	f := frame{kind: kind, ordinal: l.lastOrdinal + 1, unsyncedFrames: uint32(l.lastOrdinal - l.syncedOrdinal), entry: entry}
 	l.pending.add(f)
 	l.lastOrdinal = f.ordinal
 }
 
-// TruncateAfter removes all entries after a sequence number, which must not be below that of the newest snapshot. This is on the
-// disk once a later Sync has succeeded.
+// TruncateAfter removes all entries after a sequence number, which must not be below that of the newest snapshot. The
+// truncation is on the disk once a later Sync has succeeded.
 func (l *Log) TruncateAfter(sequence uint64) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -118,7 +118,7 @@
 		return l.failure
 	}
 	if sequence < l.snapshotSequence {
-		return merry.Prependf(ErrOutOfOrder, "truncate to %d with a snapshot of %d", sequence, l.snapshotSequence)
+		return merry.Prependf(ErrOutOfOrder, "truncate after entry %d, before the snapshot at %d", sequence, l.snapshotSequence)
 	}
 	if sequence >= l.lastSequence {
 		return nil
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// Sync returns once all that was appended before it is on the disk. After a failed write, such as on a full disk, it may be
-// called again. After a failed sync the log is closed, because it is not known how much of the tail is on the disk.
+// Sync returns once everything that was appended before the call is on the disk. After a failed write, such as on a full disk,
+// Sync may be called again. A failed sync closes the log, because it is unknown how much of the tail is on the disk.
 func (l *Log) Sync() error {
 	l.writeMutex.Lock()
 	defer l.writeMutex.Unlock()
@@ -143,19 +143,19 @@
 	return l.lastSequence
 }
 
-// SizeSinceSnapshot returns the number of bytes that were written to segments after the newest snapshot was begun. The next Open
-// reads them in addition to the snapshot.
+// SizeSinceSnapshot returns the number of bytes that were written to segments after the newest snapshot was begun. The next
+// Open has to read these in addition to the snapshot.
 func (l *Log) SizeSinceSnapshot() int64 {
 	l.writeMutex.Lock()
 	defer l.writeMutex.Unlock()
 	return l.files.sizeSinceSnapshot
 }
 
-// Close syncs the log and closes it.
+// Close syncs the log and closes it. It does nothing if the log is already closed.
 func (l *Log) Close() error {
 	l.writeMutex.Lock()
 	defer l.writeMutex.Unlock()
-	if l.failed() != nil {
+	if l.checkOpen() != nil {
 		return nil
 	}
 	err := l.syncFiles()
@@ -163,7 +163,8 @@
 	return err
 }
 
-func (l *Log) failed() error {
+// checkOpen returns the error of all operations if the log is closed, nil if it is open.
+func (l *Log) checkOpen() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.failure
--- a/internal/segment/log_test.go
+++ b/internal/segment/log_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// fileAt returns the file at an index, from the end if it is negative, among those that match a pattern.
+// fileAt returns the file at an index among those that match a pattern. A negative index counts from the end.
 func fileAt(t *testing.T, directory, pattern string, index int) string {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(directory, pattern))
--- a/internal/segment/names.go
+++ b/internal/segment/names.go
@@ -14,7 +14,7 @@
 	snapshotFormat = "%08x-%016x-%016x.snapshot"
 )
 
-// snapshotName holds the fields of the name of a snapshot file.
+// snapshotName holds the fields in the name of a snapshot file.
 type snapshotName struct {
 	generation uint32
 	index      uint64
@@ -27,7 +27,7 @@
 	return fmt.Sprintf(snapshotFormat, n.generation, n.index, n.firstSegment)
 }
 
-// segmentName holds the fields of the name of a segment file.
+// segmentName holds the fields in the name of a segment file.
 type segmentName struct {
 	generation uint32
 	index      uint64
@@ -36,17 +36,17 @@
 // String returns the name of the file.
 func (n segmentName) String() string { return fmt.Sprintf(segmentFormat, n.generation, n.index) }
 
-// directoryListing names the log's files in a directory.
+// directoryListing lists the log's files in a directory.
 type directoryListing struct {
 	generation uint32
-	// snapshots and segments of the generation, each in order of their index.
+	// snapshots and segments are the files of the generation, each in order of their index.
 	snapshots []snapshotName
 	segments  []segmentName
-	// obsolete are the files of older generations and the temporary ones.
+	// obsolete are the names of temporary files and of the files of older generations.
 	obsolete []string
 }
 
-// listDirectory reads the names in a directory and ignores those that are not the log's.
+// listDirectory lists the log's files of the newest generation. Names that are not in the format of the log are ignored.
 func listDirectory(fileSystem FileSystem, directory string) (directoryListing, error) {
 	names, err := fileSystem.List(directory)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return all.newestGeneration(), nil
 }
 
-// add parses a name of any generation.
+// add adds a file of any generation, and ignores names that are not in the format of the log.
 func (d *directoryListing) add(name string) {
 	var snapshot snapshotName
 	var segment segmentName
@@ -76,7 +76,7 @@
 	}
 }
 
-// parseName reads the fields of a name and reports whether the name is exactly what the format makes of them.
+// parseName parses the fields of a file name, and reports whether formatting these fields gives exactly this name.
 func parseName(name, format string, fields ...any) bool {
 	if count, err := fmt.Sscanf(name, format, fields...); err != nil || count != len(fields) {
 		return false
@@ -92,7 +92,7 @@
 	return name == fmt.Sprintf(format, fields...)
 }
 
-// newestGeneration returns the files of the newest generation, in order, with all others among the obsolete ones.
+// newestGeneration returns the files of the newest generation, sorted by index, and all others as obsolete.
 func (d directoryListing) newestGeneration() directoryListing {
 	newest := directoryListing{generation: d.highestGeneration(), obsolete: d.obsolete}
 	for _, snapshot := range d.snapshots {
--- a/internal/segment/open.go
+++ b/internal/segment/open.go
@@ -2,21 +2,21 @@
 
 import "github.com/ansel1/merry/v2"
 
-// Recovered is the content of a log when it was opened.
+// Recovered holds the contents of a log that Open has read.
 type Recovered struct {
-	// Snapshot is the newest one that could be read, nil if there is none.
+	// Snapshot is the newest snapshot that could be read, nil if there is none.
 	Snapshot *Snapshot
-	// Entries are those after the snapshot.
+	// Entries are the entries after the snapshot.
 	Entries []Entry
 	// TruncatedBytes is the size of the torn tail that was truncated.
 	TruncatedBytes int
-	// DamagedSnapshots is the number of newer snapshots that could not be read.
+	// DamagedSnapshots is the number of damaged snapshots that are newer than Snapshot.
 	DamagedSnapshots int
 }
 
-// Open opens the log in a directory, or creates it if there is none. What it returns as recovered is durable. If the error
-// matches ErrDamaged, the recovered content is what could be read before the damage; the directory is unchanged, and Clear
-// removes the log from it.
+// Open opens the log in a directory, or creates it if there is none. If it succeeds, the recovered contents are durable. If the
+// error matches ErrDamaged, the recovered contents are those that could be read before the damage; the directory is unchanged,
+// and Clear removes the log from it.
 func Open(fileSystem FileSystem, directory string, options Options) (*Log, Recovered, error) {
 	if err := fileSystem.MakeDirectory(directory); err != nil {
 		return nil, Recovered{}, merry.Prepend(err, "make directory")
--- a/internal/segment/options.go
+++ b/internal/segment/options.go
@@ -7,10 +7,10 @@
 
 // Options are the sizes of a log in bytes. Zero values select the defaults.
 type Options struct {
-	// SegmentSize is the size from which a segment is followed by a new one. Larger segments are removed later, smaller ones
-	// cost a file and a sync of the directory each. The default is 4 MiB.
+	// SegmentSize is the size at which a segment is full and the log begins a new one. Larger segments can be removed only
+	// later; smaller segments mean more files, each with a sync of the directory. The default is 4 MiB.
 	SegmentSize int
-	// BufferSize is the number of appended bytes that are buffered before Append writes them without waiting for a Sync. The
+	// BufferSize is the number of buffered bytes from which Append writes them to the segment without waiting for a Sync. The
 	// default is 256 KiB.
 	BufferSize int
 }
--- a/internal/segment/record.go
+++ b/internal/segment/record.go
@@ -8,14 +8,14 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// temporarySuffix is the end of the name of a file that is being written.
+// temporarySuffix ends the name of a file that is being written.
 const temporarySuffix = ".temporary"
 
 // recordMagic is the number with which a record file begins.
 const recordMagic = 0x4e4c5243
 
-// Offsets in the header of a record file, whose numbers are little-endian. The data follows the header. The checksum covers the
-// length and the data.
+// Offsets of the fields in the header of a record file. All fields are little-endian. The data follows the header. The checksum
+// covers the length and the data.
 const (
 	recordMagicOffset    = 0
 	recordChecksumOffset = 4
@@ -23,17 +23,18 @@
 	recordHeaderSize     = 16
 )
 
-// castagnoli is the table of the CRC-32C.
+// castagnoli is the lookup table for CRC-32C.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// SaveRecord replaces the contents of a small file. It returns once the new contents are on the disk; after a failure or
-// a loss of power the file holds either the former or the new ones.
+// SaveRecord replaces the contents of a small file. It returns once the new contents are on the disk. After an error or a loss
+// of power the file holds either the old or the new contents.
 func SaveRecord(fileSystem FileSystem, name string, data []byte) error {
 	return saveRecord(fileSystem, name, data)
 }
 
-// LoadRecord returns the data that SaveRecord wrote. The data is durable, even if the writer was killed before SaveRecord had
-// returned. The error matches fs.ErrNotExist if there is no file, and ErrDamaged if its contents are not a valid record.
+// LoadRecord returns the data that SaveRecord wrote. The returned data is durable, even if the writer was killed before
+// SaveRecord returned. The error matches fs.ErrNotExist if there is no file, and ErrDamaged if its contents are not a valid
+// record.
 func LoadRecord(fileSystem FileSystem, name string) ([]byte, error) {
 	data, err := loadRecord(fileSystem, name)
 	if err != nil {
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// writeRecord writes and syncs a record file without the guarantee that a former one of that name survives a failure.
+// writeRecord writes and syncs a record file in place: if it fails, an existing file of that name may be lost.
 func writeRecord(fileSystem FileSystem, name string, chunks [][]byte) error {
 	file, err := fileSystem.Create(name)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return file.Close()
 }
 
-// writeChunks writes the header and the chunks, a small record in one write.
+// writeChunks writes the header and the chunks and syncs the file. It writes a small record in one call.
 func writeChunks(file File, chunks [][]byte) error {
 	header := recordHeader(chunks)
 	if length := binary.LittleEndian.Uint64(header[recordLengthOffset:]); length <= directWriteSize {
@@ -117,14 +118,14 @@
 		return nil, err
 	}
 	if len(contents) < recordHeaderSize || binary.LittleEndian.Uint32(contents[recordMagicOffset:]) != recordMagic {
-		return nil, merry.Prependf(ErrDamaged, "%s has no header", name)
+		return nil, merry.Prependf(ErrDamaged, "%s does not begin with a record header", name)
 	}
 	data := contents[recordHeaderSize:]
 	if binary.LittleEndian.Uint64(contents[recordLengthOffset:]) != uint64(len(data)) {
-		return nil, merry.Prependf(ErrDamaged, "%s has the wrong length", name)
+		return nil, merry.Prependf(ErrDamaged, "%s has %d bytes of data, not the length in its header", name, len(data))
 	}
 	if binary.LittleEndian.Uint32(contents[recordChecksumOffset:]) != crc32.Checksum(contents[recordLengthOffset:], castagnoli) {
-		return nil, merry.Prependf(ErrDamaged, "%s has the wrong checksum", name)
+		return nil, merry.Prependf(ErrDamaged, "%s does not match its checksum", name)
 	}
 	return data, nil
 }
--- a/internal/segment/recovery.go
+++ b/internal/segment/recovery.go
@@ -13,20 +13,20 @@
 	found      directoryListing
 	result     Recovered
 
-	// snapshots are the retained ones. The last of them is the one that was read.
+	// snapshots are the retained snapshots. The last of them is the one that was read.
 	snapshots []snapshotName
-	// snapshotOrdinal is the ordinal of the last frame that had been written when that snapshot was begun.
+	// snapshotOrdinal is the ordinal of the last frame that was synced when the snapshot that was read was begun.
 	snapshotOrdinal uint64
-	// segments are those that were read.
+	// segments are the segments that were read.
 	segments []segmentState
-	// lastSequence is the sequence number of the last entry after the frames that were read.
+	// lastSequence is the sequence number of the last entry after the frames read so far have been replayed.
 	lastSequence uint64
 	// lastOrdinal is the ordinal of the last frame that was read.
 	lastOrdinal uint64
 }
 
-// read reads the snapshot and the segments after it. After an error the result is what could be read before the damage, without
-// entries that may have been truncated by frames that are missing.
+// read reads the snapshot and the segments after it. After an error the result holds what could be read before the damage. The
+// entries are left out if frames from before the snapshot are missing, because these may have truncated some of the entries.
 func (r *recovery) read() error {
 	if err := r.readSnapshot(); err != nil {
 		return err
@@ -94,7 +94,7 @@
 		next++
 	}
 	if r.lastOrdinal < r.snapshotOrdinal {
-		return merry.Prependf(ErrDamaged, "frames up to %d with a snapshot made after %d", r.lastOrdinal, r.snapshotOrdinal)
+		return merry.Prependf(ErrDamaged, "frames end at %d, but the snapshot was begun after frame %d", r.lastOrdinal, r.snapshotOrdinal)
 	}
 	return nil
 }
@@ -115,14 +115,15 @@
 	if len(tail) == 0 {
 		return nil
 	}
-	if !last || showsSynced(tail, r.lastOrdinal+1) {
-		return merry.Prependf(ErrDamaged, "after entry %d at offset %d", r.lastSequence, size)
+	if !last || provesSynced(tail, r.lastOrdinal+1) {
+		return merry.Prependf(ErrDamaged, "frame after entry %d at offset %d", r.lastSequence, size)
 	}
 	r.result.TruncatedBytes = len(tail)
 	return nil
 }
 
-// replayFrames replays the frames at the start of the contents up to the first that is torn or damaged, and returns their size.
+// replayFrames replays the frames at the start of the contents up to the first one that is torn or damaged, and returns the
+// size of the replayed frames in bytes.
 func (r *recovery) replayFrames(contents []byte) (size int, err error) {
 	for size < len(contents) {
 		f, ok := decodeFrame(contents[size:])
@@ -137,12 +138,12 @@
 	return size, nil
 }
 
-// isNext reports whether a frame may follow the last one that was read. The first one may be any.
+// isNext reports whether a frame may follow the last one that was read. The first frame may have any ordinal.
 func (r *recovery) isNext(f frame) bool {
 	return r.lastOrdinal == 0 || f.ordinal == r.lastOrdinal+1
 }
 
-// replay applies a frame to what has been recovered so far.
+// replay applies a frame to the recovered contents. Entries that the snapshot covers are only checked.
 func (r *recovery) replay(f frame) error {
 	first := r.lastOrdinal == 0
 	r.lastOrdinal = f.ordinal
--- a/internal/segment/recovery_test.go
+++ b/internal/segment/recovery_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// flipBit changes a bit of the byte at an offset, from the end if it is negative.
+// flipBit flips a bit of the byte at an offset. A negative offset counts from the end.
 func flipBit(t *testing.T, name string, offset int) {
 	t.Helper()
 	contents, err := os.ReadFile(name)
@@ -110,7 +110,8 @@
 	}
 }
 
-// TestMissingFrameIsReported removes a frame from a segment. All other frames are complete.
+// TestMissingFrameIsReported removes a whole frame from a segment. Only the gap in the ordinals reveals the loss, because all
+// other frames are complete.
 func TestMissingFrameIsReported(t *testing.T) {
 	directory := t.TempDir()
 	log, _ := openLog(t, directory, Options{})
@@ -133,8 +134,7 @@
 	}
 }
 
-// TestDamageBeforeSnapshotIsReported damages frames that could pass for a torn tail if no snapshot had been made after
-// them.
+// TestDamageBeforeSnapshotIsReported damages a frame that would be taken for a torn tail if no snapshot had been saved after it.
 func TestDamageBeforeSnapshotIsReported(t *testing.T) {
 	directory := t.TempDir()
 	log, _ := openLog(t, directory, Options{})
--- a/internal/segment/remove.go
+++ b/internal/segment/remove.go
@@ -8,7 +8,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// RemoveFiles removes the files in each of the directories, but no directories. The removal is durable in one directory before
+// RemoveFiles removes all files in the given directories, but no subdirectories. The removal is durable in one directory before
 // it begins in the next. A directory that does not exist counts as empty.
 func RemoveFiles(fileSystem FileSystem, directories ...string) error {
 	for _, directory := range directories {
@@ -33,7 +33,7 @@
 	return fileSystem.SyncDirectory(directory)
 }
 
-// Clear removes the files of a log that is not open. The replica thereby loses what it acknowledged, and has to take a new
+// Clear removes the files of a log that is not open. The replica thereby loses data that it acknowledged, and has to take a new
 // identity.
 func Clear(fileSystem FileSystem, directory string) error {
 	found, err := listDirectory(fileSystem, directory)
--- a/internal/segment/resume.go
+++ b/internal/segment/resume.go
@@ -6,7 +6,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// resume prepares the log for further entries and makes what was recovered durable.
+// resume prepares the log for further entries and makes the recovered contents durable.
 func (r *recovery) resume(log *Log) error {
 	r.snapshots = r.snapshots[max(0, len(r.snapshots)-retainedSnapshots):]
 	obsolete := append(r.obsoleteFiles(), r.dropEmptySegment()...)
@@ -32,8 +32,8 @@
 	return r.openCurrent(log)
 }
 
-// obsoleteFiles returns the names of files that are not needed any more: a loss of power may have brought back some that had
-// been removed.
+// obsoleteFiles returns the names of files that are no longer needed. These include files that were removed before and that a
+// loss of power brought back.
 func (r *recovery) obsoleteFiles() []string {
 	names := r.found.obsolete
 	for _, name := range r.found.snapshots {
@@ -60,8 +60,8 @@
 	return []string{name.String()}
 }
 
-// oldestSegment returns the index of the first segment that is needed with the older one of two snapshots. All are needed
-// while there are fewer snapshots.
+// oldestSegment returns the index of the oldest segment to keep: the first one with entries after the older of the two retained
+// snapshots. While there are fewer snapshots, all segments are kept.
 func (r *recovery) oldestSegment() uint64 {
 	if len(r.snapshots) < retainedSnapshots {
 		return firstIndex
@@ -86,8 +86,8 @@
 	return size
 }
 
-// openCurrent opens the last segment, truncates a torn tail and syncs it: a process that was killed may have left writes that
-// are not on the disk yet.
+// openCurrent opens the last segment, truncates a torn tail and syncs the file, because a process that was killed may have left
+// writes that are not on the disk yet.
 func (r *recovery) openCurrent(log *Log) error {
 	current := log.files.currentSegment()
 	file, err := r.fileSystem.OpenAppend(log.path(segmentName{r.found.generation, current.index}.String()))
--- a/internal/segment/snapshot.go
+++ b/internal/segment/snapshot.go
@@ -23,13 +23,13 @@
 	return l.adoptSnapshot(plan, s)
 }
 
-// Reset replaces the whole log by a snapshot and begins a generation. If it fails, the log is either unchanged or closed.
+// Reset replaces the whole log by a snapshot and begins a new generation. If it fails, the log is either unchanged or closed.
 func (l *Log) Reset(s Snapshot) error {
 	l.snapshotMutex.Lock()
 	defer l.snapshotMutex.Unlock()
 	l.writeMutex.Lock()
 	defer l.writeMutex.Unlock()
-	if err := l.failed(); err != nil {
+	if err := l.checkOpen(); err != nil {
 		return err
 	}
 	name := snapshotName{generation: l.files.generation + 1, index: firstIndex, firstSegment: firstIndex}
@@ -50,9 +50,9 @@
 // snapshotPlan describes a snapshot that is about to be written.
 type snapshotPlan struct {
 	name snapshotName
-	// size is the number of bytes that were written to segments between the snapshot before and this one.
+	// size is the number of bytes that were written to segments between the previous snapshot and this one.
 	size int64
-	// ordinal is that of the last frame among these.
+	// ordinal is the ordinal of the last frame that was synced before the snapshot.
 	ordinal uint64
 }
 
@@ -63,12 +63,12 @@
 		return l.failure
 	}
 	if s.Sequence < l.snapshotSequence || s.Sequence > l.lastSequence {
-		return merry.Prependf(ErrOutOfOrder, "snapshot of %d in a log from %d to %d", s.Sequence, l.snapshotSequence, l.lastSequence)
+		return merry.Prependf(ErrOutOfOrder, "save snapshot at %d in a log from %d to %d", s.Sequence, l.snapshotSequence, l.lastSequence)
 	}
 	return nil
 }
 
-// planSnapshot syncs the log, so that it is never behind the snapshot, and chooses the name of the snapshot.
+// planSnapshot syncs the log, so that the log on disk is never behind the snapshot, and chooses the name of the snapshot.
 func (l *Log) planSnapshot(s Snapshot) (snapshotPlan, error) {
 	l.writeMutex.Lock()
 	defer l.writeMutex.Unlock()
@@ -97,7 +97,7 @@
 func (l *Log) adoptSnapshot(plan snapshotPlan, s Snapshot) error {
 	l.writeMutex.Lock()
 	defer l.writeMutex.Unlock()
-	if err := l.failed(); err != nil {
+	if err := l.checkOpen(); err != nil {
 		return err
 	}
 	l.mutex.Lock()
@@ -113,8 +113,8 @@
 	return l.removeObsolete()
 }
 
-// removeObsolete removes all but the newest snapshots, and the segments that are not needed after the older of them. The
-// directory is not synced: a file that a loss of power brings back is removed when the log is opened.
+// removeObsolete removes all but the two newest snapshots, and the segments with no entries after the older of these. It does
+// not sync the directory: a file that a loss of power brings back is removed when the log is opened.
 func (l *Log) removeObsolete() error {
 	f := &l.files
 	if len(f.snapshots) < retainedSnapshots {
@@ -131,7 +131,7 @@
 	return removeFiles(l.fileSystem, l.directory, names)
 }
 
-// beginGeneration makes a saved snapshot the only file of the log.
+// beginGeneration makes a saved snapshot the only file of the log and removes the files of the previous generation.
 func (l *Log) beginGeneration(name snapshotName, s Snapshot) error {
 	old := l.files
 	if old.current != nil {
--- a/internal/segment/snapshot_file.go
+++ b/internal/segment/snapshot_file.go
@@ -7,7 +7,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Offsets in the header of a snapshot, which precedes its data in a record. The numbers are little-endian.
+// Offsets of the fields in the header of a snapshot, which precedes its data in a record. All fields are little-endian.
 const (
 	snapshotEpochOffset    = 0
 	snapshotSequenceOffset = 8
@@ -15,11 +15,11 @@
 	snapshotHeaderSize     = 24
 )
 
-// storedSnapshot is a snapshot as it is on disk.
+// storedSnapshot is a snapshot in its form on disk.
 type storedSnapshot struct {
 	Snapshot
-	// ordinal is that of the last frame that had been written when the snapshot was begun. The log agrees with the snapshot
-	// only from that frame on: before it, there may be entries that were truncated later.
+	// ordinal is the ordinal of the last frame that was synced when the snapshot was begun. The log is consistent with the
+	// snapshot only from that frame on: an earlier part may hold entries that were truncated later.
 	ordinal uint64
 }
 
@@ -33,7 +33,7 @@
 }
 
 func saveSnapshot(fileSystem FileSystem, name string, s storedSnapshot) error {
-	return merry.Prependf(saveRecord(fileSystem, name, s.chunks()...), "snapshot of %d", s.Sequence)
+	return merry.Prependf(saveRecord(fileSystem, name, s.chunks()...), "save snapshot at %d", s.Sequence)
 }
 
 func loadSnapshot(fileSystem FileSystem, name string) (*storedSnapshot, error) {
@@ -42,7 +42,7 @@
 		return nil, err
 	}
 	if len(data) < snapshotHeaderSize {
-		return nil, merry.Prependf(ErrDamaged, "%s is too short", path.Base(name))
+		return nil, merry.Prependf(ErrDamaged, "%s has %d bytes, fewer than a snapshot header", path.Base(name), len(data))
 	}
 	return &storedSnapshot{
 		Snapshot: Snapshot{
--- a/internal/segment/write_buffer.go
+++ b/internal/segment/write_buffer.go
@@ -1,14 +1,14 @@
 package segment
 
-// directWriteSize is the size in bytes from which data is written without copying it into the buffer first.
+// directWriteSize is the size in bytes from which data is written without being copied into a buffer first.
 const directWriteSize = 64 << 10
 
-// writeBuffer is a sequence of encoded frames that have not been written to a file.
+// writeBuffer holds encoded frames that have not been written to a file yet.
 type writeBuffer struct {
 	chunks [][]byte
 	size   int
 	frames uint64
-	// highestSequence is the highest of an entry among the frames.
+	// highestSequence is the highest sequence number of an entry among the frames.
 	highestSequence uint64
 }
 
@@ -32,7 +32,7 @@
 	}
 }
 
-// join returns the frames of the buffer followed by those of a later one.
+// join returns a buffer with the frames of b followed by those of a later buffer.
 func (b writeBuffer) join(later writeBuffer) writeBuffer {
 	if later.size == 0 {
 		return b
--- a/internal/segment/writer.go
+++ b/internal/segment/writer.go
@@ -17,7 +17,8 @@
 	return l.syncCurrent()
 }
 
-// writePending writes the pending frames. If that fails the file is truncated to its former size, and the frames stay pending.
+// writePending writes the pending frames. If a write fails, it truncates the file to its previous size, and the frames stay
+// pending; if the truncation fails too, the log is closed.
 func (l *Log) writePending() error {
 	if pending, err := l.hasPending(); err != nil || !pending {
 		return err
@@ -31,12 +32,12 @@
 			return l.undoWrite(pending, err)
 		}
 	}
-	l.files.written(pending)
+	l.files.recordWrite(pending)
 	return nil
 }
 
-// written records that the frames of a buffer were written to the current segment.
-func (f *files) written(b writeBuffer) {
+// recordWrite records that the frames of a buffer were written to the current segment.
+func (f *files) recordWrite(b writeBuffer) {
 	f.sizeSinceSnapshot += int64(b.size)
 	segment := f.currentSegment()
 	segment.size += int64(b.size)
@@ -72,7 +73,7 @@
 	l.pending = pending.join(l.pending)
 }
 
-// undoWrite truncates what a failed write may have left in the current segment.
+// undoWrite removes what a failed write may have left in the current segment, and restores the pending frames.
 func (l *Log) undoWrite(pending writeBuffer, cause error) error {
 	if err := l.files.current.Truncate(l.files.currentSegment().size); err != nil {
 		return l.fail(merry.Prepend(cause, "write segment"))
@@ -110,13 +111,13 @@
 		f.segments = append(f.segments, segmentState{index: index})
 	}
 	f.current = file
-	f.newName = true
+	f.directoryUnsynced = true
 }
 
-// syncCurrent syncs what was written to the current segment, and its name if it is new.
+// syncCurrent syncs the current segment, and the directory if the segment is new. If that fails, the log is closed.
 func (l *Log) syncCurrent() error {
 	f := &l.files
-	if err := l.failed(); err != nil {
+	if err := l.checkOpen(); err != nil {
 		return err
 	}
 	if !f.unsynced {
@@ -125,13 +126,13 @@
 	if err := f.current.Sync(); err != nil {
 		return l.fail(merry.Prepend(err, "sync segment"))
 	}
-	if f.newName {
+	if f.directoryUnsynced {
 		if err := l.fileSystem.SyncDirectory(l.directory); err != nil {
 			return l.fail(merry.Prepend(err, "sync directory"))
 		}
 	}
 	f.unsynced = false
-	f.newName = false
+	f.directoryUnsynced = false
 	l.markSynced()
 	return nil
 }
