--- a/internal/view/acceptor.go
+++ b/internal/view/acceptor.go
@@ -1,22 +1,22 @@
 package view
 
-// AcceptorState is the durable state of an acceptor. It must be on disk before the answer that it belongs to is sent.
+// AcceptorState is the durable state of an acceptor. It must be on disk before the answer that it results from is sent.
 type AcceptorState struct {
-	// Epoch is the one whose view is being decided.
+	// Epoch is the epoch whose view is being decided.
 	Epoch uint64
-	// Promised is the highest number for which a promise was given in the epoch.
+	// Promised is the highest proposal number that the acceptor has promised in the epoch.
 	Promised ProposalNumber
-	// Accepted is the proposal that was accepted last in the epoch, nil if there is none.
+	// Accepted is the last proposal that the acceptor accepted in the epoch, nil if there is none.
 	Accepted *Proposal
 }
 
 // Acceptor votes on the view of one epoch at a time.
 type Acceptor struct{ state AcceptorState }
 
-// NewAcceptor returns an acceptor that continues from the state on its disk.
+// NewAcceptor returns an acceptor that continues from a state read from disk.
 func NewAcceptor(state AcceptorState) *Acceptor { return &Acceptor{state: state} }
 
-// State returns what has to be on disk before the next answer is sent.
+// State returns the state that has to be on disk before the answer to the latest request is sent.
 func (a *Acceptor) State() AcceptorState { return a.state }
 
 // Prepare answers a request for the epoch that follows the newest view of this replica.
@@ -50,8 +50,8 @@
 	return answer
 }
 
-// enterEpoch moves to the decision of a later epoch, and reports whether the epoch is the current one then. Earlier epochs
-// are decided, as the caller has their views.
+// enterEpoch switches to an epoch later than the current one, and reports whether the given epoch is the current one
+// afterwards. Requests for earlier epochs get no vote: their views are decided, and the caller has them.
 func (a *Acceptor) enterEpoch(epoch uint64) bool {
 	if epoch > a.state.Epoch {
 		a.state = AcceptorState{Epoch: epoch}
--- a/internal/view/acceptor_test.go
+++ b/internal/view/acceptor_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-func TestAcceptorForgetsNothingOfItsEpoch(t *testing.T) {
+// Within an epoch, an acceptor refuses numbers below its promise. A later epoch starts without promises.
+func TestAcceptorKeepsItsPromiseWithinAnEpoch(t *testing.T) {
 	acceptor := NewAcceptor(AcceptorState{})
 	low, high := ProposalNumber{Round: 1, Replica: 9}, ProposalNumber{Round: 2, Replica: 1}
 	if promise := acceptor.Prepare(Prepare{Epoch: 3, Number: high}); !promise.Granted || !promise.Votes {
--- a/internal/view/codec.go
+++ b/internal/view/codec.go
@@ -106,7 +106,7 @@
 		return Member{}, err
 	}
 	if m.Address, err = netip.ParseAddrPort(address); err != nil {
-		return Member{}, merry.Prepend(err, "address of a member")
+		return Member{}, merry.Prependf(err, "parse address of member %q", m.Name)
 	}
 	return m, nil
 }
--- a/internal/view/consensus_test.go
+++ b/internal/view/consensus_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// consensusTrial runs proposers with different views against the same acceptors, with messages lost, delivered in any
-// order, and acceptors that come back with what they had on disk.
+// consensusTrial runs proposers of different views against the same acceptors. Messages are lost and reordered, and
+// acceptors restart from the state on their disk.
 type consensusTrial struct {
 	t         *testing.T
 	random    *rand.Rand
@@ -86,7 +86,7 @@
 	trial.acceptors[address] = NewAcceptor(state)
 }
 
-// deliver delivers one of the messages in flight, and sometimes loses it.
+// deliver takes one of the messages in flight at random and delivers it, or loses it with a probability of 1 in 10.
 func (trial *consensusTrial) deliver() {
 	i := trial.random.IntN(len(trial.pending))
 	message := trial.pending[i]
--- a/internal/view/electorate.go
+++ b/internal/view/electorate.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// ToleratedLosses returns how many of the running replicas may fail now and lose their disks, so that the remaining ones are
-// a majority of the voters and include a member with everything that was committed.
+// ToleratedLosses returns how many of the running replicas may fail and lose their disks while the remaining ones still
+// form a majority of the voters and include a member with everything that was committed.
 func (v View) ToleratedLosses(isRunning func(ReplicaID) bool) int {
-	voters := countRunning(v.Electorate(), isRunning) - v.Majority()
-	members := countRunning(v.Members, isRunning) - 1
-	return max(0, min(voters, members))
+	spareVoters := countRunning(v.Electorate(), isRunning) - v.Majority()
+	spareMembers := countRunning(v.Members, isRunning) - 1
+	return max(0, min(spareVoters, spareMembers))
 }
 
 func countRunning(members []Member, isRunning func(ReplicaID) bool) int {
@@ -20,9 +20,9 @@
 	return count
 }
 
-// electorate returns the voters of a view with the given members: the members, and up to a size those that voted before.
-// So no replica loses its vote because it is unreachable: only a member that replaces it in the chain, or at its address,
-// replaces it as a voter. Former voters that are likely to answer are preferred.
+// electorate returns the voters of a view with the given members: the members themselves, and voters of the current view
+// until there are size voters. A replica thus never loses its vote merely because it is unreachable: only a member that
+// replaces it in the chain, or at its address, replaces it as a voter. Former voters that are likely to answer are preferred.
 func electorate(members []Member, current View, candidates []Candidate, size int) []Member {
 	voters := slices.Clone(members)
 	for _, former := range formerVoters(members, current, candidates) {
@@ -34,8 +34,8 @@
 	return voters
 }
 
-// formerVoters returns the voters of a view that are not among the members of the next one, the most reliable ones first.
-// One whose address belongs to a member now has lost its disk.
+// formerVoters returns the voters of the current view that are not among the members of the next one, the most reliable ones
+// first. A voter whose address now belongs to a member has lost its disk and is left out.
 func formerVoters(members []Member, current View, candidates []Candidate) []Member {
 	former := slices.DeleteFunc(slices.Clone(current.Electorate()), func(voter Member) bool {
 		return slices.ContainsFunc(members, func(m Member) bool { return m.Replica == voter.Replica || m.Address == voter.Address })
@@ -51,7 +51,7 @@
 	reachable
 )
 
-// reliability ranks a voter by what is known of it.
+// reliability returns the rank of a voter.
 func reliability(voter Member, candidates []Candidate) int {
 	candidate, known := findCandidate(candidates, voter.Replica)
 	switch {
--- a/internal/view/electorate_test.go
+++ b/internal/view/electorate_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-// testPolicyWithVoters is that of a chain whose replicas agree on their views themselves, and that tolerates the loss of one disk.
+// testPolicyWithVoters is the policy of a chain whose replicas decide their own views and tolerate the loss of one disk.
 var testPolicyWithVoters = Policy{MinimumMembers: 2, MaximumMembers: 3, Voters: 3}
 
-func voterNumbers(v View) []int { return replicas(View{Members: v.Voters}) }
+func voterNumbers(v View) []int { return memberNumbers(View{Members: v.Voters}) }
 
 func mustNext(t *testing.T, current View, candidates []Candidate, policy Policy) View {
 	t.Helper()
 	next, ok := Next(current, candidates, policy)
 	if !ok {
-		t.Fatalf("got no view after %v", replicas(current))
+		t.Fatalf("got no next view after members %v, want one", memberNumbers(current))
 	}
 	return next
 }
 
 func checkView(t *testing.T, v View, members, voters []int) {
 	t.Helper()
-	if got := replicas(v); !slices.Equal(got, members) {
+	if got := memberNumbers(v); !slices.Equal(got, members) {
 		t.Errorf("got members %v, want %v", got, members)
 	}
 	if got := voterNumbers(v); !slices.Equal(got, voters) {
@@ -35,7 +35,7 @@
 	next := mustNext(t, testView(), candidates, testPolicyWithVoters)
 	checkView(t, next, []int{1, 2}, []int{1, 2, 3})
 	if next.Majority() != 2 || !next.HasVoter(3) {
-		t.Errorf("got electorate %v", next.Electorate())
+		t.Errorf("got electorate %v, want a majority of 2 and replica 3 among the voters", next.Electorate())
 	}
 }
 
@@ -62,15 +62,15 @@
 	first := testView()
 	next := mustNext(t, first, append(healthy(first), learner(4), learner(5)), policy)
 	if len(next.Members) != 4 || len(next.Voters) != 4 {
-		t.Fatalf("got members %v and voters %v", replicas(next), voterNumbers(next))
+		t.Fatalf("got members %v and voters %v, want 4 of each", memberNumbers(next), voterNumbers(next))
 	}
 	next = mustNext(t, next, append(healthy(next), learner(4), learner(5)), policy)
 	if len(next.Members) != 5 || len(next.Voters) != 5 {
-		t.Fatalf("got members %v and voters %v", replicas(next), voterNumbers(next))
+		t.Fatalf("got members %v and voters %v, want 5 of each", memberNumbers(next), voterNumbers(next))
 	}
 }
 
-// Former members rejoin together, as they still have their votes.
+// Several former members may rejoin in one view, because they still have their votes.
 func TestFormerMembersRejoinTogether(t *testing.T) {
 	policy := Policy{MinimumMembers: 3, MaximumMembers: 5, Voters: 5}
 	current := testView()
@@ -79,7 +79,7 @@
 	checkView(t, next, []int{1, 2, 3, 4, 5}, []int{1, 2, 3, 4, 5})
 }
 
-// Of more voters than are wanted, those that are most likely to answer are kept.
+// If the members and the former voters exceed the size of the electorate, the voters most likely to answer are kept.
 func TestReliableVotersAreKept(t *testing.T) {
 	policy := Policy{MinimumMembers: 2, MaximumMembers: 4, Voters: 4}
 	current := testView()
@@ -99,7 +99,7 @@
 		running []ReplicaID
 		want    int
 	}{
-		{[]ReplicaID{1, 2, 3, 4, 5}, 1}, // one member has to be left
+		{[]ReplicaID{1, 2, 3, 4, 5}, 1}, // one member has to remain
 		{[]ReplicaID{1, 2, 3, 4}, 1},
 		{[]ReplicaID{1, 2, 3}, 0}, // all are needed as voters
 		{[]ReplicaID{1, 3, 4, 5}, 0},
@@ -112,7 +112,8 @@
 	}
 }
 
-// A replica that lost its disk answers as another one before failure detection reports that: the view names only one of them.
+// A replica that lost its disk answers under another identity before failure detection reports the loss. The view names only
+// one of the two identities.
 func TestViewNamesNoAddressTwice(t *testing.T) {
 	current := testView()
 	wiped := testMember(4)
--- a/internal/view/golden_test.go
+++ b/internal/view/golden_test.go
@@ -10,7 +10,7 @@
 	"nickelline/internal/simnet"
 )
 
-// The values of the golden messages set every field to a value of its own, so that a field that moves is noticed.
+// The golden messages give every field a distinct value, so that two fields that change places are detected.
 var (
 	goldenMember = Member{
 		Replica: 0x1112131415161718,
@@ -32,9 +32,9 @@
 		Members: []Member{goldenMember},
 		Voters:  []Member{goldenMember, goldenVoter},
 	}
-	goldenProposal   = ProposalNumber{Round: 41, Replica: 0x4142434445464748}
-	goldenPromised   = ProposalNumber{Round: 51, Replica: 0x5152535455565758}
-	goldenAcceptance = Proposal{
+	goldenProposal = ProposalNumber{Round: 41, Replica: 0x4142434445464748}
+	goldenPromised = ProposalNumber{Round: 51, Replica: 0x5152535455565758}
+	goldenAccepted = Proposal{
 		Number: ProposalNumber{Round: 61, Replica: 0x6162636465666768},
 		View:   goldenView,
 	}
@@ -64,12 +64,12 @@
 }
 
 func TestGoldenPromise(t *testing.T) {
-	// Each flag is set in one message only: two that are exchanged are noticed.
+	// Each flag is set in one message only, so that two flags that change places are detected.
 	for _, c := range []struct {
 		name  string
 		value Promise
 	}{
-		{"promise_granted", Promise{Granted: true, Accepted: &goldenAcceptance}},
+		{"promise_granted", Promise{Granted: true, Accepted: &goldenAccepted}},
 		{"promise_votes", Promise{Votes: true}},
 		{"promise_complete", Promise{Complete: true}},
 		{"promise_leaving", Promise{Leaving: true}},
@@ -94,7 +94,7 @@
 	golden.RoundTrip(t, "accepted.hex", value, EncodeAccepted, DecodeAccepted)
 }
 
-// goldenAcceptorRecord is what the acceptor's file holds.
+// goldenAcceptorRecord holds the contents of the acceptor's file.
 type goldenAcceptorRecord struct {
 	State AcceptorState
 	Seeds []netip.AddrPort
@@ -107,13 +107,13 @@
 		return goldenAcceptorRecord{State: state, Seeds: seeds}, err
 	}
 	value := goldenAcceptorRecord{
-		State: AcceptorState{Epoch: 75, Promised: goldenPromised, Accepted: &goldenAcceptance},
+		State: AcceptorState{Epoch: 75, Promised: goldenPromised, Accepted: &goldenAccepted},
 		Seeds: goldenSeeds,
 	}
 	golden.RoundTrip(t, "acceptor_state.hex", value, encode, decode)
 }
 
-// The file of a replica's identity is found by its name, and read as its committed bytes stand.
+// LoadIdentity finds the identity file by its name and decodes the bytes of the golden file.
 func TestGoldenIdentity(t *testing.T) {
 	disk := simnet.NewDisk(rand.New(rand.NewPCG(1, 1)))
 	fileSystem := disk.Mount()
--- a/internal/view/identity_test.go
+++ b/internal/view/identity_test.go
@@ -13,7 +13,7 @@
 	disk := simnet.NewDisk(rand.New(rand.NewPCG(1, 1)))
 	first, created, err := LoadIdentity(disk.Mount(), "/data")
 	if err != nil || !created || first == 0 {
-		t.Fatalf("first identity: got %v, created %v, %v", first, created, err)
+		t.Fatalf("first identity: got %v, created %v, %v; want a new one", first, created, err)
 	}
 	disk.LosePower()
 	again, created, err := LoadIdentity(disk.Mount(), "/data")
--- a/internal/view/learners.go
+++ b/internal/view/learners.go
@@ -1,6 +1,7 @@
 package view
 
-// appendLearners appends learners up to a number of members, at most one of them without a vote in the current view.
+// appendLearners appends learners until there are size members. If views have voters, it appends a learner without a vote in
+// the current view only if all members so far have one, so that at most one replica becomes a voter.
 func appendLearners(members []Member, current View, candidates []Candidate, policy Policy, size int) []Member {
 	for len(members) < size {
 		onlyVoters := policy.Voters > 0 && addsVoter(members, current)
@@ -14,7 +15,7 @@
 	return members
 }
 
-// bestLearner returns the learner from the zone with the fewest members, the first candidate among equals.
+// bestLearner returns the learner from the zone with the fewest members, and the first such candidate if there are several.
 func bestLearner(members []Member, current View, candidates []Candidate, onlyVoters bool) (Member, bool) {
 	var best Member
 	fewest := -1
@@ -32,7 +33,7 @@
 	return best, fewest >= 0
 }
 
-// canJoin reports whether a candidate is a learner that may be appended.
+// canJoin reports whether a candidate may be appended to the current view as a learner.
 func canJoin(current View, candidate Candidate) bool {
 	return candidate.Replica != 0 && candidate.Reachable && candidate.CaughtUp && !candidate.Leaving && !current.Has(candidate.Replica)
 }
--- a/internal/view/message_codec.go
+++ b/internal/view/message_codec.go
@@ -243,9 +243,9 @@
 	if err != nil {
 		return nil, err
 	}
-	decided, err := readView(source)
+	proposed, err := readView(source)
 	if err != nil {
 		return nil, err
 	}
-	return &Proposal{Number: number, View: decided}, nil
+	return &Proposal{Number: number, View: proposed}, nil
 }
--- a/internal/view/messages.go
+++ b/internal/view/messages.go
@@ -6,7 +6,7 @@
 	Replica ReplicaID // of the proposer
 }
 
-// Less reports whether n is lower than other: by the round first, then by the proposer.
+// Less reports whether n is lower than other. Numbers are ordered by round, then by proposer.
 func (n ProposalNumber) Less(other ProposalNumber) bool {
 	if n.Round != other.Round {
 		return n.Round < other.Round
@@ -35,9 +35,9 @@
 	Votes bool
 	// Granted is set if the acceptor promises to ignore proposals with lower numbers.
 	Granted bool
-	// Promised is the highest number for which the acceptor has given its promise.
+	// Promised is the highest proposal number that the acceptor has promised.
 	Promised ProposalNumber
-	// Accepted is the proposal that the acceptor accepted last, nil if there is none.
+	// Accepted is the last proposal that the acceptor accepted, nil if there is none.
 	Accepted *Proposal
 	// Complete is set if the sender has everything that was committed before the epoch.
 	Complete bool
@@ -58,6 +58,6 @@
 	Number ProposalNumber // of the Accept
 	// Granted is set if the acceptor accepted the proposal.
 	Granted bool
-	// Promised is the highest number for which the acceptor has given its promise.
+	// Promised is the highest proposal number that the acceptor has promised.
 	Promised ProposalNumber
 }
--- a/internal/view/policy.go
+++ b/internal/view/policy.go
@@ -2,44 +2,44 @@
 
 import "slices"
 
-// Candidate is what is known of a replica that may be a member of the next view.
+// Candidate describes the known state of a replica that may be a member of the next view.
 type Candidate struct {
 	Member
 	// Reachable is false for a replica that failure detection reports as failed.
 	Reachable bool
-	// Complete is set if the replica has everything that was committed (chain.Status.Complete). Only such a replica may be
-	// the head. It matters only for members of the current view.
+	// Complete is set if the replica has everything that was committed (chain.Status.Complete). Only a complete replica may
+	// be the head. Complete matters only for members of the current view.
 	Complete bool
-	// CaughtUp is set if a replica outside of the view follows the chain closely enough to be appended.
+	// CaughtUp is set if a replica that is not a member follows the chain closely enough to be appended.
 	CaughtUp bool
-	// Leaving is set for a replica that is about to shut down. It is dropped if enough others remain.
+	// Leaving is set for a replica that is about to shut down. It is dropped if enough complete members remain.
 	Leaving bool
-	// DiskLost is set for a replica whose address belongs to another one now. Its data is gone, so that nothing is lost by
-	// dropping it.
+	// DiskLost is set for a replica whose address now belongs to another replica. Its data is already gone, so dropping it
+	// loses nothing.
 	DiskLost bool
 }
 
 // Policy bounds the views that Next returns.
 type Policy struct {
-	// MinimumMembers is the size below which a view is not shrunk, and the number of complete members that have to remain
-	// before another one is dropped.
+	// MinimumMembers is the smallest number of members of a view, and the number of complete members that have to remain for
+	// another member to be dropped.
 	MinimumMembers int
-	// MaximumMembers is the size up to which learners are appended.
+	// MaximumMembers is the number of members up to which learners are appended.
 	MaximumMembers int
-	// Voters is the size up to which views have voters, at least MaximumMembers. 0 is for chains whose replicas do not agree
-	// on their views themselves: their views name no voters.
+	// Voters is the largest number of voters of a view, at least MaximumMembers. It is 0 for chains whose replicas do not
+	// decide their own views: these views name no voters.
 	Voters int
 }
 
-// Next derives the view that should follow. Members that are unreachable or leaving are dropped if enough complete ones
-// remain, the others keep their order with complete ones first, and learners that have caught up are appended at the tail,
-// those from zones with fewer members first. At most one replica becomes a voter. Next reports false if the current view
-// should stay.
+// Next derives the view that should follow the current one. Members that are unreachable or leaving are dropped if enough
+// complete members remain. The others keep their order, but complete members come first. Learners that have caught up are
+// appended at the tail, those from zones with fewer members first. At most one replica becomes a voter. Next reports false if
+// the current view should stay.
 func Next(current View, candidates []Candidate, policy Policy) (View, bool) {
 	members, retained := remainingMembers(current, candidates, policy)
 	members = appendLearners(members, current, candidates, policy, policy.MaximumMembers-len(retained))
-	if len(retained) > 0 && completeCount(members, candidates) == len(members) {
-		return View{}, false // no member is left that could become complete
+	if len(retained) > 0 && countComplete(members, candidates) == len(members) {
+		return View{}, false // there is no incomplete member that could become complete
 	}
 	members = append(members, retained...)
 	if len(members) < policy.MinimumMembers || !hasCompleteHead(members, candidates) || slices.Equal(members, current.Members) {
@@ -52,8 +52,8 @@
 	return next, true
 }
 
-// First derives the first view of a chain from the promises of its seeds, all of which vote on the second one. It reports
-// false if these are fewer than MinimumMembers.
+// First derives the first view of a chain from the promises of its seeds. Its members all vote on the second view. First
+// reports false if fewer than MinimumMembers seeds have promised.
 func First(chain uint32, promises []Promise, policy Policy) (View, bool) {
 	first := View{Chain: chain, Epoch: 1}
 	for _, promise := range promises {
@@ -70,9 +70,10 @@
 	return first, len(first.Members) >= policy.MinimumMembers
 }
 
-// Confirm corrects candidates by the answers to a Prepare. A candidate is reachable only if it answered, and complete only
-// if it said so; it is leaving also if it said so; its disk is lost if another replica answered at its address. So a view
-// never relies on a replica whose failure has not been detected yet, and never names two replicas with one address.
+// Confirm returns the candidates, updated with the answers to a Prepare. A candidate stays reachable only if it answered, and
+// is complete only if its answer says so. It is also leaving if its answer says so, and its disk is also lost if another
+// replica answered at its address. A view thus never relies on a replica whose failure has not been detected yet, and never
+// names two replicas with one address.
 func Confirm(candidates []Candidate, answers []Promise) []Candidate {
 	confirmed := slices.Clone(candidates)
 	for i := range confirmed {
@@ -86,7 +87,7 @@
 	return confirmed
 }
 
-// answerOf returns the first answer of a replica, zero if there is none.
+// answerOf returns the first answer of a replica, and whether there is one.
 func answerOf(replica ReplicaID, answers []Promise) (answer Promise, found bool) {
 	i := slices.IndexFunc(answers, func(p Promise) bool { return p.Sender.Replica == replica })
 	if i < 0 {
--- a/internal/view/policy_test.go
+++ b/internal/view/policy_test.go
@@ -24,7 +24,7 @@
 var nextCases = []struct {
 	name   string
 	change func(candidates []Candidate) []Candidate
-	want   []int // nil: the view stays
+	want   []int // nil if the view stays
 }{
 	{"all members are healthy", func(c []Candidate) []Candidate { return c }, nil},
 	{"the head is unreachable", func(c []Candidate) []Candidate { c[0].Reachable = false; return c }, []int{2, 3}},
@@ -77,7 +77,7 @@
 	for _, c := range nextCases {
 		t.Run(c.name, func(t *testing.T) {
 			next, ok := Next(testView(), c.change(healthy(testView())), testPolicy)
-			if got := replicas(next); !slices.Equal(got, c.want) || ok != (c.want != nil) {
+			if got := memberNumbers(next); !slices.Equal(got, c.want) || ok != (c.want != nil) {
 				t.Errorf("got next view %v, want %v", got, c.want)
 			}
 			if ok && next.Epoch != 5 {
--- a/internal/view/proposer.go
+++ b/internal/view/proposer.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// defaultPromiseTimeout is how long a proposer with a majority waits for the promises of others that may be reachable.
+// defaultPromiseTimeout is how long a proposer with promises of a majority waits for answers of further replicas that may be
+// reachable.
 const defaultPromiseTimeout = 200 * time.Millisecond
 
-// ProposerOptions describe one attempt to have a view decided.
+// ProposerOptions configures a Proposer, which makes one attempt to have a view decided.
 type ProposerOptions struct {
 	Chain     uint32
 	Epoch     uint64
 	Number    ProposalNumber
 	Acceptors []netip.AddrPort
-	// NonVoters are other replicas that may be in the new view. They are sent Prepare as well, to see that they are reachable.
+	// NonVoters are other replicas that may be in the new view. They are also sent Prepare, to check that they are reachable.
 	NonVoters []netip.AddrPort
-	// Awaited are the acceptors and non-voters whose answers are awaited for a while even when a majority has answered.
+	// Awaited are the acceptors and non-voters whose answers the proposer awaits even after a majority has promised.
 	Awaited []netip.AddrPort
-	// PromiseTimeout bounds that while. 0 stands for 200 ms.
+	// PromiseTimeout bounds the wait for the Awaited answers. The default is 200 ms.
 	PromiseTimeout time.Duration
 	// Choose derives the view from the answers, those of non-voters included, if no promise holds an accepted proposal. It
 	// reports false if no view should be proposed.
@@ -35,26 +36,27 @@
 	abandoned
 )
 
-// Proposer tries once to have a view decided. It is a state machine for one goroutine; times are those of any clock that
-// does not go back, as long as it is the same for all calls.
+// Proposer makes one attempt to have a view decided. It is a state machine, not safe for concurrent use. The times passed
+// to its methods must all come from the same monotonic clock.
 type Proposer struct {
 	options  ProposerOptions
 	phase    proposerPhase
 	promises map[netip.AddrPort]Promise
-	// nonVoters are the answers to Prepare that have no vote.
+	// nonVoters holds the answers to Prepare of replicas without a vote.
 	nonVoters map[netip.AddrPort]Promise
-	// granted holds the acceptors that accepted the proposal.
+	// granted is the set of acceptors that accepted the proposal.
 	granted map[netip.AddrPort]bool
-	// conflicting is the highest number that an acceptor named in a refusal.
+	// conflicting is the number that the acceptor which refused this attempt has promised.
 	conflicting ProposalNumber
 	view        View
-	// choiceDeadline is when the view is chosen whoever has answered, 0 before a majority has.
+	// choiceDeadline is the time at which the view is chosen even if awaited answers are missing. It is 0 until a majority
+	// has promised.
 	choiceDeadline time.Duration
 	// acceptDue is set from the choice of the view until TakeAccept.
 	acceptDue bool
 }
 
-// NewProposer returns a proposer. Its Prepare has to be sent to all Recipients.
+// NewProposer returns a proposer. The caller has to send its Prepare to all Recipients.
 func NewProposer(options ProposerOptions) *Proposer {
 	if options.PromiseTimeout == 0 {
 		options.PromiseTimeout = defaultPromiseTimeout
@@ -80,7 +82,7 @@
 // Acceptors returns the addresses that Accept is sent to.
 func (p *Proposer) Acceptors() []netip.AddrPort { return p.options.Acceptors }
 
-// HandlePromise takes an answer to Prepare.
+// HandlePromise processes an answer to Prepare.
 func (p *Proposer) HandlePromise(now time.Duration, from netip.AddrPort, answer Promise) {
 	if p.phase != preparing || !p.isCurrent(answer.Epoch, answer.Number) {
 		return
@@ -118,7 +120,8 @@
 	p.choose()
 }
 
-// TakeAccept returns the request to be sent to all Acceptors once a view is chosen. It returns it once.
+// TakeAccept returns the request to be sent to all Acceptors, and whether there is one. After the view is chosen, it returns
+// the request exactly once.
 func (p *Proposer) TakeAccept() (Accept, bool) {
 	if !p.acceptDue {
 		return Accept{}, false
@@ -127,7 +130,7 @@
 	return Accept{Epoch: p.options.Epoch, Number: p.options.Number, View: p.view.Clone()}, true
 }
 
-// HandleAccepted takes an answer to Accept.
+// HandleAccepted processes an answer to Accept.
 func (p *Proposer) HandleAccepted(from netip.AddrPort, answer Accepted) {
 	if p.phase != accepting || !p.isCurrent(answer.Epoch, answer.Number) || !p.isAcceptor(from) {
 		return
@@ -142,15 +145,15 @@
 	}
 }
 
-// Decided returns the view, and whether a majority has accepted it.
+// Decided returns the proposed view, and whether a majority has accepted it.
 func (p *Proposer) Decided() (View, bool) { return p.view, p.phase == decided }
 
-// Abandoned reports whether this attempt cannot succeed any more, and returns the highest number that prevented it, zero
-// if there was no view to propose.
+// Abandoned reports whether this attempt has failed, and returns the number that the acceptor which refused it has promised,
+// zero if there was no view to propose.
 func (p *Proposer) Abandoned() (ProposalNumber, bool) { return p.conflicting, p.phase == abandoned }
 
-// choose takes the view of the accepted proposal with the highest number, as it may be decided already. Only if there is
-// none does it derive a view of its own.
+// choose proposes the view of the accepted proposal with the highest number, because that view may already be decided. Only
+// if no promise holds an accepted proposal does it propose a view from options.Choose.
 func (p *Proposer) choose() {
 	if accepted := p.highestAccepted(); accepted != nil {
 		p.propose(accepted.View.Clone())
@@ -175,7 +178,7 @@
 	return highest
 }
 
-// answers returns the promises of acceptors, and then the answers of all that have no vote.
+// answers returns the promises of acceptors, followed by the answers of replicas without a vote.
 func (p *Proposer) answers() []Promise {
 	var answers []Promise
 	for _, address := range p.options.Acceptors {
--- a/internal/view/remaining.go
+++ b/internal/view/remaining.go
@@ -4,18 +4,18 @@
 
 // remainingMembers returns the members that the next view keeps.
 //
-// If MinimumMembers of the reachable members that are not leaving are complete, these members are kept and all others are
-// dropped: the loss of up to MinimumMembers - 1 further disks leaves one with everything that was committed. Otherwise the
-// leaving ones are kept too. If that is not enough either, unreachable members that still have their disks are retained at
-// the tail, where they do not keep the others from becoming complete. Nothing is committed without the retained members until
-// they are dropped, or are back.
+// If at least MinimumMembers of the reachable members that are not leaving are complete, the members that are reachable and
+// not leaving are kept and all others are dropped: after the loss of up to MinimumMembers - 1 further disks there is still a
+// member with everything that was committed. Otherwise the leaving members are kept too. If the complete members are still
+// too few, unreachable members that still have their disks are retained at the tail, where they do not keep the others from
+// becoming complete. Nothing is committed until the retained members are dropped or reachable again.
 func remainingMembers(current View, candidates []Candidate, policy Policy) (members, retained []Member) {
 	serving := chainOrder(current, candidates, func(c Candidate) bool { return c.Reachable && !c.Leaving })
-	if completeCount(serving, candidates) >= policy.MinimumMembers {
+	if countComplete(serving, candidates) >= policy.MinimumMembers {
 		return serving, nil
 	}
 	reachable := chainOrder(current, candidates, func(c Candidate) bool { return c.Reachable })
-	if completeCount(reachable, candidates) >= policy.MinimumMembers {
+	if countComplete(reachable, candidates) >= policy.MinimumMembers {
 		return reachable, nil
 	}
 	for _, member := range current.Members {
@@ -27,7 +27,7 @@
 	return reachable, retained
 }
 
-// chainOrder returns the members whose candidates are included, in the order of the view but complete ones first.
+// chainOrder returns the members whose candidates are included, complete ones first, otherwise in the order of the view.
 func chainOrder(current View, candidates []Candidate, include func(Candidate) bool) []Member {
 	var complete, incomplete []Member
 	for _, member := range current.Members {
@@ -43,7 +43,7 @@
 	return slices.Concat(complete, incomplete)
 }
 
-func completeCount(members []Member, candidates []Candidate) int {
+func countComplete(members []Member, candidates []Candidate) int {
 	count := 0
 	for _, member := range members {
 		if candidate, known := findCandidate(candidates, member.Replica); known && candidate.Complete {
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// ReplicaID identifies a replica by the random number that it keeps on its disk. A replica that lost its disk gets
-// another one. Zero stands for no replica.
+// ReplicaID identifies a replica by a random number that is stored on its disk. A replica that lost its disk gets a new
+// number. Zero stands for no replica.
 type ReplicaID uint64
 
 // Member is a replica that a view names.
@@ -15,8 +15,8 @@
 	Name    string
 	Zone    string
 	Address netip.AddrPort
-	// Joined is the first epoch of the latest unbroken run of epochs whose views name the replica. A replica derives from it
-	// whether it has everything that was committed, so whoever makes views must set it, as Next does.
+	// Joined is the first epoch of the latest unbroken run of epochs in which the replica is a member. A replica derives from
+	// Joined whether it has everything that was committed, so code that creates views must set it, as Next does.
 	Joined uint64
 }
 
@@ -25,8 +25,8 @@
 	Chain   uint32
 	Epoch   uint64
 	Members []Member // head first, tail last
-	// Voters agree on the view of the next epoch, and include the members. The views of a chain whose replicas do not agree
-	// on them themselves name no voters.
+	// Voters agree on the view of the next epoch, and include the members. Views of a chain whose replicas do not decide
+	// their own views name no voters.
 	Voters []Member
 }
 
@@ -57,7 +57,7 @@
 // Has reports whether a replica is a member.
 func (v View) Has(replica ReplicaID) bool { return v.Index(replica) >= 0 }
 
-// Member returns the member that is a replica, and whether there is one.
+// Member returns the member with the given replica ID, and whether there is one.
 func (v View) Member(replica ReplicaID) (Member, bool) {
 	i := v.Index(replica)
 	if i < 0 {
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -21,7 +21,7 @@
 	return View{Epoch: 4, Members: []Member{testMember(1), testMember(2), testMember(3)}}
 }
 
-func replicas(v View) []int {
+func memberNumbers(v View) []int {
 	var numbers []int
 	for _, member := range v.Members {
 		numbers = append(numbers, int(member.Replica))
@@ -44,7 +44,7 @@
 		t.Error("got a predecessor of the head")
 	}
 	if _, ok := v.Successor(9); ok {
-		t.Error("got a successor of a replica that is no member")
+		t.Error("got a successor of a replica that is not a member")
 	}
 }
 
