--- a/internal/store/scheduler/item.go
+++ b/internal/store/scheduler/item.go
@@ -7,29 +7,29 @@
 	"nickelline/internal/store/itemtext"
 )
 
-// Item is an item that has not ended, with what its attempts have brought so far. While an attempt runs, that alone uses the
-// fields below Pending; otherwise they are guarded like the schedule.
+// Item is an unfinished item, with the text that its attempts have produced so far. While an attempt of the item runs, only that
+// attempt accesses the fields below Pending; otherwise they are guarded like the schedule.
 type Item struct {
 	Job     *Job
 	Pending batch.PendingItem
 	Text    itemtext.Text
-	// AvoidBackend is the id of the backend of the last attempt, if that failed.
+	// AvoidBackend is the id of the backend of the last attempt if that attempt failed, and empty otherwise.
 	AvoidBackend string
 
-	serverErrors  int // attempts that were answered by an internal server error
-	emptyAttempts int // attempts in a row that brought nothing
+	serverErrors  int // attempts to which the backend responded with an internal server error
+	emptyAttempts int // consecutive attempts that produced no event
 }
 
-// begun reports whether an earlier attempt has brought a part of the text.
-func (i *Item) begun() bool { return i.Text.Events() > 0 }
+// started reports whether earlier attempts have produced a part of the text.
+func (i *Item) started() bool { return i.Text.Events() > 0 }
 
-// Job is a job that has items which have not ended.
+// Job is a job with unfinished items.
 type Job struct {
 	Pending batch.PendingJob
 	Urgency Urgency
 
-	waiting   []*Item // in the order in which they are to run
-	remaining int     // items that have not ended: waiting, delayed or running
+	waiting   []*Item // in the order in which they run
+	remaining int     // unfinished items: waiting, delayed or running
 }
 
 func newJob(pending batch.PendingJob) *Job {
@@ -41,15 +41,15 @@
 			Text:    itemtext.FromCheckpoint(item.Events, item.LastEvent),
 		})
 	}
-	slices.SortStableFunc(j.waiting, begunFirst)
+	slices.SortStableFunc(j.waiting, startedFirst)
 	return j
 }
 
-func begunFirst(a, b *Item) int {
+func startedFirst(a, b *Item) int {
 	switch {
-	case a.begun() == b.begun():
+	case a.started() == b.started():
 		return 0
-	case a.begun():
+	case a.started():
 		return -1
 	}
 	return 1
--- a/internal/store/scheduler/pacer.go
+++ b/internal/store/scheduler/pacer.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Pacer lets many readers of response streams wait for one common tick, so that each read brings what has gathered since the
-// last one, and one timer serves all. There is no timer while nobody waits. It is safe for concurrent use.
+// Pacer lets many readers of response streams wait for a common tick, so that each read returns all data received since the last
+// one, and a single timer serves all readers. No timer runs while no reader waits. It is safe for concurrent use.
 type Pacer struct {
 	interval time.Duration
 	mutex    sync.Mutex
-	tick     chan struct{} // closed at the next tick; nil while nobody waits
+	tick     chan struct{} // closed at the next tick; nil while no reader waits
 }
 
-// NewPacer returns a pacer whose ticks follow at an interval from the first wait on.
+// NewPacer returns a pacer that ticks one interval after the first reader has begun to wait.
 func NewPacer(interval time.Duration) *Pacer { return &Pacer{interval: interval} }
 
 // Wait returns at the next tick, or when the context ends.
--- a/internal/store/scheduler/queue.go
+++ b/internal/store/scheduler/queue.go
@@ -3,12 +3,12 @@
 import "slices"
 
 // queue orders the waiting items of a partition: tenants are served round-robin, and a tenant's jobs in the order in which they
-// were submitted. Items that have begun go first: they have the least left to do, and so the tenant's queued tokens soon become
-// fewer.
+// were submitted. Started items go first: they have the least left to do, so completing them soon reduces the tenant's queued
+// tokens.
 type queue struct {
 	tenants []*tenantQueue
-	next    int // index of the tenant that is served next
-	waiting int // items in all
+	next    int // index of the tenant to serve next
+	waiting int // total number of waiting items
 }
 
 type tenantQueue struct {
@@ -16,7 +16,7 @@
 	jobs []*Job
 }
 
-// add appends a job behind the others of its tenant.
+// add appends a job after the other jobs of its tenant.
 func (q *queue) add(j *Job) {
 	owner := q.tenant(j.Pending.Key.Tenant)
 	owner.jobs = append(owner.jobs, j)
@@ -34,7 +34,7 @@
 	return added
 }
 
-// pushFront puts an item before the others of its job.
+// pushFront puts an item before the other waiting items of its job.
 func (q *queue) pushFront(item *Item) {
 	item.Job.waiting = slices.Insert(item.Job.waiting, 0, item)
 	q.waiting++
@@ -52,14 +52,14 @@
 	return nil
 }
 
-// nextJob returns the first eligible job that has a begun item to run next, or else the first eligible job.
+// nextJob returns the first eligible job whose next item has been started, or else the first eligible job.
 func (o *tenantQueue) nextJob(eligible func(*Job) bool) *Job {
 	var first *Job
 	for _, j := range o.jobs {
 		if len(j.waiting) == 0 || !eligible(j) {
 			continue
 		}
-		if j.waiting[0].begun() {
+		if j.waiting[0].started() {
 			return j
 		}
 		if first == nil {
@@ -116,7 +116,7 @@
 	}
 }
 
-// removeTenant removes a tenant, and leaves the turn with the tenant that has it.
+// removeTenant removes a tenant, and keeps the round-robin position of the others.
 func (q *queue) removeTenant(i int) {
 	q.tenants = slices.Delete(q.tenants, i, i+1)
 	if q.next > i {
--- a/internal/store/scheduler/queue_test.go
+++ b/internal/store/scheduler/queue_test.go
@@ -8,7 +8,7 @@
 	"nickelline/internal/batch"
 )
 
-// newTestJob returns a job of a tenant, on a route of the same name, whose items are called TENANT JOB.INDEX without the space.
+// newTestJob returns a job of a tenant, on a route named like the tenant. Its items are named by tenant, job and index: "a1.0".
 func newTestJob(tenant string, job, items int) *Job {
 	pending := batch.PendingJob{Key: batch.Key{Tenant: tenant, Identifier: fmt.Sprint(job)}, Route: tenant}
 	for i := range items {
@@ -20,7 +20,7 @@
 
 func anyJob(*Job) bool { return true }
 
-// checkOrder pops all items of eligible jobs, and compares their identifiers and how many items are left.
+// checkOrder pops all items of eligible jobs, and compares their identifiers and the number of remaining items.
 func checkOrder(t *testing.T, q *queue, eligible func(*Job) bool, want []string, wantLeft int) {
 	t.Helper()
 	var got []string
@@ -69,8 +69,8 @@
 	checkOrder(t, q, anyJob, []string{"b1.0", "c1.0"}, 0)
 }
 
-// After a change of the head, items that had begun are finished before others are begun.
-func TestBegunItemsGoFirst(t *testing.T) {
+// After a change of the head, started items run before items that have not been started.
+func TestStartedItemsRunFirst(t *testing.T) {
 	q := &queue{}
 	q.add(newTestJob("a", 1, 3))
 	second := newTestJob("a", 2, 3).Pending
--- a/internal/store/scheduler/retry.go
+++ b/internal/store/scheduler/retry.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// The pause before an item is tried again grows from minBackoff to maxBackoff while attempts bring nothing.
+	// The backoff before the next attempt of an item grows from minBackoff to maxBackoff while attempts produce no event.
 	minBackoff = 30 * time.Millisecond
 	maxBackoff = time.Second
-	// maxBackoffDoublings bounds the exponent, so that the pause does not overflow.
+	// maxBackoffDoublings bounds the exponent, so that the backoff does not overflow.
 	maxBackoffDoublings = 10
 )
 
-// Backoff returns the pause before the item's next attempt, after one at a backend that brought nothing. The next attempt avoids
-// that backend. The pause is drawn from the upper half of a limit that doubles with each such attempt in a row.
+// Backoff returns the backoff before the item's next attempt, after a failed attempt at a backend, which the next attempt avoids.
+// The backoff is random between half of a limit and the limit, which doubles with each consecutive attempt that produces no event.
 func (i *Item) Backoff(backend string) time.Duration {
 	i.AvoidBackend = backend
 	limit := min(minBackoff<<min(i.emptyAttempts, maxBackoffDoublings), maxBackoff)
@@ -22,11 +22,11 @@
 	return limit/2 + rand.N(limit/2)
 }
 
-// MadeProgress notes that an attempt has brought an event: the next pause is short again.
+// MadeProgress records that an attempt has produced an event, which resets the backoff.
 func (i *Item) MadeProgress() { i.emptyAttempts = 0 }
 
-// CountServerError counts an attempt that was answered by an internal server error, and reports whether another one may follow
-// where maxAttempts of them are allowed. One is always allowed.
+// CountServerError counts an attempt to which the backend responded with an internal server error, and reports whether another
+// attempt may follow, given that maxAttempts such attempts are allowed. A maxAttempts below 1 counts as 1.
 func (i *Item) CountServerError(maxAttempts int) (mayRetry bool) {
 	i.serverErrors++
 	return i.serverErrors < max(maxAttempts, 1)
--- a/internal/store/scheduler/retry_queue.go
+++ b/internal/store/scheduler/retry_queue.go
@@ -2,16 +2,16 @@
 
 import "sync"
 
-// Waiter runs the items of a partition, and waits for slots or for capacity at backends. It has to be comparable.
+// Waiter runs the items of a partition, and waits for slots or for capacity at backends. Implementations must be comparable.
 type Waiter interface {
-	// Wake has the waiter look for items to run, on a goroutine of its own. It must not block.
+	// Wake makes the waiter look for items to run, on its own goroutine. It must not block.
 	Wake()
-	// Retry resumes a route whose items were refused, and reports whether the waiter will try any. It is called without locks.
+	// Retry resumes a route whose items were refused, and reports whether the waiter has any to try. It is called without locks held.
 	Retry(route string) bool
 }
 
 // RetryQueue orders the partitions of a store whose items were refused by admission: capacity that becomes free at the backends
-// of a route is offered first to the partition whose waiting job is the most urgent. It is safe for concurrent use.
+// of a route is offered first to the partition with the most urgent waiting job. It is safe for concurrent use.
 type RetryQueue struct {
 	mutex   sync.Mutex
 	waiting map[string]map[Waiter]Urgency // by route
@@ -22,7 +22,7 @@
 	return &RetryQueue{waiting: map[string]map[Waiter]Urgency{}}
 }
 
-// Enter enters a waiter whose item was refused, or renews its urgency.
+// Enter adds a waiter whose item was refused to the queue of a route, or updates its urgency there.
 func (q *RetryQueue) Enter(route string, w Waiter, u Urgency) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -54,8 +54,8 @@
 	q.remove(route, w)
 }
 
-// Offer has the most urgent waiter of a route try again that still has items to try. The caller must not hold the mutex of any
-// waiter.
+// Offer removes waiters from the queue of a route, most urgent first, until one of them has items to retry. The caller must not
+// hold the mutex of any waiter.
 func (q *RetryQueue) Offer(route string) {
 	for w := q.pop(route); w != nil; w = q.pop(route) {
 		if w.Retry(route) {
@@ -69,10 +69,10 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	var first Waiter
-	var most Urgency
+	var highest Urgency
 	for w, u := range q.waiting[route] {
-		if first == nil || u.before(most) {
-			first, most = w, u
+		if first == nil || u.before(highest) {
+			first, highest = w, u
 		}
 	}
 	if first != nil {
--- a/internal/store/scheduler/retry_queue_test.go
+++ b/internal/store/scheduler/retry_queue_test.go
@@ -20,18 +20,18 @@
 }
 
 func TestRetryQueuePopsTheMostUrgent(t *testing.T) {
-	calm, hurried, late := &fakeWaiter{name: "calm"}, &fakeWaiter{name: "hurried"}, &fakeWaiter{name: "late"}
+	lowPressure, highPressure, late := &fakeWaiter{name: "low pressure"}, &fakeWaiter{name: "high pressure"}, &fakeWaiter{name: "late"}
 	q := NewRetryQueue()
-	q.Enter(testRoute, calm, Urgency{Pressure: 0.1})
+	q.Enter(testRoute, lowPressure, Urgency{Pressure: 0.1})
 	q.Enter(testRoute, late, Urgency{Late: true, Pressure: 1.5})
-	q.Enter(testRoute, hurried, Urgency{Pressure: 0.9})
-	q.Enter("other", calm, Urgency{})
-	for i, want := range []Waiter{hurried, calm, late, nil} {
+	q.Enter(testRoute, highPressure, Urgency{Pressure: 0.9})
+	q.Enter("other", lowPressure, Urgency{})
+	for i, want := range []Waiter{highPressure, lowPressure, late, nil} {
 		if got := q.pop(testRoute); got != want {
 			t.Errorf("pop %d: got %v, want %v", i, got, want)
 		}
 	}
-	q.Leave("other", calm)
+	q.Leave("other", lowPressure)
 	if got := q.pop("other"); got != nil {
 		t.Errorf("pop after the only waiter has left: got %v, want nil", got)
 	}
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestOfferPassesOverWaitersWithoutItems(t *testing.T) {
+func TestOfferSkipsWaitersWithoutItems(t *testing.T) {
 	done := &fakeWaiter{name: "done"}
 	busy := &fakeWaiter{name: "busy", hasItems: true}
 	last := &fakeWaiter{name: "last", hasItems: true}
@@ -61,7 +61,7 @@
 		t.Errorf("retried: got %d, %d, %d, want 1, 1, 0", done.retried, busy.retried, last.retried)
 	}
 	if !q.Contains(testRoute, last) || q.Contains(testRoute, busy) || q.Len(testRoute) != 1 {
-		t.Errorf("%d left in the queue, want only the last one", q.Len(testRoute))
+		t.Errorf("waiters left in the queue: got %d, want only the last one", q.Len(testRoute))
 	}
 }
 
@@ -72,7 +72,7 @@
 		t.Fatal("the only slot was not acquired")
 	}
 	if slots.TryAcquire(second) {
-		t.Error("a slot was acquired beyond the bound")
+		t.Error("a second slot was acquired, want none beyond the limit of 1")
 	}
 	slots.Release()
 	if first.woken != 0 || second.woken != 1 {
--- a/internal/store/scheduler/schedule.go
+++ b/internal/store/scheduler/schedule.go
@@ -8,22 +8,22 @@
 	"nickelline/internal/batch"
 )
 
-// Schedule holds the jobs of one partition that have items which have not ended, and decides which item runs next. It is not
-// safe for concurrent use. Running items are known to the caller alone, until it calls DelayItem or Complete.
+// Schedule holds the jobs of one partition that have unfinished items, and decides which item runs next. It is not safe for
+// concurrent use. It does not hold running items: the caller keeps them until it calls GiveBack, DelayItem or Complete.
 type Schedule struct {
-	jobs      map[batch.Key]*Job
-	queue     queue
-	delayed   []delayedItem
-	paused    map[string]time.Time // by route: no item of it runs before
-	suspended time.Time            // no item at all runs before
+	jobs           map[batch.Key]*Job
+	queue          queue
+	delayed        []delayedItem
+	pausedUntil    map[string]time.Time // by route: its items do not run before this time
+	suspendedUntil time.Time            // no item of any route runs before this time
 }
 
 // NewSchedule returns a schedule without jobs.
 func NewSchedule() *Schedule {
-	return &Schedule{jobs: map[batch.Key]*Job{}, paused: map[string]time.Time{}}
+	return &Schedule{jobs: map[batch.Key]*Job{}, pausedUntil: map[string]time.Time{}}
 }
 
-// Add adds a job behind the others of its tenant. A job that is already there is not changed.
+// Add adds a job after the other jobs of its tenant. A job that is already in the schedule is not changed.
 func (s *Schedule) Add(pending batch.PendingJob) {
 	if s.jobs[pending.Key] != nil {
 		return
@@ -36,7 +36,7 @@
 // Job returns the job with a key, or nil if it is not in the schedule.
 func (s *Schedule) Job(key batch.Key) *Job { return s.jobs[key] }
 
-// Contains reports whether a job is still in the schedule: it was neither removed nor have all of its items been completed.
+// Contains reports whether a job is still in the schedule: it has not been removed, and not all of its items are complete.
 func (s *Schedule) Contains(j *Job) bool { return s.jobs[j.Pending.Key] == j }
 
 // Jobs returns all jobs, in no particular order.
@@ -48,7 +48,7 @@
 // Waiting returns the number of items that are neither running nor delayed.
 func (s *Schedule) Waiting() int { return s.queue.waiting }
 
-// Delayed returns the number of items that wait for their delay to end.
+// Delayed returns the number of items whose delay has not ended.
 func (s *Schedule) Delayed() int { return len(s.delayed) }
 
 // Remove removes a job with its waiting and delayed items.
@@ -58,10 +58,9 @@
 	s.takeDelayed(j)
 }
 
-// Next removes and returns the item that runs next, or nil if none may run now. Items whose results are late run only while no
-// other may.
+// Next removes and returns the item that runs next, or nil if none may run now. Items of late jobs run only if no other item may.
 func (s *Schedule) Next(now time.Time) *Item {
-	mayRun := func(j *Job) bool { return !s.paused[j.Pending.Route].After(now) }
+	mayRun := func(j *Job) bool { return !s.pausedUntil[j.Pending.Route].After(now) }
 	inTime := func(j *Job) bool { return !j.Urgency.Late && mayRun(j) }
 	if item := s.queue.pop(inTime); item != nil {
 		return item
@@ -69,10 +68,10 @@
 	return s.queue.pop(mayRun)
 }
 
-// GiveBack returns an item that Next returned and that was not run. It goes before the others of its job.
+// GiveBack puts back an item that Next returned and that was not run. The item goes before the others of its job.
 func (s *Schedule) GiveBack(item *Item) { s.queue.pushFront(item) }
 
-// Complete notes that an item has ended. A job all of whose items have ended is removed.
+// Complete records that an item has ended. The job is removed when all of its items have ended.
 func (s *Schedule) Complete(item *Item) {
 	j := item.Job
 	j.remaining--
@@ -81,8 +80,8 @@
 	}
 }
 
-// TakeWaiting removes and returns the waiting and delayed items of a job, which stays in the schedule. The caller has to call
-// Complete for each.
+// TakeWaiting removes and returns the waiting and delayed items of a job, which stays in the schedule. The caller must call
+// Complete for each returned item.
 func (s *Schedule) TakeWaiting(j *Job) []*Item {
 	return append(s.queue.takeWaiting(j), s.takeDelayed(j)...)
 }
@@ -97,9 +96,9 @@
 
 // RouteCounts are the numbers of items of one route in a schedule.
 type RouteCounts struct {
-	// Waiting items are not running; delayed ones are included.
+	// Waiting counts the items that are not running; delayed ones are included.
 	Waiting int
-	// Late items are those of Waiting whose job's completion target has passed. Delayed ones are not included.
+	// Late counts the items of Waiting whose job's completion target has passed. Delayed ones are not included.
 	Late int
 }
 
--- a/internal/store/scheduler/schedule_test.go
+++ b/internal/store/scheduler/schedule_test.go
@@ -10,7 +10,7 @@
 
 var testStart = time.Unix(1_000_000, 0)
 
-// at returns a time of a test, in milliseconds since its start.
+// at returns the time that lies a number of milliseconds after testStart.
 func at(milliseconds int) time.Time {
 	return testStart.Add(time.Duration(milliseconds) * time.Millisecond)
 }
@@ -71,21 +71,21 @@
 	s := newTestSchedule(newTestJob("a", 1, 1))
 	s.Suspend(at(100))
 	if s.MayRun(at(99)) {
-		t.Error("may run while it is suspended")
+		t.Error("MayRun during the suspension: got true, want false")
 	}
 	if got, want := s.NextChange(at(0), at(500)), at(100); !got.Equal(want) {
 		t.Errorf("next change: got %v, want %v", got, want)
 	}
 	if !s.MayRun(at(100)) {
-		t.Error("may not run after the suspension")
+		t.Error("MayRun after the suspension: got false, want true")
 	}
 	s.Next(at(100))
 	if s.MayRun(at(100)) {
-		t.Error("may run without waiting items")
+		t.Error("MayRun without waiting items: got true, want false")
 	}
 }
 
-// The pause of a route in the retry queue goes on until the partition gets its turn; others just end.
+// A route in the retry queue stays paused until the partition is offered capacity; the pauses of other routes end when due.
 func TestEndPausesKeepsQueuedRoutesPaused(t *testing.T) {
 	s := newTestSchedule(newTestJob("a", 1, 1), newTestJob("b", 1, 1), newTestJob("c", 1, 1))
 	s.PauseRoute("a", at(10))
@@ -102,11 +102,11 @@
 	}
 	checkNext(t, s, at(10), "b1.0")
 	if !s.ResumeRoute("a") {
-		t.Error("resumed route: no items wait")
+		t.Error("resume route: got no waiting items, want one")
 	}
 	checkNext(t, s, at(10), "a1.0")
 	if s.ResumeRoute("a") {
-		t.Error("resumed route: items wait, though all were taken")
+		t.Error("resume route: got waiting items, want none after all were taken")
 	}
 }
 
@@ -122,11 +122,11 @@
 		s.Complete(item)
 	}
 	if !s.Contains(running.Job) {
-		t.Error("the job has left while an item runs")
+		t.Error("the job was removed while one of its items is running")
 	}
 	s.Complete(running)
 	if s.Contains(running.Job) || s.Len() != 0 {
-		t.Error("the job is still there after its last item")
+		t.Error("the job was not removed after its last item ended")
 	}
 }
 
@@ -165,7 +165,7 @@
 		{time.Minute, maxRefusalPause},
 	} {
 		if got := RefusalPause(test.retryAfter); got != test.want {
-			t.Errorf("refusal that names %v: got %v, want %v", test.retryAfter, got, test.want)
+			t.Errorf("pause after a refusal with retry-after %v: got %v, want %v", test.retryAfter, got, test.want)
 		}
 	}
 }
@@ -201,7 +201,7 @@
 		item := &Item{}
 		for i, want := range test.want {
 			if got := item.CountServerError(test.maxAttempts); got != want {
-				t.Errorf("%d attempts allowed, error %d: may retry: got %v, want %v", test.maxAttempts, i+1, got, want)
+				t.Errorf("%d attempts allowed, server error %d, may retry: got %v, want %v", test.maxAttempts, i+1, got, want)
 			}
 		}
 	}
--- a/internal/store/scheduler/slots.go
+++ b/internal/store/scheduler/slots.go
@@ -2,20 +2,20 @@
 
 import "sync"
 
-// Slots bounds the items that run at one time over all partitions of a store, so that their memory stays bounded. It is safe for
-// concurrent use.
+// Slots limits the number of items that run concurrently over all partitions of a store, so that their memory stays bounded. It
+// is safe for concurrent use.
 type Slots struct {
 	mutex   sync.Mutex
 	free    int
 	waiters map[Waiter]struct{}
 }
 
-// NewSlots returns a number of free slots.
+// NewSlots returns slots that are all free.
 func NewSlots(count int) *Slots {
 	return &Slots{free: count, waiters: map[Waiter]struct{}{}}
 }
 
-// TryAcquire takes a slot and reports whether there was one. If there was none the waiter is woken once one is free.
+// TryAcquire takes a slot and reports whether one was free. If none was free, the waiter is woken when a slot is released.
 func (s *Slots) TryAcquire(w Waiter) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -27,7 +27,7 @@
 	return true
 }
 
-// Release gives a slot back and wakes all that wait for one.
+// Release frees a slot and wakes all waiters.
 func (s *Slots) Release() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/store/scheduler/urgency.go
+++ b/internal/store/scheduler/urgency.go
@@ -6,16 +6,16 @@
 	"nickelline/internal/configuration"
 )
 
-// urgentPressure is the pressure from which on a job no longer waits for backends of the own zone.
+// urgentPressure is the pressure at and above which a job no longer waits for backends in the store's own zone.
 const urgentPressure = 0.5
 
-// Urgency ranks waiting jobs: those that can still be completed in time come first, and of these the one under the greatest
-// pressure. The zero value is the least urgent of the jobs that are not late.
+// Urgency ranks waiting jobs: jobs that can still be completed in time come before late ones, and among each of these the job
+// under the greatest pressure comes first. The zero value is the lowest rank of a job that is not late.
 type Urgency struct {
 	// Late reports that the route's completion target has passed.
 	Late bool
-	// Pressure is the greater of two shares that are used up: the job's age of the completion target, and the tenant's queued
-	// tokens of its limit, beyond which its further jobs are refused.
+	// Pressure is the greater of two ratios: the job's age to the completion target, and the tenant's queued tokens to their
+	// limit, beyond which further jobs of the tenant are refused.
 	Pressure float64
 }
 
@@ -32,6 +32,7 @@
 	return u
 }
 
+// before reports whether u ranks before other.
 func (u Urgency) before(other Urgency) bool {
 	if u.Late != other.Late {
 		return other.Late
@@ -39,5 +40,5 @@
 	return u.Pressure > other.Pressure
 }
 
-// IsUrgent reports whether a job may cost traffic between zones rather than wait for backends of the own zone.
+// IsUrgent reports whether a job may use backends in other zones rather than wait for those in the store's own zone.
 func (u Urgency) IsUrgent() bool { return u.Late || u.Pressure >= urgentPressure }
