--- a/internal/store/attempt_stream.go
+++ b/internal/store/attempt_stream.go
@@ -61,7 +61,7 @@
 		Key:       a.item.Job.Pending.Key,
 		Index:     a.item.Pending.Index,
 		Content:   deflated.Compress(taken.Content),
-		From:      taken.After,
+		From:      taken.PreviousEvents,
 		Events:    taken.Events,
 		LastEvent: taken.LastEventID,
 	})
