--- a/internal/store/admission_request.go
+++ b/internal/store/admission_request.go
@@ -9,7 +9,7 @@
 	"nickelline/internal/store/scheduler"
 )
 
-// admissionRequest returns what admission has to know of an item to choose a backend.
+// admissionRequest returns the request by which admission chooses a backend for an item.
 func admissionRequest(snapshot *configuration.Snapshot, route *configuration.Route, item *scheduler.Item) admission.Request {
 	request := admission.Request{
 		Batch:    true,
@@ -27,8 +27,8 @@
 	return request
 }
 
-// headerPromptPrefix names the segments of an item's prompt, each as ID:TOKENS, with commas between them. The last one belongs to
-// the item alone.
+// headerPromptPrefix is the header that lists the segments of an item's prompt as ID:TOKENS, separated by commas. The last segment
+// is specific to the item.
 const headerPromptPrefix = "Nickelline-Prompt-Prefix"
 
 // sharedPrefix returns the ids of the segments of an item's prompt that other items may share.
--- a/internal/store/appender.go
+++ b/internal/store/appender.go
@@ -12,35 +12,34 @@
 )
 
 const (
-	// appendWindow is how long results are gathered before they are appended together.
+	// appendWindow is how long results are collected before they are appended together.
 	appendWindow = 60 * time.Millisecond
-	// maxAppendBytes bounds the contents of one command.
+	// maxAppendBytes bounds the total size of the contents in one command. A single larger result is still appended.
 	maxAppendBytes = 1 << 20
 	// appendRetryPause is the pause after a failed append.
 	appendRetryPause = 100 * time.Millisecond
 )
 
-// appender has results and checkpoints committed in batches: what comes within a window, or while an append is under way, goes
-// out together. It tries until they are committed or its context ends. Appending again is safe when the outcome of an append is
-// not known: an item is listed once, and a checkpoint added once, however often they are appended.
+// appender commits results and checkpoints in batches: those added within a window, or while an append is in progress, are appended
+// together. It retries until they are committed or its context ends. A retry is safe when the outcome of an append is unknown: an
+// item is listed once, and a checkpoint is added once, however often they are appended.
 //
-// Results and checkpoints build on the checkpoints that the runner has read, so they are appended in its term only: what another
-// head has appended meanwhile would be cut off.
+// Results and checkpoints continue the checkpoints that the runner has read, so they are appended in the runner's term only:
+// otherwise they would cut off what another head has appended in the meantime.
 //
-// It has a goroutine only while there are results, which add starts, and which ends with the context or when nothing is pending.
-// close waits for it.
+// add starts a goroutine if none is running. The goroutine ends with the context or when nothing is pending; close waits for it.
 type appender struct {
 	partition *partition
 	term      uint64 // of the runner
 	log       *zap.Logger
 	mutex     sync.Mutex
 	pending   []batch.Result
-	working   bool          // a goroutine works
-	ended     chan struct{} // closed when the last goroutine has ended
+	working   bool          // the goroutine is running
+	ended     chan struct{} // closed when the last started goroutine has ended
 	closed    bool
 }
 
-// add adds a result or a checkpoint to what is pending. It does not block. After close it does nothing.
+// add adds a result or a checkpoint to the pending ones. It does not block. After close it does nothing.
 func (a *appender) add(ctx context.Context, r batch.Result) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -55,8 +54,8 @@
 	}
 }
 
-// close returns once nothing more is appended, which is soon after the context has ended. Without that a checkpoint could be
-// committed after the next runner of the partition has read how many events each text has, and has continued there.
+// close returns once nothing more will be appended, which is soon after the context has ended. If it did not wait, a checkpoint
+// could be committed after the next runner of the partition has read the number of events of each text and continued from there.
 func (a *appender) close() {
 	a.mutex.Lock()
 	a.closed = true
@@ -71,7 +70,7 @@
 	defer close(ended)
 	for ctx.Err() == nil {
 		pause.For(ctx, appendWindow)
-		results := a.take()
+		results := a.takeBatch()
 		if len(results) == 0 {
 			return
 		}
@@ -79,7 +78,7 @@
 	}
 }
 
-// append tries until the results are committed, or the context ends, which it does soon after the term.
+// append retries until the results are committed or the context ends, which happens soon after the end of the term.
 func (a *appender) append(ctx context.Context, results []batch.Result) {
 	for ctx.Err() == nil {
 		_, err := a.partition.proposeInTerm(ctx, a.term, &batch.Command{Append: results})
@@ -92,11 +91,11 @@
 	}
 }
 
-// take removes and returns the results that are appended next. If there are none the work ends.
-func (a *appender) take() []batch.Result {
+// takeBatch removes and returns the results to append next. If there are none, it records that the goroutine ends.
+func (a *appender) takeBatch() []batch.Result {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	count := a.fitting()
+	count := a.batchSize()
 	results := a.pending[:count:count]
 	a.pending = a.pending[count:]
 	if count == 0 {
@@ -106,8 +105,8 @@
 	return results
 }
 
-// fitting returns how many of the pending results go into one command: one at least, if there is any.
-func (a *appender) fitting() int {
+// batchSize returns how many of the pending results go into one command: at least one if there are any.
+func (a *appender) batchSize() int {
 	bytes := 0
 	for i, result := range a.pending {
 		bytes += len(result.Content)
--- a/internal/store/attempt.go
+++ b/internal/store/attempt.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	// attemptTimeout is how long one attempt may take in all; the next one continues what it has brought.
+	// attemptTimeout bounds the whole of one attempt; the next attempt continues the text that it has produced.
 	attemptTimeout = 60 * time.Second
-	// firstEventTimeout and nextEventTimeout are how long a backend may send nothing before its first event and between events.
+	// firstEventTimeout and nextEventTimeout bound the time without events before the first event and between events.
 	firstEventTimeout = 6 * time.Second
 	nextEventTimeout  = 4 * time.Second
 )
 
-// Reasons for which an attempt is cancelled.
+// Causes of the cancellation of an attempt.
 var (
 	errJobEnded     = errors.New("the job was ended")
 	errNotHead      = errors.New("this store may no longer be the head of the partition")
 	errUnresponsive = errors.New("the backend is unresponsive")
 )
 
-// attempt is one run of an item at one backend.
+// attempt is one execution of an item at one backend.
 type attempt struct {
-	runner  *runner
-	item    *scheduler.Item
-	route   *configuration.Route
-	backend discovery.Backend
-	permit  Permit
-	began   time.Time
+	runner    *runner
+	item      *scheduler.Item
+	route     *configuration.Route
+	backend   discovery.Backend
+	permit    Permit
+	startTime time.Time
 
 	ctx           context.Context // of the attempt: ended by cancel, or with runnerContext
 	cancel        context.CancelCauseFunc
-	runnerContext context.Context // of the runner: what the attempt has brought is appended under it
+	runnerContext context.Context // of the runner: results and checkpoints are appended under it
 
-	// Of the goroutine of the attempt.
-	checkpointed time.Time // when the last checkpoint was taken, or the first event came
+	// Used by the goroutine of the attempt only.
+	lastCheckpoint time.Time // when the last checkpoint was taken, or before that when the first event arrived
 
-	// Shared with the loop of the runner.
-	lastEvent  atomic.Int64 // when the last event came, as a duration since began
-	hasStarted atomic.Bool  // an event has come
+	// Shared with the loop of the runner, which detects unresponsive backends.
+	lastEventOffset atomic.Int64 // when the last event arrived, as a duration since startTime
+	hasFirstEvent   atomic.Bool  // an event has arrived
 }
 
 func newAttempt(
@@ -64,7 +64,7 @@
 		route:         route,
 		backend:       backend,
 		permit:        permit,
-		began:         time.Now(),
+		startTime:     time.Now(),
 		runnerContext: ctx,
 	}
 	a.ctx, a.cancel = context.WithCancelCause(ctx)
@@ -74,13 +74,13 @@
 // isUnresponsive reports whether the backend has sent nothing for too long.
 func (a *attempt) isUnresponsive(now time.Time) bool {
 	limit := firstEventTimeout
-	if a.hasStarted.Load() {
+	if a.hasFirstEvent.Load() {
 		limit = nextEventTimeout
 	}
-	return now.Sub(a.began)-time.Duration(a.lastEvent.Load()) > limit
+	return now.Sub(a.startTime)-time.Duration(a.lastEventOffset.Load()) > limit
 }
 
-// run makes the attempt, gives the permit back, and hands the item back to the runner.
+// run executes the attempt, gives the permit back, and returns the item to the runner.
 func (a *attempt) run() {
 	result := a.perform()
 	a.cancel(nil)
@@ -88,7 +88,7 @@
 	a.runner.attemptEnded(a, result)
 }
 
-// perform sends the item and judges the response by its status.
+// perform sends the item and handles the response according to its status.
 func (a *attempt) perform() attemptResult {
 	response, failure := a.runner.config.sender.Do(a.ctx, a.backend, a.request())
 	if failure != nil {
@@ -103,7 +103,7 @@
 	case response.Status == http.StatusInternalServerError:
 		return a.serverError(response)
 	}
-	return a.retryAfterAnswer(response)
+	return a.retryAfterResponse(response)
 }
 
 func (a *attempt) request() *forward.Request {
@@ -121,18 +121,18 @@
 		AttemptID:   item.Identifier,
 		Tenant:      a.item.Job.Pending.Key.Tenant,
 		LastEventID: a.item.Text.ResumeAfter(),
-		Deadline:    a.began.Add(attemptTimeout),
+		Deadline:    a.startTime.Add(attemptTimeout),
 	}
 }
 
-// attemptEnded takes back an item whose attempt is over, and offers the capacity at its backend to the runners that wait.
+// attemptEnded takes back an item whose attempt has ended, and offers the capacity that it frees to the waiting runners.
 func (r *runner) attemptEnded(a *attempt, result attemptResult) {
-	r.takeBack(a, result)
+	r.finishAttempt(a, result)
 	r.config.retryQueue.Offer(a.item.Job.Pending.Route)
 }
 
-// takeBack frees the attempt's slot, and completes or delays its item if the job still has to be run.
-func (r *runner) takeBack(a *attempt, result attemptResult) {
+// finishAttempt frees the attempt's slot, and completes, abandons or delays its item if the job is still in the schedule.
+func (r *runner) finishAttempt(a *attempt, result attemptResult) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.config.slots.Release()
--- a/internal/store/attempt_result.go
+++ b/internal/store/attempt_result.go
@@ -11,29 +11,29 @@
 	"nickelline/internal/forward"
 )
 
-// nextStep is what is done with an item after an attempt.
+// nextStep is what happens to an item after an attempt.
 type nextStep uint8
 
 const (
-	// stepRetry: the item is not done.
+	// stepRetry: the item is not finished and is tried again.
 	stepRetry nextStep = iota
-	// stepComplete: the item's text is whole.
+	// stepComplete: the item's text is complete.
 	stepComplete
-	// stepAbandon: the item can never be done, or has failed too often.
+	// stepAbandon: the item cannot be processed at all, or has failed too often.
 	stepAbandon
 )
 
-// attemptResult is how an attempt ended, for the item and for the backend.
+// attemptResult describes how an attempt ended, for the item and for the backend.
 type attemptResult struct {
 	next             nextStep
-	content          []byte        // of a completed item: the text behind its checkpoints, compressed
-	checkpointEvents uint32        // of a completed item: events that the checkpoints hold
+	content          []byte        // of a completed item: the text after its checkpoints, compressed
+	checkpointEvents uint32        // of a completed item: number of events in its checkpoints
 	backoff          time.Duration // of an item that is retried: before the next attempt
 	outcome          admission.Outcome
-	load             *admission.Load // that the backend reported, or nil
+	load             *admission.Load // reported by the backend, or nil
 }
 
-// failed is the result of an attempt that brought no answer, or whose stream failed.
+// failed returns the result of an attempt that got no response, or whose stream failed.
 func (a *attempt) failed(f *forward.Failure) attemptResult {
 	return attemptResult{
 		next:    stepRetry,
@@ -43,7 +43,7 @@
 	}
 }
 
-// outcomeOf returns what a failure says about the backend.
+// outcomeOf returns the outcome that is reported to admission for a failure.
 func (a *attempt) outcomeOf(f *forward.Failure) admission.Outcome {
 	switch {
 	case errors.Is(context.Cause(a.ctx), errUnresponsive):
@@ -58,29 +58,30 @@
 	return admission.Failed
 }
 
-// rejected is the result of an answer by which the item can never be done.
+// rejected returns the result of a response by which the backend rejects the item for good.
 func (a *attempt) rejected(response *forward.Response) attemptResult {
-	return answered(response, stepAbandon)
+	return resultForResponse(response, stepAbandon)
 }
 
-// serverError is the result of an internal server error. The item is abandoned after as many as the route allows.
+// serverError returns the result of an internal server error. The item is abandoned when it has had as many as the route allows.
 func (a *attempt) serverError(response *forward.Response) attemptResult {
 	if !a.item.CountServerError(a.route.MaxAttempts) {
-		return answered(response, stepAbandon)
+		return resultForResponse(response, stepAbandon)
 	}
-	return a.retryAfterAnswer(response)
+	return a.retryAfterResponse(response)
 }
 
-// retryAfterAnswer is the result of an answer that is no stream of events, after which the item is tried again.
-func (a *attempt) retryAfterAnswer(response *forward.Response) attemptResult {
+// retryAfterResponse returns the result of a response that is not an event stream, and after which the item is tried again.
+func (a *attempt) retryAfterResponse(response *forward.Response) attemptResult {
 	backoff := a.item.Backoff(a.backend.ID)
-	result := answered(response, stepRetry)
+	result := resultForResponse(response, stepRetry)
 	result.backoff = backoff
 	return result
 }
 
-// answered is the result of an answer that is no stream of events. It reads the body, so that the connection can be used again.
-func answered(response *forward.Response, next nextStep) attemptResult {
+// resultForResponse returns the result of a response whose events are not read. It reads the body unless that is a stream, so that
+// the connection can be reused.
+func resultForResponse(response *forward.Response, next nextStep) attemptResult {
 	result := attemptResult{next: next, outcome: admission.OK, load: response.Load}
 	if response.Streaming {
 		return result
@@ -91,7 +92,7 @@
 	return result
 }
 
-// streamEnded is the result of a stream that ended properly. One that brought no event at all has brought no text.
+// streamEnded returns the result of a stream that ended properly. If the text has no event at all, the attempt has failed.
 func (a *attempt) streamEnded(response *forward.Response) attemptResult {
 	if a.item.Text.Events() == 0 {
 		return a.failed(&forward.Failure{Outcome: forward.MayHaveRun, Load: response.Load})
@@ -106,7 +107,7 @@
 	}
 }
 
-// streamFailed is the result of a stream that could not be read to its end.
+// streamFailed returns the result of a stream that could not be read to its end.
 func (a *attempt) streamFailed(err error, response *forward.Response) attemptResult {
 	var failure *forward.Failure
 	if !errors.As(err, &failure) {
--- a/internal/store/attempt_stream.go
+++ b/internal/store/attempt_stream.go
@@ -9,14 +9,14 @@
 	"nickelline/internal/forward"
 )
 
-// readStream adds the events of a response to the item's text, up to the stream's end. Where none is at hand it waits for the
+// readStream adds the events of a response to the item's text until the stream ends. When no event is buffered, it waits for the
 // next tick of the pacer.
 func (a *attempt) readStream(response *forward.Response) attemptResult {
 	for {
 		event, err := response.Next()
 		switch {
-		// Next returns io.EOF itself at a proper end. A Failure may wrap it as well, so errors.Is would take a stream that broke off
-		// for a whole one.
+		// Next returns io.EOF itself at a proper end. A Failure may wrap it as well, so errors.Is would take a truncated stream for
+		// a complete one.
 		case err == io.EOF: //nolint:errorlint // see above
 			return a.streamEnded(response)
 		case err != nil:
@@ -25,7 +25,7 @@
 			return a.failed(&forward.Failure{Outcome: forward.MayHaveRun, Load: response.Load})
 		}
 		now := time.Now()
-		a.noteEvent(now)
+		a.recordEvent(now)
 		a.checkpoint(now)
 		if !response.Ready() {
 			a.runner.config.pacer.Wait(a.ctx)
@@ -33,26 +33,26 @@
 	}
 }
 
-// noteEvent notes that an event has come. With the first one the backend may have capacity for another item.
-func (a *attempt) noteEvent(now time.Time) {
-	a.lastEvent.Store(int64(now.Sub(a.began)))
+// recordEvent records that an event has arrived. After the first one the backend may have capacity for another item.
+func (a *attempt) recordEvent(now time.Time) {
+	a.lastEventOffset.Store(int64(now.Sub(a.startTime)))
 	a.item.MadeProgress()
-	if a.hasStarted.Load() {
+	if a.hasFirstEvent.Load() {
 		return
 	}
-	a.checkpointed = now
-	a.hasStarted.Store(true)
+	a.lastCheckpoint = now
+	a.hasFirstEvent.Store(true)
 	a.permit.Started(now)
 	a.runner.config.retryQueue.Offer(a.item.Job.Pending.Route)
 }
 
-// checkpoint has the text replicated that has come since the last checkpoint, from time to time, so that another head continues
-// behind it.
+// checkpoint replicates the text received since the last checkpoint, once the checkpoint interval has passed, so that another head
+// can continue after it.
 func (a *attempt) checkpoint(now time.Time) {
-	if now.Sub(a.checkpointed) < a.runner.config.checkpointInterval {
+	if now.Sub(a.lastCheckpoint) < a.runner.config.checkpointInterval {
 		return
 	}
-	a.checkpointed = now
+	a.lastCheckpoint = now
 	taken, ok := a.item.Text.TakeCheckpoint()
 	if !ok {
 		return
--- a/internal/store/attempt_test.go
+++ b/internal/store/attempt_test.go
@@ -11,7 +11,7 @@
 	"nickelline/internal/forward"
 )
 
-// checkCompleted fails unless an item was completed with the text of a number of events.
+// checkCompleted fails unless an item was completed with the text of the given number of events.
 func checkCompleted(t *testing.T, result batch.ListedResult, events int) {
 	t.Helper()
 	if result.State != batch.Completed {
@@ -30,15 +30,15 @@
 	}
 }
 
-// checkRequests compares the number of requests that a backend has got.
+// checkRequests compares the number of requests that a backend has received.
 func checkRequests(t *testing.T, b *backend, want int) {
 	t.Helper()
-	if got := len(b.seen()); got != want {
+	if got := len(b.receivedRequests()); got != want {
 		t.Errorf("requests to the backend: got %d, want %d", got, want)
 	}
 }
 
-// answerWith returns a backend's behaviour that answers each request by a status.
+// answerWith returns a before function of a backend that responds to each request with a status.
 func answerWith(status int) func(http.ResponseWriter, *http.Request) bool {
 	return func(w http.ResponseWriter, _ *http.Request) bool {
 		w.WriteHeader(status)
@@ -52,7 +52,7 @@
 	job := testJob(testKey(1), 1, 1)
 	f.submit(job)
 	f.results(job.Key, 1)
-	got := f.backends[0].seen()[0]
+	got := f.backends[0].receivedRequests()[0]
 	item := job.Items[0]
 	for _, test := range []struct{ name, got, want string }{
 		{"method", got.Method, http.MethodPost},
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestBrokenStreamIsContinuedBehindItsLastEvent(t *testing.T) {
+func TestBrokenStreamIsContinuedAfterItsLastEvent(t *testing.T) {
 	f := newFixture(t, 2)
 	var breaks atomic.Int32
 	for _, b := range f.backends {
@@ -129,11 +129,11 @@
 	f.submit(job)
 	checkCompleted(t, f.results(job.Key, 1)[0], 3)
 	if got := f.admission.outcomes[0]; got != admission.Full {
-		t.Errorf("outcome of a refusal by the backend: got %d, want %d", got, admission.Full)
+		t.Errorf("outcome of a request that the backend refused: got %d, want %d", got, admission.Full)
 	}
 }
 
-func TestUnresponsiveBackendIsLeft(t *testing.T) {
+func TestAttemptAtUnresponsiveBackendIsCancelled(t *testing.T) {
 	f := newFixture(t, 2)
 	var first sync.Once
 	for _, b := range f.backends {
--- a/internal/store/backends.go
+++ b/internal/store/backends.go
@@ -11,10 +11,10 @@
 
 // Permit is the permission to send one item to one backend.
 type Permit interface {
-	// Started notes that the backend has sent the first event of the response.
+	// Started records that the backend has sent the first event of the response.
 	Started(now time.Time)
-	// Done gives the permit back, with the outcome of the attempt and the load that the backend reported, or nil. It has to be
-	// called exactly once.
+	// Done gives the permit back, with the outcome of the attempt and the load that the backend reported, or nil. It must be called
+	// exactly once.
 	Done(now time.Time, outcome admission.Outcome, load *admission.Load)
 }
 
@@ -26,7 +26,7 @@
 
 // Sender sends an item to a backend.
 type Sender interface {
-	// Do returns the response as soon as its header is there, or why there is none. The caller has to close the response.
+	// Do returns the response as soon as its header has arrived, or the failure. The caller must close the response.
 	Do(ctx context.Context, b discovery.Backend, r *forward.Request) (*forward.Response, *forward.Failure)
 }
 
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -12,7 +12,7 @@
 
 const benchmarkEvents = 61
 
-func processorTime(b *testing.B) time.Duration {
+func cpuTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		b.Fatal(err)
@@ -20,17 +20,17 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkRunItems runs jobs of 60 items of 61 events. The stand-in backends run in the same process and count as well.
+// BenchmarkRunItems runs jobs of 60 items of 61 events. The CPU time includes the fake backends, which run in the same process.
 func BenchmarkRunItems(b *testing.B) {
 	const items = 60
 	f := newFixture(b, 3)
 	f.config.pacer = scheduler.NewPacer(streamReadInterval)
 	for _, s := range f.backends {
-		s.quiet = true
+		s.discardRequests = true
 	}
 	f.start()
 	runtime.GC()
-	before := processorTime(b)
+	before := cpuTime(b)
 	jobs := 0
 	for b.Loop() {
 		jobs++
@@ -41,6 +41,6 @@
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64((processorTime(b)-before).Microseconds())/float64(jobs*items), "cpu-us/item")
+	b.ReportMetric(float64((cpuTime(b)-before).Microseconds())/float64(jobs*items), "cpu-us/item")
 	b.ReportMetric(float64(f.replica.commits)/float64(jobs), "commits/job")
 }
--- a/internal/store/cancellation.go
+++ b/internal/store/cancellation.go
@@ -7,10 +7,10 @@
 	"go.uber.org/zap"
 )
 
-// cancelAttempts cancels attempts whose backend is unresponsive, or all if this store may no longer be the head.
+// cancelAttempts cancels attempts whose backend is unresponsive, or all attempts if this store may no longer be the head.
 func (r *runner) cancelAttempts(ctx context.Context, now time.Time) {
 	r.renewConfirmation(ctx)
-	mayBeDeposed := !r.partition.confirmation.isYoungerThan(r.config.stepDownAfter)
+	mayBeDeposed := !r.partition.confirmation.isFresh(r.config.stepDownAfter)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, a := range r.running {
@@ -23,7 +23,7 @@
 	}
 }
 
-// renewConfirmation renews the confirmation that this store is the head, if items run and commits have not done so lately.
+// renewConfirmation renews the confirmation of leadership while items run, unless a recent commit has already renewed it.
 func (r *runner) renewConfirmation(ctx context.Context) {
 	r.mutex.Lock()
 	busy := len(r.running) > 0
--- a/internal/store/checkpoint_test.go
+++ b/internal/store/checkpoint_test.go
@@ -12,7 +12,7 @@
 	"nickelline/internal/forward"
 )
 
-// checkpointEvents returns how many events of the text of a job's first item the checkpoints hold.
+// checkpointEvents returns the number of events in the checkpoints of a job's first item.
 func (f *fixture) checkpointEvents(key batch.Key) (events uint32) {
 	f.partition.state.read(func(m *batch.Machine) {
 		if open, ok := m.PendingJob(key); ok {
@@ -22,8 +22,8 @@
 	return events
 }
 
-// The head ends in the middle of an item's text. The next head has to continue behind the last checkpoint, wherever that is.
-func TestNextHeadContinuesBehindTheCheckpoint(t *testing.T) {
+// The head stops in the middle of an item's text. The next head must continue after the last checkpoint, wherever that is.
+func TestNextHeadContinuesAfterTheCheckpoint(t *testing.T) {
 	const total = 9
 	for stop := 1; stop < total; stop++ {
 		f := newFixture(t, 1)
@@ -32,7 +32,7 @@
 		isFirstHead.Store(true)
 		f.backends[0].beforeEvent = func(r *http.Request, id int) bool {
 			if isFirstHead.Load() && id > stop {
-				<-r.Context().Done() // sends nothing until the head ends
+				<-r.Context().Done() // sends nothing until the head stops
 				return false
 			}
 			return true
@@ -40,12 +40,12 @@
 		job := testJob(testKey(1), 1, total)
 		f.submit(job)
 		f.start()
-		f.eventually("the text is replicated up to there", func() bool { return f.checkpointEvents(job.Key) == uint32(stop) })
+		f.eventually("the text is replicated up to the stop", func() bool { return f.checkpointEvents(job.Key) == uint32(stop) })
 		f.stop()
 		isFirstHead.Store(false)
 		f.start()
 		checkCompleted(t, f.results(job.Key, 1)[0], total)
-		requests := f.backends[0].seen()
+		requests := f.backends[0].receivedRequests()
 		got := requests[len(requests)-1].Header.Get(forward.HeaderLastEventID)
 		if want := strconv.Itoa(stop); got != want {
 			t.Errorf("last event id at the next head: got %q, want %q", got, want)
@@ -53,19 +53,19 @@
 	}
 }
 
-// A commit whose outcome is not known is tried again: the text must not have a checkpoint twice.
+// A commit whose outcome is unknown is retried: the text must not contain the checkpoint twice.
 func TestCheckpointOfUnknownOutcomeIsAddedOnce(t *testing.T) {
 	const total = 6
 	f := newFixture(t, 1)
 	f.config.checkpointInterval = 0
-	f.replica.unclear = 3
+	f.replica.unclearAppends = 3
 	f.start()
 	job := testJob(testKey(1), 1, total)
 	f.submit(job)
 	checkCompleted(t, f.results(job.Key, 1)[0], total)
 }
 
-// What a runner appends must not be committed after the next runner has begun.
+// A runner must end only after its last append has ended, so that nothing it appends is committed after the next runner has begun.
 func TestRunnerEndsAfterItsLastAppend(t *testing.T) {
 	f := newFixture(t, 1)
 	f.config.checkpointInterval = 0
@@ -75,7 +75,7 @@
 		}
 		return id == 1
 	}
-	var stopped, overtaken atomic.Bool
+	var stopped, stoppedDuringAppend atomic.Bool
 	appending, appended := make(chan struct{}), make(chan struct{})
 	f.replica.beforeAppend = func(ctx context.Context) {
 		defer close(appended)
@@ -83,16 +83,16 @@
 		<-ctx.Done()
 		deadline := time.NewTimer(100 * time.Millisecond)
 		defer deadline.Stop()
-		look := time.NewTicker(time.Millisecond)
-		defer look.Stop()
+		poll := time.NewTicker(time.Millisecond)
+		defer poll.Stop()
 		for !stopped.Load() {
 			select {
-			case <-look.C:
+			case <-poll.C:
 			case <-deadline.C:
 				return
 			}
 		}
-		overtaken.Store(true)
+		stoppedDuringAppend.Store(true)
 	}
 	f.submit(testJob(testKey(1), 1, 5))
 	f.start()
@@ -100,7 +100,7 @@
 	f.stop()
 	stopped.Store(true)
 	<-appended
-	if overtaken.Load() {
+	if stoppedDuringAppend.Load() {
 		t.Error("the runner has ended while its checkpoint was being appended")
 	}
 }
--- a/internal/store/cluster_test.go
+++ b/internal/store/cluster_test.go
@@ -24,7 +24,7 @@
 	"nickelline/internal/view"
 )
 
-// cluster is some stores on loopback with one partition, and the proxy's side of them.
+// cluster consists of stores on loopback with one partition, and a proxy's client of them.
 type cluster struct {
 	t       *testing.T
 	fixture *fixture
@@ -70,7 +70,7 @@
 	return table.Partitions[0].View, true
 }
 
-// open starts a store, on the disk that it had before if it was open.
+// open starts a store, on the data directory that it had before if it was open.
 func (c *cluster) open(i int, address netip.AddrPort) {
 	c.t.Helper()
 	if err := c.tryOpen(i, address); err != nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-// tryOpen is open, which may fail.
+// tryOpen is open, but returns the error.
 func (c *cluster) tryOpen(i int, address netip.AddrPort) error {
 	s := c.stores[i]
 	transport, err := peer.Listen(address, zap.NewNop())
@@ -122,7 +122,7 @@
 	s.service = nil
 }
 
-// place puts the partition on some stores as members, and on others as learners.
+// place applies a placement of the partition with the given stores as members and as learners.
 func (c *cluster) place(epoch uint64, members []int, learners []int) {
 	placed := placement.Partition{View: view.View{Chain: placement.ChainOf(0), Epoch: epoch}}
 	for _, i := range members {
@@ -142,7 +142,7 @@
 	}
 }
 
-// joined is the epoch since which a store has been a member.
+// joined returns the epoch since which a store has been a member.
 func (c *cluster) joined(i int, epoch uint64) uint64 {
 	former := c.table.Load()
 	if former == nil {
@@ -154,7 +154,7 @@
 	return epoch
 }
 
-// submission is the document by which a client submits a job.
+// submission returns the document with which a client submits a job.
 func submission(job batch.Job) []byte {
 	var items []string
 	for _, item := range job.Items {
@@ -164,7 +164,7 @@
 	return []byte(`{"batchItems":[` + strings.Join(items, ",") + `]}`)
 }
 
-// submit submits a job until that succeeds.
+// submit submits a job, and retries until that succeeds.
 func (c *cluster) submit(job batch.Job) {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -180,7 +180,7 @@
 	}
 }
 
-// results reads until all results of a job are listed.
+// results reads all results of a job, and waits until they are listed.
 func (c *cluster) results(job batch.Job) []batch.ListedResult {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -189,7 +189,7 @@
 	for len(all) < len(job.Items) {
 		page, err := c.client.Results(ctx, job.Key.Tenant, job.Key.Identifier, len(all), time.Second)
 		if ctx.Err() != nil {
-			c.t.Fatalf("%d results of %d: %v", len(all), len(job.Items), err)
+			c.t.Fatalf("results: got %d, want %d: %v", len(all), len(job.Items), err)
 		}
 		if err == nil {
 			all = append(all, page.Results...)
@@ -200,7 +200,7 @@
 	return all
 }
 
-// checkCompleted fails unless all items were completed with the texts of a number of events.
+// checkCompleted fails unless all items were completed with the text of the given number of events.
 func (c *cluster) checkCompleted(results []batch.ListedResult, events int) {
 	c.t.Helper()
 	for _, result := range results {
@@ -208,7 +208,7 @@
 	}
 }
 
-// checkUnchanged fails unless the results of a job are those of an earlier read, at the same positions.
+// checkUnchanged fails unless the results of a job are equal to those of an earlier read, at the same positions.
 func (c *cluster) checkUnchanged(job batch.Job, before []batch.ListedResult) {
 	c.t.Helper()
 	for i, result := range c.results(job) {
@@ -221,7 +221,7 @@
 	}
 }
 
-// setRefused has admission refuse all items, or admit them again.
+// setRefused makes admission refuse all items, or admit them again.
 func (c *cluster) setRefused(refused bool) {
-	c.fixture.admission.set(func(a *fixedAdmission) { a.refuse = refused })
+	c.fixture.admission.set(func(a *fakeAdmission) { a.refuse = refused })
 }
--- a/internal/store/confirmation.go
+++ b/internal/store/confirmation.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// confirmation remembers when the chain last confirmed that this replica is in the newest view and has applied all that was
-// committed. For the head it is the confirmation of leadership: like a lease it is good for a limited time, which counts from
+// confirmation holds the time of the last confirmation by the chain that this replica is in the newest view and has applied all
+// committed commands. At the head it confirms leadership: like a lease it is valid for a limited time, which counts from the moment
 // when the confirmation was requested. It is safe for concurrent use.
 type confirmation struct {
 	mutex sync.Mutex
 	asOf  time.Time
 }
 
-// record notes that a barrier or a commit has succeeded that was requested at a time.
+// record records that a barrier or a commit that was requested at the given time has succeeded.
 func (c *confirmation) record(requested time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -23,24 +23,24 @@
 	}
 }
 
-// reset forgets the confirmation.
+// reset discards the confirmation.
 func (c *confirmation) reset() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.asOf = time.Time{}
 }
 
-// isYoungerThan reports whether there is a confirmation younger than an age.
-func (c *confirmation) isYoungerThan(age time.Duration) bool {
+// isFresh reports whether there is a confirmation whose age is below maxAge.
+func (c *confirmation) isFresh(maxAge time.Duration) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return !c.asOf.IsZero() && time.Since(c.asOf) < age
+	return !c.asOf.IsZero() && time.Since(c.asOf) < maxAge
 }
 
-// confirm returns at once if there is a confirmation younger than maxAge, and otherwise passes a barrier. A maxAge of 0 always
-// does.
+// confirm returns at once if there is a confirmation whose age is below maxAge, and otherwise waits for a barrier. With a maxAge of
+// 0 it always waits for a barrier.
 func (p *partition) confirm(ctx context.Context, maxAge time.Duration) error {
-	if maxAge > 0 && p.confirmation.isYoungerThan(maxAge) {
+	if maxAge > 0 && p.confirmation.isFresh(maxAge) {
 		return nil
 	}
 	requested := time.Now()
--- a/internal/store/discard.go
+++ b/internal/store/discard.go
@@ -10,8 +10,8 @@
 	"nickelline/internal/segment"
 )
 
-// discardAll removes the replica's identity, and then all of its data: the next start makes a new replica, which no view names. The
-// identity goes first, so that a replica which has lost data is never taken for one that has all that it acknowledged.
+// discardAll removes the replica's identity, and then all of its data: the next start creates a new replica, which is in no view. The
+// identity is removed first, so that a replica which has lost data never passes for one that has everything it has acknowledged.
 func (s *Service) discardAll() error {
 	if err := segment.RemoveFiles(s.options.FileSystem, s.options.Directory); err != nil {
 		return fmt.Errorf("remove identity of the replica: %w", err)
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// discard closes a partition that is no longer placed here, and removes its log. The record of its view stays: an older view that
-// comes late is still known to be old. The caller holds the service's mutex.
+// discard closes a partition that is no longer placed here, and removes its log. The record of its view stays, so that an older view
+// that arrives late is still recognized as old. The caller holds the service's mutex.
 func (s *Service) discard(hosted *hostedPartition) {
 	number := hosted.partition.number
 	delete(s.partitions, number)
--- a/internal/store/discard_test.go
+++ b/internal/store/discard_test.go
@@ -37,12 +37,12 @@
 	}
 }
 
-// damage changes a byte near the beginning of each segment.
+// damage changes a byte in the first half of each segment.
 func damage(t *testing.T, directory string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(directory, "*.segment"))
 	if err != nil || len(files) == 0 {
-		t.Fatalf("%d segments: %v", len(files), err)
+		t.Fatalf("segments to damage: got %d, want at least 1: %v", len(files), err)
 	}
 	for _, file := range files {
 		data, err := os.ReadFile(file)
--- a/internal/store/dispatch.go
+++ b/internal/store/dispatch.go
@@ -10,10 +10,11 @@
 	"nickelline/internal/store/scheduler"
 )
 
-// unroutablePause is the pause of a route that exists, but not for its items' paths or without a service.
+// unroutablePause is how long a route is paused that exists but does not match its item's path as a batch route, or that has no
+// service.
 const unroutablePause = time.Second
 
-// dispatch sends waiting items until there are none or they are refused.
+// dispatch sends waiting items until none is left that may be sent now.
 func (r *runner) dispatch(ctx context.Context) {
 	if !r.hasItemsToSend(time.Now()) {
 		return
@@ -42,8 +43,8 @@
 	r.schedule.Suspend(until)
 }
 
-// mayActAsHead reports whether this store is the head, by a confirmation that is young enough to send items. One that is about
-// to become too old is renewed early, so that sending goes on.
+// mayActAsHead reports whether this store is the head, by a confirmation that is fresh enough to send items. It renews a confirmation
+// that has become too old for that, so that sending continues.
 func (r *runner) mayActAsHead(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, r.config.sendConfirmationAge)
 	defer cancel()
@@ -53,10 +54,10 @@
 	if err := r.partition.confirm(ctx, r.config.sendConfirmationAge); err != nil {
 		return false
 	}
-	return r.partition.confirmation.isYoungerThan(r.config.sendConfirmationAge)
+	return r.partition.confirmation.isFresh(r.config.sendConfirmationAge)
 }
 
-// sendNext sends the next item. It returns false if there is none that may be sent now. The caller holds the mutex.
+// sendNext sends the next item. It returns false if no item may be sent now. The caller holds the mutex.
 func (r *runner) sendNext(ctx context.Context, snapshot *configuration.Snapshot) bool {
 	now := time.Now()
 	item := r.schedule.Next(now)
@@ -75,7 +76,7 @@
 	return true
 }
 
-// batchRouteOf returns the route that the configuration has for an item's path, or nil if that is not a batch route.
+// batchRouteOf returns the batch route that matches an item's host and path, or nil if there is none.
 func batchRouteOf(snapshot *configuration.Snapshot, item *scheduler.Item) *configuration.Route {
 	path, _, _ := strings.Cut(item.Pending.Path, "?")
 	route := snapshot.Match(item.Job.Pending.Host, path)
@@ -85,13 +86,14 @@
 	return route
 }
 
-// postpone gives an item back and pauses its route.
+// postpone returns an item to the schedule and pauses its route.
 func (r *runner) postpone(item *scheduler.Item, until time.Time) {
 	r.schedule.GiveBack(item)
 	r.schedule.PauseRoute(item.Job.Pending.Route, until)
 }
 
-// send starts an attempt of an item, or gives it back. It returns false if all slots are taken: no other item can be sent.
+// send starts an attempt of an item, or returns the item to the schedule. It returns false if all slots are taken, so that no other
+// item can be sent. The caller holds the mutex.
 func (r *runner) send(ctx context.Context, snapshot *configuration.Snapshot, route *configuration.Route, item *scheduler.Item) bool {
 	now := time.Now()
 	service := route.Choose(rand.Float64())
@@ -100,7 +102,7 @@
 		return true
 	}
 	if !r.config.slots.TryAcquire(r) {
-		r.schedule.GiveBack(item) // a free slot wakes the loop
+		r.schedule.GiveBack(item) // Slots.Release wakes the loop
 		return false
 	}
 	backend, permit, refusal := r.config.admission.Pick(service.Name, now, admissionRequest(snapshot, route, item))
--- a/internal/store/dispatch_test.go
+++ b/internal/store/dispatch_test.go
@@ -16,10 +16,10 @@
 	f.submit(job)
 	f.eventually("admission was asked again", func() bool {
 		refused := 0
-		f.admission.set(func(a *fixedAdmission) { refused = a.refused })
+		f.admission.set(func(a *fakeAdmission) { refused = a.refused })
 		return refused >= 3
 	})
-	f.admission.set(func(a *fixedAdmission) { a.refuse = false })
+	f.admission.set(func(a *fakeAdmission) { a.refuse = false })
 	f.results(job.Key, 3)
 }
 
@@ -30,12 +30,12 @@
 	job := testJob(testKey(1), 40, 2)
 	f.submit(job)
 	f.results(job.Key, 40)
-	if got := f.admission.most; got > 4 {
-		t.Errorf("items that ran at one time: got %d, want at most 4", got)
+	if got := f.admission.maxTickets; got > 4 {
+		t.Errorf("items that ran concurrently: got %d, want at most 4", got)
 	}
 }
 
-// awaitSuspended waits until the runner has one job with a number of items that wait, and was suspended.
+// awaitSuspended waits until the runner has been suspended and has one job with the given number of waiting items.
 func (f *fixture) awaitSuspended(waiting int) {
 	f.t.Helper()
 	f.eventually("the schedule is suspended with its items", func() bool {
@@ -48,12 +48,12 @@
 
 func TestNothingIsSentWithoutAConfirmationOfBeingHead(t *testing.T) {
 	f := newFixture(t, 1)
-	f.replica.set(func(r *fakeReplica) { r.barrier = errTestNotReady })
+	f.replica.set(func(r *fakeReplica) { r.barrierError = errTestNotReady })
 	f.config.sendConfirmationAge = time.Nanosecond
 	f.submit(testJob(testKey(1), 3, 2))
 	f.start()
-	// The loop is not reached without a barrier; with one, each send needs another.
-	f.replica.set(func(r *fakeReplica) { r.barrier = nil })
+	// The runner enters its loop only after a barrier. With this sendConfirmationAge no confirmation is fresh enough to send.
+	f.replica.set(func(r *fakeReplica) { r.barrierError = nil })
 	f.awaitSuspended(3)
 	checkRequests(t, f.backends[0], 0)
 }
@@ -73,7 +73,7 @@
 func TestItemsOfARemovedRouteAreAbandoned(t *testing.T) {
 	f := newFixture(t, 1)
 	removed := configurationWithoutBatch(t)
-	f.configure(removed, false) // not confirmed to be current: they wait
+	f.configure(removed, false) // not confirmed to be current: the items wait
 	f.start()
 	job := testJob(testKey(1), 3, 2)
 	f.submit(job)
@@ -85,7 +85,7 @@
 	checkRequests(t, f.backends[0], 0)
 }
 
-func TestLateJobsRunBehindTheOthers(t *testing.T) {
+func TestLateJobsRunAfterTheOthers(t *testing.T) {
 	f := newFixture(t, 1)
 	f.config.slots = scheduler.NewSlots(1)
 	late, second := testJob(testKey(1), 3, 1), testJob(testKey(2), 3, 1)
@@ -99,6 +99,6 @@
 		got = append(got, item.Job.Pending.Key.Identifier)
 	}
 	if want := []string{"job-2", "job-2", "job-2", "job-1", "job-1", "job-1"}; !slices.Equal(got, want) {
-		t.Errorf("jobs of the items: got %v, want %v", got, want)
+		t.Errorf("jobs of the items in order: got %v, want %v", got, want)
 	}
 }
--- a/internal/store/fakes_test.go
+++ b/internal/store/fakes_test.go
@@ -23,16 +23,16 @@
 
 // fakeReplica is a chain of one replica that commits at once.
 type fakeReplica struct {
-	mutex    sync.Mutex
-	state    *state
-	sequence uint64
-	head     bool
-	barrier  error // what a barrier returns
-	propose  error // what a proposal returns instead of being committed
-	commits  int
+	mutex        sync.Mutex
+	state        *state
+	sequence     uint64
+	head         bool
+	barrierError error // returned by Barrier
+	proposeError error // returned by Propose instead of committing the command
+	commits      int
 	// beforeAppend is called before results are committed.
-	beforeAppend func(ctx context.Context)
-	unclear      int // how many commits of results are answered as of unknown outcome
+	beforeAppend   func(ctx context.Context)
+	unclearAppends int // number of further appends that are committed but return errTestUnclear
 }
 
 func (f *fakeReplica) Propose(ctx context.Context, command []byte) ([]byte, error) {
@@ -41,14 +41,14 @@
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.propose != nil {
-		return nil, f.propose
+	if f.proposeError != nil {
+		return nil, f.proposeError
 	}
 	f.sequence++
 	f.commits++
 	outcome := f.state.Apply(f.sequence, command)
-	if decoded, err := batch.DecodeCommand(command); err == nil && decoded.Append != nil && f.unclear > 0 {
-		f.unclear--
+	if decoded, err := batch.DecodeCommand(command); err == nil && decoded.Append != nil && f.unclearAppends > 0 {
+		f.unclearAppends--
 		return nil, errTestUnclear
 	}
 	return outcome, nil
@@ -71,7 +71,7 @@
 func (f *fakeReplica) Barrier(context.Context) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.barrier
+	return f.barrierError
 }
 
 func (f *fakeReplica) IsHead() bool {
@@ -101,22 +101,22 @@
 
 var errTestNotReady = fault.New(fault.NotReady, "no view")
 
-// backend is a stand-in that streams events. Before each of them it may do something else.
+// backend is a fake backend that streams as many events as the request asks for. Hooks may change its behavior.
 type backend struct {
 	mutex sync.Mutex
-	// before is called with each request, and answers it by itself if it returns true.
+	// before is called with each request. If it returns true, it has written the response.
 	before func(w http.ResponseWriter, r *http.Request) bool
-	// beforeEvent is called before each event. An event for which it is false breaks the stream off.
-	beforeEvent func(r *http.Request, id int) bool
-	quiet       bool // keep no requests
-	requests    []*http.Request
-	bodies      []string
+	// beforeEvent is called before each event. If it returns false, the stream is aborted.
+	beforeEvent     func(r *http.Request, id int) bool
+	discardRequests bool // do not keep the requests and their bodies
+	requests        []*http.Request
+	bodies          []string
 }
 
 func (b *backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	b.mutex.Lock()
-	if !b.quiet {
+	if !b.discardRequests {
 		b.requests = append(b.requests, r)
 		b.bodies = append(b.bodies, string(body))
 	}
@@ -139,26 +139,26 @@
 	}
 }
 
-func (b *backend) seen() []*http.Request {
+func (b *backend) receivedRequests() []*http.Request {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return append([]*http.Request(nil), b.requests...)
 }
 
-// fixedAdmission admits everything, to its backends in turn, until refuse is set.
-type fixedAdmission struct {
-	mutex    sync.Mutex
-	backends []discovery.Backend
-	next     int
-	refuse   bool
-	refused  int
-	tickets  int // that are not done
-	most     int
-	outcomes []admission.Outcome
-	started  int
+// fakeAdmission admits all batch items of testService, to its backends in turn, while refuse is not set.
+type fakeAdmission struct {
+	mutex      sync.Mutex
+	backends   []discovery.Backend
+	next       int
+	refuse     bool
+	refused    int
+	tickets    int // permits that have not been given back
+	maxTickets int // greatest value of tickets
+	outcomes   []admission.Outcome
+	started    int
 }
 
-func (f *fixedAdmission) Pick(service string, _ time.Time, r admission.Request) (discovery.Backend, Permit, *admission.Refusal) {
+func (f *fakeAdmission) Pick(service string, _ time.Time, r admission.Request) (discovery.Backend, Permit, *admission.Refusal) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if service != testService || !r.Batch || f.refuse {
@@ -166,25 +166,25 @@
 		return discovery.Backend{}, nil, &admission.Refusal{RetryAfter: time.Millisecond}
 	}
 	f.tickets++
-	f.most = max(f.most, f.tickets)
+	f.maxTickets = max(f.maxTickets, f.tickets)
 	f.next++
-	return f.backends[f.next%len(f.backends)], &fixedPermit{admission: f}, nil
+	return f.backends[f.next%len(f.backends)], &fakePermit{admission: f}, nil
 }
 
-func (f *fixedAdmission) set(change func(*fixedAdmission)) {
+func (f *fakeAdmission) set(change func(*fakeAdmission)) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	change(f)
 }
 
-type fixedPermit struct{ admission *fixedAdmission }
+type fakePermit struct{ admission *fakeAdmission }
 
-func (p *fixedPermit) Started(time.Time) {
-	p.admission.set(func(f *fixedAdmission) { f.started++ })
+func (p *fakePermit) Started(time.Time) {
+	p.admission.set(func(f *fakeAdmission) { f.started++ })
 }
 
-func (p *fixedPermit) Done(_ time.Time, outcome admission.Outcome, _ *admission.Load) {
-	p.admission.set(func(f *fixedAdmission) {
+func (p *fakePermit) Done(_ time.Time, outcome admission.Outcome, _ *admission.Load) {
+	p.admission.set(func(f *fakeAdmission) {
 		f.tickets--
 		f.outcomes = append(f.outcomes, outcome)
 	})
--- a/internal/store/fixture_test.go
+++ b/internal/store/fixture_test.go
@@ -35,7 +35,7 @@
 	return batch.Key{Tenant: testTenant, Identifier: fmt.Sprintf("job-%d", n)}
 }
 
-// testJob makes a job whose items ask the stand-in for some events each.
+// testJob returns a job whose items each ask the fake backend for a number of events.
 func testJob(key batch.Key, items, events int) batch.Job {
 	job := batch.Job{Key: key, Route: testRoute, Host: testHost}
 	for i := range items {
@@ -50,7 +50,7 @@
 	return job
 }
 
-// wantText is what the stand-in says for an item.
+// wantText returns the text that the fake backend sends for an item.
 func wantText(attempt string, events int) string {
 	var lines []string
 	for id := 1; id <= events; id++ {
@@ -61,12 +61,12 @@
 
 func eventData(attempt string, id int) string { return fmt.Sprintf("%s event %d", attempt, id) }
 
-// fixture is a runner before stand-in backends.
+// fixture is a runner with fake backends, admission and chain.
 type fixture struct {
 	t         testing.TB
 	partition *partition
 	replica   *fakeReplica
-	admission *fixedAdmission
+	admission *fakeAdmission
 	backends  []*backend
 	config    *runnerConfig
 	runner    *runner
@@ -88,7 +88,7 @@
 	return compile(t, document)
 }
 
-// configurationWithoutBatch is a configuration whose only route is for other requests.
+// configurationWithoutBatch returns a configuration without a batch route.
 func configurationWithoutBatch(t *testing.T) *configuration.Snapshot {
 	t.Helper()
 	return compile(t, `{"version":2,"services":[{"name":"writers","healthPath":"/health"}],"limits":{"maxHeaderBytes":16384,
@@ -113,7 +113,7 @@
 func newFixture(t testing.TB, backends int) *fixture {
 	f := &fixture{t: t, current: true, configuration: testConfiguration(t, testPrefix, 2, 40)}
 	f.partition, f.replica = newTestPartition()
-	f.admission = &fixedAdmission{}
+	f.admission = &fakeAdmission{}
 	client := forward.NewClient(forward.Options{Connections: 100, ConnectTimeout: testTimeout})
 	for i := range backends {
 		b := &backend{}
@@ -155,13 +155,13 @@
 	f.configuration, f.current = s, current
 }
 
-// start runs the runner of the fixture's partition until the test ends, or stop is called.
+// start runs a new runner of the fixture's partition until the test ends or stop is called.
 func (f *fixture) start() {
 	f.runner = newRunner(f.config, f.partition, testTerm)
 	f.stop = f.run(f.runner)
 }
 
-// run runs a runner until the test ends, or the function that it returns is called, which waits for the end.
+// run runs a runner until the test ends or the returned function is called, which waits for the runner's end.
 func (f *fixture) run(r *runner) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -177,7 +177,7 @@
 	return stop
 }
 
-// submit has a job committed.
+// submit commits a job.
 func (f *fixture) submit(job batch.Job) {
 	f.t.Helper()
 	outcome, err := f.partition.propose(context.Background(), &batch.Command{Submit: &batch.Submit{Job: job}})
@@ -186,7 +186,7 @@
 	}
 }
 
-// results waits until a number of results are listed.
+// results waits until a job has the given number of results, and returns them with their content decompressed.
 func (f *fixture) results(key batch.Key, count int) []batch.ListedResult {
 	f.t.Helper()
 	deadline := time.Now().Add(testTimeout)
@@ -197,19 +197,19 @@
 		}
 		if page.Next >= count {
 			page, _, _ = f.partition.state.results(key, 0, 1<<30)
-			return f.expanded(page.Results)
+			return f.decompressResults(page.Results)
 		}
 		from = page.Next
 		if changed != nil && !awaitClosed(context.Background(), changed, time.Until(deadline)) {
-			f.t.Fatalf("%d results of %d", page.Next, count)
+			f.t.Fatalf("results in time: got %d, want %d", page.Next, count)
 		}
 		if page.Closed {
-			f.t.Fatalf("closed with %d results of %d", page.Next, count)
+			f.t.Fatalf("results of the closed job: got %d, want %d", page.Next, count)
 		}
 	}
 }
 
-func (f *fixture) expanded(results []batch.ListedResult) []batch.ListedResult {
+func (f *fixture) decompressResults(results []batch.ListedResult) []batch.ListedResult {
 	f.t.Helper()
 	for i := range results {
 		content, err := deflated.Expand(results[i].Content)
@@ -221,18 +221,18 @@
 	return results
 }
 
-// eventually waits for a condition, which it checks again and again.
+// eventually polls a condition until it holds, and fails the test after testTimeout.
 func (f *fixture) eventually(what string, condition func() bool) {
 	f.t.Helper()
 	deadline := time.NewTimer(testTimeout)
 	defer deadline.Stop()
-	look := time.NewTicker(2 * time.Millisecond)
-	defer look.Stop()
+	poll := time.NewTicker(2 * time.Millisecond)
+	defer poll.Stop()
 	for !condition() {
 		select {
-		case <-look.C:
+		case <-poll.C:
 		case <-deadline.C:
-			f.t.Fatalf("not in time: %s", what)
+			f.t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
--- a/internal/store/former_head_test.go
+++ b/internal/store/former_head_test.go
@@ -11,7 +11,7 @@
 	"nickelline/internal/placement"
 )
 
-// hosted returns the partition of a store, once it is in the view of an epoch.
+// hosted waits until a store has installed the view of an epoch, and returns its partition.
 func (c *cluster) hosted(store int, epoch uint64) *hostedPartition {
 	c.t.Helper()
 	s := c.stores[store].service
@@ -25,13 +25,13 @@
 	return hosted
 }
 
-// testCheckpoint is a checkpoint of the first item of a job, with the text of the events after one number up to another.
+// testCheckpoint returns a checkpoint of the first item of a job. It extends a text of from events to the given number of events.
 func testCheckpoint(key batch.Key, from, events uint32) batch.Result {
 	return batch.Result{Key: key, From: from, Events: events, LastEvent: "e", Content: deflated.Compress([]byte("text"))}
 }
 
 // A checkpoint that a former head took must not be committed once the next head runs the item: it would cut off the checkpoints
-// of the next head, whose result would then be ignored, and the item stay unlisted.
+// of the next head, whose result would then be ignored, so that the item would never be listed.
 func TestLateCheckpointOfFormerHeadIsRefused(t *testing.T) {
 	c := newCluster(t, 3)
 	c.setRefused(true)
@@ -69,7 +69,7 @@
 	}
 }
 
-// The appender of a former head ends without its checkpoint being committed anywhere.
+// The appender of a former head retries until its context ends, without its checkpoint being committed anywhere.
 func TestAppenderOfFormerHeadAppendsNothing(t *testing.T) {
 	c := newCluster(t, 3)
 	c.setRefused(true)
@@ -96,12 +96,12 @@
 		}
 	})
 	if ctx.Err() == nil {
-		t.Errorf("the appender ended before its context, after %v", appendRetryPause)
+		t.Errorf("the appender ended before its context, want it to retry every %v", appendRetryPause)
 	}
 }
 
-// A replica that becomes the head again begins a new term: what its former runner has not had committed is refused.
-func TestHeadAgainIsANewTerm(t *testing.T) {
+// A replica that becomes the head again begins a new term: appends of its runner of the former term are refused.
+func TestReturningHeadStartsANewTerm(t *testing.T) {
 	c := newCluster(t, 3)
 	c.setRefused(true)
 	c.place(1, []int{0, 1, 2}, nil)
@@ -118,7 +118,7 @@
 	_, err := formerRunner.partition.proposeInTerm(ctx, formerRunner.appender.term,
 		&batch.Command{Append: []batch.Result{testCheckpoint(job.Key, 0, 1)}})
 	checkKind(t, "checkpoint of the former term", err, fault.NotReady)
-	c.fixture.eventually("the new term has a runner of its own", func() bool {
+	c.fixture.eventually("the new term has its own runner", func() bool {
 		current := hosted.runner.Load()
 		return current != nil && current != formerRunner
 	})
--- a/internal/store/handlers.go
+++ b/internal/store/handlers.go
@@ -12,7 +12,7 @@
 
 var errNoView = fault.New(fault.NotReady, "no view of the partition is known here")
 
-// registerHandlers sets the handlers of the proxies' calls.
+// registerHandlers registers the handlers of the proxies' calls.
 func (s *Service) registerHandlers() {
 	t := s.options.Transport
 	t.Handle(batchcall.KindSubmit, handler(s, batchcall.DecodeSubmitRequest, (*partition).submit,
@@ -27,12 +27,12 @@
 		func(r *batchcall.OfferRequest) uint32 { return r.Partition }))
 }
 
-// handler returns the handler of one kind of call: it decodes the request, finds the partition that the request names, and has it
-// act. A request that cannot be decoded, or for a partition that is not hosted here, changes nothing.
+// handler returns the handler of one kind of call: it decodes the request, finds the partition that the request names, and calls the
+// partition's method. A request that cannot be decoded, or for a partition that is not hosted here, changes nothing.
 func handler[R any](
 	s *Service,
 	decode func(body []byte) (*R, error),
-	act func(*partition, context.Context, *R) (*batchcall.Reply, error),
+	call func(*partition, context.Context, *R) (*batchcall.Reply, error),
 	partitionOf func(*R) uint32,
 ) peer.Handler {
 	return func(ctx context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
@@ -44,12 +44,12 @@
 		if found == nil {
 			return redirectTo(hostedElsewhere, m.Kind)
 		}
-		reply, err := act(found, ctx, request)
+		reply, err := call(found, ctx, request)
 		return encodeReply(reply, m.Kind, err)
 	}
 }
 
-// redirectTo answers a call for a partition that is not hosted here, with the head of its view.
+// redirectTo replies to a call for a partition that is not hosted here with the head of the partition's view.
 func redirectTo(v view.View, kind peer.Kind) (peer.Message, error) {
 	head, ok := v.Head()
 	if !ok {
--- a/internal/store/hosted_partition.go
+++ b/internal/store/hosted_partition.go
@@ -11,8 +11,9 @@
 
 // hostedPartition is a partition that this store hosts: its replica, and its runner while the replica is the head.
 //
-// Goroutines: each runner has one, which viewChanged starts when a term of the replica begins. It ends when the term is over or the partition is closed; the next runner, and close, wait for it. While the replica is a learner another
-// goroutine follows the members, which setLearner starts and ends, as does close; nobody waits for it.
+// Goroutines: each runner has one, which viewChanged starts when a term of the replica begins. It ends when the term ends or the
+// partition is closed; the next runner, and close, wait for it. While the replica is a learner, another goroutine keeps it caught up.
+// setLearner starts and stops that goroutine, and close stops it; nothing waits for its end.
 type hostedPartition struct {
 	service      *Service
 	partition    *partition
@@ -32,13 +33,13 @@
 	return &hostedPartition{service: s, partition: p}
 }
 
-// start puts the replica to use.
+// start connects the replica to the partition, and follows its views.
 func (h *hostedPartition) start(node *chain.Node) {
 	h.node = node
 	h.partition.replica = node
 	node.OnView(func(v view.View) {
 		h.viewChanged()
-		h.service.reportSoon()
+		h.service.requestReport()
 		if !v.Has(h.service.options.Self.Replica) {
 			go h.service.reapplyPlacement(h.partition.number)
 		}
@@ -46,7 +47,7 @@
 	h.viewChanged()
 }
 
-// viewChanged starts a runner when a term of the replica has begun, and stops it when that is over.
+// viewChanged starts a runner when a term of the replica has begun, and stops it when the term has ended.
 func (h *hostedPartition) viewChanged() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -59,7 +60,7 @@
 	}
 }
 
-// startRunner starts the runner of a term, which begins when the one before has ended. The caller holds the mutex.
+// startRunner starts the runner of a term, which begins when the previous runner has ended. The caller holds the mutex.
 func (h *hostedPartition) startRunner(term uint64) {
 	ctx, cancel := context.WithCancel(h.service.ctx)
 	previous, ended := h.runnerEnded, make(chan struct{})
@@ -77,14 +78,14 @@
 	}()
 }
 
-// stopRunner has the runner end, and forgets the confirmation by which it ran items. The caller holds the mutex.
+// stopRunner stops the runner without waiting, and discards the confirmation of its leadership. The caller holds the mutex.
 func (h *hostedPartition) stopRunner() {
 	h.stopRunning()
 	h.stopRunning = nil
 	h.partition.confirmation.reset()
 }
 
-// close ends all goroutines of the partition, waits for the runner, and closes the replica.
+// close stops all goroutines of the partition, waits for the runner, and closes the replica.
 func (h *hostedPartition) close() {
 	h.setLearner(false)
 	h.mutex.Lock()
--- a/internal/store/job_review.go
+++ b/internal/store/job_review.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// dropInterval is how often closed jobs are looked for that need not be kept any longer, while any jobs are kept.
+	// dropInterval is how often the runner looks for closed jobs that need not be kept any longer, while it has any jobs.
 	dropInterval = 5 * time.Second
-	// retentionMargin is kept on top of the time after which an item may be abandoned.
+	// retentionMargin is added to the time after which an item may be abandoned.
 	retentionMargin = time.Second
 )
 
-// reviewJobs renews the urgency of all jobs, and abandons waiting items of jobs that are older than their route's retention.
+// reviewJobs updates the urgency of all jobs, and abandons waiting items of jobs that are older than their route's retention.
 func (r *runner) reviewJobs(ctx context.Context, now time.Time) {
 	snapshot, current := r.config.configuration()
 	if !current {
@@ -40,14 +40,14 @@
 	}
 }
 
-// partitionTime returns the time of the partition's clock, which goes on from head to head.
+// partitionTime returns the time of the partition's clock, which continues across changes of the head.
 func (r *runner) partitionTime(now time.Time) (clock time.Duration) {
 	reading := r.partition.clock.reading(now)
 	r.partition.state.read(func(m *batch.Machine) { clock = m.Now(reading) })
 	return clock
 }
 
-// urgencyOf returns the urgency of a job of some age.
+// urgencyOf returns the urgency of a job of the given age.
 func (r *runner) urgencyOf(route *configuration.Route, j *scheduler.Job, age time.Duration) scheduler.Urgency {
 	var queuedTokens int64
 	if route.MaxQueuedTokens > 0 {
@@ -56,13 +56,13 @@
 	return scheduler.UrgencyOf(route, age, queuedTokens)
 }
 
-// queuedTokens returns how many tokens a tenant has queued on a route.
+// queuedTokens returns the number of tokens that a tenant has queued on a route.
 func (r *runner) queuedTokens(tenant, route string) (tokens int64) {
 	r.partition.state.read(func(m *batch.Machine) { tokens = m.QueuedTokens(tenant, route) })
 	return tokens
 }
 
-// abandonWaiting abandons the items of a job that do not run. The caller holds the mutex.
+// abandonWaiting abandons the items of a job that are not running. The caller holds the mutex.
 func (r *runner) abandonWaiting(ctx context.Context, j *scheduler.Job) {
 	for _, item := range r.schedule.TakeWaiting(j) {
 		r.abandonItem(ctx, item)
--- a/internal/store/learner.go
+++ b/internal/store/learner.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// learnCheckInterval is how often a learner that is caught up checks whether it still is.
+	// learnCheckInterval is how often a learner that has caught up checks that it still is.
 	learnCheckInterval = time.Second
-	// learnRetryPause is the pause before a learner asks another member.
+	// learnRetryPause is the pause before a learner tries another member.
 	learnRetryPause = 100 * time.Millisecond
-	// A learner tries to catch up from one member for minLearnTimeout at first. The time doubles with each round over the members,
-	// up to maxLearnTimeout: a member may be gone, or there may be much to send.
+	// The timeout of an attempt to catch up from one member is minLearnTimeout at first, because the member may be gone. It doubles
+	// with each round over the members, up to maxLearnTimeout, because there may be much data to send.
 	minLearnTimeout = 1500 * time.Millisecond
 	maxLearnTimeout = 12 * time.Second
-	// maxLearnDoublings bounds the exponent, so that the time does not overflow.
+	// maxLearnDoublings bounds the exponent, so that the timeout does not overflow.
 	maxLearnDoublings = 8
 )
 
-// setLearner has the replica follow the members as a learner, or ends that. The caller holds the service's mutex.
+// setLearner starts or stops catching up from the members as a learner. The caller holds the service's mutex.
 func (h *hostedPartition) setLearner(isLearner bool) {
 	switch {
 	case isLearner && h.stopLearning == nil:
@@ -38,34 +38,35 @@
 	}
 }
 
-// followMembers keeps the learner caught up until ctx ends: whenever it is not, it asks the next member.
+// followMembers keeps the learner caught up until ctx ends: whenever it is not caught up, it tries the next member.
 func (h *hostedPartition) followMembers(ctx context.Context) {
 	self := h.service.options.Self
-	for try := 0; ctx.Err() == nil; {
+	for attempt := 0; ctx.Err() == nil; {
 		members := sameZoneLast(h.service.membersOf(h.partition.number), self.Zone)
-		source, ok := nextLearnSource(members, self.Address, try)
+		source, ok := nextLearnSource(members, self.Address, attempt)
 		if ok && !h.node.CaughtUp() {
 			h.learnFrom(ctx, source)
-			try++
+			attempt++
 		}
 		wait := learnRetryPause
 		if h.node.CaughtUp() {
-			try = 0
+			attempt = 0
 			wait = learnCheckInterval
 		}
 		pause.For(ctx, wait)
 	}
 }
 
-// learnSource is a member that a learner catches up from, and how long it tries.
+// learnSource is a member from which a learner catches up, and the timeout for that.
 type learnSource struct {
 	address netip.AddrPort
 	timeout time.Duration
 }
 
-// nextLearnSource returns the source of a try, counted from 0: the members in turn, from the tail on. A member at the own address is
-// the replica that this process had before it lost its disk, and is left out. It returns false if there is no other.
-func nextLearnSource(members []view.Member, self netip.AddrPort, try int) (learnSource, bool) {
+// nextLearnSource returns the source for an attempt, counted from 0: the members in turn, beginning at the tail. A member with this
+// store's own address is the replica that this process had before it lost its disk, and is left out. It returns false if there is
+// no other member.
+func nextLearnSource(members []view.Member, self netip.AddrPort, attempt int) (learnSource, bool) {
 	var others []netip.AddrPort
 	for _, m := range slices.Backward(members) {
 		if m.Address != self {
@@ -75,14 +76,14 @@
 	if len(others) == 0 {
 		return learnSource{}, false
 	}
-	round := min(try/len(others), maxLearnDoublings)
+	round := min(attempt/len(others), maxLearnDoublings)
 	return learnSource{
-		address: others[try%len(others)],
+		address: others[attempt%len(others)],
 		timeout: min(minLearnTimeout<<round, maxLearnTimeout),
 	}, true
 }
 
-// sameZoneLast returns the members ordered so that those of a zone come last, and otherwise as they were.
+// sameZoneLast returns the members with those of a zone moved to the end, and otherwise in the same order.
 func sameZoneLast(members []view.Member, zone string) []view.Member {
 	inZone := func(m view.Member) bool { return m.Zone == zone }
 	notInZone := func(m view.Member) bool { return m.Zone != zone }
@@ -100,5 +101,5 @@
 			zap.Stringer("peer", source.address), zap.Error(err))
 		return
 	}
-	h.service.reportSoon()
+	h.service.requestReport()
 }
--- a/internal/store/learner_test.go
+++ b/internal/store/learner_test.go
@@ -17,25 +17,26 @@
 	return members
 }
 
-// A store that lost its disk finds its former replica, at its own address, as the tail of the view: it must not wait for that.
-func TestLearnSourceIsNeverTheOwnAddress(t *testing.T) {
+// A store that lost its disk finds its former replica, at its own address, as the tail of the view. It must not try to catch up
+// from that replica, which no longer exists.
+func TestLearnSourceIsNeverTheStoreItself(t *testing.T) {
 	self := netip.MustParseAddrPort("10.0.0.3:1")
 	members := membersAt("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1")
 	for try, want := range []string{"10.0.0.2:1", "10.0.0.1:1", "10.0.0.2:1", "10.0.0.1:1"} {
 		source, ok := nextLearnSource(members, self, try)
 		if !ok || source.address.String() != want {
-			t.Errorf("try %d: got %v, %v, want %s", try, source.address, ok, want)
+			t.Errorf("attempt %d: got %v, %v, want %s", try, source.address, ok, want)
 		}
 	}
 	if _, ok := nextLearnSource(membersAt("10.0.0.3:1"), self, 0); ok {
-		t.Error("a store is to learn from itself")
+		t.Error("got the store itself as the source, want none")
 	}
 	if _, ok := nextLearnSource(nil, self, 0); ok {
-		t.Error("a source where there is no member")
+		t.Error("got a source without any members, want none")
 	}
 }
 
-// A member that is gone is given up soon; one that has much to send gets longer with each round.
+// The first timeouts are short, for members that are gone; they grow with each round, for members that have much data to send.
 func TestLearnTimeoutGrows(t *testing.T) {
 	self := netip.MustParseAddrPort("10.0.0.9:1")
 	members := membersAt("10.0.0.1:1", "10.0.0.2:1")
@@ -43,7 +44,7 @@
 	for try := range 100 {
 		source, _ := nextLearnSource(members, self, try)
 		if source.timeout < last || source.timeout > maxLearnTimeout {
-			t.Fatalf("try %d: got %v after %v, want it to grow to %v at most", try, source.timeout, last, maxLearnTimeout)
+			t.Fatalf("attempt %d: got %v after %v, want no decrease and at most %v", try, source.timeout, last, maxLearnTimeout)
 		}
 		last = source.timeout
 	}
@@ -55,7 +56,7 @@
 	}
 }
 
-func TestMembersOfTheOwnZoneComeLast(t *testing.T) {
+func TestMembersOfTheSameZoneComeLast(t *testing.T) {
 	members := []view.Member{{Name: "a", Zone: "east"}, {Name: "b", Zone: "west"}, {Name: "c", Zone: "east"}, {Name: "d", Zone: "north"}}
 	var order []string
 	for _, member := range sameZoneLast(members, "east") {
@@ -65,6 +66,6 @@
 		t.Errorf("got %v, want %v", order, want)
 	}
 	if members[0].Name != "a" || members[3].Name != "d" {
-		t.Error("the list itself was changed")
+		t.Error("sameZoneLast changed its argument")
 	}
 }
--- a/internal/store/partition.go
+++ b/internal/store/partition.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// proposeTimeout bounds how long a command may take until it is committed.
+	// proposeTimeout bounds the time until a command is committed.
 	proposeTimeout = 3 * time.Second
 	// barrierTimeout bounds a barrier.
 	barrierTimeout = 600 * time.Millisecond
 )
 
-// replica is what a partition needs of its chain.
+// replica is the interface that a partition needs of its chain node.
 type replica interface {
-	// Propose has a command committed, and returns the encoded outcome. An error of a kind other than NotReady leaves open whether
-	// it is or will be committed.
+	// Propose commits a command, and returns the encoded outcome. After an error of a kind other than NotReady the command may have
+	// been committed, or may still be.
 	Propose(ctx context.Context, command []byte) ([]byte, error)
-	// ProposeInTerm is Propose for a command that builds on what this replica has done as head since the term began. Once the term
-	// is over the error is of kind NotReady: another head never gets the command.
+	// ProposeInTerm is Propose for a command that depends on what this replica has done as head since the term began. Once the term
+	// has ended, the error is of kind NotReady, and the command is never forwarded to another head.
 	ProposeInTerm(ctx context.Context, term uint64, command []byte) ([]byte, error)
-	// HeadTerm identifies the time during which this replica is the head without interruption, by the views that are known here. It
-	// is 0 if this replica is not the head.
+	// HeadTerm identifies the period during which this replica is the head without interruption, by the views that are known here.
+	// It is 0 if this replica is not the head.
 	HeadTerm() uint64
-	// Barrier returns once this replica has applied all that was committed anywhere when the call began.
+	// Barrier returns once this replica has applied everything that had been committed anywhere when the call began.
 	Barrier(ctx context.Context) error
 	// IsHead reports whether this replica is the head by the view that is known here. A newer view may say otherwise.
 	IsHead() bool
@@ -37,21 +37,21 @@
 	View() view.View
 }
 
-// partition is this store's replica of a partition, as the calls of the proxies and the runner see it.
+// partition is this store's replica of a partition, as used by the calls of the proxies and by the runner.
 type partition struct {
 	number  uint32
 	replica replica
 	state   *state
 	clock   *headClock
-	// confirmation is of this replica having applied what is committed, and of leadership if it is the head.
+	// confirmation confirms that this replica has applied all committed commands, and leadership if it is the head.
 	confirmation confirmation
-	// readConfirmationAge is how old the confirmation may be for a read.
+	// readConfirmationAge is the age that the confirmation must be below to serve a read.
 	readConfirmationAge time.Duration
-	// running is how many items run here.
+	// running is the number of items that are running here.
 	running atomic.Int32
 }
 
-// redirect returns the head that a call has to be sent to, or nil if it is this store.
+// redirect returns the head to which a call must be sent, or nil if this store is the head.
 func (p *partition) redirect() *batchcall.Redirect {
 	if p.replica.IsHead() {
 		return nil
@@ -64,21 +64,22 @@
 	return redirect
 }
 
-// propose has a command committed, stamped with this store's clock. An error of a kind other than NotReady leaves open whether
-// the command is or will be committed. Success confirms leadership if this store is the head of the same view before and after.
+// propose commits a command with the current reading of this store's clock. After an error of a kind other than NotReady the command
+// may have been committed, or may still be. Success renews the confirmation if the view has not changed in the meantime and this
+// store is its head.
 func (p *partition) propose(ctx context.Context, command *batch.Command) (batch.Outcome, error) {
 	return p.proposeBy(ctx, command, p.replica.Propose)
 }
 
-// proposeInTerm is propose for a command that builds on what this store has done as head since a term began. Once the term is over
-// the error is of kind NotReady, and the command never gets committed.
+// proposeInTerm is propose for a command that depends on what this store has done as head since a term began. Once the term has
+// ended, the error is of kind NotReady, and the command is never committed.
 func (p *partition) proposeInTerm(ctx context.Context, term uint64, command *batch.Command) (batch.Outcome, error) {
 	return p.proposeBy(ctx, command, func(ctx context.Context, encoded []byte) ([]byte, error) {
 		return p.replica.ProposeInTerm(ctx, term, encoded)
 	})
 }
 
-// proposeBy encodes a command and has it committed by the given method of the replica.
+// proposeBy encodes a command and commits it with the given method of the replica.
 func (p *partition) proposeBy(
 	ctx context.Context, command *batch.Command, propose func(context.Context, []byte) ([]byte, error),
 ) (batch.Outcome, error) {
--- a/internal/store/placement.go
+++ b/internal/store/placement.go
@@ -9,7 +9,7 @@
 	"nickelline/internal/view"
 )
 
-// role is what the placement asks of this store for a partition.
+// role is the role that the placement assigns to this store for a partition.
 type role uint8
 
 const (
@@ -30,7 +30,7 @@
 	return noRole
 }
 
-// SetPlacement applies a placement. Partitions whose view is older than the newest known one are left out.
+// SetPlacement applies a placement. It skips partitions whose view is older than the newest known one.
 func (s *Service) SetPlacement(table *placement.Table) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -39,16 +39,16 @@
 	}
 	for i := range table.Partitions {
 		placed := &table.Partitions[i]
-		if known := s.placed[placed.View.Chain]; known != nil && known.View.Epoch > placed.View.Epoch {
+		if known := s.placements[placed.View.Chain]; known != nil && known.View.Epoch > placed.View.Epoch {
 			continue
 		}
-		s.placed[placed.View.Chain] = placed
+		s.placements[placed.View.Chain] = placed
 		s.apply(placed)
 	}
 }
 
-// apply opens the replica of a partition, installs the view there, or discards it. A replica that is no longer placed here is kept
-// until it knows that: it may be needed by the views before. The caller holds the mutex.
+// apply opens the replica of a partition if it is placed here, and installs the view in it. It discards a replica that is no longer
+// placed here only once the replica has installed that view: earlier views may still need it. The caller holds the mutex.
 func (s *Service) apply(p *placement.Partition) {
 	wanted := s.roleIn(p)
 	hosted := s.partitions[p.View.Chain]
@@ -69,20 +69,20 @@
 	}
 }
 
-// reapplyPlacement applies the placement of a partition again, after a view without this replica has come into force here.
+// reapplyPlacement applies the placement of a partition again, after its replica has installed a view that does not include it.
 func (s *Service) reapplyPlacement(number uint32) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if placed := s.placed[number]; placed != nil && !s.closed && s.partitions[number] != nil {
+	if placed := s.placements[number]; placed != nil && !s.closed && s.partitions[number] != nil {
 		s.apply(placed)
 	}
 }
 
-// membersOf returns the members of a partition by the placement, or nil if it is not known.
+// membersOf returns the members of a partition according to the placement, or nil if its placement is not known.
 func (s *Service) membersOf(number uint32) []view.Member {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if placed := s.placed[number]; placed != nil {
+	if placed := s.placements[number]; placed != nil {
 		return placed.View.Members
 	}
 	return nil
--- a/internal/store/progress.go
+++ b/internal/store/progress.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// reportTimeout bounds one report.
+	// reportTimeout bounds the time to send one report.
 	reportTimeout = 500 * time.Millisecond
-	// reportDelay is how long changes are gathered before they are reported together, and the pause before another control node is
+	// reportDelay is how long changes are collected before they are reported together, and the pause before the next control node is
 	// tried.
 	reportDelay = 50 * time.Millisecond
-	// maxReportTries bounds the control nodes that are tried for one report.
-	maxReportTries = 3
+	// maxReportAttempts bounds the number of control nodes that are tried for one report.
+	maxReportAttempts = 3
 )
 
 // Run reports the progress of the partitions to the control nodes, at intervals and after changes, until ctx ends.
@@ -38,19 +38,19 @@
 	}
 }
 
-// reportSoon has Run report a change. It does not block.
-func (s *Service) reportSoon() {
+// requestReport makes Run report a change. It does not block.
+func (s *Service) requestReport() {
 	select {
 	case s.changed <- struct{}{}:
 	default:
 	}
 }
 
-// report reports to the first control node that answers.
+// report sends a report to the first control node that responds.
 func (s *Service) report(ctx context.Context) {
 	report := s.currentReport()
-	for try, to := range s.options.ControlNodes() {
-		if try == maxReportTries || ctx.Err() != nil {
+	for attempt, to := range s.options.ControlNodes() {
+		if attempt == maxReportAttempts || ctx.Err() != nil {
 			return
 		}
 		if s.sendReport(ctx, to, report) {
@@ -82,7 +82,7 @@
 	return false
 }
 
-// currentReport returns the progress of the partitions, or that the store is impaired, by which it is taken out of the views.
+// currentReport returns the progress of the partitions, or a report that the store is impaired, which removes it from the views.
 func (s *Service) currentReport() control.Report {
 	report := control.Report{
 		Store:    control.Store{Name: s.options.Self.Name, Replica: uint64(s.options.Self.Replica)},
@@ -94,7 +94,7 @@
 	return report
 }
 
-// progress returns how far each partition is here.
+// progress returns the status of each partition on this store.
 func (s *Service) progress() []control.ChainStatus {
 	var chains []control.ChainStatus
 	s.mutex.Lock()
--- a/internal/store/reads_test.go
+++ b/internal/store/reads_test.go
@@ -21,33 +21,33 @@
 	p, replica := newTestPartition()
 	read := &batchcall.ResultsRequest{Key: testKey(1), MaxBytes: 1 << 20}
 	_, err := p.results(context.Background(), read)
-	checkKind(t, "results behind a barrier", err, fault.NotFound)
+	checkKind(t, "results after a barrier", err, fault.NotFound)
 
-	replica.set(func(r *fakeReplica) { r.barrier = errTestNotReady })
+	replica.set(func(r *fakeReplica) { r.barrierError = errTestNotReady })
 	_, err = p.results(context.Background(), read)
-	checkKind(t, "results with a young confirmation but no new barrier", err, fault.NotReady)
+	checkKind(t, "results with a fresh confirmation but no new barrier", err, fault.NotReady)
 
 	item := &batchcall.BodyRequest{Key: testKey(1), Identifier: "e"}
 	_, err = p.body(context.Background(), item)
-	checkKind(t, "body with a young confirmation but no new barrier", err, fault.NotReady)
+	checkKind(t, "body with a fresh confirmation but no new barrier", err, fault.NotReady)
 
 	replica.set(func(r *fakeReplica) { r.head = false })
 	reply, err := p.results(context.Background(), read)
 	checkRedirected(t, "results on a store that is not the head", reply, err)
 }
 
-func TestReadNeedsAYoungConfirmation(t *testing.T) {
+func TestReadRequiresAFreshConfirmation(t *testing.T) {
 	p, replica := newTestPartition()
 	job := testJob(testKey(1), 3, 1)
 	mustSubmit(t, p, job)
-	replica.set(func(r *fakeReplica) { r.barrier = errTestNotReady })
+	replica.set(func(r *fakeReplica) { r.barrierError = errTestNotReady })
 	read := &batchcall.ResultsRequest{Key: job.Key, MaxBytes: 1 << 20}
 	if reply, err := p.results(context.Background(), read); err != nil || reply.Page.Total != 3 {
 		t.Errorf("soon after a commit: got %+v, %v, want a page of 3 items", reply, err)
 	}
 	p.readConfirmationAge = time.Nanosecond
 	_, err := p.results(context.Background(), read)
-	checkKind(t, "without a young confirmation", err, fault.NotReady)
+	checkKind(t, "without a fresh confirmation", err, fault.NotReady)
 }
 
 func TestReadWaitsForTheFirstResult(t *testing.T) {
@@ -80,7 +80,7 @@
 	go read(2)
 	page := (<-answers).Page
 	if !page.Closed || len(page.Results) != 0 || page.Next != 2 {
-		t.Errorf("behind the last result: got %+v, want a closed page without results and next 2", page)
+		t.Errorf("after the last result: got %+v, want a closed page without results and next 2", page)
 	}
 }
 
--- a/internal/store/retry_queue.go
+++ b/internal/store/retry_queue.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// enterRetryQueue enters the runner, with its most urgent job of a route, among those that wait for capacity at the route's
-// backends. The caller holds the mutex.
+// enterRetryQueue adds the runner to the retry queue of a route, where it waits for capacity at the route's backends with the urgency
+// of its most urgent job. The caller holds the mutex.
 func (r *runner) enterRetryQueue(route string) {
 	if urgency, ok := r.schedule.MostUrgent(route); ok {
 		r.config.retryQueue.Enter(route, r, urgency)
 	}
 }
 
-// leaveRetryQueue removes a runner that works no longer, and offers what it may have been offered to others.
+// leaveRetryQueue removes a runner that has stopped from the retry queue, and passes on capacity that it may have been offered.
 func (r *runner) leaveRetryQueue() {
 	r.mutex.Lock()
 	routes := r.schedule.PausedRoutes()
@@ -21,7 +21,7 @@
 	}
 }
 
-// Retry implements scheduler.Waiter: it has the waiting items of a route tried again, as capacity may have become free.
+// Retry implements scheduler.Waiter: it resumes a route to retry its waiting items, because capacity may have become free.
 func (r *runner) Retry(route string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -32,14 +32,15 @@
 	return true
 }
 
-// endPauses ends the pauses that are over. Where items were refused, the most urgent runner of the store tries first.
+// endPauses ends the pauses whose time has passed. If items of a route were refused, the most urgent runner of the store tries first.
 func (r *runner) endPauses(now time.Time) {
 	for _, route := range r.endUnqueuedPauses(now) {
 		r.config.retryQueue.Offer(route)
 	}
 }
 
-// endUnqueuedPauses ends the pauses that are over, and returns the routes for which the runner is in the retry queue instead.
+// endUnqueuedPauses ends the pauses whose time has passed, except those of routes for which the runner is in the retry queue. It
+// returns these routes.
 func (r *runner) endUnqueuedPauses(now time.Time) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/store/retry_queue_test.go
+++ b/internal/store/retry_queue_test.go
@@ -14,8 +14,8 @@
 	"nickelline/internal/store/scheduler"
 )
 
-// A tenant whose queued tokens are near their limit has further jobs refused, so its items are as urgent as old ones.
-func TestUrgencyIsByAgeAndByQueuedTokens(t *testing.T) {
+// Further jobs of a tenant whose queued tokens are near their limit are refused, so its items are as urgent as those of old jobs.
+func TestUrgencyDependsOnAgeAndQueuedTokens(t *testing.T) {
 	f := newFixture(t, 1)
 	r := newRunner(f.config, f.partition, testTerm)
 	full := testJob(testKey(1), 9, 1)
@@ -39,78 +39,78 @@
 	}
 }
 
-// narrowAdmission admits one item at a time, and names a late time to retry to refused ones. beforeDone is called before an
+// singleItemAdmission admits one item at a time, and refuses others with a long retry-after time. beforeDone is called before an
 // item's permit is given back.
-type narrowAdmission struct {
-	*fixedAdmission
+type singleItemAdmission struct {
+	*fakeAdmission
 	beforeDone func()
 }
 
-func (n narrowAdmission) Pick(service string, now time.Time, r admission.Request) (discovery.Backend, Permit, *admission.Refusal) {
-	n.set(func(f *fixedAdmission) { f.refuse = f.tickets > 0 })
-	b, permit, refusal := n.fixedAdmission.Pick(service, now, r)
+func (n singleItemAdmission) Pick(service string, now time.Time, r admission.Request) (discovery.Backend, Permit, *admission.Refusal) {
+	n.set(func(f *fakeAdmission) { f.refuse = f.tickets > 0 })
+	b, permit, refusal := n.fakeAdmission.Pick(service, now, r)
 	if refusal != nil {
 		refusal.RetryAfter = time.Minute
 		return b, permit, refusal
 	}
-	return b, narrowPermit{Permit: permit, beforeDone: n.beforeDone}, nil
+	return b, singleItemPermit{Permit: permit, beforeDone: n.beforeDone}, nil
 }
 
-type narrowPermit struct {
+type singleItemPermit struct {
 	Permit
 	beforeDone func()
 }
 
-func (p narrowPermit) Done(now time.Time, outcome admission.Outcome, load *admission.Load) {
+func (p singleItemPermit) Done(now time.Time, outcome admission.Outcome, load *admission.Load) {
 	p.beforeDone()
 	p.Permit.Done(now, outcome, load)
 }
 
-// hasWaitingItems reports whether items wait in a runner's schedule.
+// hasWaitingItems reports whether the runner's schedule has waiting items.
 func (r *runner) hasWaitingItems() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.schedule.Waiting() > 0
 }
 
-// Of two partitions of a store, the one that has items running must not take all the capacity that becomes free while the other
-// one's more urgent job waits. An item ends only when all that have items left have been refused and wait.
+// Of two partitions of a store, the one with running items must not take all the capacity that becomes free while a more urgent job
+// of the other partition waits. The test lets an item end only when each partition that has waiting items is in the retry queue.
 func TestPartitionWithUrgentJobIsNotStarved(t *testing.T) {
 	f := newFixture(t, 1)
-	urgentJob, calmJob := testJob(testKey(1), 5, 1), testJob(testKey(2), 40, 1)
+	urgentJob, otherJob := testJob(testKey(1), 5, 1), testJob(testKey(2), 40, 1)
 	for i := range urgentJob.Items {
-		urgentJob.Items[i].Tokens = 100_000 // urgent by the tokens that its tenant has queued
+		urgentJob.Items[i].Tokens = 100_000 // urgent because of its tenant's queued tokens
 	}
 	urgent := f.newUrgentRunner(urgentJob)
-	// The first event of a response offers capacity too, which takes the urgent runner out of the queue until it is refused again.
-	f.config.admission = narrowAdmission{f.admission, func() { f.awaitBothQueued(urgent) }}
+	// The first event of a response also offers capacity, which removes the urgent runner from the queue until it is refused again.
+	f.config.admission = singleItemAdmission{f.admission, func() { f.awaitBothQueued(urgent) }}
 	f.backends[0].before = func(http.ResponseWriter, *http.Request) bool {
 		f.awaitBothQueued(urgent)
 		return false
 	}
-	f.submit(calmJob)
+	f.submit(otherJob)
 	f.start()
-	f.eventually("the first item runs", func() bool { return len(f.backends[0].seen()) == 1 })
+	f.eventually("the first item runs", func() bool { return len(f.backends[0].receivedRequests()) == 1 })
 	f.run(urgent)
-	f.results(calmJob.Key, 40)
-	sent, before := f.sentOf(urgentJob)
-	// An item that ends before the urgent runner waits again leaves the capacity to the other one.
+	f.results(otherJob.Key, 40)
+	sent, before := f.countSent(urgentJob)
+	// If an item ended before the urgent runner is in the queue again, the other runner would get the capacity.
 	if want := len(urgentJob.Items); sent < want {
 		t.Errorf("urgent items sent: got %d, want %d", sent, want)
 	}
-	if most := len(calmJob.Items) / 2; before > most {
+	if most := len(otherJob.Items) / 2; before > most {
 		t.Errorf("other items sent before the last urgent one: got %d, want at most %d", before, most)
 	}
 }
 
-// awaitBothQueued waits until the fixture's runner and another one are in the retry queue, or one of them has no waiting items.
+// awaitBothQueued waits until the fixture's runner and another runner are in the retry queue, or one of them has no waiting items.
 func (f *fixture) awaitBothQueued(other *runner) {
-	f.eventually("all wait that have items left", func() bool {
+	f.eventually("the runners that have waiting items are in the retry queue", func() bool {
 		return !other.hasWaitingItems() || !f.runner.hasWaitingItems() || f.config.retryQueue.Len(testRoute) == 2
 	})
 }
 
-// newUrgentRunner returns the runner, which does not run yet, of another partition with a job.
+// newUrgentRunner returns the runner of another partition that has a job. The runner is not started.
 func (f *fixture) newUrgentRunner(job batch.Job) *runner {
 	f.t.Helper()
 	p, _ := newTestPartition()
@@ -125,10 +125,10 @@
 	return r
 }
 
-// sentOf returns how many items of a job were sent to the first backend, and how many others before the last of them.
-func (f *fixture) sentOf(job batch.Job) (sent, othersBefore int) {
+// countSent returns how many items of a job were sent to the first backend, and how many other items before the last of them.
+func (f *fixture) countSent(job batch.Job) (sent, othersBefore int) {
 	prefix := testTenant + "-" + job.Key.Identifier + "-"
-	for _, r := range f.backends[0].seen() {
+	for _, r := range f.backends[0].receivedRequests() {
 		if strings.HasPrefix(r.Header.Get(forward.HeaderAttemptID), prefix) {
 			sent++
 		} else if sent < len(job.Items) {
--- a/internal/store/runner.go
+++ b/internal/store/runner.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// watchInterval is how often a runner that has jobs looks for what has grown too old.
-	watchInterval = 500 * time.Millisecond
-	// unconfirmedPause is the pause after a look that found no confirmation that items may be run.
+	// reviewInterval is how often a runner that has jobs reviews the age of its jobs, attempts and confirmation.
+	reviewInterval = 500 * time.Millisecond
+	// unconfirmedPause is the pause after the runner could not confirm that it may run items.
 	unconfirmedPause = 100 * time.Millisecond
-	// maxSleep bounds the wait of an idle runner, which is woken when there is something to do.
+	// maxSleep bounds the sleep of an idle runner, which is woken when there is work.
 	maxSleep = time.Hour
 	// minSleep keeps the loop from spinning.
 	minSleep = time.Millisecond
 )
 
-// runner runs the items of a partition in one term, in which this store is the head without interruption: it drives a scheduler.Schedule, and owns the attempts.
+// runner runs the items of a partition in one term, during which this store is the head without interruption: it drives a
+// scheduler.Schedule, and owns the attempts.
 //
 // Goroutines: hostedPartition starts run and waits for its end. run starts one goroutine for each attempt, which calls
-// attemptEnded as its last step and may outlive run shortly; their contexts end with that of run. The appender has a goroutine
-// while there are results to append, for which run waits.
+// attemptEnded as its last step and may outlive run shortly; the contexts of the attempts end with that of run. The appender has a
+// goroutine while there are results to append; run waits for its end.
 type runner struct {
 	config    *runnerConfig
 	partition *partition
@@ -36,11 +37,11 @@
 	schedule *scheduler.Schedule
 	running  map[*scheduler.Item]*attempt
 	added    []batch.Key // jobs that are not in the schedule yet
-	reload   bool        // the whole state was replaced
-	lastDrop time.Time   // when closed jobs were dropped last
+	reload   bool        // all pending jobs must be read from the state
+	lastDrop time.Time   // when the runner last looked for closed jobs to drop
 }
 
-// newRunner makes the runner of a term. It must run only after the runners of former terms have ended.
+// newRunner returns the runner of a term. It must run only after the runners of former terms have ended.
 func newRunner(config *runnerConfig, p *partition, term uint64) *runner {
 	return &runner{
 		config:    config,
@@ -54,7 +55,7 @@
 	}
 }
 
-// run works until ctx ends, which cancels all running items. Nothing is appended after it has returned.
+// run runs items until ctx ends, which cancels all attempts. Nothing is appended after run has returned.
 func (r *runner) run(ctx context.Context) {
 	r.partition.state.setListener(r)
 	defer r.partition.state.setListener(nil)
@@ -69,7 +70,7 @@
 	r.loop(ctx)
 }
 
-// awaitApplied reports whether all that former heads committed has been applied here.
+// awaitApplied waits for a barrier, and reports whether everything that former heads committed has been applied here.
 func (r *runner) awaitApplied(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, barrierTimeout)
 	defer cancel()
@@ -79,7 +80,7 @@
 func (r *runner) loop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	watched := time.Now()
+	lastReview := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -91,8 +92,8 @@
 		if r.updateSchedule(now) {
 			r.reviewJobs(ctx, now)
 		}
-		if now.Sub(watched) >= watchInterval {
-			watched = now
+		if now.Sub(lastReview) >= reviewInterval {
+			lastReview = now
 			r.cancelAttempts(ctx, now)
 			r.reviewJobs(ctx, now)
 		}
@@ -102,7 +103,7 @@
 	}
 }
 
-// Wake implements scheduler.Waiter: it has the loop look for something to do. It does not block.
+// Wake implements scheduler.Waiter: it makes the loop look for work. It does not block.
 func (r *runner) Wake() {
 	select {
 	case r.wake <- struct{}{}:
@@ -110,18 +111,18 @@
 	}
 }
 
-// sleep returns how long the loop may wait if nothing wakes it.
+// sleep returns how long the loop may sleep if nothing wakes it.
 func (r *runner) sleep(now time.Time) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.schedule.Len() == 0 && len(r.running) == 0 {
 		return r.idleSleep(now)
 	}
-	until := r.schedule.NextChange(now, now.Add(watchInterval))
+	until := r.schedule.NextChange(now, now.Add(reviewInterval))
 	return max(until.Sub(now), minSleep)
 }
 
-// idleSleep returns how long the loop may wait while there is nothing to run.
+// idleSleep returns how long the loop may sleep while there is nothing to run.
 func (r *runner) idleSleep(now time.Time) time.Duration {
 	kept := 0
 	r.partition.state.read(func(m *batch.Machine) { kept = m.Jobs() })
--- a/internal/store/runner_config.go
+++ b/internal/store/runner_config.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	// A confirmation that this store is the head has to be younger than the time within which an ended job must
-	// stop, divided by this.
+	// To send items, the age of the confirmation that this store is the head must be below the cancellation bound divided by
+	// sendConfirmationDivisor. The cancellation bound is the time within which an ended job must stop.
 	sendConfirmationDivisor = 3
-	// Cancellation bound and status interval where the deployment sets none.
+	// Cancellation bound and status interval if the settings have none.
 	defaultCancellation   = 3 * time.Second
 	defaultStatusInterval = 120 * time.Second
-	// streamReadInterval is the rhythm in which the responses of running items are read.
+	// streamReadInterval is the interval at which the responses of running items are read.
 	streamReadInterval = 100 * time.Millisecond
-	// checkpointInterval is how much of the generation of a text may be lost with a head.
+	// checkpointInterval is how much generation time of a text may be lost with the loss of a head.
 	checkpointInterval = 1500 * time.Millisecond
-	// statusMargin is kept on top of the time for which closed jobs are kept.
+	// statusMargin is added to the time for which closed jobs are kept.
 	statusMargin = 5 * time.Second
-	// The items that run at one time may take the memory divided by itemMemoryDivisor, at itemMemory bytes each.
-	itemMemory        = 128 << 10
+	// Concurrently running items may use the memory divided by itemMemoryDivisor, at itemMemoryBytes each.
+	itemMemoryBytes   = 128 << 10
 	itemMemoryDivisor = 4
 	maxRunningItems   = 1000
 )
 
-// runnerConfig is what the runners of all partitions of a store share: collaborators, limits, and the parts of the scheduler
-// that arbitrate between partitions. It is not changed once runners use it.
+// runnerConfig holds what the runners of all partitions of a store share: dependencies, limits, and the parts of the scheduler that
+// arbitrate between partitions. It does not change once runners use it.
 type runnerConfig struct {
 	admission Admission
 	sender    Sender
-	// configuration returns the configuration, and whether it is confirmed to be as current as for live requests.
+	// configuration returns the configuration, and whether it is confirmed to be as current as live requests require.
 	configuration func() (*configuration.Snapshot, bool)
-	// sendConfirmationAge is how old the confirmation that this store is the head may be when it sends an item.
+	// sendConfirmationAge is the age that the confirmation of leadership must be below to send an item.
 	sendConfirmationAge time.Duration
-	// stepDownAfter is how old that confirmation may grow before running items are cancelled: another store may be the head.
+	// stepDownAfter is the age of the confirmation at which running items are cancelled, because another store may be the head.
 	stepDownAfter time.Duration
 	// statusInterval is how long closed jobs are kept.
 	statusInterval time.Duration
-	// checkpointInterval is how often the text of a running item is replicated: more is not lost with a head.
+	// checkpointInterval is how often the text of a running item is replicated. No more than that is lost with a head.
 	checkpointInterval time.Duration
 
 	slots      *scheduler.Slots
@@ -57,26 +57,26 @@
 	return &runnerConfig{
 		admission:           o.Admission,
 		sender:              o.Sender,
-		configuration:       currentOnlyIfKnown(o.Configuration),
+		configuration:       requireSnapshot(o.Configuration),
 		sendConfirmationAge: cancellation / sendConfirmationDivisor,
 		stepDownAfter:       cancellation,
 		statusInterval:      status + statusMargin,
 		checkpointInterval:  checkpointInterval,
-		slots:               scheduler.NewSlots(runningItems(o.MemoryMB)),
+		slots:               scheduler.NewSlots(maxRunningItemsFor(o.MemoryMB)),
 		retryQueue:          scheduler.NewRetryQueue(),
 		pacer:               scheduler.NewPacer(streamReadInterval),
 		log:                 o.Log,
 	}
 }
 
-// runningItems returns how many items may run at one time with an amount of memory.
-func runningItems(memoryMB int) int {
-	fitting := memoryMB << 20 / itemMemoryDivisor / itemMemory
-	return max(min(fitting, maxRunningItems), 1)
+// maxRunningItemsFor returns how many items may run concurrently with an amount of memory.
+func maxRunningItemsFor(memoryMB int) int {
+	limit := memoryMB << 20 / itemMemoryDivisor / itemMemoryBytes
+	return max(min(limit, maxRunningItems), 1)
 }
 
-// currentOnlyIfKnown returns the same function, except that a configuration which has not arrived yet is not current.
-func currentOnlyIfKnown(configured func() (*configuration.Snapshot, bool)) func() (*configuration.Snapshot, bool) {
+// requireSnapshot wraps a function that returns the configuration: a configuration that has not arrived yet is never current.
+func requireSnapshot(configured func() (*configuration.Snapshot, bool)) func() (*configuration.Snapshot, bool) {
 	return func() (*configuration.Snapshot, bool) {
 		snapshot, current := configured()
 		return snapshot, current && snapshot != nil
--- a/internal/store/runner_jobs.go
+++ b/internal/store/runner_jobs.go
@@ -8,7 +8,7 @@
 	"nickelline/internal/store/scheduler"
 )
 
-// jobAdded implements stateListener: the loop takes the job into the schedule.
+// jobAdded implements stateListener: it makes the loop add the job to the schedule.
 func (r *runner) jobAdded(key batch.Key) {
 	r.mutex.Lock()
 	r.added = append(r.added, key)
@@ -16,7 +16,7 @@
 	r.Wake()
 }
 
-// stateRestored implements stateListener: the loop takes all pending jobs into the schedule.
+// stateRestored implements stateListener: it makes the loop add all pending jobs to the schedule.
 func (r *runner) stateRestored() {
 	r.mutex.Lock()
 	r.reload = true
@@ -24,7 +24,7 @@
 	r.Wake()
 }
 
-// jobEnded implements stateListener: it cancels the running items of a job, and forgets the job.
+// jobEnded implements stateListener: it removes the job from the schedule, and cancels its running items.
 func (r *runner) jobEnded(key batch.Key) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -40,7 +40,7 @@
 	}
 }
 
-// updateSchedule brings new jobs and items whose delay is over into the schedule. It reports whether there are new jobs.
+// updateSchedule adds new jobs to the schedule, and releases delayed items that are due. It reports whether there are new jobs.
 func (r *runner) updateSchedule(now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -72,7 +72,7 @@
 	return pending, ok
 }
 
-// completeItem has the result of an item committed, and the schedule forget the item. The caller holds the mutex.
+// completeItem passes the result of an item to the appender, and completes the item in the schedule. The caller holds the mutex.
 func (r *runner) completeItem(ctx context.Context, item *scheduler.Item, result batch.Result) {
 	result.Key = item.Job.Pending.Key
 	result.Index = item.Pending.Index
@@ -80,7 +80,7 @@
 	r.schedule.Complete(item)
 }
 
-// abandonItem completes an item without a text.
+// abandonItem completes an item as abandoned, without a text. The caller holds the mutex.
 func (r *runner) abandonItem(ctx context.Context, item *scheduler.Item) {
 	r.completeItem(ctx, item, batch.Result{State: batch.Abandoned})
 }
--- a/internal/store/runner_test.go
+++ b/internal/store/runner_test.go
@@ -12,7 +12,7 @@
 func TestRunnerRunsAllItems(t *testing.T) {
 	f := newFixture(t, 2)
 	first := testJob(testKey(1), 20, 5)
-	f.submit(first) // before the runner starts: it finds what former heads left
+	f.submit(first) // before the runner starts: it runs the jobs that former heads left
 	f.start()
 	second := testJob(testKey(2), 20, 5)
 	f.submit(second)
@@ -27,21 +27,21 @@
 		}
 	}
 	if got := f.replica.commits; got > 30 {
-		t.Errorf("commits for 40 results: got %d, want at most 30, as results are appended together", got)
+		t.Errorf("commits for 40 results: got %d, want at most 30, because results are appended together", got)
 	}
 }
 
-// stuckBackend streams the events up to an id, and then nothing until the request is cancelled.
-type stuckBackend struct {
-	started   chan struct{} // receives when a request is stuck
-	cancelled chan struct{} // receives when such a request was cancelled
+// stalledBackend streams the events before an id, and then nothing until the request is cancelled.
+type stalledBackend struct {
+	started   chan struct{} // receives when a request stalls
+	cancelled chan struct{} // receives when a stalled request is cancelled
 }
 
-// stickAt has a backend get stuck before the event with an id.
-func stickAt(b *backend, stuckID int) stuckBackend {
-	s := stuckBackend{started: make(chan struct{}, 10), cancelled: make(chan struct{}, 10)}
+// stallAt makes a backend stall before the event with an id.
+func stallAt(b *backend, stallID int) stalledBackend {
+	s := stalledBackend{started: make(chan struct{}, 10), cancelled: make(chan struct{}, 10)}
 	b.beforeEvent = func(r *http.Request, id int) bool {
-		if id < stuckID {
+		if id < stallID {
 			return true
 		}
 		s.started <- struct{}{}
@@ -59,23 +59,23 @@
 	select {
 	case <-from:
 	case <-timer.C:
-		t.Fatal("not in time")
+		t.Fatal("timed out waiting for a channel")
 	}
 }
 
 func TestEndCancelsRunningItems(t *testing.T) {
 	f := newFixture(t, 1)
-	stuck := stickAt(f.backends[0], 2)
+	stalled := stallAt(f.backends[0], 2)
 	f.start()
 	job := testJob(testKey(1), 2, 5)
 	f.submit(job)
-	receive(t, stuck.started)
-	receive(t, stuck.started)
+	receive(t, stalled.started)
+	receive(t, stalled.started)
 	if _, err := f.partition.propose(context.Background(), &batch.Command{End: &job.Key}); err != nil {
 		t.Fatal(err)
 	}
-	receive(t, stuck.cancelled)
-	receive(t, stuck.cancelled)
+	receive(t, stalled.cancelled)
+	receive(t, stalled.cancelled)
 	f.eventually("all items are taken back", func() bool {
 		f.runner.mutex.Lock()
 		defer f.runner.mutex.Unlock()
@@ -88,15 +88,15 @@
 	f := newFixture(t, 1)
 	f.config.stepDownAfter = 600 * time.Millisecond
 	f.config.sendConfirmationAge = 200 * time.Millisecond
-	stuck := stickAt(f.backends[0], 1)
+	stalled := stallAt(f.backends[0], 1)
 	f.start()
 	f.submit(testJob(testKey(1), 1, 5))
-	receive(t, stuck.started)
+	receive(t, stalled.started)
 	f.replica.set(func(r *fakeReplica) {
-		r.barrier = errTestNotReady
-		r.propose = errTestNotReady
+		r.barrierError = errTestNotReady
+		r.proposeError = errTestNotReady
 	})
-	receive(t, stuck.cancelled)
+	receive(t, stalled.cancelled)
 	f.eventually("the item waits", func() bool {
 		f.runner.mutex.Lock()
 		defer f.runner.mutex.Unlock()
@@ -107,12 +107,12 @@
 
 func TestStoppedRunnerCancelsAllItems(t *testing.T) {
 	f := newFixture(t, 1)
-	stuck := stickAt(f.backends[0], 1)
+	stalled := stallAt(f.backends[0], 1)
 	f.start()
 	f.submit(testJob(testKey(1), 1, 5))
-	receive(t, stuck.started)
+	receive(t, stalled.started)
 	f.stop()
-	receive(t, stuck.cancelled)
+	receive(t, stalled.cancelled)
 }
 
 func TestItemsPastTheRetentionAreAbandoned(t *testing.T) {
--- a/internal/store/service.go
+++ b/internal/store/service.go
@@ -20,36 +20,38 @@
 )
 
 const (
-	// partitionDirectoryPrefix begins the name of the directory of a partition.
+	// partitionDirectoryPrefix is the prefix of the name of a partition's directory; the number of the partition follows.
 	partitionDirectoryPrefix = "partition-"
-	// A confirmation for reads has to be younger than the time within which what is committed has to show, divided by this.
+	// To serve reads, the age of the confirmation must be below the settlement bound divided by readConfirmationDivisor. The
+	// settlement bound is the time within which reads must show what has been committed.
 	readConfirmationDivisor = 3
-	// defaultSettlement is that time where the deployment sets none.
+	// defaultSettlement is the settlement bound if the settings have none.
 	defaultSettlement = time.Second
 )
 
-// Service is the store role of a process: it hosts partitions by the placement, and answers the calls of the proxies for them.
+// Service is the store role of a process: it hosts partitions according to the placement, and handles the calls of the proxies for
+// them.
 //
-// Goroutines: those of the hosted partitions (see hostedPartition), and that of Run, which the caller starts. Close ends the
-// former and waits for the runners.
+// Goroutines: those of the hosted partitions (see hostedPartition), and that of Run, which the caller starts. Close stops those of
+// the partitions and waits for the runners.
 type Service struct {
 	options             Options
 	runnerConfig        *runnerConfig
 	readConfirmationAge time.Duration
 
-	ctx     context.Context // of all that runs for partitions; ended by Close
+	ctx     context.Context // of the goroutines of partitions; ended by Close
 	cancel  context.CancelFunc
 	changed chan struct{} // holds one element if there are changes to report to the control nodes
 
 	mutex      sync.Mutex
 	partitions map[uint32]*hostedPartition
-	placed     map[uint32]*placement.Partition // the newest placement of each partition
+	placements map[uint32]*placement.Partition // the newest placement of each partition
 	closed     bool
 }
 
-// New opens the partitions in the directory, and sets the handlers on a transport that has not been started. If a log is damaged
-// the replica is lost: its files and its identity are removed, the error is segment.ErrDamaged, and the next start makes a new
-// replica.
+// New opens the partitions in the directory, and registers the handlers with the transport, which must not have been started. If a
+// log is damaged, the replica is lost: its identity and its files are removed, the error wraps segment.ErrDamaged, and the next
+// start creates a new replica.
 func New(options Options) (*Service, error) {
 	settlement := durationOr(settings.Milliseconds(options.Bounds.SettlementMs), defaultSettlement)
 	s := &Service{
@@ -57,7 +59,7 @@
 		runnerConfig:        newRunnerConfig(&options),
 		readConfirmationAge: settlement / readConfirmationDivisor,
 		partitions:          map[uint32]*hostedPartition{},
-		placed:              map[uint32]*placement.Partition{},
+		placements:          map[uint32]*placement.Partition{},
 		changed:             make(chan struct{}, 1),
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
@@ -69,7 +71,7 @@
 	return s, nil
 }
 
-// openDirectories opens the partitions that are in the directory.
+// openDirectories opens the partitions in the data directory.
 func (s *Service) openDirectories() error {
 	if err := s.options.FileSystem.MakeDirectory(s.options.Directory); err != nil {
 		return fmt.Errorf("make directory of partitions: %w", err)
@@ -90,7 +92,7 @@
 	return nil
 }
 
-// openFailed returns the error with which New fails. If a log is damaged it discards the replica.
+// openFailed returns the error with which New fails. If a log is damaged, openFailed discards the replica.
 func (s *Service) openFailed(err error) error {
 	if !errors.Is(err, segment.ErrDamaged) {
 		return err
@@ -98,7 +100,8 @@
 	return errors.Join(merry.Prepend(err, "the replica is lost, the next start makes a new one"), s.discardAll())
 }
 
-// partitionOfDirectory returns the partition whose directory has a name. It returns false if that is no partition's.
+// partitionOfDirectory returns the number of the partition whose directory has the given name. It returns false if the name is not
+// that of a partition's directory.
 func partitionOfDirectory(name string) (uint32, bool) {
 	digits, ok := strings.CutPrefix(name, partitionDirectoryPrefix)
 	if !ok {
@@ -112,8 +115,8 @@
 	return path.Join(s.options.Directory, fmt.Sprintf("%s%d", partitionDirectoryPrefix, number))
 }
 
-// open opens the replica of a partition, which is empty if there is none on the disk, and puts it to use. The caller holds the
-// mutex, or is New.
+// open opens the replica of a partition, which is empty if there is none on the disk, and starts it. The caller holds the mutex, or
+// is New.
 func (s *Service) open(number uint32) (*hostedPartition, error) {
 	hosted := newHostedPartition(s, number)
 	node, err := chain.Open(chain.Options{
@@ -125,7 +128,7 @@
 		StateMachine:    hosted.partition.state,
 		MinimumReplicas: s.options.MinimumReplicas,
 		OnFailure:       s.options.OnFailure,
-		OnStall:         s.reportSoon,
+		OnStall:         s.requestReport,
 		Log:             s.options.Log,
 	})
 	if err != nil {
@@ -136,20 +139,20 @@
 	return hosted, nil
 }
 
-// find returns a partition that is hosted here, or nil and the view by which it is hosted elsewhere, if that is known.
+// find returns a partition that is hosted here, or nil and the view of a partition that is hosted elsewhere, if it is known.
 func (s *Service) find(number uint32) (*partition, view.View) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if hosted := s.partitions[number]; hosted != nil {
 		return hosted.partition, view.View{}
 	}
-	if placed := s.placed[number]; placed != nil {
+	if placed := s.placements[number]; placed != nil {
 		return nil, placed.View
 	}
 	return nil, view.View{}
 }
 
-// Close cancels all that runs, waits for it, and closes the partitions.
+// Close stops the partitions, waits for their runners, and closes the replicas.
 func (s *Service) Close() {
 	s.cancel()
 	s.mutex.Lock()
--- a/internal/store/service_test.go
+++ b/internal/store/service_test.go
@@ -82,7 +82,7 @@
 	c.checkCompleted(c.results(job), 4)
 	c.fixture.eventually("no attempt is left", func() bool {
 		left := 0
-		c.fixture.admission.set(func(a *fixedAdmission) { left = a.tickets })
+		c.fixture.admission.set(func(a *fakeAdmission) { left = a.tickets })
 		return left == 0
 	})
 }
@@ -128,7 +128,7 @@
 		t.Errorf("files of the log: got %v, %v, want none", names, err)
 	}
 	c.close(1)
-	c.place(3, []int{2}, nil) // below the minimum: nothing is committed, but what was is known
+	c.place(3, []int{2}, nil) // below the minimum: no command is committed, but earlier ones are kept
 	c.close(2)
 	c.open(1, c.stores[1].self.Address)
 	c.open(2, c.stores[2].self.Address)
@@ -149,7 +149,7 @@
 	second := testJob(testKey(2), 3, 3)
 	c.submit(second)
 	c.checkCompleted(c.results(second), 3)
-	if got := len(c.fixture.backends[0].seen()) + len(c.fixture.backends[1].seen()); got != 3 {
+	if got := len(c.fixture.backends[0].receivedRequests()) + len(c.fixture.backends[1].receivedRequests()); got != 3 {
 		t.Errorf("requests to the backends: got %d, want 3", got)
 	}
 	page, err := c.client.Results(context.Background(), testTenant, job.Key.Identifier, 0, 0)
--- a/internal/store/state.go
+++ b/internal/store/state.go
@@ -6,18 +6,18 @@
 	"nickelline/internal/batch"
 )
 
-// stateListener is notified of changes after they were applied, without the lock of the state. Its methods must not block.
+// stateListener is notified of changes after they are applied, without the lock of the state. Its methods must not block.
 type stateListener interface {
-	// jobAdded: a job was submitted, and its items wait.
+	// jobAdded is called when a job was submitted, whose items wait to be run.
 	jobAdded(batch.Key)
-	// jobEnded: a job was ended, and none of its items may run any longer.
+	// jobEnded is called when a job was ended: none of its items may run any longer.
 	jobEnded(batch.Key)
-	// stateRestored: the whole state was replaced by a snapshot.
+	// stateRestored is called when the whole state was replaced by a snapshot.
 	stateRestored()
 }
 
-// state is the state machine of a partition. The chain applies committed commands to it, while others read it; it notifies one
-// listener, and wakes those who wait for results of a job. It is safe for concurrent use.
+// state is the state machine of a partition. The chain applies committed commands to it, while other goroutines read it. It notifies
+// one listener, and wakes the readers that wait for results of a job. It is safe for concurrent use.
 type state struct {
 	mutex    sync.RWMutex
 	machine  *batch.Machine
@@ -29,7 +29,7 @@
 // changes are the jobs that one command changed.
 type changes struct {
 	added    []batch.Key
-	listed   []batch.Key // got results
+	listed   []batch.Key // jobs with new results
 	ended    []batch.Key
 	restored bool
 }
@@ -71,7 +71,7 @@
 	return err
 }
 
-// notify unlocks the machine and notifies all of what changed.
+// notify wakes the watchers of the changed jobs, unlocks the state, and notifies the listener. The caller holds the lock.
 func (s *state) notify() {
 	changed := s.changes
 	s.changes = changes{}
@@ -113,22 +113,22 @@
 	}
 }
 
-// setListener replaces the listener; nil removes it. Changes that are being applied may still reach the former one.
+// setListener replaces the listener; nil removes it. Changes that are being applied may still be reported to the former listener.
 func (s *state) setListener(l stateListener) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.listener = l
 }
 
-// read calls a function that reads the machine, while nothing is applied.
+// read calls a function that reads the machine. No command is applied during the call.
 func (s *state) read(f func(*batch.Machine)) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	f(s.machine)
 }
 
-// results reads a page of a job's results, and reports whether the job is known. If the page is empty but may not stay so, changed
-// is closed when the job changes; otherwise it is nil.
+// results reads a page of a job's results, and reports whether the job is known. If the page is empty and the job may get further
+// results, changed is a channel that is closed when the job changes; otherwise it is nil.
 func (s *state) results(key batch.Key, from, maxBytes int) (page batch.Page, known bool, changed <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/store/stats.go
+++ b/internal/store/stats.go
@@ -2,23 +2,24 @@
 
 import "maps"
 
-// RouteStats counts the items of one route in the partitions that a store is the head of.
+// RouteStats counts the items of one route in the partitions whose head is this store.
 type RouteStats struct {
-	// Waiting items are not running. Of those, Late ones are past the route's completion target.
+	// Waiting counts the items that are not running, and Late those of them whose job is past the route's completion target.
+	// Delayed items count as Waiting but not as Late.
 	Waiting, Late int
-	// Running items have an attempt under way.
+	// Running counts the items with an attempt in progress.
 	Running int
 }
 
 // Stats are the metrics of a store.
 type Stats struct {
-	// Partitions counts those of which the store has a replica, and Heads those of them whose items it runs.
+	// Partitions counts the partitions of which the store has a replica, and Heads those of them whose items it runs.
 	Partitions, Heads int
-	// Routes are the items by the name of their route.
+	// Routes counts the items by the name of their route.
 	Routes map[string]RouteStats
 }
 
-// Stats returns the store's present metrics.
+// Stats returns the store's current metrics.
 func (s *Service) Stats() Stats {
 	s.mutex.Lock()
 	partitions := maps.Clone(s.partitions)
@@ -33,7 +34,7 @@
 	return stats
 }
 
-// addStats adds the runner's items to those of their routes.
+// addStats adds the counts of the runner's items to those of their routes.
 func (r *runner) addStats(routes map[string]RouteStats) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/store/stored_data_test.go
+++ b/internal/store/stored_data_test.go
@@ -21,20 +21,20 @@
 	"nickelline/internal/view"
 )
 
-// The test in this file opens a data directory of a store that an earlier version of the program has written. It guards
-// the format of stored data: names of files, kinds of records and their fields. The directory is never written anew: to
-// add one of a later format, add a directory beside it. -update writes it only where it is missing.
+// The test in this file opens a data directory that a store of an earlier version of the program has written. It guards the
+// format of stored data: file names, kinds of records and their fields. The directory is never rewritten: a directory of a
+// later format is added beside it. -update writes the directory only if it is missing.
 
 const (
 	storedDirectory = "testdata/stored/store"
 	// storedAddress is the address in the stored view. Nothing listens there while the test runs.
 	storedAddress = "127.83.83.2:18302"
 	storedChain   = 1
-	storedSource  = 77 // of the clock of the head that wrote the directory
-	// storedClockStep lies between two stored commands, and storedClock is what the partition's clock shows after the last.
+	storedSource  = 77 // clock source of the head that wrote the directory
+	// storedClockStep is the time between two stored commands, and storedClock the time of the partition's clock after the last.
 	storedClockStep = 250 * time.Millisecond
 	storedClock     = 14 * storedClockStep
-	// storedPageBytes is more than all results.
+	// storedPageBytes is larger than all results together.
 	storedPageBytes = 1 << 20
 )
 
@@ -44,7 +44,7 @@
 	}
 }
 
-// Jobs of the stored partition. Each is in another state.
+// Jobs of the stored partition, each in a different state.
 var (
 	waitingJob     = batch.Key{Tenant: testTenant, Identifier: "waiting"}
 	runningJob     = batch.Key{Tenant: testTenant, Identifier: "running"}
@@ -58,7 +58,7 @@
 
 var storedJobs = []batch.Key{waitingJob, runningJob, endedJob, completeJob, endedBeforeJob, laterJob, droppedJob, appendedJob}
 
-// storedJob makes a job whose items differ in each field.
+// storedJob returns a submission of a job whose items differ in each field.
 func storedJob(key batch.Key, items int) *batch.Submit {
 	job := batch.Job{Key: key, Route: "route of " + key.Identifier, Host: strings.ReplaceAll(key.Identifier, " ", "-") + ".example"}
 	for i := range items {
@@ -92,8 +92,8 @@
 	return batch.Result{Key: key, Index: index, State: batch.Abandoned}
 }
 
-// storedCommands are the commands whose result the first snapshot holds, the one after which the second is saved, and later
-// ones.
+// storedCommands returns the commands before the first snapshot, the command between the snapshots, and the commands after the
+// second one.
 func storedCommands() (before []batch.Command, saving batch.Command, after []batch.Command) {
 	before = []batch.Command{
 		{Submit: storedJob(waitingJob, 2)},
@@ -127,7 +127,7 @@
 	return before, saving, after
 }
 
-// writeStoredStore writes the directory: a snapshot that replaced the whole log, an entry, a snapshot after it, and further
+// writeStoredStore writes the directory: a snapshot that replaces the whole log, an entry, a snapshot after that entry, and further
 // entries.
 func writeStoredStore(t *testing.T) {
 	t.Helper()
@@ -152,8 +152,9 @@
 	return path.Join(storedDirectory, fmt.Sprintf("%s%d", partitionDirectoryPrefix, storedChain))
 }
 
-// writeStoredSnapshot has the log keep a snapshot, by Reset or SaveSnapshot. A replica that learns from another resets its log:
-// only then does the directory depend on the snapshot, as a log that has all entries can be read without one.
+// writeStoredSnapshot writes a snapshot to the log with Reset or SaveSnapshot. A replica that catches up from another one by a
+// snapshot resets its log. Only after a reset does reading the directory depend on the snapshot: a log that has all entries can be
+// read without one.
 func writeStoredSnapshot(t *testing.T, write func(*segment.Log, segment.Snapshot) error, snapshot segment.Snapshot) {
 	t.Helper()
 	directory := path.Join(storedPartitionDirectory(), chain.LogDirectory)
@@ -169,7 +170,7 @@
 	}
 }
 
-// writeStoredCommands has commands committed by the replica in the directory, and returns a snapshot of the state after them.
+// writeStoredCommands commits commands with the replica in the directory, and returns a snapshot of the state after them.
 func writeStoredCommands(t *testing.T, commands []batch.Command) segment.Snapshot {
 	t.Helper()
 	transport, err := peer.Listen(netip.MustParseAddrPort(storedAddress), zap.NewNop())
@@ -209,7 +210,7 @@
 	return segment.Snapshot{Epoch: status.Epoch, Sequence: status.Applied, Data: state.Snapshot()}
 }
 
-// awaitBarrier returns once all that was committed is applied.
+// awaitBarrier waits until everything that was committed has been applied.
 func awaitBarrier(t *testing.T, r replica) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
@@ -227,7 +228,7 @@
 	}
 }
 
-// storedStore is a store on a data directory. It runs no items, as it knows no configuration.
+// storedStore is a store on a data directory. It runs no items, because it has no configuration.
 type storedStore struct {
 	t         *testing.T
 	service   *Service
@@ -252,7 +253,7 @@
 		Directory:       directory,
 		MinimumReplicas: 1,
 		MemoryMB:        344,
-		Admission:       &fixedAdmission{refuse: true},
+		Admission:       &fakeAdmission{refuse: true},
 		Configuration:   func() (*configuration.Snapshot, bool) { return nil, false },
 		ControlNodes:    func() []netip.AddrPort { return nil },
 		ReportInterval:  time.Hour,
@@ -284,7 +285,7 @@
 	}
 }
 
-// checkClock compares the partition's clock with the stored one. The new head may have measured some time of its own.
+// checkClock compares the partition's clock with the stored one, and allows for the time that has passed since the store was opened.
 func (s *storedStore) checkClock() {
 	s.t.Helper()
 	s.partition.state.read(func(m *batch.Machine) {
@@ -294,7 +295,7 @@
 	})
 }
 
-// describe renders all that the partition has stored.
+// describe renders the stored state of the partition.
 func (s *storedStore) describe() string {
 	s.t.Helper()
 	var text strings.Builder
@@ -330,7 +331,7 @@
 	if !ok {
 		return
 	}
-	fmt.Fprintf(text, "  open: route %q, host %q, born %s, queued tokens %d\n", open.Route, open.Host, describeBorn(open.SubmittedAt),
+	fmt.Fprintf(text, "  open: route %q, host %q, born %s, queued tokens %d\n", open.Route, open.Host, describeSubmittedAt(open.SubmittedAt),
 		m.QueuedTokens(key.Tenant, open.Route))
 	for _, item := range open.Items {
 		fmt.Fprintf(text, "  item %d: %s %s %q %q tokens %d, %d events up to %q\n", item.Index, item.Identifier, item.Path,
@@ -338,12 +339,12 @@
 	}
 }
 
-// describeBorn renders a time of the partition's clock. It does so only if that is within the stored log.
-func describeBorn(born time.Duration) string {
-	if born > storedClock {
+// describeSubmittedAt renders the time of submission of a job, or "later" if that is after the stored log.
+func describeSubmittedAt(submittedAt time.Duration) string {
+	if submittedAt > storedClock {
 		return "later"
 	}
-	return born.String()
+	return submittedAt.String()
 }
 
 func TestStoredPartitionOfAnEarlierVersion(t *testing.T) {
@@ -361,7 +362,7 @@
 	}})
 	s.propose(&batch.Command{Append: []batch.Result{completedItem(laterJob, 0, 3, "and ended")}})
 	s.propose(&batch.Command{Submit: storedJob(appendedJob, 2)})
-	s.propose(&batch.Command{Submit: storedJob(waitingJob, 9)}) // taken before: changes nothing
+	s.propose(&batch.Command{Submit: storedJob(waitingJob, 9)}) // submitted before: changes nothing
 	s.propose(&batch.Command{End: &waitingJob})
 	s.propose(&batch.Command{Drop: []batch.Key{completeJob}})
 	golden.Text(t, "stored/store-appended.txt", s.describe())
--- a/internal/store/writes.go
+++ b/internal/store/writes.go
@@ -10,20 +10,20 @@
 
 var errQueueFull = fault.New(fault.QuotaExceeded, "the job does not fit the tokens that may wait")
 
-// submit accepts a job once it is committed. An error of a kind other than Unclear promises that nothing of the job is or will be
+// submit accepts a job once it is committed. An error of a kind other than Unclear promises that the job is not and will not be
 // committed.
 func (p *partition) submit(ctx context.Context, r *batchcall.SubmitRequest) (*batchcall.Reply, error) {
 	if redirect := p.redirect(); redirect != nil {
 		return &batchcall.Reply{Redirect: redirect}, nil
 	}
 	submission := &batch.Submit{Job: r.Job, MaxQueuedTokens: r.MaxQueuedTokens}
-	if !p.confirmation.isYoungerThan(p.readConfirmationAge) || p.fits(submission.Offer()) {
+	if !p.confirmation.isFresh(p.readConfirmationAge) || p.fits(submission.Offer()) {
 		return p.commitJob(ctx, submission)
 	}
-	return nil, errQueueFull // the job's bodies need not be sent along the chain for that
+	return nil, errQueueFull // a refusal by the local state avoids sending the job's bodies along the chain
 }
 
-// commitJob has a job committed.
+// commitJob commits a submission.
 func (p *partition) commitJob(ctx context.Context, submission *batch.Submit) (*batchcall.Reply, error) {
 	outcome, err := p.propose(ctx, &batch.Command{Submit: submission})
 	switch {
@@ -37,8 +37,8 @@
 	return &batchcall.Reply{}, nil
 }
 
-// submitError returns an error of a proposal as that of a submission: any kind but NotReady becomes Unclear, as the job may have
-// been appended to the log.
+// submitError converts an error of a proposal to that of a submission: any kind but NotReady becomes Unclear, because the job may
+// have been appended to the log.
 func submitError(err error) error {
 	if fault.KindOf(err) == fault.NotReady {
 		return err
@@ -46,13 +46,13 @@
 	return fault.Wrap(fault.Unclear, err)
 }
 
-// offer returns no error if a job would be accepted now. It changes nothing.
+// offer checks whether a job would be accepted now, and returns an error if not. It changes nothing.
 func (p *partition) offer(ctx context.Context, r *batchcall.OfferRequest) (*batchcall.Reply, error) {
 	if redirect := p.redirect(); redirect != nil {
 		return &batchcall.Reply{Redirect: redirect}, nil
 	}
 	if err := p.confirmRead(ctx, p.readConfirmationAge); err != nil {
-		return p.redirectOr(err)
+		return p.redirectOrError(err)
 	}
 	if !p.fits(r.Offer) {
 		return nil, errQueueFull
@@ -60,13 +60,13 @@
 	return &batchcall.Reply{}, nil
 }
 
-// fits reports whether a job would be accepted by the state that is applied here.
+// fits reports whether a job would be accepted according to the state that is applied here.
 func (p *partition) fits(o batch.Offer) (fits bool) {
 	p.state.read(func(m *batch.Machine) { fits = m.Fits(o) })
 	return fits
 }
 
-// end ends a job: once this is committed, none of its items is run any longer.
+// end ends a job: once the command is committed, none of the job's items may run any longer.
 func (p *partition) end(ctx context.Context, r *batchcall.EndRequest) (*batchcall.Reply, error) {
 	if redirect := p.redirect(); redirect != nil {
 		return &batchcall.Reply{Redirect: redirect}, nil
--- a/internal/store/writes_test.go
+++ b/internal/store/writes_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// checkAnswered fails unless a call was answered here, without an error.
+// checkAnswered fails unless a call was handled by this store, without an error.
 func checkAnswered(t *testing.T, what string, reply *batchcall.Reply, err error) {
 	t.Helper()
 	if err != nil || reply.Redirect != nil {
@@ -34,7 +34,7 @@
 	}
 }
 
-// checkRedirected fails unless a call was answered by the name of the head.
+// checkRedirected fails unless a call was redirected to the head.
 func checkRedirected(t *testing.T, what string, reply *batchcall.Reply, err error) {
 	t.Helper()
 	if err != nil || reply.Redirect == nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestSubmitErrorsPromiseNoMoreThanIsKnown(t *testing.T) {
+func TestSubmitErrorIsUnclearUnlessNotReady(t *testing.T) {
 	p, replica := newTestPartition()
 	job := testJob(testKey(1), 3, 1)
 	for kind, want := range map[fault.Kind]fault.Kind{
@@ -58,14 +58,15 @@
 		fault.Unclear:  fault.Unclear,
 		fault.Internal: fault.Unclear,
 	} {
-		replica.set(func(r *fakeReplica) { r.propose = fault.New(kind, "x") })
+		replica.set(func(r *fakeReplica) { r.proposeError = fault.New(kind, "x") })
 		_, err := submitTo(p, job, 0)
 		checkKind(t, "proposal that fails with "+kind.String(), err, want)
 	}
 }
 
-// Without a confirmation that this store is the head, a refusal has to be committed; with one it need not.
-func TestJobOverTheQueuedTokensIsRefused(t *testing.T) {
+// Without a confirmation that this store is the head, a job is refused only by a committed command; with a confirmation the store
+// refuses it without a commit.
+func TestJobOverTheQueuedTokenLimitIsRefused(t *testing.T) {
 	p, replica := newTestPartition()
 	job := testJob(testKey(1), 3, 1)
 	_, err := submitTo(p, job, 20)
@@ -93,7 +94,7 @@
 	checkKind(t, "job that does not fit", err, fault.QuotaExceeded)
 
 	p.confirmation.reset()
-	replica.set(func(r *fakeReplica) { r.barrier = errTestNotReady })
+	replica.set(func(r *fakeReplica) { r.barrierError = errTestNotReady })
 	_, err = p.offer(context.Background(), request)
 	checkKind(t, "without a confirmation", err, fault.NotReady)
 
