--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -49,11 +49,11 @@
 	Waiting State = iota
 	// Completed items have a result.
 	Completed
-	// Abandoned items are given up, and have none.
+	// Abandoned items were given up and have no result.
 	Abandoned
 )
 
-// Result is the result of an item, to be listed at the next position of its job, or a checkpoint of one that runs.
+// Result is either the result of an item, to be listed at the next position of its job, or a checkpoint of a running item.
 type Result struct {
 	Key     Key
 	Index   uint32 // of the item in its job
@@ -66,13 +66,15 @@
 	LastEvent string
 }
 
-// ClockReading is the time of a monotonic clock since its source began. Readings of different sources cannot be compared.
+// ClockReading is the time that a monotonic clock has measured since its source began. Readings of different sources cannot
+// be compared.
 type ClockReading struct {
 	Source  uint64
 	Elapsed time.Duration
 }
 
-// Command is a change of the state. At most one of its pointers and lists is set. A command without any only advances the clock.
+// Command is a change of the state. At most one of its pointers and lists is set. A command with none set only
+// advances the clock.
 type Command struct {
 	Clock  ClockReading
 	Submit *Submit
@@ -88,7 +90,7 @@
 	MaxQueuedTokens int64
 }
 
-// Offer describes a job that may be submitted, as far as its acceptance depends on it.
+// Offer holds the properties of a job on which its acceptance depends.
 type Offer struct {
 	Key    Key
 	Route  string
@@ -109,7 +111,7 @@
 const (
 	// Done is the outcome of every command that was applied.
 	Done Outcome = iota
-	// QuotaExceeded rejects a job because of its tokens. It changed nothing.
+	// QuotaExceeded is the outcome of a Submit whose tokens exceed the quota. It changed nothing.
 	QuotaExceeded
 	// Malformed is the outcome of a command that could not be decoded. It changed nothing.
 	Malformed
@@ -117,11 +119,11 @@
 
 // Observer is notified of changes while a command is applied. Its methods must not call the machine.
 type Observer interface {
-	// Submitted is called when a job was accepted: its items are to be run.
+	// Submitted is called when a job was accepted, so that its items have to run.
 	Submitted(key Key)
 	// Listed is called when results of a job were listed.
 	Listed(key Key)
-	// Ended is called when a job was ended: none of its items may run.
+	// Ended is called when a job was ended, so that none of its items may run any more.
 	Ended(key Key)
 	// Restored is called when the whole state was replaced.
 	Restored()
--- a/internal/batch/batchcall/golden_test.go
+++ b/internal/batch/batchcall/golden_test.go
@@ -13,10 +13,10 @@
 
 var goldenKey = batch.Key{Tenant: "tenant", Identifier: "job"}
 
-// message is a request with its codec: the kind of the message and the bytes are those of other versions.
+// message is a request that can be encoded. Its kind and its encoding have to stay the same in all versions.
 type message interface{ Encode() (peer.Message, error) }
 
-// decoder returns a function that decodes a request of one type.
+// decoder converts the decoding function of one type of request.
 func decoder[T message](decode func([]byte) (T, error)) func([]byte) (message, error) {
 	return func(body []byte) (message, error) { return decode(body) }
 }
--- a/internal/batch/batchcall/messages.go
+++ b/internal/batch/batchcall/messages.go
@@ -8,7 +8,7 @@
 	"nickelline/internal/peer"
 )
 
-// Kinds of the messages. Their numbers are part of the protocol.
+// Kinds of the requests. Their numbers are part of the protocol.
 const (
 	KindSubmit = peer.BatchKinds + iota
 	KindResults
@@ -25,14 +25,14 @@
 	MaxQueuedTokens int64
 }
 
-// OfferRequest asks the head of a partition whether it would accept a job, before the job's bodies are sent. It changes nothing:
-// if the answer is lost, it is certain that the job was not accepted.
+// OfferRequest asks the head of a partition whether it would accept a job, before the job's bodies are sent. It changes
+// nothing, so that even after a lost answer it is certain that the job was not accepted.
 type OfferRequest struct {
 	Partition uint32
 	Offer     batch.Offer
 }
 
-// ResultsRequest reads the results of a job after a number of them.
+// ResultsRequest reads the results of a job after the first StartAfter results.
 type ResultsRequest struct {
 	Partition  uint32
 	Key        batch.Key
@@ -63,7 +63,7 @@
 	Head netip.AddrPort
 }
 
-// Reply answers each of the requests. Redirect is nil if the request was carried out.
+// Reply answers a request of any kind. Redirect is nil if the request was carried out.
 type Reply struct {
 	Redirect *Redirect
 	// Page answers a ResultsRequest.
--- a/internal/batch/batchcall/reply_codec.go
+++ b/internal/batch/batchcall/reply_codec.go
@@ -10,7 +10,7 @@
 	"nickelline/internal/peer"
 )
 
-// Encode returns the message that answers a request of a kind.
+// Encode returns the message that answers a request of the given kind.
 func (r *Reply) Encode(kind peer.Kind) (peer.Message, error) {
 	return marshal(kind, r.size(), batchcallwire.NewRootReply, r.fill)
 }
@@ -19,7 +19,7 @@
 	size := messageBytes + len(r.Body)
 	if r.Page != nil {
 		for i := range r.Page.Results {
-			size += batch.ListedSize(&r.Page.Results[i])
+			size += batch.ListedResultSize(&r.Page.Results[i])
 		}
 	}
 	return size
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// DecodeReply decodes an answer. Its contents and body share the memory of the message.
+// DecodeReply decodes a reply. Its contents and body share the memory of the message.
 func DecodeReply(body []byte) (*Reply, error) {
 	root, err := capnpcodec.Unmarshal(body, batchcallwire.ReadRootReply)
 	if err != nil {
--- a/internal/batch/batchcall/request_codec.go
+++ b/internal/batch/batchcall/request_codec.go
@@ -12,10 +12,10 @@
 	"nickelline/internal/peer"
 )
 
-// messageBytes is an upper bound of the bytes of a message without its keys, jobs, results and bodies.
+// messageBytes is an upper bound of the size of a message without its keys, jobs, results and bodies.
 const messageBytes = 256
 
-// marshal returns the message of a kind.
+// marshal encodes a message of the given kind.
 func marshal[T any](kind peer.Kind, size int, newRoot func(*capnp.Segment) (T, error), fill func(T) error) (peer.Message, error) {
 	body, err := capnpcodec.Marshal(size, newRoot, fill)
 	return peer.Message{Kind: kind, Body: body}, err
--- a/internal/batch/bench_test.go
+++ b/internal/batch/bench_test.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	benchmarkBody    = 2300
-	benchmarkContent = 5200
+	benchmarkBodySize    = 2300
+	benchmarkContentSize = 5200
 )
 
-// benchmarkJob makes items that share the first third of their bodies with some of the others. Nothing else repeats.
+// benchmarkJob returns a job whose items share the first third of their bodies with some of the others. The rest of the bodies
+// is random.
 func benchmarkJob(key Key, items int) Job {
 	random := rand.New(rand.NewPCG(1, 2))
 	job := testJob(key, items)
 	for i := range job.Items {
-		body := make([]byte, benchmarkBody)
+		body := make([]byte, benchmarkBodySize)
 		for at := range body {
 			body[at] = byte(random.Uint32())
 		}
-		copy(body, job.Items[i%10].Body[:min(benchmarkBody/3, len(job.Items[i%10].Body))])
+		copy(body, job.Items[i%10].Body[:min(benchmarkBodySize/3, len(job.Items[i%10].Body))])
 		job.Items[i].Body = body
 	}
 	return job
 }
 
-// benchmarkText has random letters.
+// benchmarkText returns random lowercase letters.
 func benchmarkText() string {
 	random := rand.New(rand.NewPCG(1, 2))
-	text := make([]byte, benchmarkContent)
+	text := make([]byte, benchmarkContentSize)
 	for at := range text {
 		text[at] = 'a' + byte(random.IntN(26))
 	}
@@ -45,7 +46,7 @@
 	return results
 }
 
-func encoded(b *testing.B, c *Command) []byte {
+func encodeCommand(b *testing.B, c *Command) []byte {
 	data, err := EncodeCommand(c)
 	if err != nil {
 		b.Fatal(err)
@@ -58,14 +59,14 @@
 	b.ReportMetric(float64(size)/float64(items), "bytes/item")
 }
 
-func BenchmarkTake(b *testing.B) {
+func BenchmarkSubmit(b *testing.B) {
 	for _, items := range []int{60, 200} {
 		b.Run(fmt.Sprint(items), func(b *testing.B) {
 			command := &Command{Submit: &Submit{Job: benchmarkJob(testKey(1), items)}}
 			size := 0
 			b.ReportAllocs()
 			for b.Loop() {
-				data := encoded(b, command)
+				data := encodeCommand(b, command)
 				size = len(data)
 				New(nil).Apply(1, data)
 			}
@@ -83,7 +84,7 @@
 	for b.Loop() {
 		m := New(nil)
 		m.Execute(&Command{Submit: &Submit{Job: job}})
-		data := encoded(b, results)
+		data := encodeCommand(b, results)
 		size = len(data)
 		m.Apply(2, data)
 	}
--- a/internal/batch/checkpoint.go
+++ b/internal/batch/checkpoint.go
@@ -6,14 +6,14 @@
 	"nickelline/internal/batch/deflated"
 )
 
-// checkpoint is a chunk of the text of an item that runs.
+// checkpoint is a chunk of the text of a running item.
 type checkpoint struct {
-	events    uint32 // of the text up to the end of this chunk
+	events    uint32 // number of events in the text up to the end of this chunk
 	lastEvent string // the id of the last of them
 	content   []byte // a block of package deflated
 }
 
-// checkpoints are the chunks of an item's text in order. A further run continues after the last one.
+// checkpoints are the chunks of an item's text in order. The next run of the item continues after the last one.
 type checkpoints []checkpoint
 
 // events returns how many events the text has.
@@ -32,14 +32,14 @@
 	return c[len(c)-1].lastEvent
 }
 
-// truncate removes the chunks after a number of events: a checkpoint may be appended twice, and a text begun again. It reports
-// whether a chunk ends there, and removes nothing otherwise.
+// truncate removes the chunks after the given number of events, because a checkpoint may be appended twice and a run may start
+// the text again. It returns false and removes nothing if no chunk ends at that number.
 func (c *checkpoints) truncate(events uint32) bool {
 	if events == 0 {
 		*c = nil
 		return true
 	}
-	last := slices.IndexFunc(*c, func(one checkpoint) bool { return one.events == events })
+	last := slices.IndexFunc(*c, func(chunk checkpoint) bool { return chunk.events == events })
 	if last < 0 {
 		return false
 	}
@@ -47,12 +47,12 @@
 	return true
 }
 
-// add appends the chunk of a checkpoint.
+// add appends a checkpoint.
 func (c *checkpoints) add(r *Result) {
 	*c = append(*c, checkpoint{events: r.Events, lastEvent: r.LastEvent, content: clone(r.Content)})
 }
 
-// join returns a block with the whole text, which ends with the given rest.
+// join returns a block with the whole text: the chunks, followed by the text of the block rest.
 func (c checkpoints) join(rest []byte) []byte {
 	if len(c) == 0 {
 		return clone(rest)
--- a/internal/batch/checkpoint_test.go
+++ b/internal/batch/checkpoint_test.go
@@ -15,11 +15,11 @@
 // pendingItem returns the only pending item of a job.
 func pendingItem(t *testing.T, m *Machine, key Key) PendingItem {
 	t.Helper()
-	open, ok := m.PendingJob(key)
-	if !ok || len(open.Items) != 1 {
-		t.Fatalf("pending items: got %d, want 1", len(open.Items))
+	pending, ok := m.PendingJob(key)
+	if !ok || len(pending.Items) != 1 {
+		t.Fatalf("pending items: got %d, want 1", len(pending.Items))
 	}
-	return open.Items[0]
+	return pending.Items[0]
 }
 
 func TestTextIsJoinedFromCheckpoints(t *testing.T) {
@@ -27,7 +27,7 @@
 	key := testKey(1)
 	submit(t, m, testJob(key, 1), 0)
 	first := checkpointResult(key, 0, 2, "one two ")
-	apply(t, m, &Command{Append: []Result{first, first}}) // appended twice, as its outcome was not known
+	apply(t, m, &Command{Append: []Result{first, first}}) // appended twice, as after an unknown outcome
 	apply(t, m, &Command{Append: []Result{checkpointResult(key, 2, 3, "three "), checkpointResult(key, 7, 9, "lost ")}})
 	if item := pendingItem(t, m, key); item.Events != 3 || item.LastEvent != "3" {
 		t.Errorf("checkpoint: got event %q as number %d, want number 3", item.LastEvent, item.Events)
@@ -41,7 +41,7 @@
 		t.Errorf("page: got %+v, want the joined text", page)
 	}
 	if m.QueuedTokens(key.Tenant, testRoute) != 0 {
-		t.Error("queued tokens: got some, want none")
+		t.Error("queued tokens: got more than 0, want 0")
 	}
 }
 
--- a/internal/batch/clock.go
+++ b/internal/batch/clock.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// clock is the time of a partition: the sum of what successive heads measured with their own monotonic clocks. Spans that no
-// head measured are not counted, so that the clock is never faster than real time, and the age of a job is a lower bound.
+// clock is the time of a partition: the sum of the times that successive heads measured with their own monotonic clocks. Time
+// that no head measured is not counted, so the clock is never faster than real time, and the age of a job is a lower bound.
 type clock struct {
 	now  time.Duration
 	last ClockReading
 }
 
-// advance moves the clock to a reading of a head. A reading that is older than the last one changes nothing; the first one of a
-// new source only becomes the reading to count from.
+// advance moves the clock to a reading of a head. A reading that is older than the last one of its source changes nothing. The
+// first reading of a new source does not move the clock: later readings of the source are counted from it.
 func (c *clock) advance(r ClockReading) {
 	c.now = c.at(r)
 	if r.Source != c.last.Source || r.Elapsed > c.last.Elapsed {
--- a/internal/batch/command_decoding.go
+++ b/internal/batch/command_decoding.go
@@ -39,11 +39,11 @@
 }
 
 func decodeSubmit(root batchwire.Command, c *Command) error {
-	take, err := root.Submit()
+	submit, err := root.Submit()
 	if err != nil {
 		return err
 	}
-	encoded, err := take.Job()
+	encoded, err := submit.Job()
 	if err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	c.Submit = &Submit{Job: job, MaxQueuedTokens: take.MaxQueuedTokens()}
+	c.Submit = &Submit{Job: job, MaxQueuedTokens: submit.MaxQueuedTokens()}
 	return nil
 }
 
--- a/internal/batch/command_encoding.go
+++ b/internal/batch/command_encoding.go
@@ -6,11 +6,11 @@
 	"nickelline/internal/capnpcodec"
 )
 
-// compressFrom is the size in bytes from which it is worth the time to compress a job.
-const compressFrom = 4 << 10
+// minCompressBytes is the encoded size from which a submission is compressed. Compressing a smaller one is not worth the time.
+const minCompressBytes = 4 << 10
 
 // EncodeCommand returns a command as a Cap'n Proto message in a block of package deflated. A large submission is compressed,
-// because the items of a job share much; the contents of results are blocks already.
+// because the items of a job have much text in common. Other commands are not: the contents of results are blocks already.
 func EncodeCommand(c *Command) ([]byte, error) {
 	encoded, err := capnpcodec.Marshal(commandSize(c), batchwire.NewRootCommand, func(root batchwire.Command) error {
 		root.SetClockSource(c.Clock.Source)
@@ -20,7 +20,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.Submit != nil && len(encoded) >= compressFrom {
+	if c.Submit != nil && len(encoded) >= minCompressBytes {
 		return deflated.Compress(encoded), nil
 	}
 	return deflated.Wrap(encoded), nil
@@ -46,12 +46,12 @@
 }
 
 func encodeSubmit(root batchwire.Command, s *Submit) error {
-	take, err := root.NewSubmit()
+	submit, err := root.NewSubmit()
 	if err != nil {
 		return err
 	}
-	take.SetMaxQueuedTokens(s.MaxQueuedTokens)
-	job, err := take.NewJob()
+	submit.SetMaxQueuedTokens(s.MaxQueuedTokens)
+	job, err := submit.NewJob()
 	if err != nil {
 		return err
 	}
--- a/internal/batch/deflated/deflated_test.go
+++ b/internal/batch/deflated/deflated_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// BenchmarkCompress takes a text of 61 events such as the bench's backends send.
+// BenchmarkCompress compresses a text of 61 events like those that the benchmark's backends send.
 func BenchmarkCompress(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var text bytes.Buffer
--- a/internal/batch/deflated/golden_test.go
+++ b/internal/batch/deflated/golden_test.go
@@ -18,8 +18,8 @@
 	checkExpanded(t, golden.Bytes(t, "joined.hex", joined), "first second third")
 }
 
-// TestCompressedFormat reads a block that an earlier version has compressed. A block is not compared with what Compress returns
-// now: another release of the compressor may choose other bytes for the same original.
+// TestCompressedFormat expands a block that an earlier version compressed. It does not compare the block with the result of
+// Compress, because another release of the compressor may encode the same original differently.
 func TestCompressedFormat(t *testing.T) {
 	block, err := hex.DecodeString("f9052a49ad285128c9482c51284a2d484d2c29d6531815a29310200000ffff")
 	if err != nil {
--- a/internal/batch/doc.go
+++ b/internal/batch/doc.go
@@ -3,16 +3,17 @@
 //
 // # Invariants
 //
-//   - A job is accepted once: the same identifier of the same tenant again is answered as accepted.
+//   - A job is accepted once: submitting the same identifier of the same tenant again has the outcome Done and no effect.
 //   - An item has at most one position in the results of its job, and a position never changes.
 //   - A listed result stays until the job is dropped, and only a closed job is dropped.
-//   - The tokens of a tenant's waiting items on a route are within the bound of each submission at the time of that submission.
+//   - When a job is accepted, the tokens of its tenant's waiting items on its route, its own included, are within the
+//     MaxQueuedTokens of the submission.
 //
 // # Crash and recovery
 //
 // The state is in memory only. The chain keeps the committed commands and the snapshots on disk, and a replica that starts
 // again restores the last snapshot and applies the commands after it. All replicas that applied the same commands have equal
-// snapshots. The text of an item that was running is lost back to its last checkpoint.
+// snapshots. An item that was running loses its text after the last checkpoint.
 //
 // # Duties of the caller
 //
@@ -29,5 +30,5 @@
 //   - snapshot.go, snapshot_encoding.go, snapshot_decoding.go: the encoding of the state
 //   - size.go: bounds of the size of messages
 //
-// The packages batchcall (requests of proxies to stores) and deflated (compressed blocks) belong to it.
+// The subpackage batchcall defines the requests of proxies to stores, and deflated the format of compressed blocks.
 package batch
--- a/internal/batch/golden_test.go
+++ b/internal/batch/golden_test.go
@@ -8,7 +8,7 @@
 	"nickelline/internal/golden"
 )
 
-// goldenItem returns an item whose fields all differ, and differ from those of an item of another number.
+// goldenItem returns an item whose fields differ from one another and from those of an item of another number.
 func goldenItem(number int64) Item {
 	digit := string(rune('0' + number))
 	return Item{
@@ -101,8 +101,8 @@
 	endedBefore := &job{
 		key: goldenKey(3), ordinal: 0x515253545556575a, submittedAt: 4 * time.Second, ended: true, items: []item{}, positions: []uint32{},
 	}
-	for _, one := range []*job{running, ended, endedBefore} {
-		m.jobs[one.key] = one
+	for _, j := range []*job{running, ended, endedBefore} {
+		m.jobs[j.key] = j
 	}
 	m.charge(running.account(), running.items[0].Tokens)
 	return m
--- a/internal/batch/history_check_test.go
+++ b/internal/batch/history_check_test.go
@@ -1,12 +1,12 @@
 package batch
 
-// checkText looks at what an item's run has left.
+// checkText checks the last checkpoint of an item after a checkpoint, or its whole text after a result.
 func (h *history) checkText(key Key, item PendingItem, result Result) {
 	if result.State == Waiting {
 		now, _ := h.replicas[0].machine.PendingJob(key)
-		for _, one := range now.Items {
-			if one.Index == item.Index && (one.Events != result.Events || one.LastEvent != result.LastEvent) {
-				h.t.Fatalf("%v: last event of item %d: got %q (number %d), want number %d", key, item.Index, one.LastEvent, one.Events, result.Events)
+		for _, pending := range now.Items {
+			if pending.Index == item.Index && (pending.Events != result.Events || pending.LastEvent != result.LastEvent) {
+				h.t.Fatalf("%v: last event of item %d: got %q (number %d), want number %d", key, item.Index, pending.LastEvent, pending.Events, result.Events)
 			}
 		}
 		return
@@ -23,8 +23,8 @@
 	}
 }
 
-// remember compares a job with what clients were answered before and records what is new.
-func (h *history) remember(key Key) {
+// checkAcknowledged compares the results of a job with those that clients were answered before, and records the new ones.
+func (h *history) checkAcknowledged(key Key) {
 	page, ok := h.replicas[0].machine.Results(key, 0, 1<<30)
 	known := h.acknowledged[key]
 	if known == nil || !known.submitted {
--- a/internal/batch/history_test.go
+++ b/internal/batch/history_test.go
@@ -10,8 +10,8 @@
 	"nickelline/internal/batch/deflated"
 )
 
-// history plays random commands through a log to replicas that crash and come back from a snapshot and the log after it,
-// and keeps what clients were answered.
+// history applies random commands through a log to replicas that crash and restart from a snapshot and the log after it. It
+// records what clients were answered.
 type history struct {
 	t            *testing.T
 	random       *rand.Rand
@@ -19,15 +19,15 @@
 	replicas     []*replica
 	acknowledged map[Key]*acknowledgedJob
 	now          time.Duration // real time
-	head         ClockReading  // the present head's clock; its source began at headStart
-	start        time.Duration
+	head         ClockReading  // clock of the current head, whose source began at headStart
+	headStart    time.Duration
 }
 
 type replica struct {
-	machine  *Machine
-	applied  int
-	snapshot []byte
-	covered  int // commands that the snapshot holds
+	machine         *Machine
+	applied         int
+	snapshot        []byte
+	snapshotApplied int // number of commands in the snapshot
 }
 
 // acknowledgedJob is what clients were answered about a job: it must never be revoked.
@@ -56,14 +56,14 @@
 
 func (h *history) changeHead() {
 	h.head.Source++
-	h.start = h.now
+	h.headStart = h.now
 }
 
 func (h *history) reading() ClockReading {
-	return ClockReading{Source: h.head.Source, Elapsed: h.now - h.start}
+	return ClockReading{Source: h.head.Source, Elapsed: h.now - h.headStart}
 }
 
-// commit appends a command; replicas apply it when they come to it.
+// commit appends a command to the log and returns its outcome on the head. Other replicas apply it when they catch up.
 func (h *history) commit(c *Command) Outcome {
 	c.Clock = h.reading()
 	encoded, err := EncodeCommand(c)
@@ -84,13 +84,13 @@
 
 func (h *history) save(r *replica) {
 	r.snapshot = r.machine.Snapshot()
-	r.covered = r.applied
+	r.snapshotApplied = r.applied
 }
 
-// crash loses what a replica has in memory.
+// crash restores a replica from its last snapshot, so that it loses the commands applied after that.
 func (h *history) crash(r *replica) {
 	r.machine = New(nil)
-	r.applied = r.covered
+	r.applied = r.snapshotApplied
 	if r.snapshot == nil {
 		return
 	}
@@ -123,7 +123,7 @@
 	}
 }
 
-// injectFault restarts a replica or changes the head.
+// injectFault restarts the given replica or the head, or changes the head.
 func (h *history) injectFault(other *replica) {
 	switch h.random.IntN(3) {
 	case 0:
@@ -153,30 +153,31 @@
 	}
 }
 
-// appendResults lists results of random items, some of them listed before and some that do not exist.
+// appendResults appends results of random items, some of which are listed already or do not exist.
 func (h *history) appendResults(key Key) {
 	var results []Result
 	for range 1 + h.random.IntN(4) {
 		results = append(results, completed(key, uint32(h.random.IntN(7)), fmt.Sprintf("run %d", h.random.Uint64())))
 	}
 	h.commit(&Command{Append: results})
-	h.remember(key)
+	h.checkAcknowledged(key)
 }
 
-// historyEvents is how many events the text of an item has that is run in steps.
+// historyEvents is the number of events in the text of an item that runItem runs.
 const historyEvents = 9
 
 func eventLine(identifier string, number uint32) string {
 	return fmt.Sprintf("%s event %d\n", identifier, number)
 }
 
-// runItem continues the text of a waiting item after its checkpoints, or anew, by some events. The command may be repeated.
+// runItem appends some events to the text of a waiting item, after its checkpoints or from the start. The command may be
+// committed twice.
 func (h *history) runItem(key Key) {
-	open, ok := h.replicas[0].machine.PendingJob(key)
+	pending, ok := h.replicas[0].machine.PendingJob(key)
 	if !ok {
 		return
 	}
-	item := open.Items[h.random.IntN(len(open.Items))]
+	item := pending.Items[h.random.IntN(len(pending.Items))]
 	from := item.Events
 	if h.random.IntN(8) == 0 {
 		from = 0
@@ -195,7 +196,7 @@
 	for range 1 + h.random.IntN(2) {
 		h.commit(&Command{Append: []Result{result}})
 	}
-	h.remember(key)
+	h.checkAcknowledged(key)
 	h.checkText(key, item, result)
 }
 
@@ -210,7 +211,7 @@
 		}
 		seen[result.Identifier] = true
 		if i < len(before) && (before[i].Identifier != result.Identifier || !bytes.Equal(before[i].Content, result.Content)) {
-			h.t.Fatalf("%v: got another result at position %d, want the former one", key, i)
+			h.t.Fatalf("%v: got a different result at position %d, want the one listed before", key, i)
 		}
 	}
 }
@@ -226,24 +227,24 @@
 }
 
 func (h *history) drop() {
-	const kept = 60 * time.Second
-	keys := h.replicas[0].machine.Expired(h.reading(), kept)
+	const retention = 60 * time.Second
+	keys := h.replicas[0].machine.Expired(h.reading(), retention)
 	for _, key := range keys {
-		if age := h.now - h.acknowledged[key].submittedAt; age < kept {
-			h.t.Fatalf("%v: expired at the age of %v, want at least %v", key, age, kept)
+		if age := h.now - h.acknowledged[key].submittedAt; age < retention {
+			h.t.Fatalf("%v: expired at the age of %v, want at least %v", key, age, retention)
 		}
 		delete(h.acknowledged, key)
 	}
 	h.commit(&Command{Drop: keys})
 }
 
-// check compares tokens with the jobs that are open, and all replicas with one another.
+// check compares the queued tokens with those of the pending items, and checks every acknowledged job.
 func (h *history) check() {
 	for _, tenant := range []string{"tenant-0", "tenant-1"} {
 		var sum int64
-		for _, open := range h.replicas[0].machine.PendingJobs() {
-			for _, item := range open.Items {
-				if open.Key.Tenant == tenant {
+		for _, pending := range h.replicas[0].machine.PendingJobs() {
+			for _, item := range pending.Items {
+				if pending.Key.Tenant == tenant {
 					sum += item.Tokens
 				}
 			}
@@ -253,7 +254,7 @@
 		}
 	}
 	for key := range h.acknowledged {
-		h.remember(key)
+		h.checkAcknowledged(key)
 	}
 }
 
@@ -271,7 +272,7 @@
 	}
 }
 
-// compareReplicas looks for differences between the replicas, and between each and what its snapshot restores.
+// compareReplicas checks that all replicas have the same state, and that each is equal to what its snapshot restores.
 func (h *history) compareReplicas() {
 	want := h.replicas[0].machine.Snapshot()
 	for i, r := range h.replicas {
@@ -282,7 +283,7 @@
 		h.save(r)
 		h.crash(r)
 		if !bytes.Equal(r.machine.Snapshot(), want) {
-			h.t.Fatalf("replica %d: got another state from its snapshot, want an equal one", i)
+			h.t.Fatalf("replica %d: got a different state from its snapshot, want an equal one", i)
 		}
 	}
 }
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -15,7 +15,8 @@
 	positions   []uint32 // index of the item at each position, in the order of listing
 }
 
-// item is an item and, once it is listed, its result. Path, headers, body and checkpoints are released then.
+// item is the state of an item: its request and, once it is listed, its result. Its path, headers, body and checkpoints are
+// released when it is listed or its job is ended.
 type item struct {
 	Item
 	state       State
@@ -25,10 +26,11 @@
 
 func (j *job) account() account { return account{tenant: j.key.Tenant, route: j.route} }
 
-// closed reports whether no item of the job will run or be listed any more.
+// closed reports whether the job is ended or all of its items are listed, so that none will run or be listed any more.
 func (j *job) closed() bool { return j.ended || j.submitted && len(j.positions) == len(j.items) }
 
-// fill copies a submitted job. Of one that was ended before it was submitted, only what reads return is retained.
+// fill sets the fields of the job from its submission and copies the bodies. A job that was ended before it was submitted keeps
+// only what reads return.
 func (j *job) fill(submitted *Job) {
 	j.submitted = true
 	j.route = submitted.Route
@@ -43,7 +45,7 @@
 	}
 }
 
-// release removes the fields that only a run of the item needs.
+// release clears the fields that only a run of the item needs.
 func (i *item) release() {
 	i.Path = ""
 	i.Headers = nil
--- a/internal/batch/job_codec.go
+++ b/internal/batch/job_codec.go
@@ -108,10 +108,10 @@
 	return k, err
 }
 
-// interner holds one copy of strings that many items of a job share, such as the names of headers.
+// interner holds one copy of each string that many items of a job share, such as the names of headers.
 type interner map[string]string
 
-// intern returns the copy of a text.
+// intern returns the shared copy of a text, which it adds if there is none.
 func (n interner) intern(text []byte) string {
 	if known, ok := n[string(text)]; ok {
 		return known
--- a/internal/batch/machine.go
+++ b/internal/batch/machine.go
@@ -1,6 +1,6 @@
 package batch
 
-// Machine is the state of a partition. Its methods are not safe for concurrent use.
+// Machine is the state of the batch jobs of a partition. Its methods are not safe for concurrent use.
 type Machine struct {
 	observer Observer
 	clock    clock
@@ -9,7 +9,7 @@
 	queued   map[account]int64
 }
 
-// account identifies a sum of queued tokens.
+// account identifies the tenant and the route that queued tokens are counted for.
 type account struct{ tenant, route string }
 
 type noObserver struct{}
@@ -19,7 +19,7 @@
 func (noObserver) Ended(Key)     {}
 func (noObserver) Restored()     {}
 
-// New makes an empty partition. The observer may be nil.
+// New returns a machine without jobs. The observer may be nil.
 func New(observer Observer) *Machine {
 	if observer == nil {
 		observer = noObserver{}
@@ -72,7 +72,7 @@
 	return Done
 }
 
-// exceedsQuota reports whether a job's tokens and those that are queued on its account exceed the bound of the offer.
+// exceedsQuota reports whether a job's tokens and those queued on its account together exceed the offer's MaxQueuedTokens.
 func (m *Machine) exceedsQuota(o Offer) bool {
 	owner := account{tenant: o.Key.Tenant, route: o.Route}
 	return o.MaxQueuedTokens > 0 && m.queued[owner]+o.Tokens > o.MaxQueuedTokens
@@ -110,7 +110,8 @@
 	}
 }
 
-// record adds a result or a checkpoint, unless the job is ended or the item is listed. It reports whether it listed the item.
+// record adds a result or a checkpoint, unless the job is ended, the item is listed, or the text does not continue a checkpoint
+// of the item. It reports whether it listed the item.
 func (m *Machine) record(r *Result) bool {
 	target := m.jobs[r.Key]
 	if target == nil || !target.submitted || target.ended || int(r.Index) >= len(target.items) {
@@ -159,7 +160,7 @@
 	m.observer.Ended(key)
 }
 
-// drop removes jobs that are closed.
+// drop removes those of the jobs that are closed.
 func (m *Machine) drop(keys []Key) {
 	for _, key := range keys {
 		if dropped := m.jobs[key]; dropped != nil && dropped.closed() {
--- a/internal/batch/machine_test.go
+++ b/internal/batch/machine_test.go
@@ -13,7 +13,7 @@
 
 func testKey(n int) Key { return Key{Tenant: "acme", Identifier: fmt.Sprintf("job-%d", n)} }
 
-// testJob makes a job whose items have 10 tokens each.
+// testJob returns a job whose items have 10 tokens each.
 func testJob(key Key, items int) Job {
 	job := Job{Key: key, Route: testRoute, Host: "a.example"}
 	for i := range items {
@@ -28,7 +28,7 @@
 	return job
 }
 
-// apply sends a command through its encoded form.
+// apply encodes a command, applies it and returns its decoded outcome.
 func apply(t testing.TB, m *Machine, c *Command) Outcome {
 	t.Helper()
 	encoded, err := EncodeCommand(c)
@@ -38,12 +38,14 @@
 	return DecodeOutcome(m.Apply(0, encoded))
 }
 
-func submit(t testing.TB, m *Machine, job Job, most int64) Outcome {
+func submit(t testing.TB, m *Machine, job Job, maxQueuedTokens int64) Outcome {
 	t.Helper()
-	return apply(t, m, &Command{Submit: &Submit{Job: job, MaxQueuedTokens: most}})
+	return apply(t, m, &Command{Submit: &Submit{Job: job, MaxQueuedTokens: maxQueuedTokens}})
 }
 
-func offer(job Job, most int64) Offer { return (&Submit{Job: job, MaxQueuedTokens: most}).Offer() }
+func offer(job Job, maxQueuedTokens int64) Offer {
+	return (&Submit{Job: job, MaxQueuedTokens: maxQueuedTokens}).Offer()
+}
 
 func completed(key Key, index uint32, content string) Result {
 	return Result{Key: key, Index: index, State: Completed, Content: deflated.Compress([]byte(content))}
@@ -71,7 +73,7 @@
 	}
 	page, ok := m.Results(job.Key, 0, 1<<20)
 	if !ok || page.Total != 3 || page.Next != 0 || page.Closed {
-		t.Errorf("page: got %+v, %v", page, ok)
+		t.Errorf("page: got %+v, %v, want an open page of 3 items with next 0", page, ok)
 	}
 }
 
@@ -80,7 +82,7 @@
 	submit(t, m, testJob(testKey(1), 3), 50)
 	second := testJob(testKey(2), 3)
 	if m.Fits(offer(second, 50)) || !m.Fits(offer(second, 60)) || !m.Fits(offer(testJob(testKey(1), 3), 1)) {
-		t.Error("Fits: got another answer than a submission would get")
+		t.Error("Fits: got an answer that differs from the outcome of a submission, want the same")
 	}
 	if got := submit(t, m, second, 50); got != QuotaExceeded {
 		t.Fatalf("outcome over the quota: got %v, want QuotaExceeded", got)
@@ -160,7 +162,7 @@
 	}
 }
 
-func TestEndReleasesTokensAndKeepsWhatIsListed(t *testing.T) {
+func TestEndReleasesTokensAndKeepsListedResults(t *testing.T) {
 	m := New(nil)
 	key := testKey(1)
 	submit(t, m, testJob(key, 3), 0)
@@ -174,14 +176,14 @@
 	}
 	page, ok := m.Results(key, 0, 1<<20)
 	if !ok || page.Total != 3 || len(page.Results) != 1 || !page.Closed {
-		t.Errorf("page: got %+v, %v", page, ok)
+		t.Errorf("page: got %+v, %v, want a closed page of 3 items with 1 result", page, ok)
 	}
 	if _, ok := m.PendingJob(key); ok {
 		t.Error("ended job: got pending items, want none")
 	}
 }
 
-func TestEndBeforeTakeKeepsTheJobFromRunning(t *testing.T) {
+func TestEndBeforeSubmitKeepsTheJobFromRunning(t *testing.T) {
 	m := New(nil)
 	key := testKey(1)
 	apply(t, m, &Command{End: &key})
@@ -193,7 +195,7 @@
 		t.Error("job submitted after its end: got pending items, want none")
 	}
 	if page, ok := m.Results(key, 0, 1); !ok || page.Total != 3 {
-		t.Errorf("page: got %+v, %v", page, ok)
+		t.Errorf("page: got %+v, %v, want a page of 3 items", page, ok)
 	}
 	if got := m.QueuedTokens("acme", testRoute); got != 0 {
 		t.Errorf("queued tokens: got %d, want 0", got)
@@ -208,14 +210,14 @@
 	job := testJob(testKey(1), 1)
 	apply(t, m, &Command{Clock: reading(1, 100), Submit: &Submit{Job: job}})
 	apply(t, m, &Command{Clock: reading(1, 104)})
-	apply(t, m, &Command{Clock: reading(1, 102)}) // arrives after a later one
-	apply(t, m, &Command{Clock: reading(2, 50)})  // a new head: what passed in between is not known
+	apply(t, m, &Command{Clock: reading(1, 102)}) // older than the reading before it
+	apply(t, m, &Command{Clock: reading(2, 50)})  // a new head: the time since the last reading is unknown
 	apply(t, m, &Command{Clock: reading(2, 53)})
-	open, _ := m.PendingJob(job.Key)
-	if age := m.Now(reading(2, 54)) - open.SubmittedAt; age != 8*time.Second {
+	pending, _ := m.PendingJob(job.Key)
+	if age := m.Now(reading(2, 54)) - pending.SubmittedAt; age != 8*time.Second {
 		t.Errorf("age: got %v, want 8s", age)
 	}
-	if age := m.Now(reading(3, 500)) - open.SubmittedAt; age != 7*time.Second {
+	if age := m.Now(reading(3, 500)) - pending.SubmittedAt; age != 7*time.Second {
 		t.Errorf("age for a reading of a new source: got %v, want 7s", age)
 	}
 }
@@ -256,6 +258,6 @@
 		}
 	}
 	if !bytes.Equal(m.Snapshot(), before) {
-		t.Error("state after a failed restore: got another one, want the former")
+		t.Error("state after a failed restore: got a different one, want it unchanged")
 	}
 }
--- a/internal/batch/read.go
+++ b/internal/batch/read.go
@@ -7,7 +7,7 @@
 	"nickelline/internal/batch/deflated"
 )
 
-// ListedResult is a result as clients read it.
+// ListedResult is a listed result as clients read it.
 type ListedResult struct {
 	Identifier string
 	State      State
@@ -22,8 +22,8 @@
 	Closed  bool // no further result will be listed
 }
 
-// Results returns a job's results from a position onward, with at most maxBytes of original contents, but at least one result if
-// there is any. It reports false if there is no such job. The contents must not be changed.
+// Results returns a job's results from a position onward. Their contents have at most maxBytes before compression, but the page
+// has at least one result if there is any. It reports false if there is no such job. The contents must not be changed.
 func (m *Machine) Results(key Key, from int, maxBytes int) (Page, bool) {
 	found := m.jobs[key]
 	if found == nil || !found.submitted {
@@ -57,8 +57,8 @@
 	return nil, false
 }
 
-// Fits reports whether a job would be accepted now: either it has been, or its tokens are within what the tenant may have queued
-// on its route.
+// Fits reports whether a job would be accepted now: either the machine has a job of that key, or the job's tokens are within what
+// the tenant may have queued on its route.
 func (m *Machine) Fits(o Offer) bool {
 	return m.jobs[o.Key] != nil || !m.exceedsQuota(o)
 }
@@ -107,34 +107,34 @@
 // PendingJobs returns the jobs that have items to run, in the order in which they were submitted.
 func (m *Machine) PendingJobs() []PendingJob {
 	var pending []PendingJob
-	for _, ordered := range m.ordered() {
-		if job, ok := m.PendingJob(ordered.key); ok {
+	for _, j := range m.jobsByOrdinal() {
+		if job, ok := m.PendingJob(j.key); ok {
 			pending = append(pending, job)
 		}
 	}
 	return pending
 }
 
-// ordered returns all jobs in the order in which they were added.
-func (m *Machine) ordered() []*job {
+// jobsByOrdinal returns all jobs in the order in which they were added.
+func (m *Machine) jobsByOrdinal() []*job {
 	all := make([]*job, 0, len(m.jobs))
-	for _, one := range m.jobs {
-		all = append(all, one)
+	for _, j := range m.jobs {
+		all = append(all, j)
 	}
 	slices.SortFunc(all, func(a, b *job) int { return int(a.ordinal) - int(b.ordinal) })
 	return all
 }
 
-// Now returns the time of the partition's clock at a reading of the head. The difference of two such times is at most the time
-// that has really passed.
+// Now returns the time of the partition's clock at a reading of the head. The difference of two such times is at most the real
+// time between them.
 func (m *Machine) Now(r ClockReading) time.Duration { return m.clock.at(r) }
 
-// Expired lists the closed jobs that are as old as a bound, by the partition's clock at a reading.
-func (m *Machine) Expired(r ClockReading, bound time.Duration) []Key {
+// Expired returns the closed jobs whose age by the partition's clock at a reading is at least the retention time.
+func (m *Machine) Expired(r ClockReading, retention time.Duration) []Key {
 	var keys []Key
 	now := m.clock.at(r)
-	for _, candidate := range m.ordered() {
-		if candidate.closed() && now-candidate.submittedAt >= bound {
+	for _, candidate := range m.jobsByOrdinal() {
+		if candidate.closed() && now-candidate.submittedAt >= retention {
 			keys = append(keys, candidate.key)
 		}
 	}
--- a/internal/batch/size.go
+++ b/internal/batch/size.go
@@ -1,12 +1,12 @@
 package batch
 
 // The functions in this file return upper bounds of the size of messages in bytes, so that one segment of Cap'n Proto holds the
-// whole message. The constants are bounds of the size of each kind of object.
+// whole message. The constants are upper bounds of the size of each kind of object.
 const (
 	messageBytes = 128 // of a message, its root pointer and root struct
 	structBytes  = 64  // of any other struct
-	pointerBytes = 16  // of a list of structs, beside its elements
-	wordBytes    = 8   // what padding to words adds at most, the end of a text included
+	pointerBytes = 16  // of a list of structs without its elements
+	wordBytes    = 8   // of the padding to words, including the terminator of a text
 )
 
 func textSize(text string) int { return len(text) + wordBytes }
@@ -33,8 +33,8 @@
 	return size
 }
 
-// ListedSize returns an upper bound of the bytes of a listed result in a message.
-func ListedSize(l *ListedResult) int {
+// ListedResultSize returns an upper bound of the bytes of a listed result in a message.
+func ListedResultSize(l *ListedResult) int {
 	return structBytes + textSize(l.Identifier) + dataSize(l.Content)
 }
 
@@ -74,16 +74,16 @@
 
 func largestJobState(jobs []*job) int {
 	largest := 0
-	for _, one := range jobs {
-		largest = max(largest, jobStateSize(one))
+	for _, j := range jobs {
+		largest = max(largest, jobStateSize(j))
 	}
 	return largest
 }
 
 func snapshotSize(jobs []*job) int {
 	size := messageBytes + frameLengthSize
-	for _, one := range jobs {
-		size += jobStateSize(one) + frameLengthSize
+	for _, j := range jobs {
+		size += jobStateSize(j) + frameLengthSize
 	}
 	return size
 }
--- a/internal/batch/size_test.go
+++ b/internal/batch/size_test.go
@@ -51,8 +51,8 @@
 	return &Command{Submit: &Submit{Job: randomJob(random), MaxQueuedTokens: random.Int64()}}
 }
 
-// TestSizesHoldAnyMessage encodes commands of all shapes: a bound that is too small is an error.
-func TestSizesHoldAnyMessage(t *testing.T) {
+// TestSizesAreUpperBounds encodes random commands of each kind. Encoding fails if the bound of a size is too small.
+func TestSizesAreUpperBounds(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	m := New(nil)
 	for range 600 {
@@ -63,7 +63,7 @@
 		}
 		decoded, err := DecodeCommand(data)
 		if err != nil || !reflect.DeepEqual(decoded, command) {
-			t.Fatalf("decoded: got another command (%v), want %+v", err, command)
+			t.Fatalf("decoded: got a different command (%v), want %+v", err, command)
 		}
 		if command.Submit != nil {
 			command.Submit.MaxQueuedTokens = 0
@@ -76,6 +76,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(restored.Snapshot(), snapshot) {
-		t.Error("restored state: got another one, want the one that was saved")
+		t.Error("restored state: got a different one, want the one that was saved")
 	}
 }
--- a/internal/batch/snapshot.go
+++ b/internal/batch/snapshot.go
@@ -17,18 +17,18 @@
 
 // Snapshot returns the encoded state.
 func (m *Machine) Snapshot() []byte {
-	jobs := m.ordered()
+	jobs := m.jobsByOrdinal()
 	encoded := make([]byte, 0, snapshotSize(jobs))
 	encoded = appendFrame(encoded, m.encodeHeader(len(jobs)))
 	scratch := make([]byte, largestJobState(jobs))
-	for _, one := range jobs {
+	for _, j := range jobs {
 		clear(scratch) // the memory of a new message has to be zero
-		encoded = appendFrame(encoded, encodeJobState(one, scratch[:0]))
+		encoded = appendFrame(encoded, encodeJobState(j, scratch[:0]))
 	}
 	return encoded
 }
 
-// Restore replaces the state by that of a snapshot. If the snapshot cannot be decoded, the state is unchanged.
+// Restore replaces the state with that of a snapshot. If the snapshot cannot be decoded, the state is unchanged.
 func (m *Machine) Restore(snapshot []byte) error {
 	restored := New(m.observer)
 	frame, rest, err := nextFrame(snapshot)
@@ -71,15 +71,15 @@
 	return w.data
 }
 
-// nextFrame splits the first message off.
+// nextFrame returns the message of the first frame, and the frames after it.
 func nextFrame(encoded []byte) (frame, rest []byte, err error) {
 	if len(encoded) < frameLengthSize {
-		return nil, nil, fault.New(fault.Internal, "snapshot of batch jobs ends early")
+		return nil, nil, fault.New(fault.Internal, "snapshot of batch jobs: %d bytes left, want a frame length of %d bytes", len(encoded), frameLengthSize)
 	}
 	size := binary.LittleEndian.Uint32(encoded)
 	encoded = encoded[frameLengthSize:]
 	if uint64(size) > uint64(len(encoded)) {
-		return nil, nil, fault.New(fault.Internal, "snapshot of batch jobs ends within a job")
+		return nil, nil, fault.New(fault.Internal, "snapshot of batch jobs: frame of %d bytes is truncated to %d", size, len(encoded))
 	}
 	return encoded[:size], encoded[size:], nil
 }
--- a/internal/batch/snapshot_decoding.go
+++ b/internal/batch/snapshot_decoding.go
@@ -144,7 +144,7 @@
 	for i := range j.positions {
 		j.positions[i] = positions.At(i)
 		if int(j.positions[i]) >= len(j.items) {
-			return fault.New(fault.Internal, "snapshot of batch jobs names item %d of %d", j.positions[i], len(j.items))
+			return fault.New(fault.Internal, "snapshot of batch jobs: position refers to item %d of a job of %d items", j.positions[i], len(j.items))
 		}
 	}
 	return nil
--- a/internal/batch/snapshot_encoding.go
+++ b/internal/batch/snapshot_encoding.go
@@ -19,15 +19,15 @@
 	return message
 }
 
-// mustEncode ends the process if a message cannot be encoded in memory: its size is over the limit of Cap'n Proto, and a
-// snapshot without one of the jobs must not be saved.
+// mustEncode panics if a message cannot be encoded in memory because it exceeds the size limit of Cap'n Proto: a snapshot that
+// lacks a job must not be saved.
 func mustEncode(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-// encodeJobState encodes a job into memory of sufficient capacity.
+// encodeJobState encodes a job into memory, which is zeroed and has the capacity for it.
 func encodeJobState(j *job, memory []byte) *capnp.Message {
 	message, segment, err := capnp.NewMessage(capnp.SingleSegment(memory))
 	mustEncode(err)
