--- a/internal/batchapi/bench_test.go
+++ b/internal/batchapi/bench_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// BenchmarkDecodeSubmission reads a job of 60 items with bodies of 2,300 bytes.
+// BenchmarkDecodeSubmission decodes a job of 60 items with bodies of 2,300 bytes.
 func BenchmarkDecodeSubmission(b *testing.B) {
 	const items = 60
 	body := base64.StdEncoding.EncodeToString([]byte(strings.Repeat("b", 2300)))
--- a/internal/batchapi/call.go
+++ b/internal/batchapi/call.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	// maxCalls bounds the calls to stores for one call of a client.
+	// maxCalls limits the calls to stores for one request of a client.
 	maxCalls = 4
-	// retryPause is the pause before a store that could not act is asked again.
+	// retryPause is the pause before the next call after a store failed or could not act.
 	retryPause = 60 * time.Millisecond
 )
 
 // encodeFunc encodes a call for a partition.
 type encodeFunc func(partition uint32) (peer.Message, error)
 
-// call sends one call to a store. Errors keep the kind of what failed.
+// call sends one call to a store. An error of the Caller keeps its kind. Other errors are NotReady if nothing was sent, and
+// Unclear if the reply cannot be decoded.
 func (c *Client) call(
 	ctx context.Context, to netip.AddrPort, partition uint32, encode encodeFunc, timeout time.Duration,
 ) (*batchcall.Reply, error) {
 	if !to.IsValid() {
-		return nil, fault.New(fault.NotReady, "partition %d has no head", partition)
+		return nil, fault.New(fault.NotReady, "head of partition %d is unknown", partition)
 	}
 	message, err := encode(partition)
 	if err != nil {
--- a/internal/batchapi/client.go
+++ b/internal/batchapi/client.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// maxPageBytes bounds the contents of one page of results, which may be 1 MB with the overhead of JSON.
+	// maxPageBytes limits the contents of one page of results. The page may have 1 MB including the overhead of JSON.
 	maxPageBytes = 750_000
-	// overshootFraction of the allowed overshoot of quotas is added to the bound of waiting tokens, since a store counts an item
-	// a little longer than the backends do.
+	// overshootFraction is the part of the allowed quota overshoot that is added to the limit of queued tokens, because a store
+	// counts an item for a little longer than the backends do.
 	overshootFraction = 0.9
 )
 
@@ -33,13 +33,13 @@
 	Caller Caller
 	// Locate returns the newest known view of the partition that a tenant's jobs are in. Its Chain is the partition's number.
 	Locate func(tenant string) (view.View, bool)
-	// Zone is the own zone, whose replicas are preferred for reads.
+	// Zone is the zone of this proxy. Reads prefer its replicas.
 	Zone string
 	// QuotaOvershoot is the fraction by which a quota may be exceeded.
 	QuotaOvershoot float64
 }
 
-// Client calls the stores. It is safe for concurrent use, and starts no goroutine.
+// Client calls the stores that keep batch jobs. It is safe for concurrent use and starts no goroutine.
 type Client struct {
 	options Options
 	heads   *headCache
@@ -50,12 +50,12 @@
 	return &Client{options: options, heads: newHeadCache()}
 }
 
-// Submit takes a job, whose body is as the client sent it. It returns nil once the job is stored durably. The head is first
-// asked whether it would take the job. A job that does not fit is therefore not sent, nor is one to a head that is gone, of
-// which nobody could say whether it was taken.
+// Submit submits a job, whose body is as the client sent it. It returns nil once the job is stored durably. It first asks the
+// head whether it would accept the job. A job that exceeds the quota is therefore not sent, nor is one to a head that does not
+// respond, after which it would be unknown whether the job was accepted.
 func (c *Client) Submit(ctx context.Context, tenant string, route *configuration.Route, job string, body []byte) error {
 	if !isToken(job) {
-		return fault.New(fault.BadRequest, "%q cannot identify a batch job", job)
+		return fault.New(fault.BadRequest, "identifier %q of a batch job is not a token", job)
 	}
 	items, err := decodeSubmission(body)
 	if err != nil {
@@ -79,11 +79,12 @@
 	})
 }
 
-// checkOffer asks the head of a tenant's partition whether it would take a job. Any error promises that nothing was taken.
+// checkOffer asks the head of a tenant's partition whether it would accept a job. Any error guarantees that the job was not
+// accepted.
 func (c *Client) checkOffer(ctx context.Context, tenant string, submission *batchcall.SubmitRequest) error {
-	take := batch.Submit{Job: submission.Job, MaxQueuedTokens: submission.MaxQueuedTokens}
-	request := &batchcall.OfferRequest{Offer: take.Offer()}
-	ctx, cancel := context.WithTimeout(ctx, offerPatience)
+	submit := batch.Submit{Job: submission.Job, MaxQueuedTokens: submission.MaxQueuedTokens}
+	request := &batchcall.OfferRequest{Offer: submit.Offer()}
+	ctx, cancel := context.WithTimeout(ctx, totalOfferTimeout)
 	defer cancel()
 	err := c.callHead(ctx, tenant, offerTimeout, func(partition uint32) (peer.Message, error) {
 		request.Partition = partition
@@ -95,12 +96,12 @@
 	return err
 }
 
-// maxQueuedTokens returns how many tokens of a tenant may wait on a route.
+// maxQueuedTokens returns how many tokens a tenant may have queued on a route.
 func (c *Client) maxQueuedTokens(route *configuration.Route) int64 {
 	return route.MaxQueuedTokens + int64(float64(route.MaxQueuedTokens)*c.options.QuotaOvershoot*overshootFraction)
 }
 
-// End ends a job. It is no error if that was ended before.
+// End ends a job. Ending a job that has already ended is no error.
 func (c *Client) End(ctx context.Context, tenant, job string) error {
 	request := &batchcall.EndRequest{Key: batch.Key{Tenant: tenant, Identifier: job}}
 	return c.callHead(ctx, tenant, writeTimeout, func(partition uint32) (peer.Message, error) {
@@ -109,7 +110,8 @@
 	})
 }
 
-// Results returns results after a position, with their original contents. It waits up to a time for the first one.
+// Results returns the results after the first startAfter, with their contents expanded. It waits up to wait for the first of
+// them.
 func (c *Client) Results(ctx context.Context, tenant, job string, startAfter int, wait time.Duration) (batch.Page, error) {
 	request := &batchcall.ResultsRequest{
 		Key:        batch.Key{Tenant: tenant, Identifier: job},
@@ -126,12 +128,12 @@
 		return batch.Page{}, err
 	}
 	if reply.Page == nil {
-		return batch.Page{}, fault.New(fault.NotReady, "a store answered without a page")
+		return batch.Page{}, fault.New(fault.NotReady, "reply to a request for results has no page")
 	}
 	return decompressPage(*reply.Page)
 }
 
-// decompressPage returns a page with the original contents.
+// decompressPage expands the contents of a page.
 func decompressPage(page batch.Page) (batch.Page, error) {
 	for i := range page.Results {
 		content, err := deflated.Expand(page.Results[i].Content)
--- a/internal/batchapi/client_test.go
+++ b/internal/batchapi/client_test.go
@@ -35,12 +35,12 @@
 	err   error
 }
 
-// fakeStores answer each store's calls in turn, the last answer again and again. Offers have answers of their own: where there
-// are none, every store would take the job.
+// fakeStores is a Caller that gives the answers of each store in order and repeats the last one. Offers have answers of their
+// own; without any, every store accepts the offer.
 type fakeStores struct {
 	answers map[netip.AddrPort][]answer
 	offers  map[netip.AddrPort][]answer
-	calls   []netip.AddrPort // but offers
+	calls   []netip.AddrPort // other than offers
 	offered []netip.AddrPort
 	last    peer.Message
 }
@@ -111,21 +111,21 @@
 	item := request.Job.Items[0]
 	if request.Partition != 7 || request.MaxQueuedTokens != 1090 || request.Job.Host != "a.example" || request.Job.Route != "reports" ||
 		request.Job.Key != (batch.Key{Tenant: testTenant, Identifier: "7c41"}) {
-		t.Errorf("request: got %+v", request)
+		t.Errorf("request: got %+v, want job 7c41 of %s in partition 7 with 1090 tokens allowed", request, testTenant)
 	}
 	if item.Identifier != "e5" || item.Path != "/reports/1" || item.Tokens != 940 || string(item.Body) != "\xab\xcd\xef\x12\x34\x56\x78\x90" ||
 		len(item.Headers) != 2 || item.Headers[0] != (batch.Header{Name: "A", Value: "1"}) {
-		t.Errorf("item: got %+v", item)
+		t.Errorf("item: got %+v, want that of %s", item, testBody)
 	}
 }
 
-// TestSubmissionPromises has stores answer in different ways, and checks the error that the client gets.
-func TestSubmissionPromises(t *testing.T) {
+// TestSubmitErrorKinds checks the kind of error that Submit returns for the answers of the stores.
+func TestSubmitErrorKinds(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		answers map[netip.AddrPort][]answer
-		taken   bool
-		kind    fault.Kind
+		name     string
+		answers  map[netip.AddrPort][]answer
+		accepted bool
+		kind     fault.Kind
 	}{
 		{"redirect", map[netip.AddrPort][]answer{first: {redirect(4, second)}, second: {done()}}, true, 0},
 		{"old redirect", map[netip.AddrPort][]answer{first: {redirect(2, second)}, second: {done()}}, false, fault.NotReady},
@@ -144,16 +144,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			client, _ := newTestClient(t, "north", c.answers)
 			err := submit(client)
-			if (err == nil) != c.taken || err != nil && fault.KindOf(err) != c.kind {
+			if (err == nil) != c.accepted || err != nil && fault.KindOf(err) != c.kind {
 				t.Errorf("got error %v of kind %v, want kind %v", err, fault.KindOf(err), c.kind)
 			}
 		})
 	}
 }
 
-// A job is sent only to a head that has said that it would take it: otherwise it is certain that it was not taken, also where
-// the head has not answered.
-func TestOfferComesBeforeTheJob(t *testing.T) {
+// A job is sent only to a head that has accepted its offer. Without that, it is certain that the job was not accepted, even if
+// the head did not answer.
+func TestOfferPrecedesSubmission(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		offers map[netip.AddrPort][]answer
@@ -183,7 +183,7 @@
 	}
 }
 
-func TestOfferStatesWhatTheJobTakes(t *testing.T) {
+func TestOfferDescribesTheJob(t *testing.T) {
 	c, stores := newTestClient(t, "south", nil)
 	stores.offers = map[netip.AddrPort][]answer{first: {fails(fault.QuotaExceeded)}}
 	if err := submit(c); fault.KindOf(err) != fault.QuotaExceeded {
@@ -203,14 +203,14 @@
 	c, _ := newTestClient(t, "north", nil)
 	c.options.Locate = func(string) (view.View, bool) { return view.View{}, false }
 	if err := submit(c); fault.KindOf(err) != fault.NotReady {
-		t.Error(err)
+		t.Errorf("submit: got error %v, want one of kind NotReady", err)
 	}
 	if _, err := c.ItemBody(context.Background(), testTenant, "7c41", "e5"); fault.KindOf(err) != fault.NotReady {
-		t.Error(err)
+		t.Errorf("item body: got error %v, want one of kind NotReady", err)
 	}
 }
 
-func TestUnreadableSubmissionsAreNotSent(t *testing.T) {
+func TestInvalidSubmissionsAreNotSent(t *testing.T) {
 	long := `{"batchItems":[` + strings.Repeat(`{},`, maxItems) + `{}]}`
 	for _, body := range []string{
 		``, `[]`, `{}`, `{"batchItems":`, `{"batchItems":[{"identifier":"","path":"/a"}]}`, long,
@@ -244,7 +244,7 @@
 		c, stores := newTestClient(t, zone, map[netip.AddrPort][]answer{first: {page("a")}, second: {page("a")}, third: {page("a")}})
 		got, err := c.Results(context.Background(), testTenant, "7c41", 0, 0)
 		if err != nil || got.Total != 9 || got.Next != 1 || string(got.Results[0].Content) != "text" {
-			t.Errorf("%+v, %v", got, err)
+			t.Errorf("zone %s: got page %+v, %v, want 9 items in total and 1 result", zone, got, err)
 		}
 		if stores.calls[0] != want {
 			t.Errorf("zone %s: read from %v, want %v", zone, stores.calls[0], want)
@@ -252,14 +252,14 @@
 	}
 }
 
-func TestReadsGoOnToOtherReplicas(t *testing.T) {
+func TestReadsFailOverToOtherReplicas(t *testing.T) {
 	for _, kind := range []fault.Kind{fault.NotReady, fault.Unclear, fault.Internal} {
 		c, stores := newTestClient(t, "south", map[netip.AddrPort][]answer{first: {page("a")}, second: {fails(kind)}})
 		if _, err := c.Results(context.Background(), testTenant, "7c41", 0, time.Millisecond); err != nil {
-			t.Error(err)
+			t.Errorf("first read: got error %v, want none", err)
 		}
 		if _, err := c.Results(context.Background(), testTenant, "7c41", 0, time.Millisecond); err != nil {
-			t.Error(err)
+			t.Errorf("second read: got error %v, want none", err)
 		}
 		if len(stores.calls) != 3 || stores.calls[1] != first || stores.calls[2] != first {
 			t.Errorf("calls: got %v, want the second call and later ones to %v", stores.calls, first)
@@ -267,25 +267,25 @@
 	}
 }
 
-func TestOnlyAReplicaSaysThatThereIsNoSuchJob(t *testing.T) {
+func TestNotFoundComesOnlyFromAReplica(t *testing.T) {
 	c, _ := newTestClient(t, "south", map[netip.AddrPort][]answer{second: {fails(fault.NotFound)}})
 	if _, err := c.Results(context.Background(), testTenant, "7c41", 0, 0); fault.KindOf(err) != fault.NotFound {
-		t.Error(err)
+		t.Errorf("results: got error %v, want one of kind NotFound", err)
 	}
 	c, _ = newTestClient(t, "south", map[netip.AddrPort][]answer{first: {fails(fault.Unclear)}, second: {redirect(4, third)}})
 	if _, err := c.ItemBody(context.Background(), testTenant, "7c41", "e5"); fault.KindOf(err) != fault.NotReady {
-		t.Error(err)
+		t.Errorf("item body: got error %v, want one of kind NotReady", err)
 	}
 }
 
-func TestEndPromisesNothingUnknown(t *testing.T) {
+func TestEndWithoutAnswerIsUnclear(t *testing.T) {
 	c, _ := newTestClient(t, "north", map[netip.AddrPort][]answer{first: {fails(fault.Unclear)}})
 	if err := c.End(context.Background(), testTenant, "7c41"); fault.KindOf(err) != fault.Unclear {
-		t.Error(err)
+		t.Errorf("end: got error %v, want one of kind Unclear", err)
 	}
 	c, _ = newTestClient(t, "north", map[netip.AddrPort][]answer{first: {fails(fault.Unclear), done()}})
 	if err := c.End(context.Background(), testTenant, "7c41"); err != nil {
-		t.Error(err)
+		t.Errorf("end: got error %v, want none", err)
 	}
 }
 
@@ -294,7 +294,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := c.Submit(ctx, testTenant, testRoute, "7c41", []byte(testBody)); err == nil || errors.Is(err, context.Canceled) {
-		t.Error(err)
+		t.Errorf("submit: got error %v, want one that is not context.Canceled", err)
 	}
 	if len(stores.calls) != 1 {
 		t.Errorf("calls: got %d, want 1", len(stores.calls))
--- a/internal/batchapi/headcache.go
+++ b/internal/batchapi/headcache.go
@@ -9,16 +9,17 @@
 	"nickelline/internal/view"
 )
 
-// failureMemory is how long a store that did not answer a read is asked after all others.
-const failureMemory = 2 * time.Second
+// failureTTL is how long a store that failed to answer a read is tried only after the other replicas.
+const failureTTL = 2 * time.Second
 
-// redirectedHead is a head that a store named.
+// redirectedHead is a head that a store named in a redirect.
 type redirectedHead struct {
 	epoch uint64
 	head  netip.AddrPort
 }
 
-// headCache remembers what calls have shown of stores: heads of newer views than the placement known here, and failures.
+// headCache holds what earlier calls showed: the heads of views that are newer than the locally known one, and failures of
+// stores. It is safe for concurrent use.
 type headCache struct {
 	mutex     sync.Mutex
 	redirects map[uint32]redirectedHead
@@ -29,7 +30,7 @@
 	return &headCache{redirects: map[uint32]redirectedHead{}, failedAt: map[netip.AddrPort]time.Time{}}
 }
 
-// head returns the head of a partition by the newest view that is known.
+// head returns the head of a partition in the newest view that is known. The address is invalid if that view has no head.
 func (h *headCache) head(v view.View) netip.AddrPort {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -43,7 +44,7 @@
 	return netip.AddrPort{}
 }
 
-// recordRedirect takes a redirect if it is newer than what is known.
+// recordRedirect stores a redirect if its epoch is newer than that of the last one.
 func (h *headCache) recordRedirect(partition uint32, r *batchcall.Redirect) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -59,12 +60,12 @@
 	h.failedAt[address] = time.Now()
 }
 
-// failedRecently reports whether a store is better not asked first.
+// failedRecently reports whether a store failed to answer within the last failureTTL.
 func (h *headCache) failedRecently(address netip.AddrPort) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	at, ok := h.failedAt[address]
-	if ok && time.Since(at) > failureMemory {
+	if ok && time.Since(at) > failureTTL {
 		delete(h.failedAt, address)
 		return false
 	}
--- a/internal/batchapi/read.go
+++ b/internal/batchapi/read.go
@@ -11,13 +11,13 @@
 	"nickelline/internal/view"
 )
 
-// readTimeout bounds one call that reads, beyond the time that its answer may wait for a result.
+// readTimeout limits one call that reads, in addition to the time that the store may wait for a result.
 const readTimeout = 700 * time.Millisecond
 
-// read calls replicas of a tenant's partition until one has given a definite answer.
+// read calls replicas of a tenant's partition until one of them returns a reply or NotFound.
 func (c *Client) read(ctx context.Context, tenant string, wait time.Duration, encode encodeFunc) (*batchcall.Reply, error) {
 	deadline := time.Now().Add(wait)
-	failure := fault.New(fault.NotReady, "no store keeps the jobs of %q now", tenant)
+	failure := fault.New(fault.NotReady, "no store serves the jobs of tenant %q", tenant)
 	tried := map[netip.AddrPort]bool{}
 	for range maxCalls {
 		located, ok := c.options.Locate(tenant)
@@ -46,8 +46,8 @@
 	return nil, failure
 }
 
-// selectReplica returns the replica that a read goes to: one of the own zone if there is one, else the head, else any. Those
-// that have been tried, or failed recently, come last.
+// selectReplica returns the replica that a read goes to: one of the proxy's zone if there is one, else the head, else any.
+// Replicas that have been tried or failed recently come last.
 func (c *Client) selectReplica(v view.View, tried map[netip.AddrPort]bool) netip.AddrPort {
 	head := c.heads.head(v)
 	best, bestRank := head, c.rank(head, head, "", tried)
@@ -59,13 +59,13 @@
 	return best
 }
 
-// rank returns the rank of a replica for a read; the lowest is taken.
+// rank returns the rank of a replica for a read. The replica with the lowest rank is selected.
 func (c *Client) rank(address, head netip.AddrPort, zone string, tried map[netip.AddrPort]bool) int {
 	const (
-		triedPenalty  = 8
-		failedPenalty = 4
-		otherZone     = 2
-		notHead       = 1
+		triedPenalty     = 8
+		failedPenalty    = 4
+		otherZonePenalty = 2
+		notHeadPenalty   = 1
 	)
 	rank := 0
 	if tried[address] {
@@ -75,10 +75,10 @@
 		rank += failedPenalty
 	}
 	if zone != c.options.Zone {
-		rank += otherZone
+		rank += otherZonePenalty
 	}
 	if address != head {
-		rank += notHead
+		rank += notHeadPenalty
 	}
 	return rank
 }
--- a/internal/batchapi/submission.go
+++ b/internal/batchapi/submission.go
@@ -13,7 +13,7 @@
 // maxItems is the greatest number of items in one job.
 const maxItems = 200
 
-// submission is the body of the call that submits a job.
+// submission is the body of the request that submits a job.
 type submission struct {
 	BatchItems []submittedItem `json:"batchItems"`
 }
@@ -36,7 +36,7 @@
 		return nil, fault.New(fault.BadRequest, "batchItems is missing")
 	}
 	if len(submitted.BatchItems) > maxItems {
-		return nil, fault.New(fault.BadRequest, "%d items, at most %d are allowed", len(submitted.BatchItems), maxItems)
+		return nil, fault.New(fault.BadRequest, "batchItems has %d items, at most %d are allowed", len(submitted.BatchItems), maxItems)
 	}
 	items := make([]batch.Item, 0, len(submitted.BatchItems))
 	seen := make(map[string]bool, len(submitted.BatchItems))
@@ -46,7 +46,7 @@
 			return nil, err
 		}
 		if seen[item.Identifier] {
-			return nil, fault.New(fault.BadRequest, "two items are named %q", item.Identifier)
+			return nil, fault.New(fault.BadRequest, "identifier %q is used by two items", item.Identifier)
 		}
 		seen[item.Identifier] = true
 		items = append(items, item.convert())
@@ -54,25 +54,25 @@
 	return items, nil
 }
 
-// check refuses what cannot be sent as a request.
+// check returns an error if the item cannot be sent as a request.
 func (i *submittedItem) check() error {
 	switch {
 	case !isToken(i.Identifier):
-		return fault.New(fault.BadRequest, "%q cannot identify an item", i.Identifier)
+		return fault.New(fault.BadRequest, "identifier %q of an item is not a token", i.Identifier)
 	case !strings.HasPrefix(i.Path, "/") || strings.ContainsFunc(i.Path, isControlOrSpace):
-		return fault.New(fault.BadRequest, "item %s: %q is no path", i.Identifier, i.Path)
+		return fault.New(fault.BadRequest, "item %s: path %q is invalid", i.Identifier, i.Path)
 	case i.TokenCount < 0:
 		return fault.New(fault.BadRequest, "item %s: tokenCount is negative", i.Identifier)
 	}
 	for name, value := range i.Headers {
 		if !isToken(name) || strings.ContainsFunc(value, isControl) {
-			return fault.New(fault.BadRequest, "item %s: header %q cannot be sent", i.Identifier, name)
+			return fault.New(fault.BadRequest, "item %s: header %q is invalid", i.Identifier, name)
 		}
 	}
 	return nil
 }
 
-// isToken reports whether a text may be the name of a header field, and a value without quotes.
+// isToken reports whether a text is valid as the name of a header field and as an unquoted value.
 func isToken(text string) bool {
 	const separators = `"(),/:;<=>?@[\]{}`
 	return text != "" && !strings.ContainsFunc(text, func(c rune) bool {
@@ -84,7 +84,7 @@
 
 func isControlOrSpace(c rune) bool { return c <= ' ' || c >= 0x7f }
 
-// convert returns the item as it is stored, its headers sorted by name.
+// convert returns the item as it is stored, with its headers sorted by name.
 func (i *submittedItem) convert() batch.Item {
 	item := batch.Item{Identifier: i.Identifier, Path: i.Path, Body: i.Body, Tokens: i.TokenCount}
 	for _, name := range slices.Sorted(maps.Keys(i.Headers)) {
--- a/internal/batchapi/write.go
+++ b/internal/batchapi/write.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// writeTimeout bounds one call that changes something, since a view may change meanwhile.
+	// writeTimeout limits one call that changes state, because the view may change during the call.
 	writeTimeout = 2 * time.Second
-	// offerTimeout bounds one call that asks whether a job would be taken, and offerPatience all such calls for one job: a
-	// client that learns soon that the head is gone tries again in time.
-	offerTimeout  = 300 * time.Millisecond
-	offerPatience = 800 * time.Millisecond
+	// offerTimeout limits one call that asks whether a job would be accepted, and totalOfferTimeout all such calls for one job.
+	// They are short, so that a client learns early that the head is gone and can retry in time.
+	offerTimeout      = 300 * time.Millisecond
+	totalOfferTimeout = 800 * time.Millisecond
 )
 
-// callHead calls the head of a tenant's partition until it has acted. All calls are idempotent: a job is taken once, and ended
-// once, however often it is asked for.
+// callHead calls the head of a tenant's partition until the head has carried out the request or rejected it. All requests are
+// idempotent: a job is accepted once and ended once, however often that is requested.
 func (c *Client) callHead(ctx context.Context, tenant string, timeout time.Duration, encode encodeFunc) error {
 	var unclear error
-	refusal := fault.New(fault.NotReady, "no store keeps the jobs of %q now", tenant)
+	refusal := fault.New(fault.NotReady, "no store serves the jobs of tenant %q", tenant)
 	for range maxCalls {
 		located, ok := c.options.Locate(tenant)
 		if !ok {
@@ -51,7 +51,8 @@
 	return resolveError(unclear, refusal)
 }
 
-// resolveError returns the error that promises no more than is known: unclear, if any call was.
+// resolveError returns the unclear error of an earlier call if there is one, else the refusal: after an unclear call, a refusal
+// does not prove that nothing was executed.
 func resolveError(unclear, refusal error) error {
 	if unclear != nil {
 		return unclear
