--- a/internal/chain/acknowledge.go
+++ b/internal/chain/acknowledge.go
@@ -1,8 +1,8 @@
 package chain
 
-// acknowledge sends the upstream replica what has changed in the progress from here to the tail. A member that does not
-// know on its disk that it is complete acknowledges no entries as synced: what is committed in a view is on the disks
-// of all its members, and each of them may become the head of the next view.
+// acknowledge reports the progress of this replica and all after it to the upstream replica, if it has changed. A
+// member whose completeness is not recorded on its disk acknowledges no entries as synced: what is committed in a view
+// is on the disks of all its members, and each of them may become the head of the next view.
 func (r *Replica) acknowledge() {
 	u := &r.upstream
 	if u.session == (Session{}) || (!u.started && u.snapshot == nil) {
@@ -28,7 +28,7 @@
 }
 
 // syncedToTail returns the sequence up to which this replica and all after it have the log on disk, and whether they
-// are connected. At the head this decides what is committed.
+// are connected up to the tail. At the head this sequence decides what is committed.
 func (r *Replica) syncedToTail() (synced uint64, ready bool) {
 	if _, ok := r.view.Successor(r.self.Replica); !ok {
 		return r.synced, true
--- a/internal/chain/agreement_calls.go
+++ b/internal/chain/agreement_calls.go
@@ -8,8 +8,8 @@
 	"nickelline/internal/peer"
 )
 
-// handle answers a request of another replica. A replica whose disk is impaired does not answer, so that its neighbours
-// find it unresponsive.
+// handle answers a request of another replica. A replica whose disk is impaired returns an error, so that its
+// neighbours count it as unresponsive.
 func (r *Reconfigurer) handle(q agreementRequest) (agreementResponse, error) {
 	var a agreementResponse
 	if r.node.Impaired() {
--- a/internal/chain/agreement_message.go
+++ b/internal/chain/agreement_message.go
@@ -16,7 +16,7 @@
 	prepare *view.Prepare
 	accept  *view.Accept
 	join    bool // the sender is a learner that has caught up
-	// confirm asks whether the view of this epoch is the newest that the replica knows or has accepted; 0 if it is not set.
+	// confirm asks whether the view of this epoch is the newest that the replica knows or has accepted; 0 if not set.
 	confirm uint64
 }
 
--- a/internal/chain/applier.go
+++ b/internal/chain/applier.go
@@ -25,9 +25,9 @@
 	saving       sync.WaitGroup
 
 	// Used by the goroutine of run only.
-	position      Position
-	bytes         int // of the entries applied since the last snapshot
-	snapshotBytes int // size of the last snapshot
+	position           Position
+	bytesSinceSnapshot int // total size of the entries applied since the last snapshot
+	snapshotBytes      int // size of the last snapshot
 
 	applied uint64 // guarded by the mutex of the node
 
@@ -37,13 +37,13 @@
 	savingSnapshot    bool
 }
 
-// applierTask is an operation on the state machine, or a view that came into force if that is set.
+// applierTask is a view that came into force, or an operation on the state machine if view is nil.
 type applierTask struct {
 	operation ApplyOperation
 	view      *view.View
 }
 
-// newApplier returns an applier for a node whose state machine holds what was recovered.
+// newApplier returns an applier for a node whose state machine holds the recovered snapshot.
 func newApplier(n *Node, state Recovered, snapshot *segment.Snapshot) *applier {
 	a := &applier{
 		node:         n,
@@ -69,7 +69,7 @@
 	a.saving.Wait()
 }
 
-// add queues what an output asks for.
+// add queues the apply operations, views and snapshot request of an output.
 func (a *applier) add(out Output) {
 	if len(out.Apply) == 0 && len(out.Views) == 0 && !out.SnapshotRequested {
 		return
@@ -86,7 +86,7 @@
 	notify(a.wake)
 }
 
-// take removes what is queued.
+// take returns and clears the queue.
 func (a *applier) take() (tasks []applierTask, snapshotRequested bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -95,7 +95,7 @@
 	return tasks, snapshotRequested
 }
 
-// run applies what is queued until the applier is stopped or the state machine fails.
+// run performs queued tasks until the applier is stopped or a snapshot cannot be restored.
 func (a *applier) run() {
 	defer close(a.done)
 	for {
@@ -130,23 +130,23 @@
 	return nil
 }
 
-// restore replaces the state by a snapshot of another replica.
+// restore replaces the state with a snapshot received from another replica.
 func (a *applier) restore(snapshot segment.Snapshot) error {
 	if err := a.stateMachine.Restore(snapshot.Data); err != nil {
 		return merry.Prepend(err, "snapshot of another replica")
 	}
-	a.bytes = 0
+	a.bytesSinceSnapshot = 0
 	a.snapshotBytes = len(snapshot.Data)
 	a.advance(Position{Epoch: snapshot.Epoch, Sequence: snapshot.Sequence})
 	return nil
 }
 
-// apply applies entries, and passes their results to the callers that wait here.
+// apply applies entries, and passes their results to the callers that wait for them at this node.
 func (a *applier) apply(entries []segment.Entry) {
 	calls := a.node.takeAccepted(entries)
 	for _, entry := range entries {
 		result := a.stateMachine.Apply(entry.Sequence, entry.Data)
-		a.bytes += len(entry.Data)
+		a.bytesSinceSnapshot += len(entry.Data)
 		if call := calls[entry.Sequence]; call != nil {
 			call.resolve(proposalResult{result: result})
 		}
@@ -155,20 +155,20 @@
 	a.advance(Position{Epoch: last.Epoch, Sequence: last.Sequence})
 }
 
-// advance records and announces how far entries have been applied.
+// advance records how far entries have been applied, and calls the functions registered by OnCommit.
 func (a *applier) advance(position Position) {
 	a.position = position
 	a.node.mutex.Lock()
 	a.applied = position.Sequence
 	a.node.wakeWatchers()
-	notified := a.node.onCommit
+	callbacks := a.node.onCommit
 	a.node.mutex.Unlock()
-	for _, f := range notified {
+	for _, f := range callbacks {
 		f(position.Sequence)
 	}
 }
 
-// passSnapshot passes a snapshot to the Replica, which sends it to a receiver that lacks too much.
+// passSnapshot passes a snapshot to the Replica, which sends it to receivers that lack more than the history has.
 func (a *applier) passSnapshot() {
 	snapshot := a.snapshot()
 	a.node.step(func(now time.Duration) { a.node.replica.SnapshotTaken(now, snapshot) })
@@ -178,22 +178,23 @@
 	return segment.Snapshot{Epoch: a.position.Epoch, Sequence: a.position.Sequence, Data: a.stateMachine.Snapshot()}
 }
 
-// compact has a snapshot written once the entries that it replaces are larger than a limit and than the last snapshot.
+// compact saves a snapshot in the background once the entries that it replaces are as large as Options.SnapshotBytes and
+// as the last snapshot.
 func (a *applier) compact() {
 	bound := a.node.options.SnapshotBytes
 	if bound == 0 {
 		bound = defaultSnapshotBytes
 	}
-	if a.bytes < max(bound, a.snapshotBytes) || !a.beginSaving() {
+	if a.bytesSinceSnapshot < max(bound, a.snapshotBytes) || !a.beginSaving() {
 		return
 	}
 	snapshot := a.snapshot()
-	a.bytes = 0
+	a.bytesSinceSnapshot = 0
 	a.snapshotBytes = len(snapshot.Data)
 	a.saving.Go(func() { a.save(snapshot) })
 }
 
-// beginSaving reports whether no snapshot is being saved, and marks that one is from now on.
+// beginSaving marks that a snapshot is being saved. It reports false if one is being saved already.
 func (a *applier) beginSaving() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -204,13 +205,13 @@
 	return true
 }
 
-// save writes a snapshot, beside which entries are applied further.
+// save writes a snapshot, while run goes on applying entries.
 func (a *applier) save(snapshot segment.Snapshot) {
 	err := a.node.disk.log.SaveSnapshot(snapshot)
 	a.mutex.Lock()
 	a.savingSnapshot = false
 	a.mutex.Unlock()
-	// The log may have been replaced meanwhile.
+	// The log may have been reset to a received snapshot meanwhile.
 	if err != nil && !errors.Is(err, segment.ErrOutOfOrder) {
 		a.node.options.Log.Warn("snapshot not saved", zap.Error(err))
 	}
--- a/internal/chain/barrier.go
+++ b/internal/chain/barrier.go
@@ -8,8 +8,8 @@
 	"nickelline/internal/view"
 )
 
-// Barrier returns once this replica has applied all that was committed anywhere when the call began. Callers that wait
-// at the same time share one round of messages. The error is fault.NotReady.
+// Barrier returns nil once this replica has applied all that was committed anywhere when the call began. Callers that
+// wait at the same time share one round of messages. The error is of kind fault.NotReady.
 func (n *Node) Barrier(ctx context.Context) error {
 	ctx, cancel := withDefaultTimeout(ctx)
 	defer cancel()
@@ -25,7 +25,8 @@
 	}
 }
 
-// barrierOnce asks the head of a view for a barrier, and returns the sequence that has to be applied.
+// barrierOnce asks the head of a view for a barrier, and returns the sequence up to which the caller has to apply
+// entries.
 func (n *Node) barrierOnce(ctx context.Context, v view.View) (uint64, error) {
 	head, ok := v.Head()
 	switch {
@@ -43,7 +44,7 @@
 	}
 }
 
-// barrierLocally asks for a barrier at this replica, as the head.
+// barrierLocally begins a barrier at this replica, as the head, and waits for its result.
 func (n *Node) barrierLocally(ctx context.Context) (uint64, error) {
 	id, resolved, err := n.beginBarrier()
 	if err != nil {
--- a/internal/chain/barrier_bench_test.go
+++ b/internal/chain/barrier_bench_test.go
@@ -9,8 +9,8 @@
 	"nickelline/internal/view"
 )
 
-// BenchmarkBarrier passes one barrier after the other over chains of some lengths in this process. The processor time is that of
-// all replicas.
+// BenchmarkBarrier runs one barrier after another over chains of several lengths in this process. The processor time is
+// that of all replicas.
 func BenchmarkBarrier(b *testing.B) {
 	for _, replicas := range []int{3, 5, 8} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
@@ -18,7 +18,7 @@
 			c.propose(c.members[0], 1)
 			head := c.head()
 			if members := len(head.View().Members); members != replicas {
-				b.Fatalf("the chain has %d members", members)
+				b.Fatalf("members of the chain: got %d, want %d", members, replicas)
 			}
 			before := measure.ProcessorTime()
 			for b.Loop() {
--- a/internal/chain/barrier_rounds.go
+++ b/internal/chain/barrier_rounds.go
@@ -8,13 +8,13 @@
 	"nickelline/internal/peer"
 )
 
-// remoteTimeout bounds a barrier round, which several callers share.
-const remoteTimeout = 2 * time.Second
+// barrierRoundTimeout bounds the request to the head in a barrier round, which several callers share.
+const barrierRoundTimeout = 2 * time.Second
 
-// remoteBarriers shares rounds of barriers among the callers at a replica that is not the head.
+// remoteBarriers shares barrier rounds among the callers at a replica that is not the head.
 type remoteBarriers struct {
 	running bool
-	next    *barrierRound // begins once the running one is over
+	next    *barrierRound // to be run once the running one is over; nil if nobody waits for it
 }
 
 // barrierRound is one barrier request to the head, with the callers that share its answer.
@@ -24,23 +24,23 @@
 	err      error
 }
 
-// joinRound returns a round that has not begun yet, so that it covers all that was committed before the call.
+// joinRound returns a round that had not begun before the call, so that it covers all that was committed by then.
 func (n *Node) joinRound() *barrierRound {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.remote.next == nil {
-		n.remote.next = &barrierRound{done: make(chan struct{})}
+	if n.barrierRounds.next == nil {
+		n.barrierRounds.next = &barrierRound{done: make(chan struct{})}
 	}
-	round := n.remote.next
-	if !n.remote.running {
-		n.remote.running = true
-		n.remote.next = nil
+	round := n.barrierRounds.next
+	if !n.barrierRounds.running {
+		n.barrierRounds.running = true
+		n.barrierRounds.next = nil
 		go n.runRounds(round)
 	}
 	return round
 }
 
-// runRounds calls the head, and again as long as callers have joined meanwhile.
+// runRounds runs a round, and further ones as long as callers have joined meanwhile.
 func (n *Node) runRounds(round *barrierRound) {
 	for round != nil {
 		round.sequence, round.err = n.barrierAtHead()
@@ -53,9 +53,9 @@
 func (n *Node) nextRound() *barrierRound {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	round := n.remote.next
-	n.remote.next = nil
-	n.remote.running = round != nil
+	round := n.barrierRounds.next
+	n.barrierRounds.next = nil
+	n.barrierRounds.running = round != nil
 	return round
 }
 
@@ -69,7 +69,7 @@
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), barrierRoundTimeout)
 	defer cancel()
 	answer, err := n.callHead(ctx, head, peer.Message{Kind: kindBarrier, Body: body})
 	if err != nil {
--- a/internal/chain/call_messages.go
+++ b/internal/chain/call_messages.go
@@ -17,7 +17,8 @@
 // barrierRequest asks the head of a chain for a barrier.
 type barrierRequest struct{ chain uint32 }
 
-// barrierResponse answers a barrier: everything committed before has at most this sequence. Epoch is that of the head.
+// barrierResponse answers a barrier: everything that was committed when the request arrived has at most this sequence.
+// The epoch is that of the head's view.
 type barrierResponse struct{ sequence, epoch uint64 }
 
 func (m proposeRequest) encode() ([]byte, error) {
--- a/internal/chain/candidates.go
+++ b/internal/chain/candidates.go
@@ -7,9 +7,9 @@
 	"nickelline/internal/view"
 )
 
-// SetCandidates replaces what is known of the replicas. It is to be called whenever the table of members changes. Of a
-// candidate only Member, Reachable and Leaving are read. A member of the view that is not listed counts as reachable
-// for unlistedGrace.
+// SetCandidates replaces what is known about the replicas. The caller must call it whenever the table of members
+// changes. Of each candidate only Member, Reachable and Leaving are read. A member of the view that is not listed counts
+// as reachable for unlistedGrace.
 func (r *Reconfigurer) SetCandidates(candidates []view.Candidate) {
 	r.mutex.Lock()
 	r.candidates = slices.Clone(candidates)
@@ -30,7 +30,7 @@
 	return candidates
 }
 
-// memberCandidates returns what is known of the members of a view, except whether they are complete.
+// memberCandidates returns what is known about the members of a view, except whether they are complete.
 func (r *Reconfigurer) memberCandidates(v view.View) []view.Candidate {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -41,7 +41,8 @@
 	return candidates
 }
 
-// memberCandidateLocked returns what is known of one member. The mutex is held.
+// memberCandidateLocked returns what is known about one member. If a reachable candidate has its address under another
+// replica identity, the member has lost its disk. The mutex is held.
 func (r *Reconfigurer) memberCandidateLocked(member view.Member) view.Candidate {
 	if member.Replica == r.self().Replica {
 		return view.Candidate{Member: member, Reachable: true, Leaving: r.leaving}
@@ -64,7 +65,7 @@
 	return view.Candidate{Member: member, Reachable: !replaced && r.now()-since < unlistedGrace, DiskLost: replaced}
 }
 
-// learnerCandidates returns the replicas outside of a view that have caught up.
+// learnerCandidates returns the learners that have asked to join within joinRequestTTL, sorted by address.
 func (r *Reconfigurer) learnerCandidates(v view.View) []view.Candidate {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -79,13 +80,13 @@
 	return candidates
 }
 
-// reachableLocked reports whether a learner is neither known to be unreachable nor leaving. The mutex is held.
+// reachableLocked reports whether a learner may join: it is not known to be unreachable or leaving. The mutex is held.
 func (r *Reconfigurer) reachableLocked(replica view.ReplicaID) bool {
 	i := slices.IndexFunc(r.candidates, func(c view.Candidate) bool { return c.Replica == replica })
 	return i < 0 || (r.candidates[i].Reachable && !r.candidates[i].Leaving)
 }
 
-// recordJoinRequest keeps the notice of a learner for joinRequestTTL.
+// recordJoinRequest records that a learner has caught up and asks to join. The request expires after joinRequestTTL.
 func (r *Reconfigurer) recordJoinRequest(member view.Member) {
 	r.mutex.Lock()
 	now := r.now()
--- a/internal/chain/cluster_test.go
+++ b/internal/chain/cluster_test.go
@@ -16,13 +16,13 @@
 
 const testTimeout = 20 * time.Second
 
-// sum is a machine that adds up numbers and remembers padding, to make snapshots large.
-type sum struct {
+// sumMachine is a state machine that adds up numbers. It keeps the padding of the last command, to make snapshots large.
+type sumMachine struct {
 	total   uint64
 	padding []byte
 }
 
-func (m *sum) Apply(_ uint64, command []byte) []byte {
+func (m *sumMachine) Apply(_ uint64, command []byte) []byte {
 	m.total += binary.LittleEndian.Uint64(command)
 	if len(command) > 8 {
 		m.padding = command[8:]
@@ -30,24 +30,24 @@
 	return binary.LittleEndian.AppendUint64(nil, m.total)
 }
 
-func (m *sum) Snapshot() []byte {
+func (m *sumMachine) Snapshot() []byte {
 	return append(binary.LittleEndian.AppendUint64(nil, m.total), m.padding...)
 }
 
-func (m *sum) Restore(snapshot []byte) error {
+func (m *sumMachine) Restore(snapshot []byte) error {
 	m.total = binary.LittleEndian.Uint64(snapshot)
 	m.padding = snapshot[8:]
 	return nil
 }
 
-func number(n uint64) []byte { return binary.LittleEndian.AppendUint64(nil, n) }
+func addCommand(n uint64) []byte { return binary.LittleEndian.AppendUint64(nil, n) }
 
-// member is a replica with its directory, which may be opened again at the same address.
+// member is a replica with its directory. It may be closed and opened again at the same address.
 type member struct {
 	directory    string
 	self         view.Member
 	transport    *peer.Transport
-	machine      *sum
+	machine      *sumMachine
 	node         *Node
 	reconfigurer *Reconfigurer
 	cancel       context.CancelFunc
@@ -55,7 +55,7 @@
 	up           bool
 }
 
-// cluster is a chain that agrees on its own views, over loopback.
+// cluster is a chain over loopback whose replicas agree on their views.
 type cluster struct {
 	t       testing.TB
 	seeds   []netip.AddrPort
@@ -114,7 +114,7 @@
 	}
 	m.transport = transport
 	m.self = view.Member{Replica: replica, Name: m.directory, Address: transport.Address()}
-	m.machine = &sum{}
+	m.machine = &sumMachine{}
 	m.node, err = Open(Options{
 		Self:            m.self,
 		Dispatcher:      NewDispatcher(transport, zap.NewNop()),
@@ -143,7 +143,7 @@
 	}()
 }
 
-// reopen starts a replica again at its address.
+// reopen opens a closed member again at its address.
 func (c *cluster) reopen(m *member) {
 	c.t.Helper()
 	c.open(m, c.listen(m.self.Address), false)
@@ -160,7 +160,7 @@
 	<-m.stopped
 }
 
-// announce gives all reconfigurers the replicas that are up as candidates.
+// announce tells all running reconfigurers which replicas are up.
 func (c *cluster) announce() {
 	var candidates []view.Candidate
 	for _, m := range c.members {
@@ -175,7 +175,7 @@
 
 func (c *cluster) propose(m *member, n uint64) uint64 {
 	c.t.Helper()
-	result, err := m.node.Propose(testContext(c.t), number(n))
+	result, err := m.node.Propose(testContext(c.t), addCommand(n))
 	if err != nil {
 		c.t.Fatalf("propose: %v", err)
 	}
@@ -209,7 +209,7 @@
 func (c *cluster) awaitView(m *member, matches func(view.View) bool) {
 	c.t.Helper()
 	if err := m.node.wait(testContext(c.t), func() bool { return matches(m.node.replica.view) }); err != nil {
-		c.t.Fatalf("no such view: %v, %+v", err, m.node.View())
+		c.t.Fatalf("wait for a view: %v; got %+v", err, m.node.View())
 	}
 }
 
--- a/internal/chain/completeness.go
+++ b/internal/chain/completeness.go
@@ -7,9 +7,9 @@
 	return ok && r.completeEpoch >= member.Joined
 }
 
-// checkComplete notices that the replica has synced what its predecessor had when their session began, and has that
-// written to disk. The replica is complete once the record is written.
-func (r *Replica) checkComplete() {
+// recordCompleteness writes a record to disk once the replica has synced what its predecessor had when their session
+// began. The replica is complete once the record is on disk.
+func (r *Replica) recordCompleteness() {
 	if r.complete() || r.completing == r.view.Epoch || !r.view.Has(r.self.Replica) {
 		return
 	}
--- a/internal/chain/confirm_majority.go
+++ b/internal/chain/confirm_majority.go
@@ -8,11 +8,11 @@
 	"nickelline/internal/view"
 )
 
-// confirmTimeout bounds how long the voters are waited for in confirmByMajority.
+// confirmTimeout bounds how long confirmByMajority waits for the voters.
 const confirmTimeout = 500 * time.Millisecond
 
-// confirmByMajority succeeds once so many of the given voters as are a majority of all have a view on their disks, and
-// have accepted no later one.
+// confirmByMajority asks the given voters to confirm that a view is on their disks and that they have accepted no later
+// one. It returns nil once as many have confirmed as are a majority of all voters of the view.
 func (r *Reconfigurer) confirmByMajority(ctx context.Context, v view.View, voters []view.Member) error {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
--- a/internal/chain/discovery.go
+++ b/internal/chain/discovery.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// discover asks another replica for a view where none is known.
+// discover asks another replica for its view, as this replica knows none. It returns the time until the next attempt.
 func (r *Reconfigurer) discover(ctx context.Context) time.Duration {
 	to, ok := r.nextPeer()
 	if !ok {
@@ -20,7 +20,8 @@
 	return discoveryPeriod
 }
 
-// checkView asks another replica for its view every few seconds: a member that was dropped may have missed that.
+// checkView asks another replica for its view every few seconds, as a member that was dropped may have missed the new
+// view.
 func (r *Reconfigurer) checkView(ctx context.Context) {
 	now := r.now()
 	if now-r.viewCheckedAt < viewCheckPeriod/2 {
@@ -32,7 +33,7 @@
 	}
 }
 
-// nextPeer returns the other replicas in turn, one with each call.
+// nextPeer returns the address of another replica, taking the replicas in turn. It reports false if there is none.
 func (r *Reconfigurer) nextPeer() (netip.AddrPort, bool) {
 	addresses := r.others()
 	if len(addresses) == 0 {
--- a/internal/chain/disk_writer.go
+++ b/internal/chain/disk_writer.go
@@ -7,7 +7,7 @@
 	"nickelline/internal/segment"
 )
 
-// diskWriter carries out the disk operations of a node in order. Operations that wait are synced together.
+// diskWriter carries out the disk operations of a node in order. Operations that are queued together share one sync.
 type diskWriter struct {
 	node *Node
 	log  *segment.Log
@@ -15,9 +15,9 @@
 	quit chan struct{}
 	done chan struct{}
 
-	mutex sync.Mutex
-	queue []DiskOperation
-	busy  time.Time // since when operations have been under way, zero if none are
+	mutex     sync.Mutex
+	queue     []DiskOperation
+	busySince time.Time // when the operations under way began, zero if there are none
 	// watchdog calls onStall when operations take too long; nil without onStall.
 	watchdog *time.Timer
 }
@@ -26,7 +26,7 @@
 // its members is stalled.
 const stallLimit = 600 * time.Millisecond
 
-// newDiskWriter returns a writer that calls onStall, if it is set, whenever operations have taken too long.
+// newDiskWriter returns a writer that calls onStall, if it is set, whenever operations take longer than stallLimit.
 func newDiskWriter(n *Node, log *segment.Log, onStall func()) *diskWriter {
 	d := &diskWriter{
 		node: n,
@@ -62,7 +62,7 @@
 	notify(d.wake)
 }
 
-// notify wakes the receiver of a channel with room for one.
+// notify wakes the receiver of a channel that buffers one value. It does not block.
 func notify(wake chan struct{}) {
 	select {
 	case wake <- struct{}{}:
@@ -70,45 +70,45 @@
 	}
 }
 
-// take removes what is queued, and starts the clock of the stall limit if there is anything.
+// take returns and clears the queue, and starts the watchdog if there are operations.
 func (d *diskWriter) take() []DiskOperation {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	operations := d.queue
 	d.queue = nil
-	d.busy = time.Time{}
+	d.busySince = time.Time{}
 	if len(operations) > 0 {
-		d.busy = time.Now()
-		d.watch()
+		d.busySince = time.Now()
+		d.startWatchdog()
 	}
 	return operations
 }
 
-// idle stops the clock of the stall limit.
-func (d *diskWriter) idle() {
+// markIdle records that no operations are under way, and stops the watchdog.
+func (d *diskWriter) markIdle() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.busy = time.Time{}
+	d.busySince = time.Time{}
 	if d.watchdog != nil {
 		d.watchdog.Stop()
 	}
 }
 
-// watch has the watchdog call onStall if the operations that begin now take too long. The mutex is held.
-func (d *diskWriter) watch() {
+// startWatchdog arranges for onStall to be called if the operations that begin now take too long. The mutex is held.
+func (d *diskWriter) startWatchdog() {
 	if d.watchdog != nil {
 		d.watchdog.Reset(stallLimit + time.Millisecond)
 	}
 }
 
-// stalled reports whether the operations under way have taken too long.
+// stalled reports whether the operations under way have taken longer than stallLimit.
 func (d *diskWriter) stalled(now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return !d.busy.IsZero() && now.Sub(d.busy) > stallLimit
+	return !d.busySince.IsZero() && now.Sub(d.busySince) > stallLimit
 }
 
-// run writes what is queued until the writer is stopped or the disk fails.
+// run carries out queued operations until the writer is stopped or the disk fails.
 func (d *diskWriter) run() {
 	defer close(d.done)
 	for {
@@ -122,11 +122,11 @@
 			continue
 		}
 		if err := d.write(operations); err != nil {
-			d.idle()
+			d.markIdle()
 			d.node.fail(err, true)
 			return
 		}
-		d.idle()
+		d.markIdle()
 		last := operations[len(operations)-1].ID
 		d.node.step(func(now time.Duration) { d.node.replica.DiskDone(now, last) })
 	}
--- a/internal/chain/disk_writer_test.go
+++ b/internal/chain/disk_writer_test.go
@@ -9,22 +9,22 @@
 	d := newDiskWriter(nil, nil, nil)
 	now := time.Now()
 	if d.stalled(now.Add(time.Hour)) {
-		t.Error("an idle disk is stalled")
+		t.Error("stalled before any operation: got true, want false")
 	}
 	if operations := d.take(); len(operations) != 0 || d.stalled(now.Add(time.Hour)) {
-		t.Error("a disk with nothing to do is stalled")
+		t.Error("stalled with nothing queued: got true, want false")
 	}
 	d.add([]DiskOperation{{ID: 1}})
 	d.take()
 	if d.stalled(time.Now()) {
-		t.Error("stalled at once")
+		t.Error("stalled right after the operations began: got true, want false")
 	}
 	if !d.stalled(time.Now().Add(2 * stallLimit)) {
-		t.Error("not stalled after twice the limit")
+		t.Error("stalled after twice the limit: got false, want true")
 	}
-	d.idle()
+	d.markIdle()
 	if d.stalled(time.Now().Add(2 * stallLimit)) {
-		t.Error("stalled after the operations were done")
+		t.Error("stalled after the operations were done: got true, want false")
 	}
 }
 
@@ -35,10 +35,10 @@
 	d.take()
 	<-reported
 	if !d.stalled(time.Now()) {
-		t.Error("a stall was reported, but the disk is not stalled")
+		t.Error("stalled after the stall was reported: got false, want true")
 	}
-	d.idle()
+	d.markIdle()
 	if d.watchdog.Stop() {
-		t.Error("the watchdog runs on after the operations were done")
+		t.Error("watchdog after the operations were done: got running, want stopped")
 	}
 }
--- a/internal/chain/dispatcher.go
+++ b/internal/chain/dispatcher.go
@@ -37,7 +37,7 @@
 	return d
 }
 
-// add registers a node. A chain can be open once only.
+// add registers a node. It returns an error if the chain is open already.
 func (d *Dispatcher) add(n *Node) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -63,7 +63,7 @@
 	d.reconfigurers[chain] = reconfigurer
 }
 
-// node returns the node of a chain, or fault.NotReady if the chain is not open here.
+// node returns the node of a chain, or an error of kind fault.NotReady if the chain is not open in this process.
 func (d *Dispatcher) node(chain uint32) (*Node, error) {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
@@ -73,7 +73,7 @@
 	return nil, fault.New(fault.NotReady, "chain %d is not here", chain)
 }
 
-// reconfigurer returns the reconfigurer of a chain, or fault.NotReady if there is none here.
+// reconfigurer returns the reconfigurer of a chain, or an error of kind fault.NotReady if there is none in this process.
 func (d *Dispatcher) reconfigurer(chain uint32) (*Reconfigurer, error) {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
@@ -83,11 +83,11 @@
 	return nil, fault.New(fault.NotReady, "chain %d does not agree on its views here", chain)
 }
 
-// receive handles a one-way message between replicas. One for a chain that is not open here is dropped.
+// receive handles a one-way message between replicas. A message for a chain that is not open here is dropped.
 func (d *Dispatcher) receive(from netip.AddrPort, m peer.Message) {
 	e, err := decodeEnvelope(m.Body)
 	if err != nil {
-		d.log.Warn("bad message of a chain", zap.Stringer("from", from), zap.Error(err))
+		d.log.Warn("malformed chain message", zap.Stringer("from", from), zap.Error(err))
 		return
 	}
 	if n, err := d.node(e.Chain); err == nil {
--- a/internal/chain/doc.go
+++ b/internal/chain/doc.go
@@ -15,13 +15,14 @@
 // The head appends commands to its log. Each member streams its log to its successor, and acknowledges to its
 // predecessor what it and all members after it have on disk. What is acknowledged to the head is committed, and the
 // commit travels down the chain. A session begins with an outline of the receiver's log: the sender finds the last
-// position that both logs share, the receiver truncates its log after it, and entries follow that are on the sender's
-// disk. A receiver that lacks more than the sender keeps in memory gets a snapshot first.
+// position that both logs share, the receiver truncates its log after that position, and the sender streams the entries
+// that follow once they are on its own disk. A receiver that lacks more than the sender keeps in memory gets a snapshot
+// first.
 //
 // Members of the first view are complete. A member that joined later becomes complete once it has synced what its
-// predecessor, itself complete, had when their session began. As entries are only committed with all members, a complete
-// member stays so while it is in every view. Only complete replicas stream to others, and only a complete head takes
-// proposals.
+// predecessor, itself complete, had when their session began. As an entry is committed only once all members have it on
+// disk, a complete member stays complete as long as every view names it. Only complete replicas stream to others, and
+// only a complete head takes proposals.
 //
 // # Guarantees
 //
@@ -32,22 +33,22 @@
 //   - After Node.Barrier returned nil this replica has applied everything that was committed anywhere when the call
 //     began.
 //   - Entries are applied in the same order everywhere, at a replica only once they are on its own disk.
-//   - No clock is trusted for any of this. Messages of another epoch are refused, and a view comes into force at a
-//     replica only once it is on its disk: a replica that has left an epoch never acts in it again, also after a restart.
-//     Every view keeps a member of the one before, so that the old epoch cannot commit once the new one has begun.
+//   - None of this depends on clocks. Messages of another epoch are refused, and a view comes into force at a replica
+//     only once it is on its disk: a replica that has left an epoch never acts in it again, even after a restart. Every
+//     view keeps a member of the one before, so that the old epoch cannot commit once the new one has begun.
 //
-// Within an epoch the log on a replica's disk always contains that on its successor's disk. The proofs rest on this and
-// on the order of Output: an acknowledgement is sent only after DiskDone for what it covers.
+// Within an epoch the log on a replica's disk always contains the log on its successor's disk. The proofs rest on this
+// and on the order of Output: an acknowledgement is sent only after DiskDone for what it covers.
 //
-// # Where to find
+// # Where it is implemented
 //
-// A command is committed, and then acknowledged to its caller, by Replica.advanceHead: once Replica.syncedToTail says
-// that it is on the disks of all members. The applier then applies it and gives its caller the result.
+// Replica.advanceHead commits a command once Replica.syncedToTail says that it is on the disks of all members. The
+// applier then applies the command and passes the result to its caller.
 //
-// A replaced head is stopped by the epoch of its messages: members that have entered the new view drop them in
+// A replaced head is fenced off by the epoch of its messages: members that have entered the new view drop them in
 // Replica.receiveInEpoch, so that nothing the old head appends is acknowledged by all members of its view. A new view
-// needs a majority of the voters of the one before (Reconfigurer.propose). What is read at a replica is proven to be
-// current by a barrier (Replica.Barrier) or by a majority of voters (Prover).
+// needs a majority of the voters of the one before (Reconfigurer.propose). A read at a replica is proven to be current
+// by a barrier (Replica.Barrier) or by a majority of voters (Prover).
 //
 // # Files in reading order
 //
@@ -60,6 +61,6 @@
 //   - Calls at a node: propose.go, forward.go, barrier.go, barrier_rounds.go, wait.go, retry.go.
 //   - The agreement on views: reconfigurer.go, candidates.go, plan.go, proposer_options.go, propose_view.go, voter.go,
 //     agreement_calls.go, discovery.go, neighbour_probes.go, learner.go, handover.go, confirm_majority.go, prover.go.
-//   - The forms on the wire and on disk: message_kinds.go, envelope_encode.go, envelope_decode.go, call_messages.go,
+//   - The encodings on the wire and on disk: message_kinds.go, envelope_encode.go, envelope_decode.go, call_messages.go,
 //     agreement_message.go, record_codec.go, and the schema in chainwire/chain.capnp.
 package chain
--- a/internal/chain/downstream_entries.go
+++ b/internal/chain/downstream_entries.go
@@ -6,8 +6,8 @@
 	"nickelline/internal/segment"
 )
 
-// flushEntries sends entries that are on the own disk, to a learner only committed ones. What a receiver lacks and the
-// history no longer has calls for a new session.
+// flushEntries sends entries that are on this replica's disk, and to a learner only committed ones. It begins a new
+// session if the history no longer has the next entry.
 func (r *Replica) flushEntries(now time.Duration, l *link) {
 	if l.next <= r.history.base.Sequence {
 		r.connect(now, l)
@@ -26,7 +26,7 @@
 	}
 }
 
-// sendAppend sends entries, which may be none, with the newest commit and barrier.
+// sendAppend sends entries, possibly none, with the newest commit and barrier.
 func (r *Replica) sendAppend(now time.Duration, l *link, entries []segment.Entry) {
 	previous, _ := r.history.position(l.next - 1)
 	idle := !l.outstanding()
@@ -46,7 +46,7 @@
 	}
 }
 
-// barrierFor returns the newest barrier to be passed on by a link.
+// barrierFor returns the newest barrier to send on a link, 0 on the link to a learner.
 func (r *Replica) barrierFor(l *link) uint64 {
 	if l.learner {
 		return 0
@@ -57,7 +57,7 @@
 	return r.upstream.barrier
 }
 
-// acknowledgeEntries handles what a receiver, and all replicas after it, have on disk.
+// acknowledgeEntries records what a receiver, and all replicas after it, have on disk.
 func (r *Replica) acknowledgeEntries(now time.Duration, l *link, m Acknowledge) {
 	if m.Stored > l.stored || m.Synced > l.acked || m.Barrier > l.barrierAcked || m.Ready != l.ready {
 		r.noteProgress(now, l)
--- a/internal/chain/downstream_retry.go
+++ b/internal/chain/downstream_retry.go
@@ -7,13 +7,14 @@
 	"nickelline/internal/view"
 )
 
-// noteProgress handles a sign of progress: the retry is put off.
+// noteProgress records that a session makes progress, and postpones its retry.
 func (r *Replica) noteProgress(now time.Duration, l *link) {
 	l.attempts = 0
 	r.setRetryDeadline(now, l)
 }
 
-// setRetryDeadline allows for the bytes in flight on a slow link, and longer after each attempt without progress.
+// setRetryDeadline sets when a session without progress is replaced. It allows time for the bytes in flight at the rate
+// of slowestLink, and backs off exponentially with the attempts without progress.
 func (r *Replica) setRetryDeadline(now time.Duration, l *link) {
 	var bytes uint64
 	switch l.state {
@@ -27,7 +28,8 @@
 	l.deadline = now + retryInterval<<min(l.attempts, retryDoublings) + transfer
 }
 
-// retry begins a new session where no progress came in time.
+// retry begins a new session on a link that has made no progress before its deadline, or asks the driver again for a
+// snapshot that the link waits for.
 func (r *Replica) retry(now time.Duration, l *link) {
 	if l.deadline == 0 || now < l.deadline {
 		return
@@ -41,7 +43,7 @@
 	r.connect(now, l)
 }
 
-// dropUnresponsiveLearners forgets learners that do not answer. Those that are alive ask for a session again.
+// dropUnresponsiveLearners drops learners that do not answer. A learner that is alive asks for a session again.
 func (r *Replica) dropUnresponsiveLearners() {
 	maps.DeleteFunc(r.learners, func(_ view.ReplicaID, l *link) bool { return l.attempts > learnerAttempts })
 }
--- a/internal/chain/downstream_session.go
+++ b/internal/chain/downstream_session.go
@@ -32,7 +32,7 @@
 	l.deadline = now + retryInterval<<min(l.attempts, retryDoublings)
 }
 
-// rewindLinks begins new sessions on links by which entries after a truncated sequence may have been sent.
+// rewindLinks begins new sessions on the links on which entries after a sequence, now truncated, may have been sent.
 func (r *Replica) rewindLinks(now time.Duration, sequence uint64) {
 	for _, l := range r.links() {
 		if l.state == linkStreaming && l.next <= sequence+1 {
@@ -65,8 +65,8 @@
 	}
 }
 
-// receiveHistory finds the last position that the receiver's log shares with the own one, and streams from there.
-// Without one the receiver needs a snapshot.
+// receiveHistory finds the last position that the receiver's log shares with the log of this replica, and streams from
+// there. If there is none, the receiver needs a snapshot.
 func (r *Replica) receiveHistory(now time.Duration, sender view.ReplicaID, m History) {
 	l := r.linkTo(sender)
 	if l == nil || l.session != m.Session || l.state != linkConnecting {
@@ -100,7 +100,7 @@
 	r.noteProgress(now, l)
 }
 
-// receiveAcknowledge handles a receiver's progress.
+// receiveAcknowledge handles a receiver's report of its progress.
 func (r *Replica) receiveAcknowledge(now time.Duration, sender view.ReplicaID, m Acknowledge) {
 	l := r.linkTo(sender)
 	if l == nil || l.session != m.Session {
@@ -111,7 +111,7 @@
 		r.acknowledgeSnapshot(now, l, m.SnapshotBytes)
 	case linkStreaming:
 		r.acknowledgeEntries(now, l, m)
-	case linkConnecting, linkAwaitingSnapshot: // nothing was sent that can be acknowledged
+	case linkConnecting, linkAwaitingSnapshot: // nothing to acknowledge was sent
 	}
 }
 
--- a/internal/chain/downstream_snapshot.go
+++ b/internal/chain/downstream_snapshot.go
@@ -6,8 +6,8 @@
 	"nickelline/internal/segment"
 )
 
-// SnapshotTaken handles a snapshot of the state at a committed entry, which the output asked for. It is sent to all
-// receivers that wait for one.
+// SnapshotTaken handles a snapshot that the driver took as Output.SnapshotRequested asked, of the state at a committed
+// entry. It is sent to all receivers that wait for one.
 func (r *Replica) SnapshotTaken(now time.Duration, snapshot segment.Snapshot) {
 	position := Position{Epoch: snapshot.Epoch, Sequence: snapshot.Sequence}
 	if held, ok := r.history.position(snapshot.Sequence); ok && held == position {
@@ -21,10 +21,10 @@
 			}
 		}
 	}
-	r.followUp(now)
+	r.advance(now)
 }
 
-// acknowledgeSnapshot handles how many bytes of the snapshot have been received. Entries follow once it is whole.
+// acknowledgeSnapshot records how many bytes of the snapshot the receiver has. Entries follow once it has all of them.
 func (r *Replica) acknowledgeSnapshot(now time.Duration, l *link, received uint64) {
 	if received <= l.snapshotAcked {
 		return
@@ -36,7 +36,7 @@
 	}
 }
 
-// flushSnapshot sends chunks of the snapshot up to the window.
+// flushSnapshot sends chunks of the snapshot, at most snapshotWindow ahead of what the receiver has acknowledged.
 func (r *Replica) flushSnapshot(now time.Duration, l *link) {
 	total := l.snapshotTotal()
 	for l.snapshotSent < total && l.snapshotSent-l.snapshotAcked < snapshotWindow*r.limits.snapshotChunk {
--- a/internal/chain/envelope_decode.go
+++ b/internal/chain/envelope_decode.go
@@ -49,7 +49,7 @@
 		v, err := view.Decode(data)
 		return ViewNotice{View: v}, err
 	}
-	return nil, merry.Errorf("message of unknown type %d", r.Which())
+	return nil, merry.Errorf("decode message of unknown type %d", r.Which())
 }
 
 func readSession(r chainwire.Session, err error) (Session, error) {
--- a/internal/chain/envelope_encode.go
+++ b/internal/chain/envelope_encode.go
@@ -8,11 +8,11 @@
 	"nickelline/internal/view"
 )
 
-// Estimates of the sizes of messages.
+// Upper estimates of parts of the encoded size of messages, for the size hint of capnpcodec.Marshal.
 const (
-	messageOverhead = 512 // bytes of a message beside entries and data
-	entryOverhead   = 32
-	wordBytes       = 8
+	messageOverhead = 512 // bytes of a message besides entries and data
+	entryOverhead   = 32  // bytes of an entry besides its data
+	wordBytes       = 8   // data is padded to a multiple of this
 )
 
 // encodeEnvelope returns the Cap'n Proto form of a message (chainwire/chain.capnp).
@@ -25,7 +25,7 @@
 	})
 }
 
-// envelopeSize estimates the size of a message from above, if it can be large; else 0.
+// envelopeSize returns an upper estimate of the encoded size of a message that may be large, and 0 for others.
 func envelopeSize(body Body) int {
 	switch m := body.(type) {
 	case Append:
@@ -71,7 +71,7 @@
 		}
 		return w.SetViewNotice(data)
 	}
-	return merry.Errorf("message of type %T", body)
+	return merry.Errorf("encode message of unknown type %T", body)
 }
 
 func writeSession(allocate func() (chainwire.Session, error), s Session) error {
--- a/internal/chain/forward.go
+++ b/internal/chain/forward.go
@@ -14,7 +14,7 @@
 	cancel context.CancelFunc
 }
 
-// callHead calls the head, and gives up once a view names another one. An error of no kind counts as unclear.
+// callHead calls the head, and gives up once a view names another head. An error without a kind becomes fault.Unclear.
 func (n *Node) callHead(ctx context.Context, head view.Member, m peer.Message) (peer.Message, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -27,7 +27,7 @@
 	return answer, err
 }
 
-// registerForwarded has a call cancelled once another replica is head.
+// registerForwarded registers a call to be cancelled once another replica is head, and returns its identifier.
 func (n *Node) registerForwarded(head view.ReplicaID, cancel context.CancelFunc) uint64 {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -42,7 +42,7 @@
 	delete(n.forwarded, id)
 }
 
-// cancelForwardedCalls ends the calls to a head that a new view no longer has as head. The mutex is held.
+// cancelForwardedCalls cancels the calls to replicas that are not the head of a new view. The mutex is held.
 func (n *Node) cancelForwardedCalls(v view.View) {
 	head, _ := v.Head()
 	for _, call := range n.forwarded {
--- a/internal/chain/golden_test.go
+++ b/internal/chain/golden_test.go
@@ -13,7 +13,7 @@
 	"nickelline/internal/view"
 )
 
-// The values in these tests differ from each other and from zero, so that a field that moved is noticed.
+// The values in these tests differ from each other and from zero, so that the tests notice a field that moved.
 
 func goldenMember(number byte) view.Member {
 	return view.Member{
@@ -235,13 +235,13 @@
 	}
 }
 
-// goldenNode is a node that can do nothing but write the files beside its log.
+// goldenNode returns a node that can only write the record and acceptor files.
 func goldenNode(t *testing.T) *Node {
 	t.Helper()
 	return &Node{options: Options{FileSystem: segment.OperatingSystem{}, Directory: t.TempDir()}}
 }
 
-// checkGoldenFile compares a file that a node has written with the golden one, and puts that in its place.
+// checkGoldenFile compares a file that a node has written with the golden file, and replaces it with the golden file.
 func checkGoldenFile(t *testing.T, n *Node, name string) {
 	t.Helper()
 	path := filepath.Join(n.options.Directory, name)
--- a/internal/chain/handover.go
+++ b/internal/chain/handover.go
@@ -9,9 +9,9 @@
 	"nickelline/internal/view"
 )
 
-// HandOver has the voters agree on a view without this replica. It returns once that view, or a later one, is on the
-// disks of a majority of its voters without this one, so that the disk of this replica is no longer needed, and with
-// fault.NotReady if too few members would remain. The replica does not join again. Run has to be running.
+// HandOver has the voters agree on a view without this replica. It returns nil once that view, or a later one, is on the
+// disks of a majority of its voters, not counting this replica, so that the disk of this replica is no longer needed. It
+// fails with fault.NotReady if too few members would remain. The replica does not join again. Run must be running.
 func (r *Reconfigurer) HandOver(ctx context.Context) error {
 	r.mutex.Lock()
 	r.leaving = true
@@ -38,7 +38,8 @@
 	return r.node.View().Has(r.self().Replica)
 }
 
-// awaitSuccessors returns once the newest view is on the disks of a majority of its voters without this replica.
+// awaitSuccessors returns nil once the newest view is on the disks of a majority of its voters, not counting this
+// replica.
 func (r *Reconfigurer) awaitSuccessors(ctx context.Context) error {
 	for {
 		v := r.node.View()
--- a/internal/chain/head.go
+++ b/internal/chain/head.go
@@ -4,25 +4,25 @@
 
 // headState is what a replica keeps while it is the head.
 type headState struct {
-	// priorCommitBound is the last entry at the time when the replica became head, or was started. Entries that were
-	// committed before have at most this sequence.
+	// priorCommitBound is the sequence of the last entry when the view in force began. Entries that were committed before
+	// have at most this sequence.
 	priorCommitBound uint64
 
 	waiting      []proposal        // not appended yet, in order
-	waitingBytes int               // of the commands in waiting
-	appended     map[uint64]uint64 // proposals that are appended and not committed, by sequence
+	waitingBytes int               // total size of the commands in waiting
+	appended     map[uint64]uint64 // identifiers of proposals that are appended and not committed, by sequence
 
 	barriers headBarriers
 }
 
-// headBarriers collects barriers into rounds. One round is under way at a time; barriers that come meanwhile share the
-// next one.
+// headBarriers collects barriers into rounds. One round is under way at a time; barriers that arrive meanwhile share
+// the next one.
 type headBarriers struct {
-	round    uint64   // number of the newest round, which messages carry; 0: none in this epoch
-	callers  []uint64 // barriers that the round under way answers; nil: none is under way
-	sequence uint64   // what was committed when the round began has at most this sequence
-	waiting  []uint64 // barriers for the next round
-	rounds   uint64   // rounds that were ever begun
+	round       uint64   // number of the newest round, which messages carry; 0 if none has begun in this epoch
+	current     []uint64 // identifiers of the barriers that the round under way answers; nil if none is under way
+	sequence    uint64   // everything that was committed when the round began has at most this sequence
+	waiting     []uint64 // identifiers of the barriers for the next round
+	roundsBegun uint64   // count of all rounds begun by this process
 }
 
 // proposal is a command that waits to be appended.
@@ -37,7 +37,8 @@
 	return ok && head.Replica == r.self.Replica && r.complete()
 }
 
-// headReady reports whether proposals can be committed: the view has enough members, and all are connected.
+// headReady reports whether this replica is the head and can commit proposals: the view has enough members, and all are
+// connected.
 func (r *Replica) headReady() bool {
 	if !r.isHead() || len(r.view.Members) < r.minimumReplicas {
 		return false
@@ -46,7 +47,8 @@
 	return ready
 }
 
-// updateHeadRole keeps what was begun if the former term goes on in the new view, and resigns otherwise.
+// updateHeadRole keeps pending proposals and barriers if the former term continues in the new view, and rejects them
+// otherwise.
 func (r *Replica) updateHeadRole(formerTerm uint64) {
 	if !r.isHead() || r.term != formerTerm {
 		r.resignAsHead()
@@ -55,13 +57,13 @@
 		return
 	}
 	r.head.priorCommitBound = r.history.last().Sequence
-	r.head.barriers.waiting = append(r.head.barriers.callers, r.head.barriers.waiting...)
-	r.head.barriers.callers = nil
+	r.head.barriers.waiting = append(r.head.barriers.current, r.head.barriers.waiting...)
+	r.head.barriers.current = nil
 	r.head.barriers.round = 0
 }
 
-// resignAsHead rejects all proposals and barriers that have no result yet. Those appended may be committed by a later
-// head.
+// resignAsHead rejects all proposals and barriers that have no result yet. A later head may still commit the proposals
+// that were appended.
 func (r *Replica) resignAsHead() {
 	for _, waiting := range r.head.waiting {
 		r.out.Rejected = append(r.out.Rejected, Rejected{Proposal: waiting.id})
@@ -69,14 +71,14 @@
 	for _, id := range r.head.appended {
 		r.out.Rejected = append(r.out.Rejected, Rejected{Proposal: id, Unclear: true})
 	}
-	for _, id := range slices.Concat(r.head.barriers.callers, r.head.barriers.waiting) {
+	for _, id := range slices.Concat(r.head.barriers.current, r.head.barriers.waiting) {
 		r.out.Barriers = append(r.out.Barriers, BarrierResult{Barrier: id, Failed: true})
 	}
-	r.head = headState{appended: make(map[uint64]uint64), barriers: headBarriers{rounds: r.head.barriers.rounds}}
+	r.head = headState{appended: make(map[uint64]uint64), barriers: headBarriers{roundsBegun: r.head.barriers.roundsBegun}}
 }
 
-// advanceHead appends waiting proposals, commits what the disks of all members hold, and answers barriers. A command is
-// acknowledged to its caller only after it was committed here.
+// advanceHead appends waiting proposals, commits what is on the disks of all members, and answers barriers. A caller
+// gets the result of its command only after the command was committed here.
 func (r *Replica) advanceHead() {
 	if !r.isHead() {
 		return
--- a/internal/chain/head_barriers.go
+++ b/internal/chain/head_barriers.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Barrier asks for a proof that this replica is still the head. The output answers by Barriers, once a message has been
-// to the tail and back and everything that may have been committed before is committed here.
+// Barrier asks for a proof that this replica is still the head. The answer is in Output.Barriers once a message has
+// been to the tail and back, and everything that may have been committed before is committed here.
 func (r *Replica) Barrier(now time.Duration, id uint64) {
 	if !r.isHead() {
 		r.out.Barriers = append(r.out.Barriers, BarrierResult{Barrier: id, Failed: true})
 		return
 	}
 	r.head.barriers.waiting = append(r.head.barriers.waiting, id)
-	r.followUp(now)
+	r.advance(now)
 }
 
-// advanceBarrier answers the barriers of a round that has come back, and begins the next round if more wait.
+// advanceBarrier answers the barriers of a round that has returned, and begins the next round if barriers wait.
 func (r *Replica) advanceBarrier() {
 	barriers := &r.head.barriers
-	if barriers.callers != nil && r.roundReturned() {
-		for _, id := range barriers.callers {
+	if barriers.current != nil && r.roundReturned() {
+		for _, id := range barriers.current {
 			r.out.Barriers = append(r.out.Barriers, BarrierResult{Barrier: id, Sequence: barriers.sequence})
 		}
-		barriers.callers = nil
+		barriers.current = nil
 	}
-	if barriers.callers != nil || len(barriers.waiting) == 0 {
+	if barriers.current != nil || len(barriers.waiting) == 0 {
 		return
 	}
-	barriers.rounds++
-	barriers.round = r.generation<<generationShift | barriers.rounds
-	barriers.callers = barriers.waiting
+	barriers.roundsBegun++
+	barriers.round = r.generation<<generationShift | barriers.roundsBegun
+	barriers.current = barriers.waiting
 	barriers.waiting = nil
 	barriers.sequence = max(r.committed, r.head.priorCommitBound)
 	if r.roundReturned() {
--- a/internal/chain/head_proposals.go
+++ b/internal/chain/head_proposals.go
@@ -7,8 +7,8 @@
 	"nickelline/internal/segment"
 )
 
-// Propose handles a command at the head. It is appended once all members are connected; the output returns its sequence
-// by Accepted, or that it has none by Rejected.
+// Propose takes a command at the head, which appends it once all members are connected. Output.Accepted then has its
+// sequence, or Output.Rejected says that it gets none.
 func (r *Replica) Propose(now time.Duration, id uint64, command []byte) {
 	if !r.isHead() || r.head.waitingBytes+len(command) > r.limits.waiting {
 		r.out.Rejected = append(r.out.Rejected, Rejected{Proposal: id})
@@ -16,10 +16,10 @@
 	}
 	r.head.waiting = append(r.head.waiting, proposal{id: id, command: command})
 	r.head.waitingBytes += len(command)
-	r.followUp(now)
+	r.advance(now)
 }
 
-// Cancel withdraws a proposal. It reports false if the proposal was appended before.
+// Cancel withdraws a proposal. It reports false if the proposal is not waiting, as after it was appended.
 func (r *Replica) Cancel(id uint64) bool {
 	i := slices.IndexFunc(r.head.waiting, func(p proposal) bool { return p.id == id })
 	if i < 0 {
@@ -30,7 +30,7 @@
 	return true
 }
 
-// appendWaiting appends proposals in order, if all members are connected and not too much is uncommitted.
+// appendWaiting appends waiting proposals in order, if all members are connected, until limits.uncommitted is exceeded.
 func (r *Replica) appendWaiting() {
 	if len(r.head.waiting) == 0 || !r.headReady() {
 		return
--- a/internal/chain/history.go
+++ b/internal/chain/history.go
@@ -7,13 +7,13 @@
 	"nickelline/internal/segment"
 )
 
-// history is the end of the log that is kept in memory: all entries after a position that is committed.
+// history is the part of the log that is kept in memory: all entries after base, which is committed.
 type history struct {
 	base    Position
 	entries []segment.Entry
-	// ends[i] is the number of bytes of all entries ever held up to entries[i].
+	// ends[i] is the total size in bytes of all entries ever held up to and including entries[i].
 	ends      []uint64
-	baseBytes uint64 // of all entries ever held up to base
+	baseBytes uint64 // the same up to base
 }
 
 func newHistory(base Position, entries []segment.Entry) *history {
@@ -41,7 +41,7 @@
 	}
 }
 
-// totalBytes returns the bytes of all entries ever held.
+// totalBytes returns the total size of all entries ever held, except truncated ones.
 func (h *history) totalBytes() uint64 {
 	if len(h.ends) == 0 {
 		return h.baseBytes
@@ -49,7 +49,7 @@
 	return h.ends[len(h.ends)-1]
 }
 
-// bytes returns the bytes of the entries that are held.
+// bytes returns the total size of the entries that are held.
 func (h *history) bytes() uint64 { return h.totalBytes() - h.baseBytes }
 
 // firstWithin returns the lowest sequence after which the entries up to upTo have at most the given number of bytes.
@@ -61,7 +61,7 @@
 	return h.base.Sequence + uint64(count)
 }
 
-// bytesUpTo returns the bytes of all entries ever held up to a sequence.
+// bytesUpTo returns the total size of all entries ever held up to a sequence.
 func (h *history) bytesUpTo(sequence uint64) uint64 {
 	if sequence <= h.base.Sequence || len(h.entries) == 0 {
 		return h.baseBytes
@@ -88,7 +88,7 @@
 	return h.entries[after-h.base.Sequence : upTo-h.base.Sequence : upTo-h.base.Sequence]
 }
 
-// batch returns entries after a sequence up to a limit, at least one and then as many as fit into a number of bytes.
+// batch returns entries after a sequence up to a limit: as many as fit into a number of bytes, but at least one.
 func (h *history) batch(after, limit uint64, bytes uint64) []segment.Entry {
 	start := h.bytesUpTo(after)
 	offset := int(after - h.base.Sequence)
--- a/internal/chain/history_test.go
+++ b/internal/chain/history_test.go
@@ -6,7 +6,7 @@
 	"nickelline/internal/segment"
 )
 
-// historyOf makes a history after a base with one entry of size bytes for each epoch given.
+// historyOf returns a history after a base, with one entry of size bytes for each given epoch.
 func historyOf(base Position, size int, epochs ...uint64) *history {
 	h := newHistory(base, nil)
 	for _, epoch := range epochs {
@@ -40,7 +40,7 @@
 		}
 		back, ok := lastCommonPosition(c.b.runs(), c.a.runs())
 		if back != c.want || ok != c.ok {
-			t.Errorf("%s, the other way: got %v, %v; want %v, %v", c.name, back, ok, c.want, c.ok)
+			t.Errorf("%s, arguments swapped: got %v, %v; want %v, %v", c.name, back, ok, c.want, c.ok)
 		}
 	}
 }
--- a/internal/chain/install_view.go
+++ b/internal/chain/install_view.go
@@ -6,8 +6,8 @@
 	"nickelline/internal/view"
 )
 
-// Install handles a view that was decided. It comes into force once it is on disk. A view that is not newer than the
-// newest known one, or is of another chain, is ignored.
+// Install takes a decided view, which comes into force once it is on disk. A view that is not newer than the newest
+// known one, or is of another chain, is ignored.
 func (r *Replica) Install(v view.View) {
 	newest := r.view.Epoch
 	if r.installing != nil {
@@ -21,7 +21,7 @@
 	r.write(DiskOperation{Record: r.record(v)}, 0)
 }
 
-// recordWritten brings into force what a record says, now that it is on disk.
+// recordWritten puts the completeness and the view of a record into force, now that the record is on disk.
 func (r *Replica) recordWritten(now time.Duration, record *Record) {
 	if record.CompleteEpoch > r.completeEpoch {
 		r.completeEpoch = record.CompleteEpoch
@@ -34,7 +34,7 @@
 	}
 }
 
-// enterView brings a view into force that is on disk: all sessions of the epoch before end.
+// enterView puts a view that is on disk into force. All sessions of the epoch before end.
 func (r *Replica) enterView(now time.Duration, v view.View) {
 	r.notifyLearners(v)
 	formerTerm := r.term
@@ -53,8 +53,8 @@
 	}
 }
 
-// record returns the record to be stored with a view. A record that is written while a view is being installed keeps
-// that view.
+// record returns the record to store with a view. While a view is being installed, callers pass that view so that no
+// record replaces it with an older one.
 func (r *Replica) record(v view.View) *Record {
 	return &Record{View: v.Clone(), CompleteEpoch: max(r.completeEpoch, r.completing), Generation: r.generation}
 }
--- a/internal/chain/learner.go
+++ b/internal/chain/learner.go
@@ -9,8 +9,8 @@
 	"nickelline/internal/view"
 )
 
-// actAsLearner has this replica, which the view does not name, receive from a member, and asks to join once it has
-// caught up.
+// actAsLearner makes this replica, which the view does not name, receive from a member, and asks to join once it has
+// caught up. It returns the time until the next call, 0 if none is needed.
 func (r *Reconfigurer) actAsLearner(ctx context.Context, v view.View) time.Duration {
 	now := r.now()
 	r.chooseSource(v, now)
@@ -24,8 +24,8 @@
 	return r.requestJoin(ctx, v)
 }
 
-// chooseSource keeps the source of a learner as long as that is reachable and makes progress, and takes the next member
-// otherwise, beginning with the tail.
+// chooseSource keeps the source of a learner as long as the source is reachable and the learner has caught up within
+// learnTimeout. Otherwise it takes the next reachable member, beginning with the tail.
 func (r *Reconfigurer) chooseSource(v view.View, now time.Duration) {
 	reachable := r.reachableMembers(v)
 	current := slices.Index(reachable, r.source)
@@ -52,7 +52,7 @@
 }
 
 // awaitCatchUp waits for joinPeriod, or until this replica has caught up or is a member. It returns the time until the
-// next look.
+// next call of act.
 func (r *Reconfigurer) awaitCatchUp(ctx context.Context) time.Duration {
 	bounded, cancel := context.WithTimeout(ctx, joinPeriod)
 	defer cancel()
@@ -60,8 +60,8 @@
 	return retryMinimum
 }
 
-// requestJoin notifies the members, the tail first, that this replica has caught up. It asks for nothing unless the
-// tail, which would be its predecessor, can be reached. It returns the time until the next request.
+// requestJoin tells the first member that answers, beginning with the tail, that this replica has caught up. It does
+// nothing unless the tail, which would be its predecessor, can be reached. It returns the time until the next request.
 func (r *Reconfigurer) requestJoin(ctx context.Context, v view.View) time.Duration {
 	if tail, ok := v.Tail(); ok {
 		if _, err := r.call(ctx, tail.Address, agreementRequest{}); err != nil {
--- a/internal/chain/link.go
+++ b/internal/chain/link.go
@@ -15,8 +15,8 @@
 const (
 	linkConnecting       linkState = iota // the receiver has not answered with its history
 	linkAwaitingSnapshot                  // the driver has not taken the snapshot that the receiver needs
-	linkSendingSnapshot
-	linkStreaming // entries are sent
+	linkSendingSnapshot                   // chunks of the snapshot are sent
+	linkStreaming                         // entries are sent
 )
 
 // link is the sending side of a session, to the successor or to a learner.
@@ -26,10 +26,10 @@
 
 	session    Session
 	state      linkState
-	generation uint64 // of the receiver, as it answered
+	generation uint64 // of the receiver, from its History
 	next       uint64 // sequence of the next entry to send
-	stored     uint64 // on the receiver's disk
-	acked      uint64 // on the disks of the receiver and of all after it
+	stored     uint64 // sequence up to which the log is on the receiver's disk
+	acked      uint64 // sequence up to which it is on the disks of the receiver and of all after it
 	ready      bool   // the chain is connected from the receiver to the tail
 
 	committedSent uint64 // newest commit that was sent
@@ -40,11 +40,11 @@
 	snapshotSent  uint64            // bytes
 	snapshotAcked uint64            // bytes
 
-	deadline time.Duration // of the next sign of progress, 0: none is awaited
-	attempts int           // sessions without progress
+	deadline time.Duration // by which progress is expected, 0 if none is
+	attempts int           // retries since the last progress
 }
 
-// neededAfter returns the sequence after which the receiver needs entries, the highest number if that is not known.
+// neededAfter returns the sequence after which the receiver needs entries, the highest uint64 if it is not known.
 func (l *link) neededAfter() uint64 {
 	switch {
 	case l.state == linkStreaming:
@@ -63,7 +63,7 @@
 	return !l.learner && (!l.ready || l.acked < l.next-1 || l.barrierAcked < l.barrierSent)
 }
 
-// snapshotTotal returns the length of the snapshot in bytes, at least one so that an empty one is acknowledged too.
+// snapshotTotal returns the length of the snapshot in bytes, but at least 1 so that an empty one is acknowledged too.
 func (l *link) snapshotTotal() uint64 { return max(1, uint64(len(l.snapshot.Data))) }
 
 // links returns all links in a fixed order.
--- a/internal/chain/long_outage_test.go
+++ b/internal/chain/long_outage_test.go
@@ -12,15 +12,16 @@
 	"nickelline/internal/segment"
 )
 
-// Histories of hundreds of commands during which one replica is away for a part of them, while the others take snapshots and
-// drop segments. It comes back with what it had, at times with its newest snapshot damaged, and is killed while it catches up.
+// Histories of hundreds of commands in which one replica is down for some time, while the others take snapshots and drop
+// segments. It restarts with what its disk had, at times with its newest snapshot damaged, and may be killed while it
+// catches up.
 const (
-	outageAt       = 2500 * time.Millisecond
-	longestOutage  = 18 * time.Second
-	outageDuration = 24 * time.Second
-	outageCommands = 60 * time.Millisecond // between two commands
-	mostRestarts   = 4
-	restartPause   = 400 // ms at the most, between kills while it catches up
+	outageAt              = 2500 * time.Millisecond
+	longestOutage         = 18 * time.Second
+	outageDuration        = 24 * time.Second
+	outageCommandInterval = 60 * time.Millisecond // mean time between groups of operations
+	maxRestarts           = 4                     // exclusive
+	maxRestartPauseMs     = 400                   // exclusive, between the kills and restarts while it catches up
 
 	// caughtUpWithin bounds the time from the last start of a replica until it has applied all that is committed.
 	caughtUpWithin = 3 * time.Second
@@ -43,7 +44,7 @@
 				damaged += s.damaged
 				discarded += s.discarded
 			}
-			t.Logf("caught up within %v, %d snapshots damaged, %d logs discarded, %+v", slowest, damaged, discarded, total)
+			t.Logf("slowest catch-up %v, %d snapshots damaged, %d logs discarded, %+v", slowest, damaged, discarded, total)
 		})
 	}
 }
@@ -52,37 +53,38 @@
 type outage struct {
 	*simulation
 	away          *site
-	startedAt     time.Duration // last start of the site that was away
-	caughtUpAfter time.Duration
-	damaged       int // snapshots
-	discarded     int // replicas whose logs could not be read any more
+	startedAt     time.Duration // when the site that was away was last started
+	caughtUpAfter time.Duration // time from startedAt until it had caught up
+	damaged       int           // count of damaged snapshots
+	discarded     int           // count of replicas that were discarded as their logs could not be read
 }
 
 func newOutage(t *testing.T, seed uint64) *outage {
 	a := &outage{simulation: newAgreedSimulation(t, seed)}
 	a.duration = outageDuration
-	a.operationGroups = int(outageDuration / outageCommands)
+	a.operationGroups = int(outageDuration / outageCommandInterval)
 	a.network.Conditions.Loss = 0
 	a.snapshotBytes = []int{120, 400, 1200}[a.random.IntN(3)]
-	a.planFaults = func() { a.network.At(a.network.Now()+outageAt, a.leave) }
+	a.planFaults = func() { a.network.At(a.network.Now()+outageAt, a.beginOutage) }
 	return a
 }
 
-// leave has a member go for a while.
-func (a *outage) leave() {
+// beginOutage stops a random member for a random time.
+func (a *outage) beginOutage() {
 	a.away = a.memberSite()
 	a.logf("away %d", a.away.index)
-	a.away.end(a.random.IntN(2) == 0)
+	a.away.stop(a.random.IntN(2) == 0)
 	duration := time.Second + time.Duration(a.random.Int64N(int64(longestOutage)))
 	a.after(duration, func() {
 		if a.random.IntN(3) == 0 {
 			a.damageNewestSnapshot()
 		}
-		a.comeBack(a.random.IntN(mostRestarts))
+		a.comeBack(a.random.IntN(maxRestarts))
 	})
 }
 
-// comeBack starts the site, and kills it a number of times while it catches up. The other members may go then too.
+// comeBack starts the site, and kills and restarts it a number of times while it catches up. A member, which may be
+// another one, may lose power at the same time.
 func (a *outage) comeBack(restarts int) {
 	if a.network.Up(a.away.address) {
 		return
@@ -95,16 +97,16 @@
 		a.awaitCaughtUp()
 		return
 	}
-	a.after(time.Duration(a.random.IntN(restartPause))*time.Millisecond, func() {
-		a.away.end(a.random.IntN(2) == 0)
+	a.after(time.Duration(a.random.IntN(maxRestartPauseMs))*time.Millisecond, func() {
+		a.away.stop(a.random.IntN(2) == 0)
 		if a.random.IntN(3) == 0 {
-			a.end(a.memberSite(), true, time.Second/2)
+			a.restart(a.memberSite(), true, time.Second/2)
 		}
-		a.after(time.Duration(a.random.IntN(restartPause))*time.Millisecond, func() { a.comeBack(restarts - 1) })
+		a.after(time.Duration(a.random.IntN(maxRestartPauseMs))*time.Millisecond, func() { a.comeBack(restarts - 1) })
 	})
 }
 
-// awaitCaughtUp measures how long the site takes until it has what was committed a moment before.
+// awaitCaughtUp measures how long after its last start the site has applied what was committed at that start.
 func (a *outage) awaitCaughtUp() {
 	committed := a.highest
 	a.afterStep = func() {
@@ -116,12 +118,12 @@
 		}
 		if waited > caughtUpWithin {
 			a.afterStep = nil
-			a.fatalf("site %d has applied %d of %d after %v", a.away.index, a.away.applied, committed, waited)
+			a.fatalf("site %d has applied %d of %d entries %v after its start", a.away.index, a.away.applied, committed, waited)
 		}
 	}
 }
 
-// damageNewestSnapshot flips a bit of it.
+// damageNewestSnapshot flips a bit of the newest snapshot of the site that is away, if it has one.
 func (a *outage) damageNewestSnapshot() {
 	directory := path.Join(siteDirectory, LogDirectory)
 	names, err := a.away.disk.Mount().List(directory)
@@ -134,7 +136,7 @@
 	}
 }
 
-// startOrDiscard starts a replica, or a new one if what the disk holds cannot be read. It reports whether that was so.
+// startOrDiscard starts the replica of a site. If its log cannot be read, it wipes the disk first and reports true.
 func (s *site) startOrDiscard() bool {
 	_, _, err := segment.Open(s.disk.Mount(), path.Join(siteDirectory, LogDirectory), segment.Options{SegmentSize: 500})
 	damaged := errors.Is(err, segment.ErrDamaged)
--- a/internal/chain/long_partition_test.go
+++ b/internal/chain/long_partition_test.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// Histories in which one member of the view is partitioned from the others for long, both ways or one way, while clients read and write at all sites.
+// Histories in which one member of the view is partitioned from the others for a long time, in both directions or in one,
+// while clients read and write at all sites.
 const (
 	longPartitionAt       = 3 * time.Second
 	longPartitionTime     = 20 * time.Second
 	longPartitionDuration = longPartitionAt + longPartitionTime + 2*time.Second
-	longPartitionGroups   = 20 // moments at which other clients do something
+	longPartitionGroups   = 20 // groups of operations of other clients
 	probePeriod           = 100 * time.Millisecond
 	readPeriod            = 500 * time.Millisecond
 
-	// writableWithin bounds how long the other side takes no command after the partition began: detectionTime, one attempt with its wait
-	// for promises, the delivery of the view, and a client's pause before it tries again.
+	// writableWithin bounds the time between two commands that the other side commits during the partition. It covers
+	// detectionTime, one attempt with its wait for promises, the delivery of the view, and a client's pause before a retry.
 	writableWithin = 1500 * time.Millisecond
 )
 
@@ -32,7 +33,7 @@
 					longest = max(longest, s.longestPause(t))
 					s.checkIsolatedSide(t, direction)
 				}
-				t.Logf("no command was taken for %v at the most", longest)
+				t.Logf("longest time without a committed command: %v", longest)
 			})
 		}
 	}
@@ -73,7 +74,7 @@
 	}
 }
 
-// otherSite draws a site on the other side of the partition.
+// otherSite returns a random site on the other side of the partition.
 func (c *longPartition) otherSite() *site {
 	for {
 		if other := c.sites[c.random.IntN(len(c.sites))]; other != c.target {
@@ -82,7 +83,8 @@
 	}
 }
 
-// longestPause returns the longest time, during the partition, between two commands that were taken one after the other.
+// longestPause returns the longest time during the partition in which no command was committed, and fails if it exceeds
+// writableWithin.
 func (c *longPartition) longestPause(t *testing.T) time.Duration {
 	t.Helper()
 	last, longest := c.began, time.Duration(0)
@@ -99,17 +101,17 @@
 	}
 	longest = max(longest, c.ended-last)
 	if longest > writableWithin {
-		c.fatalf("no command was taken for %v", longest)
+		c.fatalf("longest time without a committed command: got %v, want at most %v", longest, writableWithin)
 	}
 	return longest
 }
 
-// checkIsolatedSide checks that a site that is isolated both ways answers no read.
+// checkIsolatedSide checks that a site that is isolated in both directions answers no read.
 func (c *longPartition) checkIsolatedSide(t *testing.T, direction int) {
 	t.Helper()
 	for _, o := range c.operations {
 		if direction == 0 && o.read && o.done && o.at == c.target && o.begin > c.began && o.end < c.ended {
-			c.fatalf("site %d answered a read though it was isolated: %+v", c.target.index, *o)
+			c.fatalf("site %d answered a read while it was isolated: %+v", c.target.index, *o)
 		}
 	}
 }
--- a/internal/chain/message.go
+++ b/internal/chain/message.go
@@ -13,8 +13,8 @@
 // Session identifies one connection from a replica to the one that receives from it. Sessions of a sender are ordered:
 // a later one replaces an earlier one.
 type Session struct {
-	Generation uint64 // of the sender: how often it was started
-	Number     uint64
+	Generation uint64 // how often the sender was started
+	Number     uint64 // counts the sessions of one start
 }
 
 // After reports whether s is later than other, given that both are of one sender.
@@ -36,8 +36,8 @@
 // Body is the content of an envelope: one of the message types in this file.
 type Body interface{ body() }
 
-// Attach asks the receiver to begin a session with the sender. Session is the one that the sender has, or the one that
-// it cannot use if Broken is set; zero if it has none.
+// Attach asks the receiver to begin a session with the sender. Session is the current session of the sender, zero if it
+// has none, or the session that it cannot use if Broken is set.
 type Attach struct {
 	Session Session
 	Broken  bool
@@ -52,13 +52,13 @@
 // History answers Connect with an outline of the receiver's log.
 type History struct {
 	Session    Session
-	Generation uint64 // of the process that answers
-	Committed  uint64
+	Generation uint64 // of the replica that answers
+	Committed  uint64 // sequence up to which it knows entries to be committed
 	Runs       []Run
 }
 
-// Start has the receiver truncate its log after Match: entries follow from there. A member of the view that has synced
-// Target is complete.
+// Start tells the receiver to truncate its log after Match, from where entries follow. A member of the view that has
+// synced Target is complete.
 type Start struct {
 	Session    Session
 	Generation uint64 // of the receiver, which ignores the message after a restart
@@ -76,8 +76,8 @@
 	Data       []byte
 }
 
-// Append carries entries that follow Previous, the commit that the sender knows, and the newest barrier. Entries may be
-// empty.
+// Append carries entries that follow Previous, the sequence up to which the sender knows entries to be committed, and
+// the newest barrier. Entries may be empty.
 type Append struct {
 	Session   Session
 	Previous  Position
@@ -86,15 +86,14 @@
 	Barrier   uint64
 }
 
-// Acknowledge carries what the receiver of a session and all replicas after it have on disk. Fields are sequences
-// unless noted.
+// Acknowledge reports the progress of the receiver of a session and of all replicas after it.
 type Acknowledge struct {
 	Session       Session
-	Synced        uint64
-	Stored        uint64 // on the disk of the receiver alone
+	Synced        uint64 // sequence up to which the log is on the disks of the receiver and of all after it
+	Stored        uint64 // sequence up to which the log is on the receiver's disk
 	Barrier       uint64 // newest barrier that came back from the tail
-	SnapshotBytes uint64 // received of a snapshot
-	Ready         bool   // the chain is connected from here to the tail
+	SnapshotBytes uint64 // bytes of a snapshot that were received
+	Ready         bool   // the chain is connected from the receiver to the tail
 }
 
 // ViewRequest asks for the view that the receiver has.
--- a/internal/chain/message_kinds.go
+++ b/internal/chain/message_kinds.go
@@ -2,7 +2,7 @@
 
 import "nickelline/internal/peer"
 
-// Kinds of messages.
+// Kinds of messages on the transport.
 const (
 	kindEnvelope  = peer.ChainKinds + iota // one-way, between replicas of a chain
 	kindPropose                            // to the head
--- a/internal/chain/neighbour_probes.go
+++ b/internal/chain/neighbour_probes.go
@@ -9,20 +9,20 @@
 	"nickelline/internal/view"
 )
 
-// Timing of the probes of neighbours. A chain commits nothing while a member cannot reach its neighbour, and the table of
-// members does not show that as long as others can reach both.
+// Timing of the probes of neighbours. A chain commits nothing while a member cannot reach its neighbour, and the table
+// of members does not show such a failure as long as others can reach both.
 const (
 	probeInterval       = 300 * time.Millisecond
 	unresponsiveTimeout = 1200 * time.Millisecond // without an answer, after which a neighbour counts as unreachable
 	probeTimeout        = 600 * time.Millisecond  // of one probe
 )
 
-// neighbourProbes records which of the members next to this replica answer its probes. The members are taken as a ring:
-// the tail is next to the head, as what is committed has to be read at both.
+// neighbourProbes records which of the members next to this replica answer its probes. The members form a ring for this
+// purpose: the tail is next to the head, as committed data has to be read at both.
 type neighbourProbes struct {
 	mutex      sync.Mutex
 	lastAnswer map[view.ReplicaID]time.Duration // when each neighbour answered last
-	epoch      uint64                           // of the view that the neighbours are of
+	epoch      uint64                           // of the view that names the neighbours
 	lastProbe  time.Duration                    // when the neighbours were probed last
 }
 
@@ -41,9 +41,9 @@
 	return []view.Member{before, after}
 }
 
-// observe returns the members to probe now. It starts anew with each view, and after this process was paused itself: a
-// missing answer means nothing then.
-func (n *neighbourProbes) observe(now time.Duration, v view.View, self view.ReplicaID) []view.Member {
+// beginProbe returns the members to probe now. It forgets earlier answers with each new view, and after a pause of this
+// process itself, as a missing answer then says nothing about the neighbour.
+func (n *neighbourProbes) beginProbe(now time.Duration, v view.View, self view.ReplicaID) []view.Member {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	members := ringNeighbours(v, self)
@@ -84,7 +84,7 @@
 // probeNeighboursOnce sends a probe to each neighbour, and wakes the reconfigurer if one does not answer.
 func (r *Reconfigurer) probeNeighboursOnce(ctx context.Context) {
 	unresponsive := false
-	for _, m := range r.probes.observe(r.now(), r.node.View(), r.self().Replica) {
+	for _, m := range r.probes.beginProbe(r.now(), r.node.View(), r.self().Replica) {
 		go r.probeNeighbour(ctx, m)
 		unresponsive = unresponsive || r.probes.unresponsive(r.now(), m.Replica)
 	}
--- a/internal/chain/neighbour_probes_test.go
+++ b/internal/chain/neighbour_probes_test.go
@@ -41,10 +41,10 @@
 	}
 }
 
-// run observes a view each period, with answers of the members for which answers is true.
+// run probes the neighbours of replica 1 every probeInterval. The members for which answers is true answer.
 func (n *neighbourProbes) run(v view.View, from, to time.Duration, answers map[view.ReplicaID]bool) {
 	for now := from; now <= to; now += probeInterval {
-		for _, m := range n.observe(now, v, 1) {
+		for _, m := range n.beginProbe(now, v, 1) {
 			if answers[m.Replica] {
 				n.answered(now, m.Replica)
 			}
@@ -52,51 +52,54 @@
 	}
 }
 
-// A member that others still reach, but this one does not, counts as unreachable here after the limit.
+// TestUnresponsiveNeighbour checks that a neighbour that does not answer here, though others may reach it, counts as
+// unreachable after unresponsiveTimeout.
 func TestUnresponsiveNeighbour(t *testing.T) {
 	var n neighbourProbes
 	v := ring(1, 1, 2, 3)
 	n.run(v, 0, 3*time.Second, map[view.ReplicaID]bool{2: true, 3: true})
 	n.run(v, 3300*time.Millisecond, 4200*time.Millisecond, map[view.ReplicaID]bool{2: true})
 	if n.unresponsive(4200*time.Millisecond, 3) {
-		t.Error("unresponsive before the timeout")
+		t.Error("unresponsive before the timeout: got true, want false")
 	}
 	n.run(v, 4500*time.Millisecond, 4800*time.Millisecond, map[view.ReplicaID]bool{2: true})
 	if !n.unresponsive(4800*time.Millisecond, 3) {
-		t.Error("not unresponsive after the timeout")
+		t.Error("unresponsive after the timeout: got false, want true")
 	}
 	if n.unresponsive(4800*time.Millisecond, 2) {
-		t.Error("a member that answers is unresponsive")
+		t.Error("unresponsive though it answers: got true, want false")
 	}
 	n.answered(4900*time.Millisecond, 3)
 	if n.unresponsive(4900*time.Millisecond, 3) {
-		t.Error("unresponsive after it answered")
+		t.Error("unresponsive after it answered: got true, want false")
 	}
 }
 
-// A replica that was frozen itself must not find the others unresponsive, nor must one with a new view.
+// TestProbesAfterOwnPause checks that a replica does not count its neighbours as unresponsive right after a pause of its
+// own process, or after a new view.
 func TestProbesAfterOwnPause(t *testing.T) {
 	var n neighbourProbes
 	v := ring(1, 1, 2, 3)
 	n.run(v, 0, time.Second, map[view.ReplicaID]bool{2: true, 3: true})
 	if n.unresponsive(5*time.Second, 3) {
-		t.Error("unresponsive by the clock alone, before a probe")
+		t.Error("unresponsive after a pause, before a probe: got true, want false")
 	}
-	n.observe(5*time.Second, v, 1)
+	n.beginProbe(5*time.Second, v, 1)
 	if n.unresponsive(5*time.Second, 3) {
-		t.Error("unresponsive right after a pause of the own process")
+		t.Error("unresponsive right after a pause of the own process: got true, want false")
 	}
 	n.run(v, 5*time.Second, 7*time.Second, nil)
 	if !n.unresponsive(7*time.Second, 3) {
-		t.Fatal("not unresponsive after two seconds")
+		t.Fatal("unresponsive after two seconds without an answer: got false, want true")
 	}
-	n.observe(7*time.Second, ring(2, 1, 3), 1)
+	n.beginProbe(7*time.Second, ring(2, 1, 3), 1)
 	if n.unresponsive(7*time.Second, 3) {
-		t.Error("unresponsive right after a new view")
+		t.Error("unresponsive right after a new view: got true, want false")
 	}
 }
 
-// The plan of the next view leaves out a neighbour that cannot be reached from here, though the table of members shows it.
+// TestPlanWithoutUnresponsiveNeighbour checks that the next view is planned without a neighbour that does not answer
+// here, though the table of members shows it as reachable.
 func TestPlanWithoutUnresponsiveNeighbour(t *testing.T) {
 	v := ring(1, 1, 2, 3)
 	r := &Reconfigurer{
@@ -110,12 +113,12 @@
 		r.candidates = append(r.candidates, view.Candidate{Member: m, Reachable: true})
 	}
 	if _, needed := r.planNextView(v); needed {
-		t.Fatal("a change is planned though all can be reached")
+		t.Fatal("view change with all members reachable: got one, want none")
 	}
 	now := r.now()
 	r.probes.run(v, now-3*time.Second, now, map[view.ReplicaID]bool{2: true})
 	next, needed := r.planNextView(v)
 	if !needed || next.Has(3) || !next.Has(2) {
-		t.Errorf("next view %v, want one without replica 3", next)
+		t.Errorf("next view: got %v, needed %v; want one with replica 2 and without replica 3", next, needed)
 	}
 }
--- a/internal/chain/node.go
+++ b/internal/chain/node.go
@@ -19,13 +19,13 @@
 const (
 	// LogDirectory is the name of the directory of the log within the directory of a chain.
 	LogDirectory = "log"
-	// minimumTimer bounds how often the node wakes by itself.
+	// minimumTimer is the shortest time after which the timer fires. It bounds how often the node wakes by itself.
 	minimumTimer = 20 * time.Millisecond
 )
 
 // Node is the driver of one replica of one chain: it connects a Replica with a transport, a log on disk and a clock.
-// One goroutine writes to disk and another one applies entries; both are started by Open and awaited by Close. Its
-// methods are safe for concurrent use.
+// One goroutine writes to disk and another one applies entries; Open starts them and Close waits for them. The methods
+// of a Node are safe for concurrent use.
 type Node struct {
 	options   Options
 	transport *peer.Transport
@@ -34,25 +34,25 @@
 	applier   *applier
 	closing   sync.Once
 
-	mutex     sync.Mutex
-	replica   *Replica
-	timer     *time.Timer
-	timerAt   time.Duration                 // 0: not set
-	failure   error                         // why the node takes no part in the protocol any more
-	lastID    uint64                        // of a proposal, a barrier or a forwarded call
-	proposals map[uint64]*proposalCall      // not appended yet, by identifier
-	accepted  map[uint64]*proposalCall      // appended and not applied yet, by sequence
-	barriers  map[uint64]chan BarrierResult // by identifier
-	remote    remoteBarriers
-	forwarded map[uint64]forwardedCall // calls to the head, by identifier
-	watchers  []*watcher
-	onCommit  []func(uint64)
-	onView    []func(view.View)
+	mutex         sync.Mutex
+	replica       *Replica
+	timer         *time.Timer
+	timerAt       time.Duration                 // when the timer fires, 0 if it is not set
+	failure       error                         // why the node no longer takes part in the protocol; nil while it does
+	lastID        uint64                        // newest identifier of a proposal, a barrier or a forwarded call
+	proposals     map[uint64]*proposalCall      // not appended yet, by identifier
+	accepted      map[uint64]*proposalCall      // appended and not applied yet, by sequence
+	barriers      map[uint64]chan BarrierResult // by identifier
+	barrierRounds remoteBarriers
+	forwarded     map[uint64]forwardedCall // calls to the head, by identifier
+	watchers      []*watcher
+	onCommit      []func(uint64)
+	onView        []func(view.View)
 }
 
-// Open restores a replica from its directory, or makes an empty one, and takes part in the view that it has on disk. An
-// error that matches segment.ErrDamaged means that the replica is lost: its directory has to be emptied, and its
-// identity with it. The caller must call Close.
+// Open restores a replica from its directory, or creates an empty one, and takes part in the view that it has on disk.
+// An error that matches segment.ErrDamaged means that the replica is lost: its directory has to be emptied and its
+// identity discarded. The caller must call Close.
 func Open(options Options) (*Node, error) {
 	if options.Log == nil {
 		options.Log = zap.NewNop()
@@ -63,7 +63,7 @@
 	}
 	log, recovered, err := segment.Open(options.FileSystem, path.Join(options.Directory, LogDirectory), segment.Options{})
 	if err != nil {
-		return nil, merry.Prependf(err, "log of chain %d", options.Chain)
+		return nil, merry.Prependf(err, "open log of chain %d", options.Chain)
 	}
 	n, err := openNode(options, record, log, recovered)
 	if err != nil {
@@ -75,13 +75,13 @@
 	return n, nil
 }
 
-// openNode restores the state machine, and registers a node at the dispatcher that is not started yet.
+// openNode restores the state machine, and registers the node, whose goroutines are not started yet, at the dispatcher.
 func openNode(options Options, record Record, log *segment.Log, recovered segment.Recovered) (*Node, error) {
 	state := Recovered{Record: record, Entries: recovered.Entries}
 	if recovered.Snapshot != nil {
 		state.Snapshot = *recovered.Snapshot
 		if err := options.StateMachine.Restore(recovered.Snapshot.Data); err != nil {
-			return nil, merry.Prependf(err, "snapshot of chain %d", options.Chain)
+			return nil, merry.Prependf(err, "restore snapshot of chain %d", options.Chain)
 		}
 		state.Snapshot.Data = nil
 	}
@@ -113,10 +113,10 @@
 	})
 }
 
-// now returns the time on the monotonic clock that events carry.
+// now returns the time that events carry, by the monotonic clock.
 func (n *Node) now() time.Duration { return time.Since(n.began) }
 
-// step passes an event to the state machine and carries out what it asks for.
+// step passes an event to the Replica and dispatches its output. It does nothing once the node has failed.
 func (n *Node) step(event func(now time.Duration)) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -135,10 +135,11 @@
 	n.wakeWatchers()
 }
 
-// dispatch hands an output to those who carry it out. The mutex is held.
+// dispatch passes the parts of an output to the disk writer, the transport, the callers and the applier. The mutex is
+// held.
 func (n *Node) dispatch(out Output) {
 	for _, violation := range out.Violations {
-		n.options.Log.Error("breach of the chain's protocol", zap.Uint32("chain", n.options.Chain),
+		n.options.Log.Error("chain protocol violation", zap.Uint32("chain", n.options.Chain),
 			zap.Uint64("sender", uint64(violation.Sender)), zap.String("what", violation.Description))
 	}
 	n.disk.add(out.Disk)
@@ -151,13 +152,13 @@
 	}
 	n.applier.add(out)
 	for _, v := range out.Views {
-		n.options.Log.Info("view", zap.Uint32("chain", v.Chain), zap.Uint64("epoch", v.Epoch), zap.Int("members", len(v.Members)),
+		n.options.Log.Info("view in force", zap.Uint32("chain", v.Chain), zap.Uint64("epoch", v.Epoch), zap.Int("members", len(v.Members)),
 			zap.Int("position", v.Index(n.options.Self.Replica)))
 		n.cancelForwardedCalls(v)
 	}
 }
 
-// send sends a message without waiting; the protocol retries what is lost.
+// send sends a message without waiting for its delivery; the protocol makes up for lost messages.
 func (n *Node) send(message Outgoing) {
 	body, err := encodeEnvelope(message.Envelope)
 	if err != nil {
@@ -167,7 +168,7 @@
 	n.transport.Send(message.To, peer.Message{Kind: kindEnvelope, Body: body})
 }
 
-// setTimer has Tick called at the state machine's deadline. A timer that is set to an earlier time is left alone.
+// setTimer arranges for Tick to be called at the deadline of the Replica. A timer that fires earlier is left as it is.
 func (n *Node) setTimer(now time.Duration) {
 	deadline, ok := n.replica.Deadline()
 	if !ok || (n.timerAt != 0 && n.timerAt <= deadline) {
@@ -190,12 +191,13 @@
 	})
 }
 
-// receive passes a message of another replica to the state machine.
+// receive passes a message of another replica to the Replica.
 func (n *Node) receive(from netip.AddrPort, e Envelope) {
 	n.step(func(now time.Duration) { n.replica.Receive(now, from, e) })
 }
 
-// fail ends the part of this replica in the protocol for good. With report set it is logged and passed to OnFailure.
+// fail ends the participation of this replica in the protocol permanently, and all calls that wait. With report set, the
+// error is logged and passed to Options.OnFailure. Only the first failure counts.
 func (n *Node) fail(err error, report bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/chain/node_failover_test.go
+++ b/internal/chain/node_failover_test.go
@@ -38,7 +38,7 @@
 
 func TestNewReplicaLearnsBySnapshot(t *testing.T) {
 	c := newCluster(t, 3, 3)
-	command := append(number(1), make([]byte, 700<<10)...)
+	command := append(addCommand(1), make([]byte, 700<<10)...)
 	for range 8 {
 		if _, err := c.members[1].node.Propose(testContext(t), command); err != nil {
 			t.Fatal(err)
@@ -114,16 +114,16 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
 		if err := m.node.wait(ctx, func() bool { return !m.node.replica.headReady() }); err != nil {
-			// Nothing was under way, so that the loss was not noticed: a proposal does.
+			// Nothing was in flight, so the head has not noticed the loss; a proposal makes it notice.
 			short, stop := context.WithTimeout(context.Background(), time.Second)
-			_, err := m.node.Propose(short, number(1))
+			_, err := m.node.Propose(short, addCommand(1))
 			stop()
 			if fault.KindOf(err) != fault.Unclear {
 				t.Fatalf("error: got %v, want kind Unclear", err)
 			}
 		}
 		short, stop := context.WithTimeout(context.Background(), time.Second)
-		_, err := m.node.Propose(short, number(1))
+		_, err := m.node.Propose(short, addCommand(1))
 		stop()
 		if fault.KindOf(err) != fault.NotReady {
 			t.Fatalf("error: got %v, want kind NotReady", err)
--- a/internal/chain/node_test.go
+++ b/internal/chain/node_test.go
@@ -38,7 +38,7 @@
 	for i := range count {
 		m := c.members[i%len(c.members)]
 		go func() {
-			_, err := m.node.Propose(testContext(t), number(1))
+			_, err := m.node.Propose(testContext(t), addCommand(1))
 			results <- err
 		}()
 	}
@@ -54,7 +54,7 @@
 
 func TestLargeCommands(t *testing.T) {
 	c := newCluster(t, 3, 3)
-	command := append(number(3), make([]byte, 4<<20)...)
+	command := append(addCommand(3), make([]byte, 4<<20)...)
 	for _, m := range c.members {
 		if _, err := m.node.Propose(testContext(t), command); err != nil {
 			t.Fatal(err)
@@ -69,13 +69,13 @@
 	}
 }
 
-// openFiles counts the files that are open.
+// openFiles is a file system that counts the files that are open.
 type openFiles struct {
 	segment.FileSystem
 	count atomic.Int64
 }
 
-// countedFile is a file that its openFiles counts until it is closed.
+// countedFile is a file that openFiles counts as open until it is closed.
 type countedFile struct {
 	segment.File
 	files *openFiles
@@ -102,7 +102,7 @@
 	return f.File.Close()
 }
 
-// A chain that cannot be opened, since it is open already, leaves none of its files open.
+// TestFailedOpenClosesTheLog checks that an Open that fails, as the chain is open already, leaves no file open.
 func TestFailedOpenClosesTheLog(t *testing.T) {
 	transport, err := peer.Listen(netip.MustParseAddrPort("127.0.0.1:0"), zap.NewNop())
 	if err != nil {
@@ -117,7 +117,7 @@
 			Dispatcher:      dispatcher,
 			FileSystem:      files,
 			Directory:       directory,
-			StateMachine:    &sum{},
+			StateMachine:    &sumMachine{},
 			MinimumReplicas: 1,
 		})
 	}
@@ -134,7 +134,7 @@
 	}
 	first.Close()
 	if got := files.count.Load(); got != 0 {
-		t.Errorf("files open after both: got %d, want 0", got)
+		t.Errorf("open files after the failed open and the close: got %d, want 0", got)
 	}
 }
 
@@ -145,7 +145,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := log.Append(segment.Entry{Epoch: 1, Sequence: 1, Data: number(1)}); err != nil {
+	if err := log.Append(segment.Entry{Epoch: 1, Sequence: 1, Data: addCommand(1)}); err != nil {
 		t.Fatal(err)
 	}
 	if err := log.Close(); err != nil {
--- a/internal/chain/node_views.go
+++ b/internal/chain/node_views.go
@@ -8,13 +8,13 @@
 	"nickelline/internal/view"
 )
 
-// Install gives the replica a view that was decided. One that is not newer than its own is ignored. It comes into force
-// once it is on disk.
+// Install passes a decided view to the replica. It comes into force once it is on disk. A view that is not newer than
+// the newest known one is ignored.
 func (n *Node) Install(v view.View) {
 	n.step(func(time.Duration) { n.replica.Install(v) })
 }
 
-// sendNewerView sends the own view to a replica whose epoch is older.
+// sendNewerView sends the view in force to a replica if the given epoch, that of its view, is older.
 func (n *Node) sendNewerView(to netip.AddrPort, epoch uint64) {
 	n.step(func(time.Duration) {
 		if epoch < n.replica.View().Epoch {
@@ -30,15 +30,15 @@
 	return n.replica.View().Clone()
 }
 
-// Learn has a replica that no view names receive from the member at an address: a snapshot if it lacks too much, then
-// all that is committed. It returns once the replica has caught up, and receiving goes on afterwards until a view names
-// the replica.
+// Learn makes a replica that no view names receive from the member at an address: a snapshot if it lacks too much, then
+// all that is committed. It returns once the replica has caught up or is a member. A learner goes on receiving until a
+// view names it.
 func (n *Node) Learn(ctx context.Context, from netip.AddrPort) error {
 	n.step(func(now time.Duration) { n.replica.Follow(now, from) })
 	return n.wait(ctx, func() bool { return n.replica.caughtUp() || n.replica.view.Has(n.options.Self.Replica) })
 }
 
-// follow has a learner receive from an address.
+// follow makes a learner receive from the member at an address, without waiting.
 func (n *Node) follow(from netip.AddrPort) {
 	n.step(func(now time.Duration) { n.replica.Follow(now, from) })
 }
--- a/internal/chain/notifications.go
+++ b/internal/chain/notifications.go
@@ -21,9 +21,9 @@
 // notifyView calls the functions registered by OnView.
 func (n *Node) notifyView(v view.View) {
 	n.mutex.Lock()
-	notified := n.onView
+	callbacks := n.onView
 	n.mutex.Unlock()
-	for _, f := range notified {
+	for _, f := range callbacks {
 		f(v)
 	}
 }
--- a/internal/chain/options.go
+++ b/internal/chain/options.go
@@ -20,13 +20,14 @@
 	Directory  string
 	// StateMachine is the replicated state. It is called from one goroutine.
 	StateMachine StateMachine
-	// MinimumReplicas is the least number of disks that an entry is on before it is committed. A view with fewer members
+	// MinimumReplicas is the number of disks that must have an entry before it is committed. A view with fewer members
 	// commits nothing.
 	MinimumReplicas int
-	// SnapshotBytes is how many bytes of entries are kept before a snapshot replaces them; defaultSnapshotBytes if it is 0.
-	// A larger value writes snapshots less often, and recovers more slowly.
+	// SnapshotBytes is how many bytes of entries are logged before a snapshot replaces them; 0 means defaultSnapshotBytes.
+	// With a larger value snapshots are written less often, and recovery is slower.
 	SnapshotBytes int
-	// OnFailure, if set, is called once if the disk fails: the replica takes no part in the protocol from then on.
+	// OnFailure, if set, is called once if the disk or the state machine fails. The replica takes no part in the protocol
+	// from then on.
 	OnFailure func(error)
 	// OnStall, if set, is called when disk operations have taken longer than stallLimit, once for each stall. Impaired
 	// reports the same.
--- a/internal/chain/outline.go
+++ b/internal/chain/outline.go
@@ -1,6 +1,6 @@
 package chain
 
-// runs outlines the history for a Connect. The base counts as its first entry.
+// runs returns the outline of the history, with which a replica answers Connect. The base counts as its first entry.
 func (h *history) runs() []Run {
 	runs := []Run{{Epoch: h.base.Epoch, First: h.base.Sequence, Last: h.base.Sequence}}
 	for _, entry := range h.entries {
--- a/internal/chain/output.go
+++ b/internal/chain/output.go
@@ -5,9 +5,9 @@
 	"nickelline/internal/view"
 )
 
-// Output is what a Replica asks of its driver. Disk operations and apply operations are each carried out in order; when
-// a disk operation is durable the driver calls DiskDone. Messages may be sent at once: what they promise to be on disk
-// is on disk already.
+// Output is what a Replica asks of its driver. The driver carries out disk operations and apply operations, each kind in
+// order, and calls DiskDone when a disk operation is durable. Messages may be sent at once: what they say is on disk is
+// on disk already.
 type Output struct {
 	Messages []Outgoing
 	Disk     []DiskOperation
@@ -18,11 +18,11 @@
 	Views    []view.View // that came into force, in order
 	// SnapshotRequested asks for a snapshot of the applied state, to be passed to SnapshotTaken.
 	SnapshotRequested bool
-	// Violations describe breaches of the protocol by other replicas, for the log. The messages were ignored.
+	// Violations are for the log. The messages that violated the protocol were ignored.
 	Violations []Violation
 }
 
-// Violation describes a message that a replica which follows the protocol does not send.
+// Violation describes a message of another replica that violates the protocol.
 type Violation struct {
 	Sender      view.ReplicaID
 	Description string
@@ -39,9 +39,9 @@
 
 // Record is what a replica stores beside its log. It is replaced as a whole.
 type Record struct {
-	View          view.View // newest one that was installed
+	View          view.View // newest view that was installed
 	CompleteEpoch uint64    // latest epoch in which the replica was complete
-	Generation    uint64
+	Generation    uint64    // how often the replica was started
 }
 
 // ApplyOperation changes the replicated state. Exactly one of its fields is set.
--- a/internal/chain/plan.go
+++ b/internal/chain/plan.go
@@ -6,8 +6,7 @@
 	"nickelline/internal/view"
 )
 
-// planNextView derives the next view under the assumption that all reachable members are complete, and reports whether
-// one is needed.
+// planNextView derives the next view on the assumption that all members are complete, and reports whether one is needed.
 func (r *Reconfigurer) planNextView(v view.View) (view.View, bool) {
 	candidates := r.nextViewCandidates(v)
 	for i := range candidates {
@@ -16,7 +15,8 @@
 	return view.Next(v, candidates, r.options.Policy)
 }
 
-// rank returns the number of members that should propose before this one.
+// rank returns how many members should propose before this one: those before it in the chain that are reachable and not
+// leaving. It is 0 for a replica that is leaving itself.
 func (r *Reconfigurer) rank(v view.View) int {
 	if r.isLeaving() {
 		return 0
--- a/internal/chain/propose.go
+++ b/internal/chain/propose.go
@@ -13,7 +13,7 @@
 // proposalCall is a caller that waits for the result of a proposal.
 type proposalCall struct {
 	id     uint64
-	result chan proposalResult // has room for the one result
+	result chan proposalResult // buffers the one result
 }
 
 // proposalResult is the result of applying a command, or why there is none.
@@ -35,9 +35,9 @@
 }
 
 // Propose has a command committed and returns the result of applying it. It may be called at any replica, and waits for
-// a head that takes the command until ctx ends. The error is fault.NotReady if the command was certainly not appended
-// and never will be, and fault.Unclear if it may have been. A command over segment.MaximumEntrySize is
-// fault.BodyTooLarge.
+// a head that takes the command until ctx ends. The error is of kind fault.NotReady if the command was certainly not
+// appended and never will be, fault.Unclear if it may have been, and fault.BodyTooLarge if the command is larger than
+// segment.MaximumEntrySize.
 func (n *Node) Propose(ctx context.Context, command []byte) ([]byte, error) {
 	ctx, cancel := withDefaultTimeout(ctx)
 	defer cancel()
@@ -74,10 +74,10 @@
 	return response.result, fault.Wrap(fault.Unclear, err)
 }
 
-// ProposeInTerm has a command committed that builds on what this replica has done as head since a term began (see
-// HeadTerm), and returns the result of applying it. It is never passed on to another head: once the term is over, the
-// error is fault.NotReady, and the command was certainly not appended and never will be. Other errors are as with
-// Propose.
+// ProposeInTerm has a command committed that depends on what this replica has done as head since a term began (see
+// HeadTerm), and returns the result of applying it. The command is never forwarded to another head: once the term is
+// over, the error is fault.NotReady, and the command was certainly not appended and never will be. Other errors are
+// those of Propose.
 func (n *Node) ProposeInTerm(ctx context.Context, term uint64, command []byte) ([]byte, error) {
 	ctx, cancel := withDefaultTimeout(ctx)
 	defer cancel()
@@ -109,7 +109,7 @@
 	}
 }
 
-// beginProposal passes a command to the state machine by the given event, and registers its caller.
+// beginProposal registers the caller of a command and passes the command to the Replica by the given event.
 func (n *Node) beginProposal(call *proposalCall, command []byte, event func(now time.Duration)) error {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// abandonProposal gives up waiting, and reports by the kind of its error whether the command may have been appended.
+// abandonProposal stops waiting for a proposal. The kind of its error says whether the command may have been appended.
 func (n *Node) abandonProposal(ctx context.Context, call *proposalCall) ([]byte, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -143,7 +143,7 @@
 	return nil, fault.New(fault.Unclear, "not known to be committed: %w", ctx.Err())
 }
 
-// resolveProposals passes the results of proposals in an output to their callers. The mutex is held.
+// resolveProposals handles the proposals that an output accepts or rejects. The mutex is held.
 func (n *Node) resolveProposals(out Output) {
 	for _, a := range out.Accepted {
 		if call := n.proposals[a.Proposal]; call != nil {
@@ -188,7 +188,7 @@
 	return calls
 }
 
-// failCalls ends all calls that wait. The mutex is held.
+// failCalls ends all calls that wait with the failure of the node. The mutex is held.
 func (n *Node) failCalls() {
 	for _, call := range n.proposals {
 		call.resolve(proposalResult{err: fault.Wrap(fault.NotReady, n.failure)})
--- a/internal/chain/propose_view.go
+++ b/internal/chain/propose_view.go
@@ -12,7 +12,7 @@
 	"nickelline/internal/view"
 )
 
-// agreementResult is the outcome of one call of a proposer.
+// agreementResult is the outcome of one call that a proposer made.
 type agreementResult struct {
 	from     netip.AddrPort
 	response agreementResponse
@@ -23,14 +23,14 @@
 type viewAttempt struct {
 	reconfigurer *Reconfigurer
 	options      view.ProposerOptions
-	needed       int // acceptors that have to answer
+	needed       int // number of acceptors that have to answer
 	proposer     *view.Proposer
 	results      chan agreementResult
 	failed       map[netip.AddrPort]bool // acceptors that cannot be reached
 }
 
-// propose makes one attempt, and gives it up once fewer acceptors than needed can answer. It reports whether a view was
-// decided.
+// propose makes one attempt to have a view decided, and gives up once fewer acceptors than needed can answer. It reports
+// whether a view was decided.
 func (r *Reconfigurer) propose(ctx context.Context, options view.ProposerOptions, needed int) bool {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
@@ -59,7 +59,7 @@
 			return false
 		case result := <-a.results:
 			a.handle(result)
-			if a.isLost(result) {
+			if a.cannotSucceed(result) {
 				return false
 			}
 		case <-timer.C:
@@ -90,8 +90,8 @@
 	}
 }
 
-// isLost reports whether the epoch has been decided already, or too few acceptors can be reached.
-func (a *viewAttempt) isLost(result agreementResult) bool {
+// cannotSucceed reports whether the epoch has been decided already, or too few acceptors can be reached.
+func (a *viewAttempt) cannotSucceed(result agreementResult) bool {
 	return result.response.view.Epoch >= a.options.Epoch || len(a.options.Acceptors)-len(a.failed) < a.needed
 }
 
@@ -113,8 +113,8 @@
 	return false, false
 }
 
-// callAll sends a request to acceptors and non-voters. The own replica answers first: what it answers is on disk before
-// others are asked, so that this replica uses no proposal number twice.
+// callAll sends a request to acceptors and non-voters. This replica answers first if it is one of them: its answer is on
+// disk before others are asked, so that it uses no proposal number twice.
 func (r *Reconfigurer) callAll(ctx context.Context, asked []netip.AddrPort, q agreementRequest, results chan<- agreementResult) {
 	q.sender = r.self()
 	if slices.Contains(asked, r.self().Address) {
@@ -135,8 +135,8 @@
 	}
 }
 
-// broadcastView sends a view that was decided to all replicas that it concerns. One that misses it gets it from any
-// other.
+// broadcastView installs a decided view and sends it to the other reachable replicas and to the members and voters of
+// the old and the new view. A replica that misses it gets it later from any other.
 func (r *Reconfigurer) broadcastView(v view.View) {
 	r.highestRound = 0
 	r.changeNeededSince = 0
--- a/internal/chain/proposer_options.go
+++ b/internal/chain/proposer_options.go
@@ -27,7 +27,8 @@
 	return options
 }
 
-// firstViewOptions describes an attempt to have the first view decided, with the seeds that promise as its members.
+// firstViewOptions describes an attempt to have the first view decided, whose members are taken from the seeds that
+// promise.
 func (r *Reconfigurer) firstViewOptions(v view.View) view.ProposerOptions {
 	options := r.epochOptions(v)
 	options.Acceptors = r.voter.seeds
@@ -50,5 +51,5 @@
 	}
 }
 
-// majorityOf returns how many acceptors of a proposal decide.
+// majorityOf returns how many acceptors are a majority.
 func majorityOf(options view.ProposerOptions) int { return len(options.Acceptors)/2 + 1 }
--- a/internal/chain/prover.go
+++ b/internal/chain/prover.go
@@ -7,16 +7,17 @@
 	"nickelline/internal/view"
 )
 
-// Prover proves to those who serve at this replica that what they act on is current. It asks the voters and needs
-// neither the whole chain nor the disk.
+// Prover proves that the view or the state of this replica is current, before a service at this replica acts on it. It
+// asks the voters and needs neither the whole chain nor the disk.
 type Prover struct{ reconfigurer *Reconfigurer }
 
 // NewProver returns a prover for the replica of a reconfigurer.
 func NewProver(r *Reconfigurer) *Prover { return &Prover{reconfigurer: r} }
 
-// ConfirmView proves that, when it was called, no view after the one in force here had been decided, and returns that view. A
-// majority of its voters say that they have accepted none: a later view needs the votes of a majority, and any two have a
-// voter in common. Unlike a barrier that needs neither all members nor the disk, so that one lost member does not hold it up.
+// ConfirmView proves that no view after the one in force here had been decided when it was called, and returns the view
+// in force. A majority of its voters confirm that they have accepted no later one: a later view needs the votes of a
+// majority, and any two majorities have a voter in common. Unlike a barrier, this needs neither all members nor the
+// disk, so that one lost member does not delay it. The error is of kind fault.NotReady.
 func (p *Prover) ConfirmView(ctx context.Context) (view.View, error) {
 	r := p.reconfigurer
 	v := r.node.View()
@@ -29,9 +30,10 @@
 	return v, nil
 }
 
-// ConfirmCurrent proves that this replica has applied all that was committed anywhere when it was called. It does not need all
-// members: what is committed in the newest view has passed through each of its members, so a complete one that has applied all
-// that it has received lacks nothing. While entries are under way this cannot be known, and a barrier is needed.
+// ConfirmCurrent proves that this replica has applied all that was committed anywhere when it was called. It does not
+// need all members: what is committed in the newest view has passed through each of its members, so a complete member
+// that has applied all that it has received lacks nothing. While entries are in flight it fails with fault.NotReady, and
+// a barrier is needed.
 func (p *Prover) ConfirmCurrent(ctx context.Context) error {
 	v, err := p.ConfirmView(ctx)
 	if err != nil {
--- a/internal/chain/prover_test.go
+++ b/internal/chain/prover_test.go
@@ -14,8 +14,8 @@
 	"nickelline/internal/view"
 )
 
-// newWholeCluster makes a cluster of three that are all in the view and have committed the number 1.
-func newWholeCluster(t *testing.T) *cluster {
+// newFullCluster returns a cluster of three members that are all in the view, with the number 1 committed.
+func newFullCluster(t *testing.T) *cluster {
 	t.Helper()
 	c := newCluster(t, 3, 3)
 	c.propose(c.members[0], 1)
@@ -25,8 +25,8 @@
 	return c
 }
 
-// byRank returns the members in the order of the chain.
-func (c *cluster) byRank() []*member {
+// inChainOrder returns the members in the order of the chain.
+func (c *cluster) inChainOrder() []*member {
 	c.t.Helper()
 	v := c.members[0].node.View()
 	ordered := slices.Clone(c.members)
@@ -34,16 +34,16 @@
 	return ordered
 }
 
-// A lost member stops barriers until there is a view without it, but not the proof that no newer view has been decided. Of a
-// minority it cannot be had.
+// TestConfirmViewWithoutALostMember checks that ConfirmView works while a member is lost, which stops barriers until
+// there is a view without it, and that a minority of the members cannot confirm a view.
 func TestConfirmViewWithoutALostMember(t *testing.T) {
-	c := newWholeCluster(t)
-	ordered := c.byRank()
+	c := newFullCluster(t)
+	ordered := c.inChainOrder()
 	head, middle, tail := ordered[0], ordered[1], ordered[2]
 	if v, err := NewProver(head.reconfigurer).ConfirmView(testContext(t)); err != nil || v.Epoch != head.node.View().Epoch {
 		t.Fatalf("confirmed epoch: got %d, %v; want %d", v.Epoch, err, head.node.View().Epoch)
 	}
-	c.close(tail) // no member is notified of it
+	c.close(tail) // without announce, so that no member learns of the loss
 	if _, err := NewProver(head.reconfigurer).ConfirmView(testContext(t)); err != nil {
 		t.Errorf("confirmation by two of three members: got error %v, want none", err)
 	}
@@ -53,11 +53,11 @@
 	}
 }
 
-// A member that has accepted the next view, or knows it, does not confirm the one before it: the next one may be decided
-// though the head has not received it.
+// TestNoConfirmationAfterNewerViewAccepted checks that a member that has accepted the next view, or knows it, does not
+// confirm the one before: the next view may be decided although the head has not received it.
 func TestNoConfirmationAfterNewerViewAccepted(t *testing.T) {
-	c := newWholeCluster(t)
-	ordered := c.byRank()
+	c := newFullCluster(t)
+	ordered := c.inChainOrder()
 	head := ordered[0]
 	old := head.node.View()
 	number := view.ProposalNumber{Round: 100, Replica: ordered[1].self.Replica}
@@ -67,14 +67,14 @@
 			t.Fatal(err)
 		}
 		if !m.reconfigurer.voter.confirms(old.Epoch) {
-			t.Errorf("member %d does not confirm the view after a promise alone", i)
+			t.Errorf("member %d confirms the view after only a promise: got false, want true", i)
 		}
 		accepted, err := m.reconfigurer.voter.accept(view.Accept{Epoch: next.Epoch, Number: number, View: next})
 		if err != nil || !accepted.Granted {
 			t.Fatalf("accept: got %+v, %v; want it granted", accepted, err)
 		}
 		if m.reconfigurer.voter.confirms(old.Epoch) {
-			t.Errorf("member %d confirms the view before the one that it has accepted", i)
+			t.Errorf("member %d confirms the view before the one that it has accepted: got true, want false", i)
 		}
 	}
 	if v, err := NewProver(head.reconfigurer).ConfirmView(testContext(t)); err == nil {
@@ -83,7 +83,7 @@
 	ordered[1].node.Install(next)
 	c.awaitView(ordered[1], func(v view.View) bool { return v.Epoch >= next.Epoch })
 	if ordered[1].reconfigurer.voter.confirms(old.Epoch) {
-		t.Error("a member with a newer view confirms the older one")
+		t.Error("a member with a newer view confirms the older one: got true, want false")
 	}
 }
 
@@ -95,7 +95,7 @@
 		t.Errorf("confirmation by a replica outside of the view: got epoch %d, want an error", v.Epoch)
 	}
 	if outsider.reconfigurer.voter.confirms(c.members[0].node.View().Epoch) {
-		t.Error("a replica outside of the view has a vote")
+		t.Error("a replica outside of the view confirms it: got true, want false")
 	}
 }
 
@@ -125,11 +125,12 @@
 	return m.machine.total
 }
 
-// While the tail is gone and no view without it is agreed, barriers stand still; where nothing is under way each other member
-// is still proven to be current. With an entry under way none is.
+// TestConfirmCurrentWithoutTheTail checks ConfirmCurrent while the tail is lost and no view without it is decided, so
+// that barriers cannot return. With nothing in flight the other members are proven to be current; with an entry in flight
+// the head is not.
 func TestConfirmCurrentWithoutTheTail(t *testing.T) {
-	c := newWholeCluster(t)
-	ordered := c.byRank()
+	c := newFullCluster(t)
+	ordered := c.inChainOrder()
 	head, middle, tail := ordered[0], ordered[1], ordered[2]
 	for _, m := range ordered {
 		c.total(m)
@@ -140,16 +141,16 @@
 	c.close(tail)
 	for _, m := range []*member{head, middle} {
 		if err := NewProver(m.reconfigurer).ConfirmCurrent(testContext(t)); err != nil {
-			t.Errorf("confirmation with nothing under way: got error %v, want none", err)
+			t.Errorf("confirmation with nothing in flight: got error %v, want none", err)
 		}
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
-	if _, err := head.node.Propose(ctx, number(6)); err == nil {
-		t.Fatal("an entry is committed without the tail")
+	if _, err := head.node.Propose(ctx, addCommand(6)); err == nil {
+		t.Fatal("propose without the tail: got no error, want one")
 	}
 	if err := NewProver(head.reconfigurer).ConfirmCurrent(testContext(t)); err == nil && head.applied() < 7 {
-		t.Error("the head is proven to be current with an entry under way")
+		t.Error("confirmation by the head with an entry in flight: got no error, want one")
 	}
 }
 
@@ -157,21 +158,22 @@
 type proofChecker struct {
 	t            *testing.T
 	acknowledged atomic.Uint64 // sum after the last acknowledged command
-	proofs       atomic.Uint64
+	proofs       atomic.Uint64 // count of successful proofs
 	proved       chan struct{} // signalled with each proof
 }
 
-// propose adds one again and again until ctx ends, with pauses so that nothing is under way now and then.
+// propose adds one repeatedly until ctx ends, with pauses so that at times nothing is in flight.
 func (p *proofChecker) propose(ctx context.Context, m *member) {
 	for ctx.Err() == nil {
-		if result, err := m.node.Propose(ctx, number(1)); err == nil {
+		if result, err := m.node.Propose(ctx, addCommand(1)); err == nil {
 			p.acknowledged.Store(binary.LittleEndian.Uint64(result))
 		}
 		pause.For(ctx, time.Millisecond)
 	}
 }
 
-// prove proves again and again until ctx ends that a member is current, and checks that it then lacks nothing.
+// prove proves repeatedly until ctx ends that a member is current, and checks after each proof that the member has
+// applied all that was acknowledged before the proof.
 func (p *proofChecker) prove(ctx context.Context, m *member) {
 	for ctx.Err() == nil {
 		before := p.acknowledged.Load()
@@ -186,11 +188,11 @@
 	}
 }
 
-// Whoever is proven to be current has applied all that was acknowledged anywhere before the proof began, while entries are
-// committed, members are lost and come back.
+// TestConfirmCurrentLacksNothing checks that a member that is proven to be current has applied all that was acknowledged
+// anywhere before the proof began, while entries are committed and members are lost and return.
 func TestConfirmCurrentLacksNothing(t *testing.T) {
 	const rounds, each = 4, 150 * time.Millisecond
-	c := newWholeCluster(t)
+	c := newFullCluster(t)
 	checker := &proofChecker{t: t, proved: make(chan struct{}, 1)}
 	checker.acknowledged.Store(1)
 	for round := range rounds {
@@ -207,7 +209,7 @@
 		for _, m := range others {
 			working.Go(func() { checker.prove(ctx, m) })
 		}
-		select { // the member is lost while the others are at work
+		select { // the member is closed while the others propose and prove
 		case <-checker.proved:
 		case <-ctx.Done():
 		}
--- a/internal/chain/receive.go
+++ b/internal/chain/receive.go
@@ -21,11 +21,12 @@
 	default:
 		r.receiveInEpoch(now, from, e)
 	}
-	r.followUp(now)
+	r.advance(now)
 }
 
-// receiveInEpoch handles a message that belongs to the epoch of its sender. Messages of any other epoch are dropped:
-// this is what stops a replaced head or predecessor from writing here. The side that is behind is sent the newer view.
+// receiveInEpoch handles a message that is only valid in the epoch of its sender. If that is not the epoch in force
+// here, the message is dropped, which fences off a replaced head or predecessor, and the side that is behind gets or
+// asks for the newer view.
 func (r *Replica) receiveInEpoch(now time.Duration, from netip.AddrPort, e Envelope) {
 	if e.Epoch > r.view.Epoch {
 		r.requestNewerView(e.Epoch, from)
@@ -53,7 +54,7 @@
 	}
 }
 
-// requestNewerView asks a replica for its view if the given epoch is newer than the own one.
+// requestNewerView asks a replica for its view if the given epoch is newer than that of the newest view known here.
 func (r *Replica) requestNewerView(epoch uint64, from netip.AddrPort) {
 	if epoch > r.newestView().Epoch {
 		r.send(from, ViewRequest{})
@@ -73,14 +74,14 @@
 	}
 }
 
-// notifyLearners sends a view that is about to come into force to the learners that stream from this replica.
+// notifyLearners sends a view that is about to come into force to the learners that receive from this replica.
 func (r *Replica) notifyLearners(v view.View) {
 	for _, replica := range r.learnerOrder() {
 		r.send(r.learners[replica].to.Address, ViewNotice{View: v.Clone()})
 	}
 }
 
-// reportViolation records a breach of the protocol by another replica.
+// reportViolation adds a violation of the protocol by another replica to the output.
 func (r *Replica) reportViolation(sender view.ReplicaID, format string, arguments ...any) {
 	violation := Violation{Sender: sender, Description: fmt.Sprintf(format, arguments...)}
 	r.out.Violations = append(r.out.Violations, violation)
--- a/internal/chain/reconfigurer.go
+++ b/internal/chain/reconfigurer.go
@@ -16,15 +16,15 @@
 	rankDelay       = 250 * time.Millisecond // between the attempts of members, in the order of the chain
 	attemptTimeout  = 1500 * time.Millisecond
 	callTimeout     = time.Second
-	retryMinimum    = 50 * time.Millisecond // after an attempt that failed
-	retrySpread     = 200 * time.Millisecond
+	retryMinimum    = 50 * time.Millisecond   // until the next attempt after one that failed
+	retrySpread     = 200 * time.Millisecond  // of the random delay added to retryMinimum
 	firstViewWait   = 500 * time.Millisecond  // for the answers of seeds beyond a majority
-	firstStartWait  = 2 * time.Second         // during which all seeds have to answer
+	firstStartWait  = 2 * time.Second         // during which all seeds have to answer, and not only a majority
 	discoveryPeriod = 300 * time.Millisecond  // between the requests of a replica that knows no view
-	joinPeriod      = time.Second             // between the requests of a learner
-	standbyPeriod   = 2 * time.Second         // the same, where the view has no room
-	joinRequestTTL  = 5 * time.Second         // of a learner's request
-	learnTimeout    = 3 * time.Second         // until a learner tries another source
+	joinPeriod      = time.Second             // between the requests of a learner to join
+	standbyPeriod   = 2 * time.Second         // the same while the view has its maximum of members
+	joinRequestTTL  = 5 * time.Second         // how long a learner's request to join is valid
+	learnTimeout    = 3 * time.Second         // until a learner that has not caught up tries another source
 	unlistedGrace   = 2500 * time.Millisecond // during which a member that is not a candidate counts as reachable
 	viewCheckPeriod = 3 * time.Second         // between a member's requests for a newer view
 )
@@ -35,13 +35,13 @@
 	// Seeds are the internal addresses of the replicas that agree on the first view.
 	Seeds []netip.AddrPort
 	// FirstStart allows this replica to take part in the agreement on the first view. It must be false unless this is the
-	// first start of the whole system; what was allowed once is remembered on the disk.
+	// first start of the whole system. The permission is stored on disk and applies to later starts too.
 	FirstStart bool
 	Policy     view.Policy
 }
 
-// Reconfigurer drives the view changes of a chain: it proposes the next view when members became unreachable or
-// learners caught up, and has a replica that no view names learn.
+// Reconfigurer drives the view changes of a chain: it proposes the next view when members have become unreachable or
+// learners have caught up, and makes a replica that no view names learn.
 type Reconfigurer struct {
 	options ReconfigurerOptions
 	node    *Node
@@ -53,26 +53,26 @@
 	mutex      sync.Mutex // guards what follows
 	candidates []view.Candidate
 	joins      map[view.ReplicaID]joinRequest
-	unlisted   map[view.ReplicaID]time.Duration // since when members are not among the candidates
+	unlisted   map[view.ReplicaID]time.Duration // when members of the view were first missing among the candidates
 	leaving    bool
 
 	// Used by the goroutine of Run only.
-	highestRound      uint64         // of a proposal that an attempt lost to
-	changeNeededSince time.Duration  // since when the view should be changed, 0: it should not
-	viewCheckedAt     time.Duration  // when another replica was asked for its view
-	peerIndex         int            // of the peer that is asked next for its view
-	source            netip.AddrPort // that this learner receives from
-	sourceSince       time.Duration  // since when source is used without having caught up
+	highestRound      uint64         // round of the proposal that the last attempt lost to
+	changeNeededSince time.Duration  // since when a view change has been needed, 0 if none is
+	viewCheckedAt     time.Duration  // when checkView last asked another replica for its view
+	peerIndex         int            // counts the calls of nextPeer
+	source            netip.AddrPort // member that this learner receives from
+	sourceSince       time.Duration  // when source was chosen, or last known to have caught this learner up
 }
 
-// joinRequest is the notice of a learner that it has caught up.
+// joinRequest is the request of a learner that has caught up to join the view.
 type joinRequest struct {
 	member view.Member
 	at     time.Duration
 }
 
-// NewReconfigurer returns a reconfigurer for a node. It answers the requests of other replicas from now on, and acts by
-// itself while Run is running.
+// NewReconfigurer returns a reconfigurer for a node. It answers the requests of other replicas from then on, and proposes
+// views or learns while Run is running.
 func NewReconfigurer(options ReconfigurerOptions) (*Reconfigurer, error) {
 	var seeds []netip.AddrPort
 	if options.FirstStart {
@@ -99,7 +99,7 @@
 // now returns the time since the reconfigurer was made.
 func (r *Reconfigurer) now() time.Duration { return time.Since(r.began) }
 
-// self returns the own replica as the views name it.
+// self returns this replica as the views name it.
 func (r *Reconfigurer) self() view.Member { return r.node.options.Self }
 
 // Run proposes views, or learns, until ctx ends. The probes of neighbours that it starts end with ctx too.
@@ -120,8 +120,8 @@
 	}
 }
 
-// act does what the view in force calls for, and returns the time until it should be called again, 0 if only a change
-// calls for that.
+// act acts in the role that this replica has in the view in force. It returns the time until it should be called again,
+// or 0 if that is needed only after a change.
 func (r *Reconfigurer) act(ctx context.Context) time.Duration {
 	v := r.node.View()
 	switch {
@@ -139,7 +139,8 @@
 	return r.discover(ctx)
 }
 
-// actAsMember proposes the next view if one is needed, after the members before it in the chain had time to.
+// actAsMember proposes the next view if one is needed, after the members before it in the chain have had the time to do
+// so.
 func (r *Reconfigurer) actAsMember(ctx context.Context, v view.View) time.Duration {
 	_, needed := r.planNextView(v)
 	if !needed && !r.voter.hasAcceptedAfter(v.Epoch) {
@@ -175,7 +176,7 @@
 	return r.attempt(ctx, options, majorityOf(options))
 }
 
-// attempt tries to have a view decided, and returns the time until another try.
+// attempt tries to have a view decided, and returns the time until the next attempt, 0 if a view was decided.
 func (r *Reconfigurer) attempt(ctx context.Context, options view.ProposerOptions, needed int) time.Duration {
 	if r.propose(ctx, options, needed) {
 		return 0
--- a/internal/chain/record_file.go
+++ b/internal/chain/record_file.go
@@ -16,14 +16,14 @@
 // loadRecord reads the record of a replica, which is zero if there is none yet.
 func loadRecord(options Options) (Record, error) {
 	if err := options.FileSystem.MakeDirectory(options.Directory); err != nil {
-		return Record{}, merry.Prepend(err, "directory")
+		return Record{}, merry.Prepend(err, "make chain directory")
 	}
 	data, err := segment.LoadRecord(options.FileSystem, path.Join(options.Directory, recordName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return Record{}, nil
 	}
 	if err != nil {
-		return Record{}, merry.Prependf(err, "record of chain %d", options.Chain)
+		return Record{}, merry.Prependf(err, "load record of chain %d", options.Chain)
 	}
 	return decodeRecord(data)
 }
--- a/internal/chain/replica.go
+++ b/internal/chain/replica.go
@@ -8,9 +8,9 @@
 	"nickelline/internal/view"
 )
 
-// Replica is one replica of a chain as a state machine without input or output. Events go in by its methods, each of
-// which takes the time since a fixed moment by a monotonic clock; Output returns what the driver has to do in answer.
-// It is not safe for concurrent use. Package doc has the protocol and its invariants.
+// Replica is one replica of a chain as a state machine that does no I/O. The driver reports events by calling its
+// methods, with the time since a fixed moment by a monotonic clock; Output returns what the driver has to do in response.
+// It is not safe for concurrent use. The package documentation has the protocol and its invariants.
 type Replica struct {
 	chain           uint32 // number of the chain
 	self            view.Member
@@ -20,25 +20,25 @@
 
 	view          view.View  // in force
 	term          uint64     // epoch of the first view of the term in which this replica is head, 0 if it is not
-	installing    *view.View // being written to disk
+	installing    *view.View // newer view that is being written to disk, nil if there is none
 	completeEpoch uint64     // latest epoch in which the replica was complete, 0 if it never was
-	completing    uint64     // the same, being written to disk
+	completing    uint64     // the same, while it is being written to disk
 
 	history   *history
-	synced    uint64 // the log is on the own disk up to this sequence
+	synced    uint64 // the log is on this replica's disk up to this sequence
 	committed uint64 // entries up to this sequence were handed out for applying
 
 	upstream  upstream
-	source    netip.AddrPort // that a learner receives from, invalid if there is none
+	source    netip.AddrPort // member that a learner receives from, invalid if there is none
 	successor *link          // nil if there is none, or this replica is not complete
 	learners  map[view.ReplicaID]*link
-	sessions  uint64 // that were begun by this process
+	sessions  uint64 // count of the sessions begun by this process
 
 	head headState
 
-	lastDisk uint64        // identifier of the newest disk operation
-	disk     []pendingDisk // operations that are not done, in order
-	out      Output
+	lastDiskID  uint64             // identifier of the newest disk operation
+	pendingDisk []pendingOperation // operations that are not done, in order
+	out         Output
 }
 
 // Recovered is what a replica found in its directory when it was started.
@@ -49,7 +49,7 @@
 }
 
 // NewReplica returns the state machine of a replica that has just been started. Its first output asks for a record with
-// the next generation to be written; no view is in force before that is on disk.
+// the next generation to be written; no view is in force before that record is on disk.
 func NewReplica(chain uint32, self view.Member, minimumReplicas int, recovered Recovered) *Replica {
 	base := Position{Epoch: recovered.Snapshot.Epoch, Sequence: recovered.Snapshot.Sequence}
 	r := &Replica{
@@ -84,7 +84,7 @@
 // View returns the view in force. Its epoch is 0 if there is none.
 func (r *Replica) View() view.View { return r.view }
 
-// Status returns the replica's progress. The field Applied is left to the driver.
+// Status returns the replica's progress. The driver sets the field Applied.
 func (r *Replica) Status() Status {
 	return Status{
 		Epoch:        r.view.Epoch,
@@ -97,8 +97,8 @@
 	}
 }
 
-// Tick lets retries happen that are due at the given time.
-func (r *Replica) Tick(now time.Duration) { r.followUp(now) }
+// Tick carries out the retries that are due at the given time.
+func (r *Replica) Tick(now time.Duration) { r.advance(now) }
 
 // Deadline returns the time at which Tick should be called next, and whether there is one.
 func (r *Replica) Deadline() (time.Duration, bool) {
@@ -111,10 +111,10 @@
 	return earliest, earliest != 0
 }
 
-// followUp does all that the last event has made possible: it advances commits, sends what the windows of the links
-// permit, retries, acknowledges, and trims the history. Events end with it.
-func (r *Replica) followUp(now time.Duration) {
-	r.checkComplete()
+// advance does all that the last event has made possible: it advances commits, sends what the windows of the links
+// permit, retries, acknowledges, and trims the history. The methods that handle events call it last.
+func (r *Replica) advance(now time.Duration) {
+	r.recordCompleteness()
 	r.commitReceived()
 	r.advanceHead()
 	for _, l := range r.links() {
--- a/internal/chain/retry.go
+++ b/internal/chain/retry.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	retryPause         = 100 * time.Millisecond
-	defaultCallTimeout = 5 * time.Second // of a call without a deadline
+	retryPause         = 100 * time.Millisecond // before a call is tried again
+	defaultCallTimeout = 5 * time.Second        // of a call without a deadline
 )
 
-// awaitRetry waits for retryPause, or until another epoch is in force, before a call is tried again. It returns the
-// error of ctx.
+// awaitRetry waits before a call is tried again: for retryPause, or until an epoch other than the given one is in force.
+// It returns the error of ctx.
 func (n *Node) awaitRetry(ctx context.Context, epoch uint64) error {
 	bounded, cancel := context.WithTimeout(ctx, retryPause)
 	defer cancel()
--- a/internal/chain/second_disk_loss_test.go
+++ b/internal/chain/second_disk_loss_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Histories of a second loss: something takes a replica out of the chain, or replaces it, and at some step of what follows
-// disks are lost, mostly while all other machines lose power. Whatever the step, the chain has to come back with all that was
-// acknowledged and take a new command. NICKELLINE_CHAIN_HISTORIES and NICKELLINE_CHAIN_SEED apply.
+// Histories of a second loss: a fault takes a replica out of the chain, or the replica is replaced, and at a random step
+// afterwards disks are lost, mostly while all other machines lose power. Whatever the step, the chain has to recover all
+// that was acknowledged and commit a new command. NICKELLINE_CHAIN_HISTORIES and NICKELLINE_CHAIN_SEED apply.
 const (
 	firstLossAt        = 3 * time.Second
-	secondLossSteps    = 1500 // within which the second loss comes, counted from the first one
-	secondLossNearView = 80   // or after a view that is in force somewhere
-	viewsBeforeLoss    = 5    // of those that follow the first loss
+	secondLossSteps    = 1500 // steps after the first loss within which the second one comes
+	secondLossNearView = 80   // the same, counted from a later view that comes into force somewhere
+	viewsBeforeLoss    = 5    // views after the first loss from which that view is drawn
 )
 
 func TestSecondLossAtAnyStep(t *testing.T) {
@@ -24,7 +24,7 @@
 	})
 }
 
-// planSecondLoss draws the first loss, and the step at which the second one comes.
+// planSecondLoss schedules the first loss, and draws the step at which the second one comes.
 func (s *simulation) planSecondLoss() {
 	s.network.At(s.network.Now()+firstLossAt, func() {
 		if s.newest.Epoch == 0 {
@@ -37,13 +37,13 @@
 	})
 }
 
-// memberSite draws a member of the newest view.
+// memberSite returns the site of a random member of the newest view.
 func (s *simulation) memberSite() *site {
 	member := s.newest.Members[s.random.IntN(len(s.newest.Members))]
 	return s.siteAt(member.Address)
 }
 
-// firstLoss handles a site out of the chain without the loss of a disk that is needed.
+// firstLoss takes a site out of the chain by a random fault that loses no needed disk, or replaces it.
 func (s *simulation) firstLoss(target *site, duration time.Duration) {
 	switch s.random.IntN(8) {
 	case 0:
@@ -54,20 +54,21 @@
 		s.isolate(target, duration, 2)
 	case 3:
 		s.logf("power loss %d", target.index)
-		s.end(target, true, duration)
+		s.restart(target, true, duration)
 	case 4:
 		s.freeze(target, duration)
 	case 5:
 		s.logf("power loss of all")
 		for _, other := range s.sites {
-			s.end(other, true, time.Duration(s.random.Int64N(int64(duration))))
+			s.restart(other, true, time.Duration(s.random.Int64N(int64(duration))))
 		}
 	default:
 		s.replace(target, duration/4)
 	}
 }
 
-// isolate partitions a site from all others: both ways (direction 0), only what it sends (1), or only what it is sent (2).
+// isolate partitions a site from all others, in both directions (direction 0), only for messages from it (1), or only
+// for messages to it (2).
 func (s *simulation) isolate(target *site, duration time.Duration, direction int) {
 	s.logf("isolated %d, direction %d", target.index, direction)
 	set := func(partitioned bool) {
@@ -84,7 +85,7 @@
 	s.after(duration, func() { set(false) })
 }
 
-// awaitSecondLoss counts steps until disks are lost.
+// awaitSecondLoss draws the step of the second loss, and counts steps until then.
 func (s *simulation) awaitSecondLoss() {
 	steps := s.random.IntN(secondLossSteps)
 	views := 0
@@ -104,19 +105,19 @@
 	}
 }
 
-// secondLoss wipes as many disks as the chain has to bear, mostly while all others lose power.
+// secondLoss wipes as many disks as the chain has to tolerate, and mostly has all other sites lose power as well.
 func (s *simulation) secondLoss() {
 	if s.healed {
 		return
 	}
-	back := time.Duration(s.random.Int64N(int64(2 * time.Second)))
+	downtime := time.Duration(s.random.Int64N(int64(2 * time.Second)))
 	var wiped []*site
 	for s.mayLoseDisk() && len(wiped) < len(s.sites) {
 		target := s.memberSite()
 		if slices.Contains(wiped, target) {
 			continue
 		}
-		s.takeDisk(target, back)
+		s.recordDiskLoss(target, downtime)
 		wiped = append(wiped, target)
 	}
 	if len(wiped) == 0 || s.random.IntN(4) == 0 {
@@ -125,7 +126,7 @@
 	s.logf("and power loss of all")
 	for _, other := range s.sites {
 		if !slices.Contains(wiped, other) {
-			s.end(other, true, time.Duration(s.random.Int64N(int64(2*time.Second))))
+			s.restart(other, true, time.Duration(s.random.Int64N(int64(2*time.Second))))
 		}
 	}
 }
--- a/internal/chain/simulation_authority_test.go
+++ b/internal/chain/simulation_authority_test.go
@@ -7,9 +7,11 @@
 	"nickelline/internal/view"
 )
 
+// authorityPeriod scales the random time between two views that the authority decides.
 const authorityPeriod = 400 * time.Millisecond
 
-// installAuthorityView has a site mostly learn the newest view that the authority decided.
+// installAuthorityView passes the newest view that the authority decided to a site: always once faults have ended, and
+// in two of three cases before.
 func (s *site) installAuthorityView() {
 	decided := s.simulation.decided
 	if decided.Epoch > 0 && (s.simulation.healed || s.simulation.random.IntN(3) != 0) {
@@ -17,8 +19,8 @@
 	}
 }
 
-// decide has the authority make a view now and again. Until all faults is over its views have a head that reported to be
-// complete, and otherwise any members.
+// decide has the authority decide a view at random intervals. While faults are injected, an authority that is not careful
+// decides views whose head reported to be complete, with random other members.
 func (s *simulation) decide() {
 	wait := authorityPeriod/2 + time.Duration(s.random.Int64N(int64(4*authorityPeriod)))
 	s.network.At(s.network.Now()+wait, s.decide)
@@ -76,7 +78,7 @@
 	return view.View{Epoch: s.decided.Epoch + 1, Members: members}, true
 }
 
-// reports returns what the authority knows of the sites.
+// reports returns what the authority knows about the sites.
 func (s *simulation) reports() []view.Candidate {
 	var candidates []view.Candidate
 	for _, member := range s.decided.Members {
--- a/internal/chain/simulation_clients_test.go
+++ b/internal/chain/simulation_clients_test.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// operation is what a client did.
+// operation is a read of a client, or a write by compare-and-set of the version.
 type operation struct {
 	id       uint64
 	at       *site // where it began
 	read     bool
-	expected uint64
-	value    uint64
+	expected uint64 // version that a write expects
+	value    uint64 // that a write sets
 
 	begin, end time.Duration
-	done       bool // with a known outcome
-	dropped    bool // certainly without effect
-	ok         bool
-	version    uint64
-	result     uint64
-	// position is where the operation stands in the order of commits.
+	done       bool   // with a known outcome
+	dropped    bool   // certainly without effect
+	ok         bool   // a write found the expected version
+	version    uint64 // after the operation
+	result     uint64 // value after the operation
+	// position is the sequence at which the operation takes effect in the order of commits.
 	position uint64
 }
 
-// inFlight counts the operations whose clients wait yet.
+// inFlight counts the operations whose clients are still waiting.
 func (s *simulation) inFlight() int {
 	count := 0
 	for _, o := range s.operations {
@@ -66,7 +66,7 @@
 // propose has a client write at a random site.
 func (s *simulation) propose() { s.proposeAt(s.sites[s.random.IntN(len(s.sites))]) }
 
-// proposeAt has a client write at a site, which passes it on to the head that it knows.
+// proposeAt has a client write at a site, which forwards the command to the head that it knows.
 func (s *simulation) proposeAt(site *site) {
 	o := s.begin(&operation{at: site, value: s.lastID + 1000, expected: s.guessVersion()})
 	s.tryPropose(o, site, 20)
--- a/internal/chain/simulation_disk_losses_test.go
+++ b/internal/chain/simulation_disk_losses_test.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// lossBudget counts the disks that were lost. At any moment as many may go as the chain has to bear, less those whose loss has
-// not been repaired yet, whatever else is going on: cuts, kills, changes of the view.
+// lossBudget counts the disks that were lost. At any moment as many more may be lost as the chain has to tolerate, less
+// those whose loss has not been repaired, whatever else is going on: partitions, kills, view changes.
 type lossBudget struct {
 	unrepaired int
 	total      int
-	replaced   int // sites that were taken away with their disks after they had handed over
+	replaced   int // sites that were removed with their disks after they had handed over
 }
 
 const (
-	stepsPerCheck = 20 // of the network, between two looks whether losses are repaired
+	stepsPerCheck = 20 // steps of the network between two checks whether losses are repaired
 	leavingPoll   = 20 * time.Millisecond
 	leavingTime   = 4 * time.Second // until a site that cannot hand over gives up
 )
 
-// tolerated is the number of disks that may be lost at once.
-func (s *simulation) tolerated() int { return s.policy.MinimumMembers - 1 }
+// toleratedLosses returns the number of disks that may be lost at once.
+func (s *simulation) toleratedLosses() int { return s.policy.MinimumMembers - 1 }
 
-// updateRepaired makes all losses good once the chain is whole.
+// updateRepaired counts all losses as repaired once the chain is fully replicated.
 func (s *simulation) updateRepaired() {
-	if s.losses.unrepaired > 0 && s.whole() {
-		s.logf("whole")
+	if s.losses.unrepaired > 0 && s.fullyReplicated() {
+		s.logf("fully replicated")
 		s.losses.unrepaired = 0
 	}
 }
 
-// whole reports whether the newest view has all its members complete, is on the disks of all its voters, which are as many as the
-// policy wants, and is not being changed.
-func (s *simulation) whole() bool {
+// fullyReplicated reports whether all members of the newest view are complete, the view is on the disks of all its
+// voters, of which there are as many as the policy wants, and no later view is being agreed on.
+func (s *simulation) fullyReplicated() bool {
 	if s.newest.Epoch == 0 || s.decided.Epoch > s.newest.Epoch || len(s.newest.Members) < s.policy.MinimumMembers {
 		return false
 	}
@@ -51,23 +51,25 @@
 	return true
 }
 
-// changing reports whether a site takes part in an agreement on a view after the newest one.
+// changing reports whether a site proposes a view, or has accepted one after the newest one.
 func (s *simulation) changing(site *site) bool {
 	state := site.acceptor.State()
 	return site.proposer != nil || (state.Epoch > s.newest.Epoch && state.Accepted != nil)
 }
 
-// mayLoseDisk reports whether the chain has to bear another loss. An authority that is not careful may have dropped all other
-// copies: then only members beside as many as are needed may go, and only while nothing else is going on.
+// mayLoseDisk reports whether the chain has to tolerate another lost disk. An authority that is not careful may have
+// dropped all other copies: a disk may then be lost only while the view has more members than the minimum and the chain
+// is fully replicated.
 func (s *simulation) mayLoseDisk() bool {
 	s.updateRepaired()
 	if s.authority && !s.careful {
-		return len(s.newest.Members) > s.policy.MinimumMembers && s.whole()
+		return len(s.newest.Members) > s.policy.MinimumMembers && s.fullyReplicated()
 	}
-	return s.losses.unrepaired < s.tolerated()
+	return s.losses.unrepaired < s.toleratedLosses()
 }
 
-// loseDisk ends a site and wipes its disk, if the chain has to bear that. Sometimes all others lose power at the same time.
+// loseDisk stops a site and wipes its disk, if the chain has to tolerate that. In one of three cases all other sites lose
+// power at the same time.
 func (s *simulation) loseDisk(site *site, duration time.Duration) {
 	if !s.mayLoseDisk() {
 		return
@@ -76,37 +78,37 @@
 		s.logf("and power loss of all")
 		for _, other := range s.sites {
 			if other != site {
-				s.end(other, true, duration/3)
+				s.restart(other, true, duration/3)
 			}
 		}
 	}
-	s.takeDisk(site, duration)
+	s.recordDiskLoss(site, duration)
 }
 
-// takeDisk counts the loss of a site's disk and wipes it.
-func (s *simulation) takeDisk(site *site, back time.Duration) {
+// recordDiskLoss counts the loss of a site's disk and wipes it.
+func (s *simulation) recordDiskLoss(site *site, downtime time.Duration) {
 	s.logf("disk lost %d", site.index)
 	s.losses.total++
 	s.losses.unrepaired++
-	s.wipe(site, back)
+	s.wipe(site, downtime)
 }
 
-// wipe has a site come back with an empty disk after a time.
-func (s *simulation) wipe(site *site, back time.Duration) {
+// wipe stops a site, wipes its disk and starts it again after a time.
+func (s *simulation) wipe(site *site, downtime time.Duration) {
 	if s.network.Up(site.address) {
-		site.end(true)
+		site.stop(true)
 	}
 	site.wipe()
-	s.after(back, func() {
+	s.after(downtime, func() {
 		if !s.network.Up(site.address) {
 			site.start(false)
 		}
 	})
 }
 
-// replace has a site hand over and takes it away with its disk as soon as it has; an empty one comes at its address. That is a
-// loss only if the site has a vote yet, or may get one by an agreement that is under way.
-func (s *simulation) replace(site *site, back time.Duration) {
+// replace has a site hand over, and then removes it with its disk; a site with an empty disk starts at its address. This
+// counts as a loss only if the removed replica still has a vote, or may get one by an agreement that is under way.
+func (s *simulation) replace(site *site, downtime time.Duration) {
 	if site.replica == nil || site.leaving || !s.network.Up(site.address) || s.authority {
 		return
 	}
@@ -123,20 +125,20 @@
 			s.after(leavingPoll, poll)
 			return
 		}
-		s.remove(site, back)
+		s.remove(site, downtime)
 	}
 	poll()
 }
 
-// remove handles a site away with its disk after it has handed over.
-func (s *simulation) remove(site *site, back time.Duration) {
+// remove removes a site with its disk after it has handed over.
+func (s *simulation) remove(site *site, downtime time.Duration) {
 	s.logf("replaced: %d", site.index)
 	s.losses.replaced++
 	if s.mayVote(site) {
 		s.losses.unrepaired++
 	}
 	site.leaving = false
-	s.wipe(site, back)
+	s.wipe(site, downtime)
 }
 
 // mayVote reports whether the newest view, or one that some site has accepted after it, gives a vote to a replica.
@@ -148,15 +150,15 @@
 	})
 }
 
-// handedOver reports whether a site knows a view of which it is no member to be on the disks of a majority of its other voters
-// (Reconfigurer.HandOver).
+// handedOver reports whether the view in force at a site does not name it as a member and is on the disks of a majority
+// of the voters, not counting the site (Reconfigurer.HandOver).
 func (s *site) handedOver() bool {
 	v := s.replica.View()
 	if !s.simulation.network.Up(s.address) || v.Epoch == 0 || v.Has(s.self.Replica) {
 		return false
 	}
-	if s.simulation.network.Now() < s.answered+attemptTimeout {
-		return false // a view that names it may be decided yet
+	if s.simulation.network.Now() < s.lastAnsweredStaying+attemptTimeout {
+		return false // a view that names it may still be decided
 	}
 	holders := 0
 	for _, voter := range v.Electorate() {
--- a/internal/chain/simulation_faults_test.go
+++ b/internal/chain/simulation_faults_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// planRandomFaults draws when which faults come.
+// planRandomFaults schedules random faults at random times.
 func (s *simulation) planRandomFaults() {
 	for range 4 + s.random.IntN(16) {
 		at := s.network.Now() + time.Duration(s.random.Int64N(int64(s.duration)))
@@ -10,7 +10,7 @@
 	}
 }
 
-// faults are drawn by their index; one that stands here several times is drawn more often.
+// faults are drawn by their index. A fault that is listed several times is drawn more often.
 var faults = [...]func(s *simulation, site *site, duration time.Duration){
 	0:  (*simulation).kill,
 	1:  (*simulation).kill,
@@ -32,7 +32,7 @@
 	17: (*simulation).replace,
 }
 
-// injectFault draws a site, a duration and a fault.
+// injectFault injects a random fault of a random duration at a random site.
 func (s *simulation) injectFault() {
 	site := s.sites[s.random.IntN(len(s.sites))]
 	duration := time.Duration(100+s.random.IntN(3000)) * time.Millisecond
@@ -42,29 +42,29 @@
 
 func (s *simulation) kill(site *site, duration time.Duration) {
 	s.logf("kill %d", site.index)
-	s.end(site, false, duration/2)
+	s.restart(site, false, duration/2)
 }
 
 func (s *simulation) killAll(*site, time.Duration) {
 	s.logf("kill all")
 	for _, other := range s.sites {
-		s.end(other, false, time.Duration(s.random.IntN(1000))*time.Millisecond)
+		s.restart(other, false, time.Duration(s.random.IntN(1000))*time.Millisecond)
 	}
 }
 
 func (s *simulation) losePower(site *site, duration time.Duration) {
 	s.logf("power loss %d", site.index)
-	s.end(site, true, duration)
+	s.restart(site, true, duration)
 }
 
 func (s *simulation) losePowerOfAll(*site, time.Duration) {
 	s.logf("power loss of all")
 	for _, other := range s.sites {
-		s.end(other, true, time.Duration(s.random.IntN(1000))*time.Millisecond)
+		s.restart(other, true, time.Duration(s.random.IntN(1000))*time.Millisecond)
 	}
 }
 
-// losePowerAfterProposals ends a site, or all, while entries are being written.
+// losePowerAfterProposals stops a site, or all of them, while entries are being written, mostly by a loss of power.
 func (s *simulation) losePowerAfterProposals(site *site, _ time.Duration) {
 	s.logf("power loss right after proposals")
 	for range 1 + s.random.IntN(4) {
@@ -74,7 +74,7 @@
 	s.after(time.Duration(s.random.IntN(30))*time.Millisecond/2, func() {
 		for _, other := range s.sites {
 			if all || other == site {
-				s.end(other, s.random.IntN(4) != 0, time.Duration(s.random.IntN(1000))*time.Millisecond)
+				s.restart(other, s.random.IntN(4) != 0, time.Duration(s.random.IntN(1000))*time.Millisecond)
 			}
 		}
 	})
@@ -91,7 +91,7 @@
 	s.after(duration, func() { site.leaving = false })
 }
 
-// after does something later, unless faults have ended before.
+// after calls f after a time, unless faults have ended by then.
 func (s *simulation) after(wait time.Duration, f func()) {
 	s.network.At(s.network.Now()+wait, func() {
 		if !s.healed {
@@ -100,13 +100,13 @@
 	})
 }
 
-// end ends a site, with or without a loss of power, and starts it again later.
-func (s *simulation) end(site *site, power bool, back time.Duration) {
+// restart stops a site, with or without a loss of power, and starts it again after a time.
+func (s *simulation) restart(site *site, powerLoss bool, downtime time.Duration) {
 	if !s.network.Up(site.address) {
 		return
 	}
-	site.end(power)
-	s.after(back, func() {
+	site.stop(powerLoss)
+	s.after(downtime, func() {
 		if !s.network.Up(site.address) {
 			site.start(false)
 		}
@@ -119,7 +119,7 @@
 	s.after(duration, func() { s.network.Thaw(site.address) })
 }
 
-// partition loses messages between a site and some others, in one direction or both.
+// partition drops messages between a site and some others, in one direction or both.
 func (s *simulation) partition(site *site, duration time.Duration) {
 	direction := s.random.IntN(3)
 	for _, other := range s.sites {
--- a/internal/chain/simulation_histories_test.go
+++ b/internal/chain/simulation_histories_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Seeded histories: replicas of a chain on simulated disks and a simulated network, with everything that may happen to
-// them. NICKELLINE_CHAIN_HISTORIES sets how many are run, and NICKELLINE_CHAIN_SEED the first seed.
+// Seeded histories: replicas of a chain run on simulated disks and a simulated network with injected faults.
+// NICKELLINE_CHAIN_HISTORIES sets how many histories are run, and NICKELLINE_CHAIN_SEED the first seed.
 const (
 	historiesVariable = "NICKELLINE_CHAIN_HISTORIES"
 	seedVariable      = "NICKELLINE_CHAIN_SEED"
@@ -16,10 +16,11 @@
 	historyWorkers    = 4
 )
 
-func environment(t *testing.T, name string, otherwise int) int {
+// environment returns the number in an environment variable, or the default if it is not set.
+func environment(t *testing.T, name string, defaultValue int) int {
 	text := os.Getenv(name)
 	if text == "" {
-		return otherwise
+		return defaultValue
 	}
 	value, err := strconv.Atoi(text)
 	if err != nil {
@@ -30,7 +31,7 @@
 
 func TestSeededHistories(t *testing.T) { runHistories(t, newSimulation) }
 
-// runHistories runs as many histories as are asked for, in several goroutines.
+// runHistories runs the histories that historiesVariable and seedVariable ask for, in several goroutines.
 func runHistories(t *testing.T, begin func(t *testing.T, seed uint64) *simulation) {
 	histories := environment(t, historiesVariable, defaultHistories)
 	firstSeed := environment(t, seedVariable, 1)
@@ -51,7 +52,7 @@
 	}
 }
 
-// summary counts what happened in histories, to see that they test something.
+// summary counts what happened in histories, to show that they exercise the protocol.
 type summary struct{ histories, views, entries, disksLost, replaced, reads, writes, refused, unclear int }
 
 func (t *summary) add(s *simulation) {
--- a/internal/chain/simulation_invariants_test.go
+++ b/internal/chain/simulation_invariants_test.go
@@ -6,7 +6,7 @@
 	"nickelline/internal/view"
 )
 
-// checkView checks that there is one view of an epoch.
+// checkView checks that a view that comes into force at a site is the only one of its epoch.
 func (s *simulation) checkView(at *site, v view.View) {
 	known, before := s.views[v.Epoch]
 	if before && !known.Equal(v) {
@@ -23,14 +23,15 @@
 	s.logf("site %d in view %d: %v", at.index, v.Epoch, members)
 }
 
-// checkCommitted checks that all replicas apply the same.
+// checkCommitted checks an entry that a site applies: all sites apply the same entry at a sequence, a command is
+// committed at one sequence only, and no refused command is committed.
 func (s *simulation) checkCommitted(at *site, entryEpoch, sequence uint64, data []byte) {
 	entry := committedEntry{epoch: entryEpoch, id: binary.LittleEndian.Uint64(data), data: string(data)}
 	if known, before := s.committed[sequence]; before && known != entry {
-		s.fatalf("site %d applied %+v as %d, another one %+v", at.index, entry, sequence, known)
+		s.fatalf("site %d applied %+v at sequence %d, another site %+v", at.index, entry, sequence, known)
 	}
 	if first, before := s.sequences[entry.id]; before && first != sequence {
-		s.fatalf("command %d is committed as %d and as %d", entry.id, first, sequence)
+		s.fatalf("command %d is committed at sequence %d and at sequence %d", entry.id, first, sequence)
 	}
 	s.sequences[entry.id] = sequence
 	s.committed[sequence] = entry
--- a/internal/chain/simulation_linearizability_test.go
+++ b/internal/chain/simulation_linearizability_test.go
@@ -8,10 +8,11 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// checkTime bounds the general check of one history.
+// checkTime bounds the check of one history by porcupine.
 const checkTime = time.Second
 
-func (s *simulation) checkEnd() {
+// checkLinearizable checks that the operations of the clients are linearizable.
+func (s *simulation) checkLinearizable() {
 	last := s.network.Now()
 	written := make(map[uint64]bool)
 	for _, text := range s.committed {
@@ -36,15 +37,15 @@
 	s.checkCommitOrder()
 }
 
-// checkCommitOrder proves that the history is linearizable, by the order in which commands were committed. It decides also where
-// so many outcomes are unknown that no general checker does.
+// checkCommitOrder checks that the history is linearizable in the order in which commands were committed. Unlike the
+// general checker, which may time out, it also gives a result when the outcomes of many operations are unknown.
 func (s *simulation) checkCommitOrder() {
 	order := s.replay()
 	for _, o := range s.operations {
 		if o.done && !o.read {
 			o.position = s.sequences[o.id]
 			if outcome := order.outcomes[o.id]; outcome != (registerOutcome{o.ok, o.version, o.result}) {
-				s.fatalf("operation %+v, committed in order gives %+v", *o, outcome)
+				s.fatalf("operation %+v: outcome of the commands in the order of commits: %+v", *o, outcome)
 			}
 		}
 	}
@@ -62,8 +63,8 @@
 	}
 }
 
-// positionRead finds the first position in the order of commits at which a read can have happened. Operations stand in the order in
-// which they began, so that all reads that ended before have their positions.
+// positionRead finds the first position in the order of commits at which a read can have taken effect. It is called in
+// the order in which operations began, so that all reads that ended before this one began have their positions.
 func (s *simulation) positionRead(read *operation, order commitOrder) {
 	read.position = order.begins[read.version]
 	for _, other := range s.operations {
@@ -79,17 +80,17 @@
 	}
 }
 
-// registerOutcome is what a write gives.
+// registerOutcome is the result of a write.
 type registerOutcome struct {
 	ok             bool
 	version, value uint64
 }
 
-// commitOrder is what the committed commands give when they are executed in order.
+// commitOrder holds the results of the committed commands, executed in order.
 type commitOrder struct {
 	outcomes map[uint64]registerOutcome // by command
-	begins   map[uint64]uint64          // sequence with which a version begins
-	values   map[uint64]uint64          // by version
+	begins   map[uint64]uint64          // sequence at which a version begins, by version
+	values   map[uint64]uint64          // value of a version, by version
 }
 
 func (s *simulation) replay() commitOrder {
@@ -115,7 +116,7 @@
 	return order
 }
 
-// registerState is a register with a version, written by comparing the version.
+// registerState is a register that is written by compare-and-set of its version.
 type registerState struct{ version, value uint64 }
 
 var registerModel = porcupine.Model{
@@ -138,7 +139,7 @@
 	},
 }
 
-// register is the machine that the replicas of a history run.
+// register is the state machine that the replicas of a history run.
 type register struct{ version, value uint64 }
 
 func commandOf(o *operation) []byte {
--- a/internal/chain/simulation_site_calls_test.go
+++ b/internal/chain/simulation_site_calls_test.go
@@ -32,7 +32,8 @@
 	s.proposeBy(func(now time.Duration, id uint64) { s.replica.Propose(now, id, command) }, reply)
 }
 
-// proposeBy has a client's command proposed by the given event.
+// proposeBy proposes a client's command by the given event. It cancels the proposal if it is not appended within
+// operationTime.
 func (s *site) proposeBy(event func(now time.Duration, id uint64), reply func(writeResult)) {
 	s.simulation.lastID++
 	id := s.simulation.lastID
@@ -72,7 +73,7 @@
 func (s *site) reject(r Rejected) {
 	if reply := s.proposals[r.Proposal]; reply != nil {
 		if r.Unclear {
-			s.simulation.fatalf("site %d: proposal %d was not appended, but is called unclear", s.index, r.Proposal)
+			s.simulation.fatalf("site %d: proposal %d was not appended, but is rejected as unclear", s.index, r.Proposal)
 		}
 		delete(s.proposals, r.Proposal)
 		reply(writeResult{refused: true})
@@ -83,7 +84,7 @@
 		}
 		delete(s.accepted, sequence)
 		if !r.Unclear {
-			s.simulation.fatalf("site %d: proposal %d was appended, but is called refused", s.index, r.Proposal)
+			s.simulation.fatalf("site %d: proposal %d was appended, but is rejected as not appended", s.index, r.Proposal)
 		}
 	}
 }
--- a/internal/chain/simulation_site_disk_test.go
+++ b/internal/chain/simulation_site_disk_test.go
@@ -9,7 +9,7 @@
 	"nickelline/internal/segment"
 )
 
-// write has disk operations carried out after a delay, one after the other.
+// write carries out disk operations one after another, each after a random delay.
 func (s *site) write(operations []DiskOperation) {
 	for _, operation := range operations {
 		s.writing = append(s.writing, operation)
@@ -58,7 +58,7 @@
 	}
 }
 
-// checkDisks checks that what is about to be acknowledged is on enough disks, or was until some were lost.
+// checkDisks checks that an entry that is about to be acknowledged is on enough disks, counting those that were lost.
 func (s *simulation) checkDisks(position Position) {
 	count := 0
 	for _, site := range s.sites {
@@ -67,7 +67,8 @@
 		}
 	}
 	if count+s.losses.unrepaired < s.policy.MinimumMembers {
-		s.fatalf("entry %v is acknowledged with %d copies", position, count)
+		s.fatalf("entry %v is acknowledged: got %d copies, want at least %d with %d disks lost",
+			position, count, s.policy.MinimumMembers, s.losses.unrepaired)
 	}
 }
 
@@ -76,10 +77,10 @@
 }
 
 func (s *site) compact() {
-	if s.bytes < s.simulation.snapshotBytes {
+	if s.bytesSinceSnapshot < s.simulation.snapshotBytes {
 		return
 	}
-	s.bytes = 0
+	s.bytesSinceSnapshot = 0
 	snapshot := s.snapshot()
 	s.after(s.diskDelay, func() {
 		if err := s.log.SaveSnapshot(snapshot); !errors.Is(err, segment.ErrOutOfOrder) {
--- a/internal/chain/simulation_site_test.go
+++ b/internal/chain/simulation_site_test.go
@@ -20,41 +20,41 @@
 	planPeriod    = 100 * time.Millisecond
 )
 
-// site is a machine of a simulation: a disk, and the replica that runs there.
+// site is a machine of a simulation: a disk, and the replica that runs on it.
 type site struct {
-	simulation       *simulation
-	index            int
-	address          netip.AddrPort
-	diskDelay        time.Duration
-	leaving          bool
-	answered         time.Duration                    // when a proposer last got the answer that this replica is not leaving
-	unreachableSince map[netip.AddrPort]time.Duration // since when others cannot be reached
+	simulation          *simulation
+	index               int
+	address             netip.AddrPort
+	diskDelay           time.Duration
+	leaving             bool
+	lastAnsweredStaying time.Duration                    // when this replica last answered a proposer that it is not leaving
+	unreachableSince    map[netip.AddrPort]time.Duration // when other sites became unreachable from this one, by address
 
 	disk *simnet.Disk
-	// Of the disk, as far as it is known to be safe.
-	durable      map[uint64]uint64 // epochs of entries by sequence
-	durableBase  uint64            // all up to here are in a snapshot
+	// What is known to be durable on the disk.
+	durable      map[uint64]uint64 // epochs of entries, by sequence
+	durableBase  uint64            // entries up to this sequence are in a snapshot
 	highestEpoch uint64            // highest epoch that this replica was in
 
-	// Of one process.
-	fileSystem segment.FileSystem
-	self       view.Member
-	replica    *Replica
-	acceptor   *view.Acceptor
-	seeds      []netip.AddrPort
-	log        *segment.Log
-	writing    []DiskOperation
-	writeAt    time.Duration
-	machine    *register
-	position   Position
-	applied    uint64
-	bytes      int
-	proposals  map[uint64]func(writeResult)
-	accepted   map[uint64]acceptedProposal
-	barriers   map[uint64]func(sequence uint64)
-	waits      []appliedWait
-	proposer   *view.Proposer
-	tickAt     time.Duration
+	// State of the running process.
+	fileSystem         segment.FileSystem
+	self               view.Member
+	replica            *Replica
+	acceptor           *view.Acceptor
+	seeds              []netip.AddrPort
+	log                *segment.Log
+	writing            []DiskOperation
+	writeAt            time.Duration
+	machine            *register
+	position           Position
+	applied            uint64
+	bytesSinceSnapshot int
+	proposals          map[uint64]func(writeResult)
+	accepted           map[uint64]acceptedProposal
+	barriers           map[uint64]func(sequence uint64)
+	waits              []appliedWait
+	proposer           *view.Proposer
+	tickAt             time.Duration
 }
 
 func newSite(s *simulation, index int, address netip.AddrPort) *site {
@@ -84,7 +84,7 @@
 	}
 }
 
-// start starts the replica from what is on the disk, with a new generation.
+// start starts the replica from what is on the disk.
 func (s *site) start(firstStart bool) {
 	s.simulation.network.Start(s.address)
 	s.fileSystem = s.disk.Mount()
@@ -111,7 +111,7 @@
 	replica, created, err := view.LoadIdentity(s.fileSystem, siteDirectory)
 	s.check(err)
 	if created {
-		s.simulation.fatalf("identity made anew")
+		s.simulation.fatalf("identity: got a new one, want the stored one")
 	}
 	s.self = view.Member{Replica: replica, Name: fmt.Sprint(s.index), Zone: fmt.Sprint(s.index % 3), Address: s.address}
 }
@@ -130,7 +130,7 @@
 	s.durableBase = state.Snapshot.Sequence
 	s.position = Position{Epoch: state.Snapshot.Epoch, Sequence: state.Snapshot.Sequence}
 	s.applied = s.position.Sequence
-	s.bytes = 0
+	s.bytesSinceSnapshot = 0
 	s.writing = nil
 	s.writeAt = 0
 	s.proposals = make(map[uint64]func(writeResult))
@@ -167,8 +167,9 @@
 	s.check(segment.SaveRecord(s.fileSystem, path.Join(siteDirectory, acceptorName), data))
 }
 
-// end ends the process of the replica. Of what was being written some may be on the disk.
-func (s *site) end(power bool) {
+// stop ends the process of the replica, with or without a loss of power. A random part of the pending disk operations is
+// written before.
+func (s *site) stop(powerLoss bool) {
 	s.simulation.network.Stop(s.address)
 	if s.log == nil {
 		return
@@ -179,7 +180,7 @@
 		}
 		s.check(s.writeOne(operation))
 	}
-	if power {
+	if powerLoss {
 		s.disk.LosePower()
 	} else {
 		s.disk.Kill()
@@ -193,7 +194,7 @@
 	s.durableBase = 0
 }
 
-// step lets an event happen to the replica and carries out what follows.
+// step passes an event to the replica and carries out its output.
 func (s *site) step(event func(now time.Duration)) {
 	now := s.simulation.network.Now()
 	event(now)
@@ -248,7 +249,7 @@
 	})
 }
 
-// enter checks that the epochs of a replica do not go back.
+// enter checks that the epoch of a replica never decreases.
 func (s *site) enter(v view.View) {
 	if v.Epoch < s.highestEpoch {
 		s.simulation.fatalf("site %d went back from epoch %d to %d", s.index, s.highestEpoch, v.Epoch)
@@ -261,16 +262,16 @@
 	if operation.Restore != nil {
 		s.check(s.machine.Restore(operation.Restore.Data))
 		s.advance(Position{Epoch: operation.Restore.Epoch, Sequence: operation.Restore.Sequence})
-		s.bytes = 0
+		s.bytesSinceSnapshot = 0
 		return
 	}
 	for _, entry := range operation.Entries {
 		if entry.Sequence != s.position.Sequence+1 {
-			s.simulation.fatalf("site %d applies %d after %d", s.index, entry.Sequence, s.position.Sequence)
+			s.simulation.fatalf("site %d applies entry %d after entry %d", s.index, entry.Sequence, s.position.Sequence)
 		}
 		s.simulation.checkCommitted(s, entry.Epoch, entry.Sequence, entry.Data)
 		result := s.machine.Apply(entry.Sequence, entry.Data)
-		s.bytes += len(entry.Data)
+		s.bytesSinceSnapshot += len(entry.Data)
 		s.advance(Position{Epoch: entry.Epoch, Sequence: entry.Sequence})
 		if call, ok := s.accepted[entry.Sequence]; ok {
 			delete(s.accepted, entry.Sequence)
--- a/internal/chain/simulation_terms_test.go
+++ b/internal/chain/simulation_terms_test.go
@@ -16,8 +16,8 @@
 	term    uint64
 }
 
-// proposeInTerm has the head at a site propose a command in a term that was read some time before, as a runner does that
-// works on what it has read. It records the proposal for checkTerms.
+// proposeInTerm has the replica at a site propose a command in a term that was read some time before, like a service that
+// acts on what it has read as head. It records the proposal for checkTerms.
 func (s *simulation) proposeInTerm(at *site, term uint64, proposed map[uint64]termProposal) {
 	if !s.network.Up(at.address) || s.network.Frozen(at.address) || term == 0 {
 		return
@@ -36,7 +36,8 @@
 }
 
 // checkTerms checks that each command that was proposed in a term is committed only while that term lasts: no other
-// replica is head of any view from the first of the term to that of the command.
+// replica is head of any view from the first of the term to that of the command. It returns the number of commands that
+// were committed.
 func (s *simulation) checkTerms(proposed map[uint64]termProposal) (committed int) {
 	s.t.Helper()
 	for _, entry := range s.committed {
@@ -56,7 +57,8 @@
 	return committed
 }
 
-// Heads propose in terms that may be over by then. What is committed has to be of a term that was not.
+// TestTermsEndWithTheHead has heads propose in terms that may be over when they propose, and checks that commands are
+// committed only while their term lasts.
 func TestTermsEndWithTheHead(t *testing.T) {
 	committed, refused := 0, 0
 	histories := environment(t, historiesVariable, termHistories)
@@ -64,7 +66,7 @@
 	for i := range histories {
 		s := newSimulation(t, uint64(firstSeed+i))
 		proposed := map[uint64]termProposal{}
-		for range operationsCount {
+		for range defaultOperationGroups {
 			at := time.Duration(s.random.Int64N(int64(s.duration)))
 			delay := time.Duration(s.random.Int64N(int64(2 * time.Second)))
 			s.network.At(at, func() {
@@ -95,7 +97,8 @@
 	}
 }
 
-// A head that has missed a view may not go on with the term before it: another replica may have been head.
+// TestMissedViewEndsTheTerm checks that a head that has missed a view does not continue the term before it, as another
+// replica may have been head in that view.
 func TestMissedViewEndsTheTerm(t *testing.T) {
 	own := view.Member{Replica: 1, Joined: 1}
 	other := view.Member{Replica: 2, Joined: 1}
@@ -124,8 +127,8 @@
 	}
 }
 
-// Commands that wait for the chain to be connected are rejected with the term in which they were proposed, and not
-// appended by the same replica as head of a later term.
+// TestWaitingCommandEndsWithItsTerm checks that commands that wait for the chain to be connected are rejected when the
+// term in which they were proposed ends, and are not appended by the same replica as head of a later term.
 func TestWaitingCommandEndsWithItsTerm(t *testing.T) {
 	own := view.Member{Replica: 1, Joined: 1}
 	other := view.Member{Replica: 2, Joined: 1}
@@ -152,7 +155,8 @@
 	return r
 }
 
-// finishDisk completes all disk operations that a replica asks for, and returns its last output.
+// finishDisk completes all disk operations that a replica asks for, and returns its last output, with the rejections of
+// all its outputs.
 func finishDisk(r *Replica) Output {
 	out := r.Output()
 	for len(out.Disk) > 0 {
--- a/internal/chain/simulation_test.go
+++ b/internal/chain/simulation_test.go
@@ -14,16 +14,16 @@
 
 // Timing and sizes of one history.
 const (
-	faultTime       = 15 * time.Second       // during which faults are injected
-	convergenceTime = 30 * time.Second       // after the last fault, until the chain has to be whole
-	operationTime   = 3 * time.Second        // until a client gives up
-	detectionTime   = 500 * time.Millisecond // until a site that cannot be reached counts as unreachable
-	maximumSteps    = 400_000                // of the network
-	operationsCount = 60                     // moments at which clients do something
-	maximumInFlight = 5                      // operations
+	faultTime              = 15 * time.Second       // during which faults are injected
+	convergenceTime        = 30 * time.Second       // after the last fault, within which the chain has to converge
+	operationTime          = 3 * time.Second        // until a client gives up
+	detectionTime          = 500 * time.Millisecond // until a site that cannot be reached counts as unreachable
+	maximumSteps           = 400_000                // steps of the network in one call of runUntil
+	defaultOperationGroups = 60                     // groups of client operations
+	maximumInFlight        = 5                      // operations in flight at which clients begin no further write
 )
 
-// simulation is one history.
+// simulation is one history: sites with their replicas, clients and faults, all drawn from one seed.
 type simulation struct {
 	t       *testing.T
 	seed    uint64
@@ -36,27 +36,27 @@
 
 	snapshotBytes int
 
-	duration        time.Duration // until all faults ends
-	operationGroups int           // moments at which clients do something
+	duration        time.Duration // until all faults end
+	operationGroups int           // groups of client operations, each begun at a random time
 
-	// planFaults draws what befalls the sites, planRandomFaults if it is nil. afterStep, if there is one, is called after each event.
+	// planFaults schedules the faults; nil means planRandomFaults. afterStep, if set, is called after each event.
 	planFaults func()
 	afterStep  func()
 
 	authority bool      // views are decided by an authority outside of the chain
 	careful   bool      // the authority drops no copy that may be needed, as the placement does
-	decided   view.View // by the authority
+	decided   view.View // newest view that the authority decided
 
-	views     map[uint64]view.View // that came into force anywhere, by epoch
-	newest    view.View
+	views     map[uint64]view.View      // views that came into force anywhere, by epoch
+	newest    view.View                 // newest view that came into force anywhere
 	committed map[uint64]committedEntry // by sequence
 	sequences map[uint64]uint64         // by command
-	highest   uint64
+	highest   uint64                    // highest committed sequence
 
 	lastID     uint64
 	operations []*operation
 	refused    map[uint64]bool // commands that were certainly not appended
-	healed     bool
+	healed     bool            // all faults have ended
 	healedAt   time.Duration
 	losses     lossBudget
 	log        []string
@@ -74,7 +74,7 @@
 		refused:   make(map[uint64]bool),
 
 		duration:        faultTime,
-		operationGroups: operationsCount,
+		operationGroups: defaultOperationGroups,
 
 		network: simnet.New(seed, simnet.Conditions{
 			MinimumDelay: 300 * time.Microsecond,
@@ -83,7 +83,7 @@
 			Reordering:   []float64{0, 0, 0.02}[random.IntN(3)],
 		}),
 	}
-	s.limits = limits{window: 300, batch: 100, snapshotChunk: 64, uncommitted: 1000, waiting: 100_000, retained: 40, lagging: 300}
+	s.limits = limits{window: 300, batch: 100, snapshotChunk: 64, uncommitted: 1000, waiting: 100_000, retained: 40, retainedForLagging: 300}
 	s.snapshotBytes = []int{120, 400, 1 << 20}[random.IntN(3)]
 	count := []int{3, 3, 4, 5, 6}[random.IntN(5)]
 	s.policy = view.Policy{MinimumMembers: 2, MaximumMembers: 3, Voters: 3}
@@ -98,14 +98,14 @@
 		s.policy.Voters = 0
 		s.careful = random.IntN(2) == 0
 	}
-	s.losses.unrepaired = s.tolerated()
+	s.losses.unrepaired = s.toleratedLosses()
 	for _, site := range s.sites[:s.policy.MaximumMembers] {
 		s.seeds = append(s.seeds, site.address)
 	}
 	return s
 }
 
-// newAgreedSimulation makes a history in which the replicas agree on their views themselves.
+// newAgreedSimulation returns a history in which the replicas agree on their views, without an authority.
 func newAgreedSimulation(t *testing.T, seed uint64) *simulation {
 	s := newSimulation(t, seed)
 	s.authority, s.careful, s.policy.Voters = false, false, s.policy.MaximumMembers
@@ -146,7 +146,7 @@
 	s.runUntil(func() bool { return s.network.Now() >= end })
 	s.heal()
 	s.awaitConvergence()
-	s.checkEnd()
+	s.checkLinearizable()
 }
 
 func (s *simulation) runUntil(over func() bool) bool {
@@ -185,7 +185,8 @@
 	}
 }
 
-// awaitConvergence waits until a command is committed, all replicas have applied the same, and the view is full.
+// awaitConvergence runs until a new command is committed, and the newest view is full and all its members have applied
+// all committed entries. It fails after convergenceTime.
 func (s *simulation) awaitConvergence() {
 	end := s.network.Now() + convergenceTime
 	for at := s.network.Now(); at < end; at += operationTime {
@@ -196,7 +197,7 @@
 		for _, site := range s.sites {
 			s.logf("%v", site)
 		}
-		s.fatalf("the chain did not converge")
+		s.fatalf("the chain did not converge within %v", convergenceTime)
 	}
 }
 
--- a/internal/chain/simulation_views_test.go
+++ b/internal/chain/simulation_views_test.go
@@ -8,7 +8,7 @@
 	"nickelline/internal/view"
 )
 
-// plan does now and again what a reconfigurer would: follow, propose the next view, ask for one.
+// plan acts like a Reconfigurer at random intervals: it follows a source, proposes the next view, or asks for a view.
 func (s *site) plan() {
 	simulation := s.simulation
 	wait := planPeriod + time.Duration(simulation.random.Int64N(int64(planPeriod)))
@@ -66,7 +66,7 @@
 	s.step(func(now time.Duration) { s.replica.Follow(now, source) })
 }
 
-// candidates is what a site holds for true of the others: mostly what is so.
+// candidates returns what a site knows about the others, which is mostly accurate.
 func (s *site) candidates(v view.View) []view.Candidate {
 	var candidates []view.Candidate
 	for _, member := range v.Members {
@@ -96,7 +96,7 @@
 	return s.reaches(other) && other.replica != nil && other.self.Replica != 0 && other.self.Replica != member.Replica
 }
 
-// reaches reports whether failure detection has another site for alive.
+// reaches reports whether the failure detection of a site, which is wrong at times, considers another site alive.
 func (s *site) reaches(other *site) bool {
 	network := s.simulation.network
 	wrong := s.simulation.random.IntN(100) == 0
@@ -170,7 +170,7 @@
 	}
 }
 
-// ask puts a proposer's question to its own site first and then to others, and hands it their answers.
+// ask sends a proposer's request to its own site first and then to others, and passes their answers to the proposer.
 func (s *site) ask(proposer *view.Proposer, asked []netip.AddrPort, ask func(other *site) func()) {
 	deliver := ask(s)
 	deliver()
@@ -263,7 +263,7 @@
 	answer.Sender = s.self
 	answer.Leaving = s.leaving
 	if !s.leaving {
-		s.answered = s.simulation.network.Now()
+		s.lastAnsweredStaying = s.simulation.network.Now()
 	}
 	answer.Complete = s.replica.complete() && s.replica.View().Epoch+1 == m.Epoch
 	return answer
--- a/internal/chain/state_machine.go
+++ b/internal/chain/state_machine.go
@@ -7,6 +7,6 @@
 	Apply(sequence uint64, command []byte) (result []byte)
 	// Snapshot returns the whole state.
 	Snapshot() []byte
-	// Restore replaces the state by one that Snapshot returned.
+	// Restore replaces the state with one that Snapshot returned.
 	Restore(snapshot []byte) error
 }
--- a/internal/chain/status.go
+++ b/internal/chain/status.go
@@ -11,7 +11,7 @@
 	Applied      uint64 // sequence up to which entries are applied to the state machine
 	// Complete is set if this replica has every entry that was ever committed, so that it may be head of the next view.
 	Complete bool
-	// Ready is set if this replica is the head, and connected with all other members of a view that may commit.
+	// Ready is set if this replica is the head, all members are connected, and the view has enough members to commit.
 	Ready bool
 	// CaughtUp is set if this learner has what its source was last known to have committed.
 	CaughtUp bool
@@ -26,7 +26,7 @@
 	return status
 }
 
-// CaughtUp reports whether this learner has what its source knew to be committed.
+// CaughtUp reports whether this learner has what its source was last known to have committed.
 func (n *Node) CaughtUp() bool { return n.Status().CaughtUp }
 
 // IsHead reports whether the view in force here names this replica as head. Only a Barrier proves that it still is.
@@ -36,8 +36,8 @@
 	return n.failure == nil && n.replica.isHead()
 }
 
-// HeadTerm returns the term in which this replica is head, 0 if the view in force here names another one. While it does
-// not change, no other replica has appended a command since it began. Only a Barrier proves that it has not ended.
+// HeadTerm returns the term in which this replica is head, 0 if it is not the head by the view in force here. As long as
+// the term lasts, no other replica appends a command. Only a Barrier proves that it has not ended.
 func (n *Node) HeadTerm() uint64 {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -47,5 +47,5 @@
 	return n.replica.HeadTerm()
 }
 
-// Impaired reports whether the disk of this replica has failed or is stalled: the chain should go on without it.
+// Impaired reports whether this replica has failed or its disk is stalled, so that the chain should go on without it.
 func (n *Node) Impaired() bool { return n.stopped() || n.disk.stalled(time.Now()) }
--- a/internal/chain/stored_record_test.go
+++ b/internal/chain/stored_record_test.go
@@ -7,7 +7,8 @@
 	"nickelline/internal/segment"
 )
 
-// TestStoredRecordOfAnEarlierVersion reads the fields of stored records that no operation of a replica shows.
+// TestStoredRecordOfAnEarlierVersion reads records that an earlier version stored, and checks their fields, which no
+// operation of a replica shows.
 func TestStoredRecordOfAnEarlierVersion(t *testing.T) {
 	tests := []struct {
 		name      string
--- a/internal/chain/throughput_bench_test.go
+++ b/internal/chain/throughput_bench_test.go
@@ -9,15 +9,15 @@
 	"nickelline/internal/measure"
 )
 
-// BenchmarkProposeTogether commits commands of many callers at once over three replicas of this process, with real syncs.
-// The processor time is that of all three replicas.
+// BenchmarkProposeTogether commits commands of many concurrent callers over three replicas in this process, with real
+// disk syncs. The processor time is that of all three replicas.
 func BenchmarkProposeTogether(b *testing.B) {
 	const callers = 64
 	for _, size := range []int{500, 100 << 10} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			c := newCluster(b, 3, 3)
 			c.propose(c.members[0], 1)
-			command := append(number(1), make([]byte, size)...)
+			command := append(addCommand(1), make([]byte, size)...)
 			head := c.head()
 			before := measure.ProcessorTime()
 			b.SetBytes(int64(callers * size))
--- a/internal/chain/timing_test.go
+++ b/internal/chain/timing_test.go
@@ -10,7 +10,7 @@
 
 // Bounds on times in a network without faults.
 const (
-	hop                = 900 * time.Microsecond
+	messageDelay       = 900 * time.Microsecond // delay of each message
 	commitBound        = 10 * time.Millisecond
 	writableAgainBound = 1500 * time.Millisecond
 )
@@ -23,7 +23,7 @@
 	s.sites = s.sites[:0]
 	s.seeds = nil
 	s.policy = view.Policy{MinimumMembers: 2, MaximumMembers: 3}
-	s.network = simnet.New(1, simnet.Conditions{MinimumDelay: hop, MaximumDelay: hop})
+	s.network = simnet.New(1, simnet.Conditions{MinimumDelay: messageDelay, MaximumDelay: messageDelay})
 	for i := range 3 {
 		site := newSite(s, i, addressOf(i))
 		s.sites = append(s.sites, site)
@@ -36,7 +36,8 @@
 	return s
 }
 
-// commitLatency returns how long it takes until a command that is proposed now at the head is committed, with all retries.
+// commitLatency proposes a command at the head and returns the time until it is committed, including the wait for a head
+// and all retries.
 func (s *simulation) commitLatency() time.Duration {
 	begin := s.network.Now()
 	for _, site := range s.sites {
@@ -63,7 +64,7 @@
 	for range 20 {
 		took := s.commitLatency()
 		if took > commitBound {
-			t.Fatalf("a commit over three replicas took %v, want at most %v", took, commitBound)
+			t.Fatalf("commit latency over three replicas: got %v, want at most %v", took, commitBound)
 		}
 	}
 }
@@ -72,7 +73,7 @@
 	s := newHealthySimulation(t)
 	for round := range 10 {
 		for _, site := range s.sites {
-			site.end(false)
+			site.stop(false)
 		}
 		for i, site := range s.sites {
 			wait := time.Duration((i*700+round*300)%1000) * time.Millisecond
@@ -83,7 +84,7 @@
 		})
 		took := s.commitLatency()
 		if took > writableAgainBound {
-			t.Fatalf("writable %v after all had come back, want at most %v", took, writableAgainBound)
+			t.Fatalf("time until writable after all have restarted: got %v, want at most %v", took, writableAgainBound)
 		}
 	}
 }
--- a/internal/chain/upstream_entries.go
+++ b/internal/chain/upstream_entries.go
@@ -6,8 +6,8 @@
 	"nickelline/internal/view"
 )
 
-// receiveStart truncates the log to what it shares with the sender's. Entries that are known to be committed are never
-// truncated.
+// receiveStart truncates the log to what it shares with the log of the sender, and records a violation instead if that
+// would truncate committed entries.
 func (r *Replica) receiveStart(now time.Duration, sender view.ReplicaID, m Start) {
 	u := &r.upstream
 	if !r.checkSession(sender, m.Session) || m.Generation != r.generation || u.started {
@@ -30,7 +30,7 @@
 	u.ackDue = true
 }
 
-// receiveAppend appends entries that follow the last one here without a gap.
+// receiveAppend appends entries that follow the last one here without a gap, and asks for a new session if there is one.
 func (r *Replica) receiveAppend(sender view.ReplicaID, m Append) {
 	u := &r.upstream
 	if !r.checkSession(sender, m.Session) {
@@ -47,8 +47,8 @@
 	}
 }
 
-// commitReceived commits what is known to be committed and is on the own disk: the applied state is never ahead of the
-// disk.
+// commitReceived commits what is known to be committed and is on this replica's disk, so that the applied state is never
+// ahead of the disk.
 func (r *Replica) commitReceived() {
 	if r.upstream.started {
 		r.commit(min(r.upstream.committed, r.synced))
--- a/internal/chain/upstream_session.go
+++ b/internal/chain/upstream_session.go
@@ -13,26 +13,27 @@
 	session   Session
 	sender    view.ReplicaID
 	started   bool   // the position from which entries follow is known
-	target    uint64 // sequence that makes a member complete once it is on disk here
+	target    uint64 // a member is complete once its log is on disk up to this sequence
 	committed uint64 // sequence up to which the sender knows entries to be committed
-	barrier   uint64 // newest one that came from the head
+	barrier   uint64 // newest barrier that came from the head
 
 	snapshot *incomingSnapshot
 
-	lastAck  Acknowledge   // that was sent
-	ackDue   bool          // one has to be sent, also if nothing has changed
-	attachAt time.Duration // when to ask for a session, 0: no need to
+	lastAck  Acknowledge   // newest acknowledgement that was sent
+	ackDue   bool          // an acknowledgement has to be sent even if nothing has changed
+	attachAt time.Duration // when to ask for a session, 0 if there is no need to
 }
 
-// incomingSnapshot is a snapshot of which chunks have arrived.
+// incomingSnapshot collects the chunks of a snapshot.
 type incomingSnapshot struct {
 	position Position
 	total    uint64 // bytes
-	received uint64 // bytes, one for an empty snapshot
+	received uint64 // bytes; an empty snapshot counts as 1
 	data     []byte
 }
 
-// resetUpstream forgets the session, at the beginning of an epoch, and finds the replica to receive from.
+// resetUpstream drops the session and determines the replica to receive from: the predecessor of a member, the source
+// of a learner.
 func (r *Replica) resetUpstream(now time.Duration) {
 	r.upstream = upstream{}
 	if r.view.Has(r.self.Replica) {
@@ -49,14 +50,14 @@
 	}
 }
 
-// Follow has a learner, which no view names, receive from the member at an address.
+// Follow makes a learner, which no view names, receive from the member at an address.
 func (r *Replica) Follow(now time.Duration, from netip.AddrPort) {
 	if r.newestView().Has(r.self.Replica) || from == r.source {
 		return
 	}
 	r.source = from
 	r.resetUpstream(now)
-	r.followUp(now)
+	r.advance(now)
 }
 
 // attach asks the upstream replica for a session when that is due.
@@ -87,7 +88,7 @@
 	return ok && predecessor.Replica == sender
 }
 
-// receiveConnect begins a session with the upstream replica, and answers with an outline of the own log.
+// receiveConnect begins a session with the upstream replica, and answers with an outline of this replica's log.
 func (r *Replica) receiveConnect(now time.Duration, from netip.AddrPort, sender view.ReplicaID, m Connect) {
 	u := &r.upstream
 	if !r.isUpstream(from, sender) || (sender == u.sender && !m.Session.After(u.session)) {
@@ -102,8 +103,8 @@
 	r.send(from, History{Session: m.Session, Generation: r.generation, Committed: r.committed, Runs: r.history.runs()})
 }
 
-// checkSession reports whether a message belongs to the current session. A predecessor that uses a later one, whose
-// beginning was missed here, is asked for a new session.
+// checkSession reports whether a message belongs to the current session. A predecessor that uses a later session, whose
+// Connect was lost, is asked for a new one.
 func (r *Replica) checkSession(sender view.ReplicaID, session Session) bool {
 	u := &r.upstream
 	if sender == u.sender && session == u.session {
@@ -118,7 +119,7 @@
 	return false
 }
 
-// requestNewSession asks the upstream replica for a session in place of one that is of no use here.
+// requestNewSession asks the upstream replica to replace a session that this replica cannot use.
 func (r *Replica) requestNewSession(session Session) {
 	r.send(r.upstream.from, Attach{Session: session, Broken: true})
 }
--- a/internal/chain/upstream_snapshot.go
+++ b/internal/chain/upstream_snapshot.go
@@ -7,7 +7,7 @@
 	"nickelline/internal/view"
 )
 
-// receiveSnapshotChunk collects a snapshot, and replaces the log by it once it is whole.
+// receiveSnapshotChunk collects a snapshot, and replaces the log with it once all chunks have arrived.
 func (r *Replica) receiveSnapshotChunk(now time.Duration, sender view.ReplicaID, m SnapshotChunk) {
 	u := &r.upstream
 	if !r.checkSession(sender, m.Session) || m.Generation != r.generation || u.started {
--- a/internal/chain/voter.go
+++ b/internal/chain/voter.go
@@ -19,8 +19,8 @@
 // acceptorName is the name of the file of the acceptor's state within the directory of a chain.
 const acceptorName = "acceptor"
 
-// voter is the acceptor of a replica in the agreement on views, with its state on disk. It exists whether or not the
-// replica is a member of the chain.
+// voter is the acceptor of a replica in the agreement on views, with its state on disk. A replica has one whether or not
+// it is a member of the chain.
 type voter struct {
 	node *Node
 	// seeds agree on the first view; empty if this replica took no part in the first start of the system.
@@ -29,12 +29,13 @@
 	mutex    sync.Mutex // guards what follows
 	acceptor *view.Acceptor
 	leaving  bool
-	// answered is when a proposer last got the answer that this replica is not leaving. It may have a view decided that
-	// names this replica until attemptTimeout later.
-	answered time.Time
+	// lastAnsweredStaying is when this replica last answered a proposer that it is not leaving. Until attemptTimeout later
+	// that proposer may have a view decided that names this replica.
+	lastAnsweredStaying time.Time
 }
 
-// openVoter reads the state of a voter. One that has none votes on the first view if seeds are given.
+// openVoter reads the state of a voter from disk. If there is none, the voter is new, and votes on the first view if it
+// is one of the seeds.
 func openVoter(n *Node, seeds []netip.AddrPort) (*voter, error) {
 	vt := &voter{node: n, seeds: seeds}
 	data, err := segment.LoadRecord(n.options.FileSystem, vt.path())
@@ -43,11 +44,11 @@
 		return vt, vt.save()
 	}
 	if err != nil {
-		return nil, merry.Prepend(err, "acceptor")
+		return nil, merry.Prepend(err, "load acceptor state")
 	}
 	state, seeds, err := view.DecodeAcceptorState(data)
 	if err != nil {
-		return nil, merry.Prepend(err, "acceptor")
+		return nil, merry.Prepend(err, "decode acceptor state")
 	}
 	vt.acceptor = view.NewAcceptor(state)
 	vt.seeds = seeds
@@ -66,7 +67,7 @@
 	return segment.SaveRecord(vt.node.options.FileSystem, vt.path(), data)
 }
 
-// votes reports whether this replica votes on the epoch after a view, whether or not it is a member of that view.
+// votes reports whether this replica has a vote on the view after the given one. It need not be a member of it.
 func (vt *voter) votes(v view.View) bool {
 	if v.Epoch == 0 {
 		return slices.Contains(vt.seeds, vt.node.options.Self.Address)
@@ -74,7 +75,7 @@
 	return v.HasVoter(vt.node.options.Self.Replica)
 }
 
-// prepare answers the first phase of a proposer. What it promises is on disk before it returns.
+// prepare answers the first phase of a proposal. The promise is on disk before it returns.
 func (vt *voter) prepare(m view.Prepare) (view.Promise, error) {
 	vt.mutex.Lock()
 	defer vt.mutex.Unlock()
@@ -89,14 +90,14 @@
 	answer.Sender = vt.node.options.Self
 	answer.Leaving = vt.leaving
 	if !vt.leaving {
-		vt.answered = time.Now()
+		vt.lastAnsweredStaying = time.Now()
 	}
 	status := vt.node.Status()
 	answer.Complete = status.Complete && status.Epoch+1 == m.Epoch
 	return answer, nil
 }
 
-// accept answers the second phase of a proposer. What it accepts is on disk before it returns.
+// accept answers the second phase of a proposal. The accepted view is on disk before it returns.
 func (vt *voter) accept(m view.Accept) (view.Accepted, error) {
 	vt.mutex.Lock()
 	defer vt.mutex.Unlock()
@@ -108,8 +109,8 @@
 	return answer, vt.saveIfChanged(before)
 }
 
-// confirms reports whether this replica votes on the epoch after the given one, knows no newer view, and has accepted
-// none.
+// confirms reports whether the view in force is that of the given epoch, this replica has a vote on the next one, and it
+// has accepted no later view.
 func (vt *voter) confirms(epoch uint64) bool {
 	vt.mutex.Lock()
 	defer vt.mutex.Unlock()
@@ -120,7 +121,8 @@
 	return !vt.acceptedAfter(epoch)
 }
 
-// hasAcceptedAfter reports whether this replica has accepted a view for a later epoch, which may or may not be decided.
+// hasAcceptedAfter reports whether this replica has accepted a view for an epoch after the given one. That view may or
+// may not be decided.
 func (vt *voter) hasAcceptedAfter(epoch uint64) bool {
 	vt.mutex.Lock()
 	defer vt.mutex.Unlock()
@@ -133,7 +135,8 @@
 	return state.Epoch > epoch && state.Accepted != nil
 }
 
-// saveIfChanged writes the state unless it equals before. A voter whose disk failed answers nothing more.
+// saveIfChanged writes the state unless it equals before. Once the node has failed it returns an error, so that a voter
+// whose disk failed answers nothing.
 func (vt *voter) saveIfChanged(before view.AcceptorState) error {
 	if vt.node.stopped() {
 		return fault.New(fault.NotReady, "the replica has failed")
@@ -148,16 +151,16 @@
 	return err
 }
 
-// leave has proposers answered from now on that this replica is about to end. It returns the time until which a
-// proposer that was answered otherwise may still name it.
+// leave makes the voter answer proposers from now on that this replica is leaving. It returns the time until which a
+// proposer that got another answer may still have a view decided that names this replica.
 func (vt *voter) leave() time.Time {
 	vt.mutex.Lock()
 	defer vt.mutex.Unlock()
 	vt.leaving = true
-	return vt.answered.Add(attemptTimeout)
+	return vt.lastAnsweredStaying.Add(attemptTimeout)
 }
 
-// nextRound returns a round for a proposal of this replica that is higher than those that its acceptor has seen.
+// nextRound returns a round for a proposal of this replica that is higher than any that its acceptor has promised.
 func (vt *voter) nextRound(epoch uint64) uint64 {
 	vt.mutex.Lock()
 	defer vt.mutex.Unlock()
--- a/internal/chain/wait.go
+++ b/internal/chain/wait.go
@@ -13,8 +13,8 @@
 	done  chan struct{}
 }
 
-// wait returns once ready is true. It returns fault.NotReady if ctx ends before, and the failure if the node fails
-// before. Ready is called with the mutex held.
+// wait returns nil once ready returns true. It returns an error of kind fault.NotReady if ctx ends first, and the failure
+// of the node if it fails first. Ready is called with the mutex held.
 func (n *Node) wait(ctx context.Context, ready func() bool) error {
 	n.mutex.Lock()
 	if n.failure != nil || ready() {
