--- a/internal/control/controlapi/controlapi.go
+++ b/internal/control/controlapi/controlapi.go
@@ -1,5 +1,5 @@
-// Package controlapi is the operator's API of the control role as its server (package control) and its clients (package
-// operator) share it: paths, headers and JSON bodies. The JSON names are an interface that must not change.
+// Package controlapi defines the operator's HTTP API of the control role: the paths, headers and JSON bodies that the server
+// (package control) and the client (package operator) share. The JSON names are a public interface and must not change.
 package controlapi
 
 // Paths of the API. RetirePath is followed by the name of a node.
@@ -9,7 +9,7 @@
 	StatusPath        = "/-/status"
 )
 
-// MatchHeader is the header with the version that a change of the configuration builds on.
+// MatchHeader is the request header with the version that a change of the configuration builds on.
 const MatchHeader = "If-Match"
 
 // ConfigurationAccepted acknowledges a change of the configuration.
@@ -24,7 +24,7 @@
 	RetirementCompleted  = "completed"
 )
 
-// RetireRequest asks that a store be emptied.
+// RetireRequest requests that a store be emptied.
 type RetireRequest struct {
 	// DurationS is how long the operator allows for it, in seconds.
 	DurationS float64 `json:"durationS"`
@@ -36,7 +36,7 @@
 	State string `json:"state"`
 }
 
-// ErrorBody is the body of all answers with an error status.
+// ErrorBody is the body of all responses with an error status.
 type ErrorBody struct {
 	// Error says why the call was not carried out.
 	Error string `json:"error"`
--- a/internal/control/controlapi/status.go
+++ b/internal/control/controlapi/status.go
@@ -1,6 +1,6 @@
 package controlapi
 
-// Status describes the system as a control node knows it, without asking others.
+// Status describes the system as one control node knows it.
 type Status struct {
 	Node          string             `json:"node"`
 	Configuration ConfigurationState `json:"configuration"`
@@ -25,8 +25,8 @@
 	// Replicas are the members of the view, the head first. Voters agree on the next view; a voter need not be a member.
 	Replicas []string `json:"replicas"`
 	Voters   []string `json:"voters"`
-	// LossesBorne is how many of the running machines may fail now and lose their disks before the chain depends on one that
-	// is not running.
+	// LossesBorne is how many of the running machines may fail now and lose their disks before the chain depends on a machine
+	// that is not running.
 	LossesBorne int    `json:"lossesBorne"`
 	Committed   uint64 `json:"committed"`
 	Appended    uint64 `json:"appended"`
