--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -27,7 +27,7 @@
 	idleTimeout  = 30 * time.Second
 	readTimeout  = 5 * time.Second
 	writeTimeout = 5 * time.Second
-	// shutdownTimeout bounds the calls in progress when the server stops.
+	// shutdownTimeout is how long the server waits for calls in progress when it stops.
 	shutdownTimeout = time.Second
 )
 
@@ -35,19 +35,19 @@
 type api struct {
 	service *service // nil at a node without a replica
 	status  func() controlapi.Status
-	// other returns the operator's address of a node with a replica, and whether one is known.
-	other    func() (netip.AddrPort, bool)
-	server   *server.Hertz
-	listener net.Listener
+	// otherNode returns the operator's address of another node with a replica, and whether one is known.
+	otherNode func() (netip.AddrPort, bool)
+	server    *server.Hertz
+	listener  net.Listener
 }
 
 // disableLibraryLog keeps the HTTP library's own messages out of the log.
 var disableLibraryLog = sync.OnceFunc(func() { hlog.SetLevel(hlog.LevelFatal) })
 
-// newAPI returns a server on a listener that is open already. It closes the listener when it stops.
-func newAPI(listener net.Listener, s *service, status func() controlapi.Status, other func() (netip.AddrPort, bool)) *api {
+// newAPI returns a server on an open listener, which stop closes.
+func newAPI(listener net.Listener, s *service, status func() controlapi.Status, otherNode func() (netip.AddrPort, bool)) *api {
 	disableLibraryLog()
-	a := &api{service: s, status: status, other: other, listener: listener}
+	a := &api{service: s, status: status, otherNode: otherNode, listener: listener}
 	a.server = server.New(
 		server.WithListener(listener),
 		server.WithMaxRequestBodySize(maxBodyBytes),
@@ -68,15 +68,15 @@
 	return a
 }
 
-// atReplica returns the handler itself if this node has a replica, and otherwise one that redirects to a node that has.
+// atReplica returns the handler itself if this node has a replica, and otherwise a handler that redirects to a node with one.
 func (a *api) atReplica(handler app.HandlerFunc) app.HandlerFunc {
 	if a.service != nil {
 		return handler
 	}
 	return func(_ context.Context, request *app.RequestContext) {
-		other, found := a.other()
+		other, found := a.otherNode()
 		if !found {
-			answerError(request, fault.New(fault.NotReady, "no node is known that keeps the control state"))
+			writeError(request, fault.New(fault.NotReady, "no node is known that keeps the control state"))
 			return
 		}
 		request.Header("Location", "http://"+other.String()+string(request.URI().RequestURI()))
@@ -84,11 +84,11 @@
 	}
 }
 
-// listen opens the operator's address.
+// listen opens a TCP listener at the operator's address.
 func listen(ctx context.Context, address netip.AddrPort) (net.Listener, error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp4", address.String())
 	if err != nil {
-		return nil, merry.Prepend(err, "operator's address")
+		return nil, merry.Prepend(err, "listen at the operator's address")
 	}
 	return listener, nil
 }
@@ -96,12 +96,12 @@
 // run serves until stop is called.
 func (a *api) run() error { return a.server.Run() }
 
-// stop waits for the calls in progress, up to a timeout, and closes the listener, which the server does not do if it never
-// ran.
+// stop waits up to shutdownTimeout for the calls in progress, and closes the listener. The server itself does not close the
+// listener if it never ran.
 func (a *api) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	_ = a.server.Shutdown(ctx) // calls that are cut off are repeated elsewhere by their callers
+	_ = a.server.Shutdown(ctx) // callers repeat interrupted calls at other nodes
 	_ = a.listener.Close()     // closed already if the server ran
 }
 
--- a/internal/control/api_body_test.go
+++ b/internal/control/api_body_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// TestTruncatedBody sends a body that is shorter than its announced length, and closes. It must not be accepted, though what
-// was sent is a valid document.
+// A body that is shorter than its Content-Length must not be accepted, even though the bytes that were sent are a valid
+// document.
 func TestTruncatedBody(t *testing.T) {
 	a := newTestAPI(t)
 	connection, err := net.Dial("tcp", a.address)
@@ -44,11 +44,11 @@
 		t.Error("truncated body: got status 200")
 	}
 	if a.replica.machine.State().Version() != 0 {
-		t.Error("truncated body: got it accepted")
+		t.Errorf("truncated body: got version %d, want 0", a.replica.machine.State().Version())
 	}
 }
 
-// TestChunkedBody sends a body in chunks, and then one that ends before its last chunk.
+// A chunked body is accepted, but not one that ends before its last chunk.
 func TestChunkedBody(t *testing.T) {
 	a := newTestAPI(t)
 	send := func(match uint64, body, end string) int {
@@ -77,6 +77,6 @@
 		t.Errorf("chunked body: got status %d, want 200", status)
 	}
 	if status := send(3, documentText(5, 10), ""); status == 200 || a.replica.machine.State().Version() != 3 {
-		t.Errorf("chunked body without its last chunk: got status %d, or version %d", status, a.replica.machine.State().Version())
+		t.Errorf("chunked body without its last chunk: got status %d and version %d, want an error and version 3", status, a.replica.machine.State().Version())
 	}
 }
--- a/internal/control/api_fixture_test.go
+++ b/internal/control/api_fixture_test.go
@@ -10,7 +10,7 @@
 	"nickelline/internal/control/controlapi"
 )
 
-// testAPI serves the API of a fake chain on a loopback address.
+// testAPI is a server of the operator's API on a loopback address, with a fake chain.
 type testAPI struct {
 	t       *testing.T
 	address string
@@ -28,20 +28,20 @@
 	return a
 }
 
-// startTestAPI serves the API on a loopback address until the test ends. Redirects are not followed by its callers.
-func startTestAPI(t *testing.T, s *service, status func() controlapi.Status, other func() (netip.AddrPort, bool)) *testAPI {
+// startTestAPI serves the API on a loopback address until the test ends. Calls of the returned testAPI do not follow redirects.
+func startTestAPI(t *testing.T, s *service, status func() controlapi.Status, otherNode func() (netip.AddrPort, bool)) *testAPI {
 	t.Helper()
 	listener, err := listen(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := newAPI(listener, s, status, other)
+	a := newAPI(listener, s, status, otherNode)
 	ended := make(chan error, 1)
 	go func() { ended <- a.run() }()
 	t.Cleanup(func() {
 		a.stop()
 		if err := <-ended; !isServerClosed(err) {
-			t.Errorf("run: got %v, want a closed server", err)
+			t.Errorf("run: got error %v, want that of a closed server", err)
 		}
 	})
 	return &testAPI{t: t, address: listener.Addr().String()}
--- a/internal/control/apply_configure.go
+++ b/internal/control/apply_configure.go
@@ -7,9 +7,9 @@
 	"nickelline/internal/fault"
 )
 
-// configure decides whether a change of the configuration is acknowledged. All replicas decide the same, as they apply the
-// same commands in the same order. A change is accepted at most once; a copy of an accepted one is acknowledged again,
-// whatever was accepted after it.
+// configure decides whether a change of the configuration is accepted. All replicas decide the same, as they apply the same
+// commands in the same order. A change is accepted at most once. A duplicate of an accepted change is acknowledged again, even
+// if other changes were accepted after it.
 func (m *Machine) configure(request *Configure) Result {
 	state := m.State()
 	version := state.Version()
@@ -36,15 +36,15 @@
 	m.accepted.add(digest)
 }
 
-// recordRefused remembers a refused change if it builds on a version that may still come. One that builds on an earlier
-// version needs no memory: versions only rise.
+// recordRefused remembers a refused change if it builds on a version above the current one. A change that builds on an earlier
+// version stays refused without that, as versions only rise.
 func (m *Machine) recordRefused(request *Configure, digest Digest, version uint64) {
 	if request.Match > version {
 		m.refused.add(digest)
 	}
 }
 
-// mergedDocument returns the document that a change asks for, checked against the current one and compiled.
+// mergedDocument returns the document that a change results in, checked and compiled.
 func mergedDocument(current *configuration.Document, request *Configure) (*configuration.Document, *configuration.Snapshot, error) {
 	document, err := requestedDocument(current, request)
 	if err != nil {
--- a/internal/control/apply_leaseholders.go
+++ b/internal/control/apply_leaseholders.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// changeLeaseholders changes the set of leaseholders by compare-and-swap. The epoch excludes allocators of earlier epochs.
+// changeLeaseholders changes the set of leaseholders by compare-and-swap, and refuses changes by allocators of earlier epochs.
 func (m *Machine) changeLeaseholders(request *ChangeLeaseholders) Result {
 	state := m.State()
 	current := &state.Leaseholders
@@ -15,16 +15,16 @@
 		return Result{Outcome: VersionMismatch, Version: current.Revision, Text: text}
 	}
 	if request.ExpectedRevision != current.Revision {
-		text := fmt.Sprintf("revision %d of the holders is current, not %d", current.Revision, request.ExpectedRevision)
+		text := fmt.Sprintf("revision %d of the leaseholders is current, not %d", current.Revision, request.ExpectedRevision)
 		return Result{Outcome: VersionMismatch, Version: current.Revision, Text: text}
 	}
-	next := state.withLeaseholders(current.changed(request))
+	next := state.withLeaseholders(current.withChange(request))
 	m.state.Store(next)
 	return Result{Outcome: Accepted, Version: next.Leaseholders.Revision}
 }
 
-// changed returns the set after a change.
-func (s *LeaseholderSet) changed(change *ChangeLeaseholders) LeaseholderSet {
+// withChange returns the set after a change.
+func (s *LeaseholderSet) withChange(change *ChangeLeaseholders) LeaseholderSet {
 	members := slices.DeleteFunc(slices.Clone(s.Members), func(member Leaseholder) bool {
 		return slices.Contains(change.Remove, member)
 	})
@@ -40,15 +40,15 @@
 		Revision: s.Revision + 1,
 		Members:  members,
 		Former:   former,
-		Reserves: s.changedReserves(change),
+		Reserves: s.reservesAfter(change),
 	}
 }
 
-// maximumFormer is how many former processes are remembered at each address. It is the same at all replicas, as the state
-// depends on it.
-const maximumFormer = 3
+// maxFormerPerAddress is how many former processes are remembered for each address. It must be the same at all replicas, as
+// the state depends on it.
+const maxFormerPerAddress = 3
 
-// appendFormer adds a process that was replaced, and forgets the oldest one at its address if there are too many.
+// appendFormer appends a process that was replaced, and drops the oldest one of its address if there are too many.
 func appendFormer(former []Leaseholder, replaced Leaseholder) []Leaseholder {
 	isAtAddress := func(l Leaseholder) bool { return l.Address == replaced.Address }
 	count := 0
@@ -57,15 +57,15 @@
 			count++
 		}
 	}
-	if count >= maximumFormer {
+	if count >= maxFormerPerAddress {
 		oldest := slices.IndexFunc(former, isAtAddress)
 		former = slices.Delete(former, oldest, oldest+1)
 	}
 	return append(former, replaced)
 }
 
-// changedReserves returns the tenants whose reserves are kept after a change.
-func (s *LeaseholderSet) changedReserves(change *ChangeLeaseholders) []string {
+// reservesAfter returns the tenants whose reserves are kept after a change, sorted.
+func (s *LeaseholderSet) reservesAfter(change *ChangeLeaseholders) []string {
 	var reserves []string
 	if !change.SpendAll {
 		reserves = slices.DeleteFunc(slices.Clone(s.Reserves), func(tenant string) bool {
@@ -80,7 +80,7 @@
 	return reserves
 }
 
-// insertLeaseholder inserts a leaseholder into a sorted list, in place of one with the same address.
+// insertLeaseholder inserts a leaseholder into a sorted list, or replaces the one with the same address.
 func insertLeaseholder(members []Leaseholder, added Leaseholder) []Leaseholder {
 	i, found := slices.BinarySearchFunc(members, added, compareAddresses)
 	if found {
--- a/internal/control/apply_retirement.go
+++ b/internal/control/apply_retirement.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// retire records that a store is to be emptied, if enough others remain.
+// retire records that a store is to be emptied, if enough other stores remain.
 func (m *Machine) retire(request *Retire) Result {
 	state := m.State()
 	if present, found := state.Retirement(request.Store.Name); found && isSameRetirement(present, request.Store) {
@@ -15,13 +15,13 @@
 	return Result{Outcome: Accepted}
 }
 
-// isSameRetirement reports whether a retirement is the one that is asked for. A completed one is not if the machine holds
-// another replica since.
+// isSameRetirement reports whether a request to retire a store repeats an earlier retirement of that name. It does not if the
+// retirement was completed and the machine holds another replica since.
 func isSameRetirement(present Retirement, store Store) bool {
 	return !present.Completed || store.Replica == 0 || present.Store.Replica == store.Replica
 }
 
-// remainingStores counts the stores that can still be given data once a store is retired.
+// remainingStores counts the stores that can still be given data after a requested retirement.
 func remainingStores(state *State, request *Retire) int {
 	remaining := 0
 	for _, store := range request.Stores {
@@ -32,7 +32,7 @@
 	return remaining
 }
 
-// completeRetirement records that a store has been emptied, if the placement is still the one at which that was seen.
+// completeRetirement records that a store has been emptied, if the placement has not changed since that was observed.
 func (m *Machine) completeRetirement(request *CompleteRetirement) Result {
 	state := m.State()
 	present, found := state.Retirement(request.Store.Name)
--- a/internal/control/assembly.go
+++ b/internal/control/assembly.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// storeReportTimeout is how long a store that sends no report counts as alive: a few times the interval of reports. A
-	// store that is partitioned from the control nodes may still look alive to others.
+	// storeReportTimeout is how long a store that sends no reports counts as alive: a few times the interval of the reports.
+	// Membership alone does not suffice, as a store that is partitioned from the control nodes may look alive to others.
 	storeReportTimeout = 1600 * time.Millisecond
-	// stabilizationHeartbeats is how long, in heartbeats, a new head waits for stores.
+	// stabilizationHeartbeats is how long, in heartbeats, a new head waits for the stores to report.
 	stabilizationHeartbeats = 2
-	// discoveryHeartbeats is how long, in heartbeats, a new process may not know all stores.
+	// discoveryHeartbeats is how long, in heartbeats, a new process may not yet know all stores.
 	discoveryHeartbeats = 4
 )
 
-// assemble makes everything that works on the open replica, and registers for its events and for reports.
+// assemble creates the components that use the open replica, and registers for its events and for reports.
 func (c *Control) assemble() {
 	prover := chain.NewProver(c.reconfigurer)
 	c.service = newService(c.node, c.machine, c.newStoreDirectory(), c.options.Settings.FaultTolerance.Losses()+1)
@@ -30,7 +30,7 @@
 		reports:   c.reports,
 		transport: c.options.Transport,
 		head:      c.head,
-		changed:   func() { signal(c.wakePlacement) },
+		onChange:  func() { signal(c.wakePlacement) },
 	}
 	c.options.Transport.Handle(reportKind, handler.handle)
 	c.node.OnCommit(func(uint64) { signal(c.commits) })
@@ -87,7 +87,8 @@
 	}
 }
 
-// placementPolicy concentrates the replicas of a partition in one zone where the loss of a zone need not be tolerated.
+// placementPolicy returns the policy for the losses to tolerate. It concentrates the replicas of a partition in one zone unless
+// the loss of a zone or region must be tolerated.
 func placementPolicy(t settings.FaultTolerance) placement.Policy {
 	policy := placement.PolicyFor(t.Losses())
 	policy.Concentrated = t.Zones == 0 && t.Regions == 0
--- a/internal/control/command_codec.go
+++ b/internal/control/command_codec.go
@@ -28,7 +28,7 @@
 	case c.ChangeLeaseholders != nil:
 		return fillChangeLeaseholders(root, c.ChangeLeaseholders)
 	}
-	return fault.New(fault.Internal, "a command without contents")
+	return fault.New(fault.Internal, "command is empty")
 }
 
 func fillConfigure(root controlwire.Command, command *Configure) error {
--- a/internal/control/concurrent_writers_test.go
+++ b/internal/control/concurrent_writers_test.go
@@ -6,22 +6,22 @@
 	"testing"
 )
 
-// fakeChain applies commands to two machines in the same sequence, as a chain does. Copies of requests whose senders gave up
-// may be applied much later, and one of the machines is replaced at random by one restored from a snapshot.
+// fakeChain applies commands to two machines in the same order, as a chain does. Duplicates of requests may be applied much
+// later, and the second machine is replaced at random by one that is restored from a snapshot of the first.
 type fakeChain struct {
 	t        *testing.T
 	random   *rand.Rand
 	first    *Machine
 	second   *Machine
 	sequence uint64
-	late     [][]byte
+	late     [][]byte // requests of which duplicates may be delivered late
 }
 
 func (f *fakeChain) propose(encoded []byte) Result {
 	f.sequence++
 	result := f.first.Apply(f.sequence, encoded)
 	if other := f.second.Apply(f.sequence, encoded); !bytes.Equal(result, other) {
-		f.t.Fatalf("command %d: got different results from two machines", f.sequence)
+		f.t.Fatalf("command %d: got different results from the two machines", f.sequence)
 	}
 	if f.random.IntN(10) == 0 {
 		f.restart()
@@ -41,14 +41,14 @@
 	f.second = restored
 }
 
-// writer is an operator that changes the configuration independently of others.
+// writer is an operator that changes the configuration independently of the other writer.
 type writer struct {
 	match   uint64
 	request *Command
 }
 
-// TestConcurrentWriters has two writers send changes of the same versions, repeated and in late copies, and checks after
-// each step that one wins and that no answer is ever contradicted.
+// Two writers send changes of the same versions, repeat them, and have late duplicates delivered. After each step, at most one
+// change of a version is accepted, and no result contradicts an earlier one.
 func TestConcurrentWriters(t *testing.T) {
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 7))
@@ -65,7 +65,7 @@
 	}
 }
 
-// acceptanceChecker checks the answers to changes.
+// acceptanceChecker checks the results of changes.
 type acceptanceChecker struct {
 	t            *testing.T
 	chain        *fakeChain
@@ -80,70 +80,70 @@
 	return &acceptanceChecker{t: t, chain: f, acknowledged: map[Digest]bool{}, refused: map[Digest]bool{}, winners: map[uint64]Digest{}}
 }
 
-// step lets a writer send a new change or repeat its last one, or delivers a late copy of some change.
-func (h *acceptanceChecker) step(w *writer, step int) {
-	random := h.chain.random
-	if len(h.chain.late) > 0 && random.IntN(4) == 0 {
-		i := random.IntN(len(h.chain.late))
-		h.send(h.chain.late[i])
+// step has a writer send a new change or repeat its last one, or delivers a late duplicate of some change.
+func (c *acceptanceChecker) step(w *writer, step int) {
+	random := c.chain.random
+	if len(c.chain.late) > 0 && random.IntN(4) == 0 {
+		i := random.IntN(len(c.chain.late))
+		c.send(c.chain.late[i])
 		return
 	}
 	if w.request == nil || random.IntN(2) == 0 {
-		w.match = h.version
+		w.match = c.version
 		if random.IntN(8) == 0 {
 			w.match += uint64(random.IntN(4))
 		}
-		w.request = h.randomOrder(w.match, step)
+		w.request = c.randomChange(w.match, step)
 	}
-	encoded := mustEncodeCommand(h.t, w.request)
-	h.chain.late = append(h.chain.late, encoded)
-	h.send(encoded)
+	encoded := mustEncodeCommand(c.t, w.request)
+	c.chain.late = append(c.chain.late, encoded)
+	c.send(encoded)
 }
 
-func (h *acceptanceChecker) randomOrder(match uint64, step int) *Command {
-	version := match + 1 + uint64(h.chain.random.IntN(3))
-	if match > 0 && h.chain.random.IntN(2) == 0 {
+func (c *acceptanceChecker) randomChange(match uint64, step int) *Command {
+	version := match + 1 + uint64(c.chain.random.IntN(3))
+	if match > 0 && c.chain.random.IntN(2) == 0 {
 		return patch(match, patchText(version, step+1))
 	}
 	return put(match, documentText(version, step+1))
 }
 
-func (h *acceptanceChecker) send(encoded []byte) {
+func (c *acceptanceChecker) send(encoded []byte) {
 	command, err := DecodeCommand(encoded)
 	if err != nil {
-		h.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	digest := command.Configure.Digest()
-	result := h.chain.propose(encoded)
-	h.check(command.Configure, digest, result)
-	if state := h.chain.first.State(); state.Version() != h.version {
-		h.t.Fatalf("got version %d, want %d", state.Version(), h.version)
+	result := c.chain.propose(encoded)
+	c.check(command.Configure, digest, result)
+	if state := c.chain.first.State(); state.Version() != c.version {
+		c.t.Fatalf("got version %d, want %d", state.Version(), c.version)
 	}
 }
 
-func (h *acceptanceChecker) check(request *Configure, digest Digest, result Result) {
+func (c *acceptanceChecker) check(request *Configure, digest Digest, result Result) {
 	switch result.Outcome {
 	case Accepted:
-		if h.refused[digest] || h.acknowledged[digest] || request.Match != h.version || result.Version <= h.version {
-			h.t.Fatalf("got a change of version %d accepted as %d, while version %d is current", request.Match, result.Version, h.version)
+		if c.refused[digest] || c.acknowledged[digest] || request.Match != c.version || result.Version <= c.version {
+			c.t.Fatalf("got a change of version %d accepted as %d, while version %d is current", request.Match, result.Version, c.version)
 		}
-		if _, decided := h.winners[request.Match]; decided {
-			h.t.Fatalf("got two accepted changes of version %d", request.Match)
+		if _, decided := c.winners[request.Match]; decided {
+			c.t.Fatalf("got two accepted changes of version %d", request.Match)
 		}
-		h.winners[request.Match] = digest
-		h.acknowledged[digest] = true
-		h.version = result.Version
-		h.accepted++
+		c.winners[request.Match] = digest
+		c.acknowledged[digest] = true
+		c.version = result.Version
+		c.accepted++
 	case Repeated:
-		if !h.acknowledged[digest] {
-			h.t.Fatal("got Repeated for a change that was never accepted")
+		if !c.acknowledged[digest] {
+			c.t.Fatal("got Repeated for a change that was never accepted")
 		}
 	case VersionMismatch, Invalid:
-		if h.acknowledged[digest] {
-			h.t.Fatal("got a refusal of an accepted change")
+		if c.acknowledged[digest] {
+			c.t.Fatalf("got outcome %d for an accepted change, want Repeated", result.Outcome)
 		}
-		h.refused[digest] = true
+		c.refused[digest] = true
 	default:
-		h.t.Fatalf("got outcome %d: %s", result.Outcome, result.Text)
+		c.t.Fatalf("got outcome %d: %s", result.Outcome, result.Text)
 	}
 }
--- a/internal/control/configure_benchmark_test.go
+++ b/internal/control/configure_benchmark_test.go
@@ -17,8 +17,8 @@
 		strings.Join(routes, ","), strings.Join(tenants, ","))
 }
 
-// BenchmarkPatchOrder measures what a small change costs a replica, by the size of the configuration.
-func BenchmarkPatchOrder(b *testing.B) {
+// BenchmarkPatch measures how long a replica takes to apply a small patch, by the size of the configuration.
+func BenchmarkPatch(b *testing.B) {
 	for _, size := range []int{100, 1_000, 10_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			m := NewMachine()
@@ -27,8 +27,8 @@
 			}
 			var commands [][]byte
 			for i := range b.N {
-				order := fmt.Sprintf(`{"version":%d,"upsert":{"routes":[{"name":"r-5","hostname":"h","pathPrefix":"/p5/","timeoutMs":7,"service":"s"}]}}`, i+2)
-				commands = append(commands, mustEncodeCommand(b, patch(uint64(i+1), order)))
+				body := fmt.Sprintf(`{"version":%d,"upsert":{"routes":[{"name":"r-5","hostname":"h","pathPrefix":"/p5/","timeoutMs":7,"service":"s"}]}}`, i+2)
+				commands = append(commands, mustEncodeCommand(b, patch(uint64(i+1), body)))
 			}
 			b.ReportMetric(float64(len(commands[0])), "command-bytes")
 			b.ReportAllocs()
@@ -39,7 +39,7 @@
 			b.StopTimer()
 			b.ReportMetric(float64(len(m.Snapshot())), "snapshot-bytes")
 			if m.State().Version() != uint64(b.N+1) {
-				b.Fatalf("version %d after %d patches", m.State().Version(), b.N)
+				b.Fatalf("got version %d after %d patches, want %d", m.State().Version(), b.N, b.N+1)
 			}
 		})
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -26,7 +26,7 @@
 	OnChange(notify func(*member.Table))
 }
 
-// Options set up the control role of a process.
+// Options configure the control role of a process.
 type Options struct {
 	Settings   *settings.Settings
 	FileSystem segment.FileSystem
@@ -35,7 +35,7 @@
 	// Transport must not be started yet.
 	Transport *peer.Transport
 	Members   Members
-	// Configuration and Placement disseminate what is committed.
+	// Configuration and Placement disseminate the committed configuration and placement.
 	Configuration, Placement Topic
 	// OnFailure is called once if the disk fails.
 	OnFailure func(error)
@@ -60,7 +60,7 @@
 	headStatus          *HeadStatus
 	placementController *placementController
 
-	// Signals to goroutines, with room for one each.
+	// Wake-up signals to goroutines. Each channel buffers one signal.
 	commits        chan struct{}
 	wakePublisher  chan struct{}
 	wakeHeadStatus chan struct{}
@@ -70,8 +70,8 @@
 	goroutines sync.WaitGroup
 }
 
-// New opens the replica and the operator's address, and registers handlers on the transport. Whoever calls it must call
-// Stop in the end, unless it returns an error.
+// New opens the replica and listens at the operator's address, and registers handlers on the transport. The caller must call
+// Stop in the end, unless New returns an error.
 func New(o Options) (*Control, error) {
 	listener, err := listen(context.Background(), o.Settings.Listen.ControlPlane)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return c, nil
 }
 
-// signal wakes the receiver of a channel that has room for one signal.
+// signal wakes the receiver of a channel that buffers one signal. It does not block.
 func signal(channel chan<- struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -106,7 +106,7 @@
 	}
 }
 
-// Start begins to work, after the transport was started. Its goroutines end with Stop, which waits for them.
+// Start starts the goroutines of the role. The transport must be running. Stop ends the goroutines.
 func (c *Control) Start() {
 	ctx, stop := context.WithCancel(context.Background())
 	c.stop = stop
@@ -123,7 +123,7 @@
 	c.goroutines.Go(func() { c.runPlacement(ctx) })
 }
 
-// serve answers the operator until the server is stopped.
+// serve runs the operator's API until the server is stopped.
 func (c *Control) serve() {
 	if err := c.api.run(); !isServerClosed(err) {
 		c.options.Log.Error("serve operator's API failed", zap.Error(err))
@@ -146,7 +146,7 @@
 	signal(c.wakePlacement)
 }
 
-// publishCommits announces what was committed as soon as it is.
+// publishCommits announces the committed state at once after each commit.
 func (c *Control) publishCommits(ctx context.Context) {
 	for {
 		c.publisher.publish()
@@ -159,7 +159,7 @@
 	}
 }
 
-// runPlacement calls the placement controller every heartbeat, and whenever something may have changed.
+// runPlacement runs the placement controller every heartbeat, and whenever wakePlacement is signalled.
 func (c *Control) runPlacement(ctx context.Context) {
 	pause.Every(ctx, c.heartbeat, c.wakePlacement, func() {
 		_, isHead := c.head()
@@ -176,7 +176,7 @@
 	return head.Address, head.Replica == c.options.Replica && head.Replica != 0
 }
 
-// otherNode returns the operator's address of a random node that keeps a replica, and whether there is one.
+// otherNode returns the operator's address of a random other node that keeps a replica, and whether there is one.
 func (c *Control) otherNode() (netip.AddrPort, bool) {
 	var others []netip.AddrPort
 	for _, m := range c.options.Members.Table().ByRole(controlRole) {
@@ -193,11 +193,11 @@
 // State returns the latest committed state that is applied at this node.
 func (c *Control) State() *State { return c.machine.State() }
 
-// HeadStatus returns whether this node is the head of the control chain, nil for a process without a replica.
+// HeadStatus returns the proof that this node is the head of the control chain, nil for a process without a replica.
 func (c *Control) HeadStatus() *HeadStatus { return c.headStatus }
 
-// OnView registers a function that is called with each view of the control chain, and whether this node is its head. It
-// must not block.
+// OnView registers a function that is called with each view of the control chain and with whether this node is the head. The
+// function must not block.
 func (c *Control) OnView(notify func(v view.View, head bool)) {
 	if c.node == nil {
 		return
@@ -208,12 +208,12 @@
 	})
 }
 
-// Stop hands over to other replicas, as far as that is possible while ctx runs, and ends the work. The transport must be
-// running until it returns.
+// Stop hands over to other replicas, unless ctx ends before, then stops the goroutines of the role and waits for them. The
+// transport must be running until Stop returns.
 func (c *Control) Stop(ctx context.Context) {
 	if c.node != nil {
 		if err := c.reconfigurer.HandOver(ctx); err != nil {
-			c.options.Log.Info("hand over of control replica failed", zap.Error(err))
+			c.options.Log.Info("hand over control replica failed", zap.Error(err))
 		}
 	}
 	c.api.stop()
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -37,9 +37,9 @@
 		s.put(0, version, version+1)
 		head := s.headNode()
 		end(head)
-		other := (head + 1) % testControls
+		other := (head + 1) % testNodeCount
 		s.put(other, version+1, version+2)
-		s.expectVersion((head+2)%testControls, version+2)
+		s.expectVersion((head+2)%testNodeCount, version+2)
 		s.start(head, false)
 		s.expectVersion(head, version+2)
 		s.waitForFullView(head)
@@ -73,7 +73,7 @@
 	a := newAPI(listener, nil, s.nodes[0].control.Status, other)
 	go func() { _ = a.run() }()
 	defer a.stop()
-	client, err := operator.New(operator.Options{Nodes: []string{listener.Addr().String()}, Timeout: testCalls})
+	client, err := operator.New(operator.Options{Nodes: []string{listener.Addr().String()}, Timeout: testTimeout})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,15 +82,15 @@
 	}
 	s.waitForAllMembers(0)
 	status, err := client.Status(t.Context())
-	if err != nil || status.Node != "f-1" || len(status.Chain.Replicas) == 0 || len(status.Members) != testControls {
-		t.Errorf("%+v, %v", status, err)
+	if err != nil || status.Node != "f-1" || len(status.Chain.Replicas) == 0 || len(status.Members) != testNodeCount {
+		t.Errorf("got status %+v, %v; want that of f-1 with %d members", status, err, testNodeCount)
 	}
-	if len(status.Chain.Voters) != testControls {
-		t.Errorf("got %d voters, want %d", len(status.Chain.Voters), testControls)
+	if len(status.Chain.Voters) != testNodeCount {
+		t.Errorf("got %d voters, want %d", len(status.Chain.Voters), testNodeCount)
 	}
 }
 
-// The listener is open from the beginning: a server that is stopped without having run closes it too.
+// newAPI gets an open listener. A server that is stopped without having run must close it too.
 func TestStoppedServerThatNeverRanClosesItsListener(t *testing.T) {
 	listener, err := listen(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
@@ -107,12 +107,12 @@
 	}
 }
 
-// TestLargeChangeOverTheChain sends a configuration of a megabyte to a node that is not the head.
+// A configuration of one megabyte is sent to a node that is not the head.
 func TestLargeChangeOverTheChain(t *testing.T) {
 	s := newControlSystem(t)
 	s.startAll(true)
 	s.put(0, 0, 3)
-	other := (s.headNode() + 1) % testControls
+	other := (s.headNode() + 1) % testNodeCount
 	padding := strings.Repeat("x", 1<<20)
 	body := fmt.Sprintf(`%s,"padding":%q}`, strings.TrimSuffix(documentText(5, 5), "}"), padding)
 	if version, err := s.operator(other).Put(t.Context(), 3, []byte(body)); err != nil || version != 5 {
@@ -129,32 +129,33 @@
 	s.expectVersion(other, 5)
 }
 
-// TestConcurrentOperators has several operators change the configuration at the same time, through different nodes.
+// Several operators change the configuration at the same time through different nodes. Exactly one change of each version is
+// accepted, and the others are refused with status 412.
 func TestConcurrentOperators(t *testing.T) {
 	s := newControlSystem(t)
 	s.startAll(true)
 	s.put(0, 0, 1)
 	for version := uint64(1); version < 6; version++ {
-		results := make(chan error, testControls)
-		for node := range testControls {
+		results := make(chan error, testNodeCount)
+		for node := range testNodeCount {
 			go func() {
 				_, err := s.operator(node).Put(t.Context(), version, []byte(documentText(version+1, 100+node)))
 				results <- err
 			}()
 		}
 		won := 0
-		for range testControls {
+		for range testNodeCount {
 			err := <-results
 			var refused *operator.RefusedError
 			switch {
 			case err == nil:
 				won++
 			case !errors.As(err, &refused) || refused.Status != http.StatusPreconditionFailed:
-				t.Errorf("got %v", err)
+				t.Errorf("got error %v, want status 412", err)
 			}
 		}
 		if won != 1 {
-			t.Fatalf("version %d: got %d of %d changes accepted, want 1", version, won, testControls)
+			t.Fatalf("version %d: got %d of %d changes accepted, want 1", version, won, testNodeCount)
 		}
 	}
 }
--- a/internal/control/digest_test.go
+++ b/internal/control/digest_test.go
@@ -15,7 +15,7 @@
 			t.Errorf("digest %d: got %v, want %v", i, i < 2, i >= 2)
 		}
 	}
-	if len(history.queue) != 3 || len(history.member) != 3 {
-		t.Errorf("got %d and %d digests, want 3", len(history.queue), len(history.member))
+	if len(history.queue) != 3 || len(history.present) != 3 {
+		t.Errorf("got %d and %d digests, want 3", len(history.queue), len(history.present))
 	}
 }
--- a/internal/control/discard.go
+++ b/internal/control/discard.go
@@ -10,18 +10,18 @@
 	"nickelline/internal/segment"
 )
 
-// handleOpenError returns the error with which a replica could not be opened. A replica whose files are damaged is lost: it is
-// discarded, and the process joins as a new replica when it is started again.
+// handleOpenError handles the error of opening a replica, and returns it. A replica whose files are damaged is discarded, so
+// that the process joins as a new replica when it is started again.
 func (c *Control) handleOpenError(err error) error {
 	if !errors.Is(err, segment.ErrDamaged) {
 		return err
 	}
-	err = merry.Prepend(err, "the replica is lost, the next start makes a new one")
+	err = merry.Prepend(err, "replica files are damaged, the next start creates a new replica")
 	return errors.Join(err, discardReplica(c.options.FileSystem, c.options.Settings.DataDirectory))
 }
 
-// discardReplica removes the identity of the replica in a directory, and then its files. The order matters: with its identity
-// but without its files a replica would vote, and count as complete, without the memory of what it has promised and stored.
+// discardReplica removes the identity of the replica in a directory, and then its files. The order matters: a replica that has
+// its identity but not its files would vote without knowing its earlier promises, and count as complete without its data.
 func discardReplica(fileSystem segment.FileSystem, directory string) error {
 	chainFiles := path.Join(directory, chainDirectory)
 	return segment.RemoveFiles(fileSystem, directory, path.Join(chainFiles, chain.LogDirectory), chainFiles)
--- a/internal/control/discard_test.go
+++ b/internal/control/discard_test.go
@@ -15,13 +15,13 @@
 
 const discardedDirectory = "/data"
 
-// discardedFiles are what a replica of the control chain has beside its identity.
+// discardedFiles returns the names of files that a replica of the control chain has besides its identity.
 func discardedFiles() []string {
 	files := path.Join(discardedDirectory, chainDirectory)
 	return []string{path.Join(files, "record"), path.Join(files, "acceptor"), path.Join(files, chain.LogDirectory, "1.segment")}
 }
 
-// Whenever power is lost, a replica that still has its identity has all that it wrote.
+// If power is lost at any step of the discarding, a replica that still has its identity also has all its files.
 func TestDiscardedReplicaLosesItsIdentityFirst(t *testing.T) {
 	finished := false
 	for operations := 1; !finished; operations++ {
@@ -56,6 +56,6 @@
 		t.Fatal(err)
 	}
 	if replica == first && missing > 0 {
-		t.Errorf("power lost after %d operations: the identity is there, %d files are not", operations, missing)
+		t.Errorf("power lost after %d operations: got the identity kept and %d files missing, want 0 missing", operations, missing)
 	}
 }
--- a/internal/control/golden_api_test.go
+++ b/internal/control/golden_api_test.go
@@ -15,14 +15,14 @@
 	"nickelline/internal/view"
 )
 
-// answers records what the operator's API answers, as a text for a golden file.
-type answers struct {
+// responseRecorder records the responses of the operator's API as a text for a golden file.
+type responseRecorder struct {
 	api  *testAPI
 	text strings.Builder
 }
 
-// record makes a call and notes the status, the headers that callers rely on, and the body.
-func (a *answers) record(method, path, match, body string) {
+// record makes a call and writes the status, the headers that callers rely on, and the body to the text.
+func (a *responseRecorder) record(method, path, match, body string) {
 	got := a.api.call(method, path, match, body)
 	fmt.Fprintf(&a.text, "%s %s\nIf-Match: %s\n%s\n-> %d\n", method, path, match, body, got.status)
 	for _, name := range []string{"Content-Type", "ETag", "Location", "Retry-After"} {
@@ -34,7 +34,7 @@
 }
 
 func TestGoldenConfigurationAnswers(t *testing.T) {
-	a := &answers{api: newTestAPI(t)}
+	a := &responseRecorder{api: newTestAPI(t)}
 	const path = controlapi.ConfigurationPath
 	a.record(http.MethodGet, path, "", "")
 	a.record(http.MethodPut, path, "", documentText(3, 10))
@@ -52,7 +52,7 @@
 }
 
 func TestGoldenRetirementAnswers(t *testing.T) {
-	a := &answers{api: newTestAPI(t)}
+	a := &responseRecorder{api: newTestAPI(t)}
 	const path = controlapi.RetirePath
 	a.record(http.MethodPost, path+"x", "", `{"durationS":10}`)
 	a.record(http.MethodGet, path+"a", "", "")
@@ -69,7 +69,7 @@
 }
 
 func TestGoldenFaultAnswers(t *testing.T) {
-	a := &answers{api: newTestAPI(t)}
+	a := &responseRecorder{api: newTestAPI(t)}
 	calls := func() {
 		a.record(http.MethodPut, controlapi.ConfigurationPath, "0", documentText(3, 10))
 		a.record(http.MethodGet, controlapi.ConfigurationPath, "", "")
@@ -83,7 +83,7 @@
 	golden.Text(t, "api_faults.txt", a.text.String())
 }
 
-// goldenStatusControl is a node without a replica of the chain that knows of a placement and of members in each state.
+// goldenStatusControl returns a Control without a replica of the chain that knows a placement and members in several states.
 func goldenStatusControl(t *testing.T) *Control {
 	t.Helper()
 	first := view.Member{Replica: 1, Name: "store-1", Zone: "zone-a", Address: netip.MustParseAddrPort("10.0.0.1:7660")}
@@ -115,7 +115,7 @@
 
 func (f *fixedMembers) OnChange(func(*member.Table)) {}
 
-// A node without a replica answers for its status, and sends all other calls on.
+// A node without a replica responds to status calls itself, and redirects all other calls.
 func TestGoldenAnswersWithoutReplica(t *testing.T) {
 	status := goldenStatusControl(t).Status
 	otherNode := func() (netip.AddrPort, bool) { return netip.MustParseAddrPort("10.0.0.9:7659"), true }
@@ -127,7 +127,7 @@
 		{"api_no_replica_known.txt", noOtherNode},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a := &answers{api: startTestAPI(t, nil, status, c.other)}
+			a := &responseRecorder{api: startTestAPI(t, nil, status, c.other)}
 			a.record(http.MethodGet, controlapi.StatusPath, "", "")
 			a.record(http.MethodPut, controlapi.ConfigurationPath, "0", documentText(3, 10))
 			a.record(http.MethodGet, controlapi.RetirePath+"a?x=y", "", "")
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -112,17 +112,18 @@
 	}
 }
 
-// goldenOrder is the configuration of the golden snapshot, and goldenLateOrder one that builds on a version to come.
+// goldenChange makes the configuration of the golden snapshot. goldenRefusedChange is refused, as it builds on a version that
+// does not exist yet.
 var (
-	goldenOrder     = Configure{Body: []byte(documentText(81, 82))}
-	goldenLateOrder = Configure{Match: 99, Body: []byte(documentText(100, 83))}
+	goldenChange        = Configure{Body: []byte(documentText(81, 82))}
+	goldenRefusedChange = Configure{Match: 99, Body: []byte(documentText(100, 83))}
 )
 
-// goldenReserves are the reserves that the golden snapshot has as kept.
+// goldenReserves are the tenants whose reserves are kept in the golden snapshot.
 var goldenReserves = []string{"kept", "kept too"}
 
-// Commands and snapshots of versions that knew no reserves are read as having none.
-func TestFormsWithoutReservesAreRead(t *testing.T) {
+// Commands and snapshots that earlier versions of the program wrote without reserves are decoded as having none.
+func TestEncodingsWithoutReservesAreRead(t *testing.T) {
 	command, err := DecodeCommand(golden.ReadBytes(t, "command_holders_without_reserves.hex"))
 	want := &Command{ChangeLeaseholders: &ChangeLeaseholders{
 		Epoch:            51,
@@ -140,12 +141,12 @@
 	checkGoldenState(t, restored.State(), LeaseholderSet{Epoch: 51, Revision: 1, Members: []Leaseholder{goldenAdded, goldenRemoved}})
 }
 
-// goldenMachine holds something of each kind that a snapshot contains.
+// goldenMachine returns a machine whose state has an element of each kind that a snapshot contains.
 func goldenMachine(t *testing.T) *Machine {
 	t.Helper()
 	m := NewMachine()
-	applyAndCheck(t, m, &Command{Configure: &goldenOrder}, Accepted)
-	applyAndCheck(t, m, &Command{Configure: &goldenLateOrder}, VersionMismatch)
+	applyAndCheck(t, m, &Command{Configure: &goldenChange}, Accepted)
+	applyAndCheck(t, m, &Command{Configure: &goldenRefusedChange}, VersionMismatch)
 	applyAndCheck(t, m, &Command{Retire: &Retire{Store: goldenStore, Duration: 1234 * time.Millisecond}}, Accepted)
 	applyAndCheck(t, m, &Command{CompleteRetirement: &CompleteRetirement{Store: goldenStore, CurrentReplica: 0x6162636465666768}}, Accepted)
 	applyAndCheck(t, m, &Command{Retire: &Retire{Store: goldenStores[0], Duration: 5678 * time.Millisecond}}, Accepted)
@@ -174,15 +175,15 @@
 		Former:   []Leaseholder{goldenAdded},
 		Reserves: goldenReserves,
 	})
-	if !restored.HasAccepted(goldenOrder.Digest()) {
-		t.Error("the accepted order is not remembered")
+	if !restored.HasAccepted(goldenChange.Digest()) {
+		t.Error("HasAccepted of the accepted change: got false, want true")
 	}
-	if !restored.refused.has(goldenLateOrder.Digest()) {
-		t.Error("the refused order is not remembered")
+	if !restored.refused.has(goldenRefusedChange.Digest()) {
+		t.Error("history of refused changes: got no digest of the refused change")
 	}
 }
 
-func checkGoldenState(t *testing.T, state *State, wantHolders LeaseholderSet) {
+func checkGoldenState(t *testing.T, state *State, wantLeaseholders LeaseholderSet) {
 	t.Helper()
 	if got := state.Version(); got != 81 {
 		t.Errorf("got configuration version %d, want 81", got)
@@ -196,25 +197,25 @@
 		t.Errorf("got retirements %+v, want %+v", state.Retirements, wantRetirements)
 	}
 	if state.RetirementRevision != 3 || state.PlacementVersion != 1 || string(state.Placement) != "placement table" {
-		t.Errorf("got revision %d, placement %d %q", state.RetirementRevision, state.PlacementVersion, state.Placement)
+		t.Errorf("got revision %d, placement %d %q; want 3, 1 \"placement table\"", state.RetirementRevision, state.PlacementVersion, state.Placement)
 	}
-	if !reflect.DeepEqual(state.Leaseholders, wantHolders) {
-		t.Errorf("got %+v, want %+v", state.Leaseholders, wantHolders)
+	if !reflect.DeepEqual(state.Leaseholders, wantLeaseholders) {
+		t.Errorf("got leaseholders %+v, want %+v", state.Leaseholders, wantLeaseholders)
 	}
 }
 
-// The digests of orders are kept in snapshots, and compared with those of orders that come later.
+// Snapshots contain the digests of changes, which are compared with those of later changes. So digests must not change.
 func TestGoldenDigest(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		order Configure
-		want  Digest
+		name   string
+		change Configure
+		want   Digest
 	}{
 		{"put", Configure{Match: 11, Body: []byte("body")}, Digest{High: 0xd128c1c1651378b0, Low: 0x3ea1422c6d642344}},
 		{"patch", Configure{Patch: true, Match: 11, Body: []byte("body")}, Digest{High: 0xd3ff21eaaa0befd9, Low: 0x42adb32a2a2c459b}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := c.order.Digest(); got != c.want {
+			if got := c.change.Digest(); got != c.want {
 				t.Errorf("got %#x, want %#x", got, c.want)
 			}
 		})
@@ -223,7 +224,7 @@
 
 func TestGoldenNumbersAndNames(t *testing.T) {
 	if reportKind != 0x600 {
-		t.Errorf("got message kind %d of reports, want 0x600", reportKind)
+		t.Errorf("got message kind %#x of reports, want 0x600", reportKind)
 	}
 	if controlChain != 0 {
 		t.Errorf("got control chain %d, want 0", controlChain)
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -22,27 +22,27 @@
 	a.configure(ctx, request, true)
 }
 
-// configure answers a change of the configuration, once service.Configure has returned its outcome.
+// configure handles a change of the configuration. It responds once service.Configure has returned the outcome.
 func (a *api) configure(ctx context.Context, request *app.RequestContext, patch bool) {
 	match, err := readMatch(string(request.GetHeader(controlapi.MatchHeader)))
 	if err != nil {
-		answerError(request, err)
+		writeError(request, err)
 		return
 	}
 	body, err := request.Body()
 	if err != nil {
-		answerError(request, fault.Wrap(fault.BadRequest, err))
+		writeError(request, fault.Wrap(fault.BadRequest, err))
 		return
 	}
 	result, err := a.service.Configure(ctx, &Configure{Patch: patch, Match: match, Body: body})
 	if err != nil {
-		answerError(request, err)
+		writeError(request, err)
 		return
 	}
-	answerJSON(request, http.StatusOK, controlapi.ConfigurationAccepted{Version: result.Version})
+	writeJSON(request, http.StatusOK, controlapi.ConfigurationAccepted{Version: result.Version})
 }
 
-// readMatch reads the version that a change builds on.
+// readMatch parses an If-Match header, which holds the version that a change builds on.
 func readMatch(header string) (uint64, error) {
 	text := strings.Trim(strings.TrimSpace(header), `"`)
 	version, err := strconv.ParseUint(text, 10, 64)
@@ -55,12 +55,12 @@
 func (a *api) getConfiguration(ctx context.Context, request *app.RequestContext) {
 	state, err := a.service.Read(ctx)
 	if err != nil {
-		answerError(request, err)
+		writeError(request, err)
 		return
 	}
 	document := state.EncodedDocument()
 	if document == nil {
-		answerError(request, fault.New(fault.NotFound, "no configuration has been taken yet"))
+		writeError(request, fault.New(fault.NotFound, "no configuration has been taken yet"))
 		return
 	}
 	request.Header("ETag", strconv.Quote(strconv.FormatUint(state.Version(), 10)))
@@ -70,18 +70,18 @@
 func (a *api) postRetire(ctx context.Context, request *app.RequestContext) {
 	retire, err := readRetireRequest(request)
 	if err != nil {
-		answerError(request, err)
+		writeError(request, err)
 		return
 	}
 	duration := time.Duration(retire.DurationS * float64(time.Second))
 	if _, err := a.service.Retire(ctx, request.Param(nodeParameter), duration); err != nil {
-		answerError(request, err)
+		writeError(request, err)
 		return
 	}
-	answerJSON(request, http.StatusOK, controlapi.Retirement{State: controlapi.RetirementInProgress})
+	writeJSON(request, http.StatusOK, controlapi.Retirement{State: controlapi.RetirementInProgress})
 }
 
-// readRetireRequest reads the body of a retirement, which may be empty.
+// readRetireRequest reads the body of a retirement request, which may be empty.
 func readRetireRequest(request *app.RequestContext) (controlapi.RetireRequest, error) {
 	var retire controlapi.RetireRequest
 	body, err := request.Body()
@@ -100,12 +100,12 @@
 func (a *api) getRetire(ctx context.Context, request *app.RequestContext) {
 	retirement, err := a.service.Retirement(ctx, request.Param(nodeParameter))
 	if err != nil {
-		answerError(request, err)
+		writeError(request, err)
 		return
 	}
-	answerJSON(request, http.StatusOK, controlapi.Retirement{State: retirementState(retirement)})
+	writeJSON(request, http.StatusOK, controlapi.Retirement{State: retirementState(retirement)})
 }
 
 func (a *api) getStatus(_ context.Context, request *app.RequestContext) {
-	answerJSON(request, http.StatusOK, a.status())
+	writeJSON(request, http.StatusOK, a.status())
 }
--- a/internal/control/headstatus.go
+++ b/internal/control/headstatus.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// headProofPeriod is the time between two proofs that this node is the head.
+	// headProofPeriod is the interval of the proofs that this node is the head.
 	headProofPeriod = 400 * time.Millisecond
-	// headProofLifetime is how long after its beginning a proof counts.
+	// headProofLifetime is how long a proof is valid, from when it began.
 	headProofLifetime = time.Second
 )
 
-// viewProver proves which view of the control chain is the latest: a *chain.Prover.
+// viewProver proves which view of the control chain is the latest. It is implemented by *chain.Prover.
 type viewProver interface {
 	ConfirmView(ctx context.Context) (view.View, error)
 }
 
-// HeadStatus is whether this node is the head of the control chain, as chain replication calls the replica that writes go
-// to. It is what a leader lease is in Raft: a proof by a quorum of the voters that no later view was decided when the proof
-// began, which counts for a limited time by this node's monotonic clock. A former head may take itself for the head until
-// that time has passed; whoever acts on HeadStatus must tolerate that. It implements quota.HeadStatus, and may be used
+// HeadStatus proves that this node is the head of the control chain, the replica to which writes are sent. It resembles a
+// leader lease in Raft: a quorum of the voters confirms that no later view had been decided when the proof began, and the
+// proof is valid for a limited time by this node's monotonic clock. A former head may consider itself the head until that time
+// has passed; users of HeadStatus must tolerate that. HeadStatus implements quota.HeadStatus. Its methods may be called
 // concurrently.
 type HeadStatus struct {
 	node          chainNode
@@ -36,18 +36,19 @@
 	log           *zap.Logger
 
 	mutex sync.Mutex
-	// provenAt is when the latest successful proof began, zero if there was none, and provenEpoch the epoch that it was for.
+	// provenAt is when the latest successful proof began, zero if there was none, and provenEpoch is the epoch that it proved.
 	provenAt    time.Time
 	provenEpoch uint64
 }
 
-// run makes proofs at intervals while this node seems to be the head, and whenever wake is signalled, until ctx ends.
+// run makes proofs at intervals and whenever wake is signalled, until ctx ends. It makes none while this node does not appear
+// to be the head.
 func (h *HeadStatus) run(ctx context.Context, wake <-chan struct{}) {
 	proveRepeatedly(ctx, headProofPeriod, wake, h.prove)
 }
 
-// prove makes one proof, if this node seems to be the head. It counts from when it begins. It reports whether there is no need for
-// another one soon.
+// prove makes one proof, if this node appears to be the head. The proof is valid from when it began, not from when the voters
+// have responded. prove returns false if the proof failed, so that it is retried soon.
 func (h *HeadStatus) prove(ctx context.Context) bool {
 	if !h.isHead(h.node.View()) {
 		return true
@@ -71,7 +72,7 @@
 	return ok && head.Replica == h.self
 }
 
-// Fresh reports whether a proof that still counts shows that this node is the head in the current epoch.
+// Fresh reports whether an unexpired proof shows that this node is the head in the current epoch.
 func (h *HeadStatus) Fresh() bool {
 	h.mutex.Lock()
 	provenAt, provenEpoch := h.provenAt, h.provenEpoch
--- a/internal/control/headstatus_test.go
+++ b/internal/control/headstatus_test.go
@@ -11,7 +11,7 @@
 	"nickelline/internal/view"
 )
 
-// fakeProver confirms the view of a fake node, unless it has an error. The view may change before the answer.
+// fakeProver confirms the view of a fake node, or returns err. after is called before ConfirmView returns.
 type fakeProver struct {
 	node  *fakeChainNode
 	err   error
@@ -66,11 +66,11 @@
 	}
 	node.current.Members = []view.Member{{Replica: 8, Address: netip.MustParseAddrPort("10.0.0.8:1")}}
 	if head, ok := h.Head(); !ok || head.Port() != 1 {
-		t.Errorf("got head %v, want port 1", head)
+		t.Errorf("got head %v, %v; want port 1, true", head, ok)
 	}
 }
 
-// An attempt that fails proves nothing, and leaves the proof before it as it was.
+// A failed attempt proves nothing, and leaves the earlier proof valid.
 func TestFailedHeadProof(t *testing.T) {
 	h, _, prover := newHeadStatusFixture()
 	prover.err = errNotReady
@@ -87,14 +87,14 @@
 	}
 }
 
-// A proof counts from before the voters were asked.
+// The lifetime of a proof begins before the voters are asked.
 func TestHeadProofExpires(t *testing.T) {
 	h, _, prover := newHeadStatusFixture()
 	var answered time.Time
 	prover.after = func() { answered = time.Now() }
 	h.prove(t.Context())
 	if h.provenAt.After(answered) {
-		t.Error("got a proof that began after the answers")
+		t.Error("got a proof that began after the responses of the voters")
 	}
 	h.proofLifetime = 0
 	if h.Fresh() {
--- a/internal/control/leaseholders.go
+++ b/internal/control/leaseholders.go
@@ -6,9 +6,9 @@
 	"nickelline/internal/fault"
 )
 
-// ChangeLeaseholders has a change of the set of leaseholders committed and returns the set after it. After an error of kind
-// fault.VersionConflict the change was not made and never will be. After any other error it may still be made later, unless
-// another change is made before it.
+// ChangeLeaseholders has a change of the set of leaseholders committed and returns the set after the change. After an error of
+// kind fault.VersionConflict the change was not made and never will be. After any other error it may have been made, or may
+// still be made later unless another change is made first.
 func (c *Control) ChangeLeaseholders(ctx context.Context, change *ChangeLeaseholders) (LeaseholderSet, error) {
 	if c.service == nil {
 		return LeaseholderSet{}, fault.New(fault.NotReady, "this node keeps no replica")
@@ -19,7 +19,7 @@
 	}
 	leaseholders := c.machine.State().Leaseholders
 	if leaseholders.Revision != result.Version {
-		return LeaseholderSet{}, fault.New(fault.NotReady, "the holders are at revision %d here, not %d", leaseholders.Revision, result.Version)
+		return LeaseholderSet{}, fault.New(fault.NotReady, "leaseholders at this node have revision %d, not %d", leaseholders.Revision, result.Version)
 	}
 	return leaseholders, nil
 }
--- a/internal/control/leaseholders_codec.go
+++ b/internal/control/leaseholders_codec.go
@@ -41,7 +41,7 @@
 	)
 }
 
-// fillNames writes a list of names, which is left out if it is empty.
+// fillNames writes a list of names, or nothing if the list is empty.
 func fillNames(names []string, newList func(int32) (capnp.TextList, error)) error {
 	if len(names) == 0 {
 		return nil
--- a/internal/control/leaseholders_test.go
+++ b/internal/control/leaseholders_test.go
@@ -42,7 +42,7 @@
 	applyAndCheck(t, m, changeLeaseholders(1, 0, []Leaseholder{leaseholderA, leaseholderB}, nil), Accepted)
 	restarted := Leaseholder{Address: leaseholderA.Address, Generation: 9}
 	applyAndCheck(t, m, changeLeaseholders(1, 1, []Leaseholder{restarted}, nil), Accepted)
-	applyAndCheck(t, m, changeLeaseholders(1, 2, nil, []Leaseholder{leaseholderA}), Accepted) // not the current process
+	applyAndCheck(t, m, changeLeaseholders(1, 2, nil, []Leaseholder{leaseholderA}), Accepted) // the process was replaced: removes nothing
 	checkLeaseholders(t, m, LeaseholderSet{Epoch: 1, Revision: 3, Members: []Leaseholder{restarted, leaseholderB}, Former: []Leaseholder{leaseholderA}})
 }
 
@@ -109,18 +109,18 @@
 	change(4, true, nil, nil)
 }
 
-// Processes that others have replaced are remembered, a few at each address. Those that were removed are not: they may run and
-// register again.
+// The last maxFormerPerAddress replaced processes of each address are remembered. Removed processes are not, as they may still
+// be running and register again.
 func TestReplacedLeaseholdersAreRemembered(t *testing.T) {
 	m := NewMachine()
 	at := leaseholderA.Address
 	applyAndCheck(t, m, changeLeaseholders(1, 0, []Leaseholder{{at, 1}, leaseholderB}, nil), Accepted)
-	for generation := uint64(2); generation <= maximumFormer+2; generation++ {
+	for generation := uint64(2); generation <= maxFormerPerAddress+2; generation++ {
 		applyAndCheck(t, m, changeLeaseholders(1, generation-1, []Leaseholder{{at, generation}}, nil), Accepted)
 	}
-	applyAndCheck(t, m, changeLeaseholders(1, maximumFormer+2, []Leaseholder{{at, maximumFormer + 2}}, []Leaseholder{leaseholderB}), Accepted)
+	applyAndCheck(t, m, changeLeaseholders(1, maxFormerPerAddress+2, []Leaseholder{{at, maxFormerPerAddress + 2}}, []Leaseholder{leaseholderB}), Accepted)
 	var want []Leaseholder
-	for generation := uint64(2); generation < maximumFormer+2; generation++ {
+	for generation := uint64(2); generation < maxFormerPerAddress+2; generation++ {
 		want = append(want, Leaseholder{at, generation})
 	}
 	if got := m.State().Leaseholders.Former; !slices.Equal(got, want) {
--- a/internal/control/linearizability_test.go
+++ b/internal/control/linearizability_test.go
@@ -10,9 +10,8 @@
 	"nickelline/internal/fault"
 )
 
-// Histories of operators that send concurrent changes of the same version, and repeat them at any node after lost answers,
-// while nodes are killed, lag and restart from snapshots, and copies of changes arrive late. They are checked for
-// linearizability.
+// Bounds of the histories. In a history, operators send concurrent changes of the same version, and repeat them at any node
+// after lost responses. Meanwhile nodes lag, are killed and restart from snapshots, and copies of changes arrive late.
 const (
 	historyCount     = 150
 	historySteps     = 160
@@ -27,14 +26,14 @@
 	configurationRead   struct{}
 	configurationChange struct {
 		match, version uint64
-		timeoutMs      int // of the route, which no other change has
+		timeoutMs      int // of the route; unique among the changes
 	}
-	// configurationOutcome is the result of either. A read returns the state.
+	// configurationOutcome is the result of a change (accepted) or of a read (state).
 	configurationOutcome struct {
 		accepted bool
 		state    configurationState
 	}
-	// configurationState is the state of the model: the version, and the timeout that identifies the change that made it.
+	// configurationState is the state of the model: the version, and the timeout, which identifies the change that set both.
 	configurationState struct {
 		version   uint64
 		timeoutMs int
@@ -45,18 +44,18 @@
 	Init: func() any { return configurationState{} },
 	Step: func(state, input, output any) (bool, any) {
 		current, outcome := state.(configurationState), output.(configurationOutcome)
-		order, isOrder := input.(configurationChange)
+		change, isChange := input.(configurationChange)
 		switch {
-		case !isOrder:
+		case !isChange:
 			return outcome.state == current, current
 		case outcome.accepted:
-			return order.match == current.version, configurationState{version: order.version, timeoutMs: order.timeoutMs}
+			return change.match == current.version, configurationState{version: change.version, timeoutMs: change.timeoutMs}
 		}
-		return order.match != current.version, current
+		return change.match != current.version, current
 	},
 }
 
-// simulatedOperator is an operator with the change that it is sending.
+// simulatedOperator is an operator and the change that it is sending.
 type simulatedOperator struct {
 	request   *Configure
 	input     configurationChange
@@ -72,10 +71,11 @@
 	chain        *simulatedChain
 	operators    []*simulatedOperator
 	operations   []porcupine.Operation
-	unclear      []*simulatedOperator // gave up without an answer
+	unclear      []*simulatedOperator // gave up without a response
 	acknowledged int
 }
 
+// Every history must be linearizable, and the histories together must contain enough acknowledged changes.
 func TestChangesAreLinearizable(t *testing.T) {
 	acknowledged := 0
 	for seed := range uint64(historyCount) {
@@ -85,7 +85,7 @@
 			trial.operators = append(trial.operators, &simulatedOperator{})
 		}
 		for step := 1; step <= historySteps; step++ {
-			trial.chain.disturb(t)
+			trial.chain.randomEvent(t)
 			trial.act(step)
 		}
 		trial.check()
@@ -106,10 +106,10 @@
 	if operator.request == nil {
 		trial.newRequest(operator, step)
 	}
-	trial.send(operator, node, step)
+	trial.sendChange(operator, node, step)
 }
 
-// newRequest makes a change of the version at some node, which may be old, and sometimes of a later version.
+// newRequest creates a change of the version at a random node, which may be outdated, and sometimes of a later version.
 func (trial *historyTrial) newRequest(operator *simulatedOperator, step int) {
 	match := trial.chain.nodes[trial.random.IntN(historyNodes)].machine.State().Version()
 	if trial.random.IntN(10) == 0 {
@@ -117,12 +117,12 @@
 	}
 	version := match + 1 + uint64(trial.random.IntN(2))
 	input := configurationChange{match: match, version: version, timeoutMs: 100 + step}
-	order := &Configure{Match: match, Body: []byte(documentText(version, input.timeoutMs))}
-	*operator = simulatedOperator{request: order, input: input, startedAt: step}
+	request := &Configure{Match: match, Body: []byte(documentText(version, input.timeoutMs))}
+	*operator = simulatedOperator{request: request, input: input, startedAt: step}
 }
 
-// send sends the change of an operator once, or repeats it. The answer may be lost.
-func (trial *historyTrial) send(operator *simulatedOperator, node *simulatedNode, step int) {
+// sendChange sends the change of an operator once, the first time or again. The response may be lost.
+func (trial *historyTrial) sendChange(operator *simulatedOperator, node *simulatedNode, step int) {
 	result, err := node.service.Configure(trial.t.Context(), operator.request)
 	operator.attempts++
 	answered := err == nil || fault.KindOf(err) == fault.VersionConflict
@@ -165,7 +165,7 @@
 	trial.addOperation(configurationRead{}, configurationOutcome{state: stateOf(state)}, step, step)
 }
 
-// stateOf returns the state of the model for a state.
+// stateOf returns the state of the model that corresponds to a control state.
 func stateOf(state *State) configurationState {
 	if state.Version() == 0 {
 		return configurationState{}
@@ -174,7 +174,7 @@
 	return configurationState{version: state.Version(), timeoutMs: int(timeout / time.Millisecond)}
 }
 
-// check appends some of the late commands, and checks the whole history.
+// check appends some of the late commands, and checks that the whole history is linearizable.
 func (trial *historyTrial) check() {
 	for len(trial.chain.late) > 0 && trial.random.IntN(3) != 0 {
 		trial.chain.appendLate()
--- a/internal/control/losses_test.go
+++ b/internal/control/losses_test.go
@@ -10,10 +10,10 @@
 	"nickelline/internal/segment"
 )
 
-// waitForViewOf returns once the view at a node names so many members.
+// waitForViewOf returns once the view at a node has a number of members.
 func (s *controlSystem) waitForViewOf(node, members int) {
 	s.t.Helper()
-	ctx, cancel := context.WithTimeout(s.t.Context(), testCalls)
+	ctx, cancel := context.WithTimeout(s.t.Context(), testTimeout)
 	defer cancel()
 	p := s.nodes[node]
 	for len(p.control.node.View().Members) != members {
@@ -25,27 +25,27 @@
 	}
 }
 
-// waitForChain returns once the status of a node shows a chain with these numbers.
-func (s *controlSystem) waitForChain(node, replicas, voters, lossesBorne int) {
+// waitForChain returns once the status of a node shows the given numbers for the chain.
+func (s *controlSystem) waitForChain(node, replicas, voters, toleratedLosses int) {
 	s.t.Helper()
-	ctx, cancel := context.WithTimeout(s.t.Context(), testCalls)
+	ctx, cancel := context.WithTimeout(s.t.Context(), testTimeout)
 	defer cancel()
 	p := s.nodes[node]
 	for {
 		status := p.control.Status().Chain
-		if len(status.Replicas) == replicas && len(status.Voters) == voters && status.LossesBorne == lossesBorne {
+		if len(status.Replicas) == replicas && len(status.Voters) == voters && status.LossesBorne == toleratedLosses {
 			return
 		}
 		select {
 		case <-ctx.Done():
-			s.t.Fatalf("node %d: got chain status %+v, want %d replicas, %d voters, %d losses borne", node, status, replicas, voters, lossesBorne)
+			s.t.Fatalf("node %d: got chain status %+v, want %d replicas, %d voters, %d tolerated losses", node, status, replicas, voters, toleratedLosses)
 		case <-p.membersChanged:
 		case <-p.viewChanged:
 		}
 	}
 }
 
-// wipe empties the disk of a node that does not run.
+// wipe deletes the data of a node that is not running.
 func (s *controlSystem) wipe(node int) {
 	s.t.Helper()
 	if err := os.RemoveAll(s.directories[node]); err != nil {
@@ -56,20 +56,20 @@
 	}
 }
 
-// One replica is down while the others accept a change. Then one of these loses its disk while the other one is down. The
-// acknowledged change is on one disk only then, and the replica that was down first still has its vote.
+// One replica is down while the other two accept a change. Then all are down, and one of the two loses its disk. The
+// acknowledged change is then on one disk only, and the replica that missed the change still has a vote.
 func TestDiskIsLostWhileAReplicaIsDown(t *testing.T) {
-	for away := range testControls {
+	for away := range testNodeCount {
 		s := newControlSystem(t)
 		s.startAll(true)
-		first, second := (away+1)%testControls, (away+2)%testControls
+		first, second := (away+1)%testNodeCount, (away+2)%testNodeCount
 		s.put(first, 0, 3)
 		s.waitForFullView(first)
-		s.waitForChain(first, testControls, testControls, 1)
+		s.waitForChain(first, testNodeCount, testNodeCount, 1)
 		s.kill(away)
-		s.waitForViewOf(first, testControls-1)
+		s.waitForViewOf(first, testNodeCount-1)
 		s.put(first, 3, 4)
-		s.waitForChain(first, testControls-1, testControls, 0)
+		s.waitForChain(first, testNodeCount-1, testNodeCount, 0)
 
 		s.kill(first)
 		s.kill(second)
@@ -85,7 +85,7 @@
 	}
 }
 
-// A replica whose acceptor state is damaged is replaced by a new one at the next start.
+// A replica whose acceptor state is damaged is discarded, and the next start creates a new replica.
 func TestDamagedAcceptorIsALostReplica(t *testing.T) {
 	s := newControlSystem(t)
 	s.startAll(true)
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -5,32 +5,33 @@
 	"sync/atomic"
 )
 
-// Machine is the replicated state machine of the control state (a chain.StateMachine). It is deterministic: what a command does
-// depends on the commands before it only. Apply, Snapshot and Restore are called from one goroutine; the other methods may be
-// called at any time.
+// Machine is the replicated state machine of the control state (a chain.StateMachine). It is deterministic: the effect of a
+// command depends only on the commands before it. Apply, Snapshot and Restore must be called from one goroutine; the other
+// methods may be called concurrently.
 type Machine struct {
 	state atomic.Pointer[State]
 
 	// mutex guards changes of accepted, which HasAccepted reads from other goroutines.
 	mutex sync.RWMutex
-	// accepted are the changes of the configuration that were accepted. A copy of one is acknowledged again.
+	// accepted holds the changes of the configuration that were accepted. A duplicate of one is acknowledged again.
 	accepted *digestHistory
-	// refused are changes that were refused because they build on a version that did not exist yet. A late copy of one stays
-	// refused even when that version exists. Only the goroutine that calls Apply uses it.
+	// refused holds the changes that were refused because they build on a version that did not exist yet. A late duplicate is
+	// refused too, even if that version exists then. Only the goroutine that calls Apply uses refused.
 	refused *digestHistory
 }
 
-// NewMachine returns the state before the first command.
+// NewMachine returns a machine with the state before the first command.
 func NewMachine() *Machine {
-	m := &Machine{accepted: newDigestHistory(maximumAcceptedDigests), refused: newDigestHistory(maximumRefusedDigests)}
+	m := &Machine{accepted: newDigestHistory(maxAcceptedDigests), refused: newDigestHistory(maxRefusedDigests)}
 	m.state.Store(&State{})
 	return m
 }
 
-// State returns the state after the last command that was applied here. Others may be committed already.
+// State returns the state after the last command that this replica has applied. Later commands may be committed already.
 func (m *Machine) State() *State { return m.state.Load() }
 
-// HasAccepted reports whether a change of the configuration has been accepted, as far as it was applied here.
+// HasAccepted reports whether a change of the configuration was accepted, according to the commands applied here. The digests of
+// the oldest accepted changes are forgotten.
 func (m *Machine) HasAccepted(digest Digest) bool {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
@@ -67,7 +68,7 @@
 	return encodeState(m.State(), m.accepted.queue, m.refused.queue)
 }
 
-// Restore replaces the state by one that Snapshot returned. It changes nothing if that cannot be read.
+// Restore replaces the state by a snapshot from Snapshot. If it returns an error, the state is unchanged.
 func (m *Machine) Restore(snapshot []byte) error {
 	state, accepted, refused, err := decodeState(snapshot)
 	if err != nil {
--- a/internal/control/machine_test.go
+++ b/internal/control/machine_test.go
@@ -13,7 +13,7 @@
 	for _, encoded := range [][]byte{nil, {1, 2, 3}, bytes.Repeat([]byte{255}, 64)} {
 		result, err := DecodeResult(m.Apply(1, encoded))
 		if err != nil || result.Outcome != Malformed {
-			t.Errorf("command %v: got %+v, %v; want it malformed", encoded, result, err)
+			t.Errorf("command %v: got %+v, %v; want outcome Malformed", encoded, result, err)
 		}
 	}
 	if _, err := EncodeCommand(&Command{}); err == nil {
@@ -37,17 +37,17 @@
 		t.Fatal(err)
 	}
 	got, want := *restored.State(), *m.State()
-	got.encoded, want.encoded = nil, nil
+	got.encodeDocument, want.encodeDocument = nil, nil
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if !bytes.Equal(restored.Snapshot(), snapshot) {
-		t.Error("got another snapshot from the restored machine")
+		t.Error("snapshot of the restored machine: got other bytes than from the original one")
 	}
 	applyAndCheck(t, restored, put(0, documentText(3, 10)), Repeated)
 }
 
-// TestLargeMessages writes commands, reports and states far larger than usual ones.
+// Commands, reports and snapshots that are far larger than usual are encoded and decoded.
 func TestLargeMessages(t *testing.T) {
 	name := func(i int) string { return fmt.Sprintf("storage-in-a-zone-with-a-long-name-%d", i) }
 	m := NewMachine()
@@ -62,7 +62,7 @@
 	}
 	restored := NewMachine()
 	if err := restored.Restore(m.Snapshot()); err != nil || !reflect.DeepEqual(restored.State().Retirements, m.State().Retirements) {
-		t.Errorf("got other retirements in the restored state: %v", err)
+		t.Errorf("restore a large snapshot: got error %v or other retirements than before", err)
 	}
 	encoded, err := encodeReport(report, false)
 	if err != nil {
--- a/internal/control/placement_controller.go
+++ b/internal/control/placement_controller.go
@@ -11,12 +11,13 @@
 	"nickelline/internal/view"
 )
 
-// interruptInterval is the minimum time between two moves of heads, for the sake of balance, at which batch items run.
-const interruptInterval = 10 * time.Second
+// minInterruptInterval is the minimum time between two moves of partition heads that balance the load but interrupt running
+// batch items.
+const minInterruptInterval = 10 * time.Second
 
-// placementController keeps the placement of batch partitions in the wanted state while this node is the head of the
-// control chain. Each call of reconcile compares the table with the stores that are there, and has at most one new table
-// committed. It is used by one goroutine.
+// placementController reconciles the placement of batch partitions with the stores while this node is the head of the control
+// chain. Each call of reconcile compares the table with the present stores, and has at most one new table committed. It must
+// be used by one goroutine only.
 type placementController struct {
 	machine *Machine
 	members membership
@@ -26,26 +27,27 @@
 	propose func(ctx context.Context, command *Command) (Result, error)
 	log     *zap.Logger
 
-	// interruptedAt is when a partition's head was moved last though items may have run there.
+	// interruptedAt is when the controller last moved a partition's head at which items may have been running.
 	interruptedAt time.Time
 	// headSince is when this node became head, zero while it is not.
 	headSince time.Time
-	// storeCount is the number of stores, and storeCountSince since when it has been the same.
+	// storeCount is the number of stores, and storeCountSince is when that number was first seen. Both are used only until the
+	// first table exists.
 	storeCount      int
 	storeCountSince time.Time
 }
 
-// placementTiming bounds what a placementController waits for.
+// placementTiming holds the delays and timeouts of a placementController.
 type placementTiming struct {
-	// stabilization is how long a new head waits for the stores to report, and how long the number of stores has to stay the
-	// same before the first table is made.
+	// stabilization is how long a new head waits for the stores to report, and how long the number of stores must be unchanged
+	// before the first table is created.
 	stabilization time.Duration
 	// reportTimeout is how long a store may send no report before it is considered failed.
 	reportTimeout time.Duration
 }
 
-// reconcile has at most one change of the placement committed, or retirements completed if there is nothing to change. It
-// must be called whenever something may have changed, also while this node is not the head.
+// reconcile has at most one change of the placement committed; if nothing has to change, it completes the retirements that
+// are ready for that. It must be called whenever something may have changed, also while this node is not the head.
 func (c *placementController) reconcile(ctx context.Context, now time.Time, head bool) {
 	if !head {
 		c.headSince = time.Time{}
@@ -73,7 +75,7 @@
 	}
 }
 
-// createTable makes the first table once the number of stores has stayed the same for a while.
+// createTable proposes the first table once the number of stores has been unchanged for timing.stabilization.
 func (c *placementController) createTable(ctx context.Context, now time.Time, state *State, stores []placement.Store) {
 	if len(stores) != c.storeCount || c.storeCountSince.IsZero() {
 		c.storeCount = len(stores)
@@ -87,7 +89,7 @@
 	}
 }
 
-// update proposes the table that should follow, and reports whether that differs from the current one.
+// update proposes the next table, and reports whether it differs from the current one.
 func (c *placementController) update(ctx context.Context, now time.Time, state *State, table placement.Table, stores []placement.Store) bool {
 	policy := c.policy
 	policy.MayInterrupt = c.mayInterrupt(now)
@@ -102,12 +104,12 @@
 	return true
 }
 
-// mayInterrupt reports whether the head of a partition may be moved though items run there.
+// mayInterrupt reports whether a partition's head may be moved although items are running there.
 func (c *placementController) mayInterrupt(now time.Time) bool {
-	return now.Sub(c.headSince) >= interruptInterval && now.Sub(c.interruptedAt) >= interruptInterval
+	return now.Sub(c.headSince) >= minInterruptInterval && now.Sub(c.interruptedAt) >= minInterruptInterval
 }
 
-// commit has a table committed, if the state that it was derived from is still current then.
+// commit proposes a table, which is refused if the state that it was derived from is no longer current.
 func (c *placementController) commit(ctx context.Context, state *State, table placement.Table, changes []placement.Change) {
 	encoded, err := placement.Encode(table)
 	if err != nil {
@@ -127,7 +129,7 @@
 		zap.Stringer("first", changes[0]))
 }
 
-// completeRetirements has the retirements completed of stores that hold no data any more.
+// completeRetirements completes the retirements of the stores that no longer hold data.
 func (c *placementController) completeRetirements(ctx context.Context, state *State, table placement.Table, stores []placement.Store) {
 	for _, retirement := range state.Retirements {
 		if retirement.Completed || !c.isEmptied(retirement.Store, table, stores) {
@@ -146,7 +148,8 @@
 	}
 }
 
-// isEmptied reports whether no replica on a machine is needed any more.
+// isEmptied reports whether a retired store is no longer needed: no partition has a member on its machine, and its replica can
+// be removed.
 func (c *placementController) isEmptied(store Store, table placement.Table, stores []placement.Store) bool {
 	for _, partition := range table.Partitions {
 		if slices.ContainsFunc(partition.View.Members, func(m view.Member) bool { return m.Name == store.Name }) {
@@ -156,7 +159,7 @@
 	return placement.CanRemove(table, stores, view.ReplicaID(store.Replica), c.policy)
 }
 
-// replicaOf returns the replica that a machine holds, 0 if it is not known.
+// replicaOf returns the replica of the running store with a name, 0 if there is none.
 func replicaOf(name string, stores []placement.Store) uint64 {
 	for i := range stores {
 		if stores[i].Name == name && stores[i].Alive {
--- a/internal/control/placement_controller_test.go
+++ b/internal/control/placement_controller_test.go
@@ -14,7 +14,7 @@
 	f.members.members = append(f.members.members, storeMember(3))
 	f.run(testStabilization)
 	if f.machine.State().PlacementVersion != 0 {
-		t.Fatal("got a first placement while stores start")
+		t.Fatal("got a first placement while stores are starting")
 	}
 	f.run(2 * testStep)
 	f.checkViews(3)
@@ -28,7 +28,7 @@
 		f.now = f.now.Add(testStep)
 	}
 	if f.machine.State().PlacementVersion != 0 {
-		t.Error("got a placement by a node that is not the head")
+		t.Error("got a placement from a node that is not the head")
 	}
 }
 
@@ -47,7 +47,7 @@
 func TestStoreWithoutReportsCountsAsFailed(t *testing.T) {
 	f := newPlacementFixture(t, 4)
 	f.run(10 * time.Second)
-	f.muted["s-2"] = true
+	f.notReporting["s-2"] = true
 	f.run(testReportTimeout + 10*time.Second)
 	if f.isPlaced("s-2") {
 		t.Error("got a store without reports in the placement")
@@ -73,7 +73,8 @@
 	f.checkViews(3)
 }
 
-// A store that lost its disk while all machines were down stands for the replica that it was.
+// A store lost its disk while all machines were down, and reports as a new replica. The new head does not wait for the old
+// replica.
 func TestNewHeadDoesNotWaitForAReplicaWhoseDiskWasLost(t *testing.T) {
 	f := newPlacementFixture(t, 3)
 	f.run(10 * time.Second)
@@ -90,29 +91,30 @@
 	f.checkViews(3)
 }
 
-// A store that returns becomes head of partitions again, but while items run one at a time, as each move interrupts them.
+// A returning store becomes the head of partitions again. While batch items are running, at most one head is moved per
+// minInterruptInterval, as each move interrupts the items.
 func TestBusyHeadsAreMovedOneByOne(t *testing.T) {
 	f := newPlacementFixture(t, 3)
 	f.run(10 * time.Second)
 	f.running = 50
-	f.muted = map[string]bool{"s-1": true}
+	f.notReporting = map[string]bool{"s-1": true}
 	f.run(testReportTimeout + time.Second)
 	if f.isPlaced("s-1") {
 		t.Fatal("got a store without reports in the placement")
 	}
-	f.muted = nil
-	f.run(interruptInterval / 2)
+	f.notReporting = nil
+	f.run(minInterruptInterval / 2)
 	most := 0
 	for range 4 {
 		before := f.headCount("s-1")
-		f.run(interruptInterval)
+		f.run(minInterruptInterval)
 		most = max(most, f.headCount("s-1")-before)
 	}
 	if most != 1 {
-		t.Errorf("got %d heads with running items moved within %v, want 1", most, interruptInterval)
+		t.Errorf("got %d heads with running items moved within %v, want 1", most, minInterruptInterval)
 	}
 	f.running = 0
-	f.run(interruptInterval)
+	f.run(minInterruptInterval)
 	if f.headCount("s-1") == 0 || f.headCount("s-2")-f.headCount("s-1") > 1 {
 		t.Errorf("got %d and %d heads without running items, want them even", f.headCount("s-1"), f.headCount("s-2"))
 	}
--- a/internal/control/placement_fixture_test.go
+++ b/internal/control/placement_fixture_test.go
@@ -14,7 +14,7 @@
 	"nickelline/internal/view"
 )
 
-// fakeMembers is a table of members that a test changes.
+// fakeMembers is a table of members that a test can change.
 type fakeMembers struct{ members []member.Member }
 
 func (f *fakeMembers) Table() *member.Table { return member.NewTable(f.members...) }
@@ -38,15 +38,15 @@
 	}
 }
 
-// placementFixture runs a placementController whose stores follow the placement at once.
+// placementFixture runs a placementController with simulated stores that apply each placement at once.
 type placementFixture struct {
-	t          *testing.T
-	machine    *Machine
-	members    *fakeMembers
-	controller *placementController
-	now        time.Time
-	muted      map[string]bool
-	running    uint32 // items at each replica, as reported
+	t            *testing.T
+	machine      *Machine
+	members      *fakeMembers
+	controller   *placementController
+	now          time.Time
+	notReporting map[string]bool
+	running      uint32 // batch items at each replica, as reported
 }
 
 const (
@@ -56,7 +56,7 @@
 )
 
 func newPlacementFixture(t *testing.T, stores int) *placementFixture {
-	f := &placementFixture{t: t, machine: NewMachine(), members: &fakeMembers{}, now: time.Now(), muted: map[string]bool{}}
+	f := &placementFixture{t: t, machine: NewMachine(), members: &fakeMembers{}, now: time.Now(), notReporting: map[string]bool{}}
 	for number := range stores {
 		f.members.members = append(f.members.members, storeMember(number+1))
 	}
@@ -81,10 +81,10 @@
 
 func (f *placementFixture) table() placement.Table { return decodePlacement(f.machine.State()) }
 
-// report has each running store report that it has done what the placement asks for.
+// report has each running store report that it has applied the placement.
 func (f *placementFixture) report() {
 	for _, m := range f.members.members {
-		if m.Role != storeRole || !m.Running() || f.muted[m.Name] {
+		if m.Role != storeRole || !m.Running() || f.notReporting[m.Name] {
 			continue
 		}
 		report := Report{Store: Store{m.Name, m.Replica}}
@@ -97,7 +97,7 @@
 	}
 }
 
-// run reconciles in steps for a time.
+// run advances the clock by a duration, and reconciles at each step of it.
 func (f *placementFixture) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(testStep) {
 		f.report()
@@ -130,7 +130,7 @@
 	}
 }
 
-// headCount counts the partitions that a store is head of.
+// headCount returns the number of partitions of which a store is the head.
 func (f *placementFixture) headCount(store string) (count int) {
 	for _, partition := range f.table().Partitions {
 		if partition.View.Members[0].Name == store {
@@ -140,12 +140,12 @@
 	return count
 }
 
-// newStoreDirectory returns the list of stores of the fixture, by its clock.
+// newStoreDirectory returns a directory of the fixture's stores that uses the fixture's clock.
 func (f *placementFixture) newStoreDirectory() *storeDirectory {
 	return &storeDirectory{members: f.members, machine: f.machine, now: func() time.Time { return f.now }}
 }
 
-// newService returns a service by which an operator may retire stores.
+// newService returns a service through which an operator can retire stores.
 func (f *placementFixture) newService(minimumStores int) *service {
 	return newService(&fakeReplica{machine: f.machine}, f.machine, f.newStoreDirectory(), minimumStores)
 }
--- a/internal/control/placement_observation.go
+++ b/internal/control/placement_observation.go
@@ -10,7 +10,7 @@
 	"nickelline/internal/view"
 )
 
-// observeStores gathers what is known of the stores, and drops reports that are too old to count.
+// observeStores describes the stores by membership and their reports, and drops expired reports.
 func (c *placementController) observeStores(state *State, now time.Time) []placement.Store {
 	var stores []placement.Store
 	for _, m := range c.members.Table().All() {
@@ -22,8 +22,8 @@
 	return stores
 }
 
-// observeStore describes one store. A store that has sent no report counts as alive until this node has been head for as
-// long as the timeout of reports.
+// observeStore describes one store. A running store without a recent report counts as alive until this node has been the head
+// for timing.reportTimeout.
 func (c *placementController) observeStore(state *State, m *member.Member, now time.Time) placement.Store {
 	chains, recent := c.reports.recent(m.Replica, now.Add(-c.timing.reportTimeout))
 	waitedForReports := now.Sub(c.headSince) >= c.timing.reportTimeout
@@ -39,8 +39,8 @@
 	return store
 }
 
-// knowsStores reports whether this node knows enough of the stores to change the placement: a new head waits for a while
-// until each store in the table has reported.
+// knowsStores reports whether this node knows enough about the stores to change the placement. A new head waits until each
+// store in the table has reported or is known to be down, but no longer than timing.stabilization.
 func (c *placementController) knowsStores(now time.Time, table placement.Table, stores []placement.Store) bool {
 	if now.Sub(c.headSince) >= c.timing.stabilization {
 		return true
@@ -55,7 +55,7 @@
 	}
 	for _, partition := range table.Partitions {
 		for _, m := range partition.View.Members {
-			// A replica that is unknown while its address reports as another one has lost its disk.
+			// If a store at the address of an unlisted replica reports as another replica, the unlisted one has lost its disk.
 			isReplaced := reporting[m.Address] && !isListed(stores, m.Replica)
 			if !known[m.Replica] && !isReplaced {
 				return false
@@ -65,7 +65,7 @@
 	return true
 }
 
-// isListed reports whether a replica is among the stores that membership knows.
+// isListed reports whether a replica is among the stores.
 func isListed(stores []placement.Store, replica view.ReplicaID) bool {
 	return slices.ContainsFunc(stores, func(s placement.Store) bool { return s.Replica == replica })
 }
--- a/internal/control/placement_random_test.go
+++ b/internal/control/placement_random_test.go
@@ -9,17 +9,17 @@
 	"nickelline/internal/placement"
 )
 
-// disturb changes one store at random, with at most one of them down at a time.
-func (f *placementFixture) disturb(random *rand.Rand) {
+// changeRandomStore fails, wipes, adds or retires a random store, or revives all. At most one store is down at a time.
+func (f *placementFixture) changeRandomStore(random *rand.Rand) {
 	store := &f.members.members[random.IntN(len(f.members.members))]
 	switch random.IntN(12) {
 	case 0:
-		f.revive()
+		f.markAllAlive()
 		store.State = member.Dead
 	case 1:
-		f.revive()
+		f.markAllAlive()
 	case 2:
-		f.revive()
+		f.markAllAlive()
 		store.Replica = random.Uint64() | 1<<32
 	case 3:
 		if len(f.members.members) < 9 {
@@ -31,7 +31,7 @@
 	}
 }
 
-func (f *placementFixture) revive() {
+func (f *placementFixture) markAllAlive() {
 	for i := range f.members.members {
 		f.members.members[i].State = member.Alive
 	}
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestRandomPlacements fails, revives, wipes, adds and retires stores at random, and checks after each step that no view
-// is too small, that each view of a partition keeps a member of the one before, and that no completed retirement is undone.
+// Stores fail, return, lose their disks, are added and retired at random. After each step, no view may be too small, each head
+// must have been in the previous view of its partition, and no replica may be placed after its completed retirement.
 func TestRandomPlacements(t *testing.T) {
 	for seed := range uint64(8) {
 		f := newPlacementFixture(t, 5)
@@ -64,13 +64,13 @@
 		random := rand.New(rand.NewPCG(seed, 3))
 		before := f.table()
 		for range 150 {
-			f.disturb(random)
+			f.changeRandomStore(random)
 			f.run(testStep)
 			after := f.table()
 			f.checkChange(seed, before, after)
 			before = after
 		}
-		f.revive()
+		f.markAllAlive()
 		f.run(30 * time.Second)
 		for _, partition := range f.table().Partitions {
 			if len(partition.View.Members) < 3 {
--- a/internal/control/ports_test.go
+++ b/internal/control/ports_test.go
@@ -21,7 +21,7 @@
 }
 
 func portIsFree(port uint16) bool {
-	for node := range testControls {
+	for node := range testNodeCount {
 		address := netip.AddrPortFrom(nodeAddress(node), port)
 		listener, err := net.Listen("tcp4", address.String())
 		if err != nil {
--- a/internal/control/proof_schedule.go
+++ b/internal/control/proof_schedule.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// proofRetryMinimum is the pause after a proof that failed, which doubles with each further one up to the period of the
-// proofs. After a start of all nodes the first proof fails while the others do not listen yet, and all that depends on
-// it waits. A shorter pause costs calls to voters that are down.
-const proofRetryMinimum = 25 * time.Millisecond
+// minProofRetryDelay is the delay before the retry of a failed proof. It doubles with each further failure, up to the period of
+// the proofs. When all nodes start at once, the first proof fails as the others do not listen yet, and everything that needs a
+// proof waits for the retry. A shorter delay would cost more calls to voters that are down.
+const minProofRetryDelay = 25 * time.Millisecond
 
-// proofSchedule says when the next proof is due.
+// proofSchedule computes the delay before the next proof, with an exponential backoff after failures.
 type proofSchedule struct {
 	period time.Duration
-	pause  time.Duration // after the latest failed proof, 0 if the latest one succeeded
+	delay  time.Duration // after the latest failed proof, 0 if the latest proof succeeded
 }
 
-// next returns the pause after a proof.
+// next returns the delay after a proof.
 func (s *proofSchedule) next(succeeded bool) time.Duration {
 	if succeeded {
-		s.pause = 0
+		s.delay = 0
 		return s.period
 	}
-	s.pause = min(max(2*s.pause, proofRetryMinimum), s.period)
-	return s.pause
+	s.delay = min(max(2*s.delay, minProofRetryDelay), s.period)
+	return s.delay
 }
 
-// proveRepeatedly makes a proof at once, then in each period, whenever wake is signalled, and sooner after a proof that failed,
-// until ctx ends. prove reports whether it succeeded.
+// proveRepeatedly calls prove at once, then once per period and whenever wake is signalled, until ctx ends. It calls prove
+// sooner after a failure, which prove reports by returning false.
 func proveRepeatedly(ctx context.Context, period time.Duration, wake <-chan struct{}, prove func(context.Context) bool) {
 	schedule := proofSchedule{period: period}
 	timer := time.NewTimer(0)
--- a/internal/control/proof_schedule_test.go
+++ b/internal/control/proof_schedule_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A proof that failed is tried again soon, and then less and less often, so that a node that cannot be reached costs little.
+// A failed proof is retried soon, and then with an exponential backoff, so that an unreachable node costs few calls.
 func TestFailedProofIsRetriedSooner(t *testing.T) {
 	const period = 400 * time.Millisecond
 	schedule := proofSchedule{period: period}
@@ -17,11 +17,11 @@
 	}
 	want := []time.Duration{period, 25e6, 50e6, 100e6, 200e6, period, period, period, 25e6}
 	if !slices.Equal(got, want) {
-		t.Errorf("pauses: got %v, want %v", got, want)
+		t.Errorf("delays: got %v, want %v", got, want)
 	}
 }
 
-// The first proof does not wait for a period, nor does the one after a failure.
+// Neither the first proof nor the one after a failure waits for a period.
 func TestProofsFollowAFailureWithinThePeriod(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -8,9 +8,9 @@
 	"nickelline/internal/pause"
 )
 
-// propose has a command committed and returns its result. It retries also where it is unknown whether an attempt was
-// committed: every command of the operator may be applied twice. The error is of kind fault.NotReady if the command was
-// certainly not committed, and fault.Unclear if it may have been.
+// propose has a command committed and returns its result. It retries even if an attempt may have been committed, as applying
+// a command of the operator twice is harmless. The error is of kind fault.NotReady if the command was certainly not committed,
+// fault.Unclear if it may have been, and that of Result.Err if the command was applied and not accepted.
 func (s *service) propose(ctx context.Context, command *Command) (Result, error) {
 	encoded, err := EncodeCommand(command)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return Result{}, fault.New(fault.NotReady, "the order was not taken: %v", err)
 }
 
-// proposeOnce has a command committed and returns its result, without a retry.
+// proposeOnce has a command committed and returns its result. It does not retry.
 func (s *service) proposeOnce(ctx context.Context, command *Command) (Result, error) {
 	encoded, err := EncodeCommand(command)
 	if err != nil {
@@ -54,13 +54,13 @@
 	return result, result.Err()
 }
 
-// sizeTimeout is the time that is added to the timeout of a call for the size of its command.
+// sizeTimeout returns the addition to the timeout of a call for a command of a number of bytes.
 func sizeTimeout(bytes int) time.Duration {
 	const megabyte = 1 << 20
 	return callTimeoutPerMegabyte * time.Duration(bytes) / megabyte
 }
 
-// retry calls an operation until it succeeds or the timeout has passed, and returns its last error.
+// retry calls an operation until it succeeds or the timeout has passed, and returns the error of the last call.
 func (s *service) retry(ctx context.Context, timeout time.Duration, operation func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/control/publisher_test.go
+++ b/internal/control/publisher_test.go
@@ -25,7 +25,7 @@
 
 func (f *fakeTopic) Certify(sequence uint64, asOf time.Time) { f.certified, f.asOf = sequence, asOf }
 
-// fakeChainNode is a node whose barriers pass or fail, and during which the test may do something.
+// fakeChainNode is a node whose barriers return err, after calling during if that is set.
 type fakeChainNode struct {
 	current view.View
 	during  func()
@@ -45,7 +45,7 @@
 
 func (f *fakeChainNode) View() view.View { return f.current }
 
-// ConfirmCurrent fails unless confirms is set, so that barriers are made.
+// ConfirmCurrent fails unless confirms is set. After a failure the publisher makes a barrier.
 func (f *fakeChainNode) ConfirmCurrent(context.Context) error {
 	if f.confirms {
 		return nil
@@ -129,12 +129,13 @@
 	}
 }
 
-// No barrier is made where a majority proves that nothing newer was committed: it would wait for all members.
+// If a majority of the voters proves that nothing newer was committed, no barrier is made, as a barrier would wait for all
+// members.
 func TestProofWithoutABarrier(t *testing.T) {
 	f := newPublisherFixture()
 	applyAndCheck(t, f.machine, put(0, documentText(3, 10)), Accepted)
 	f.node.confirms = true
-	f.node.err = errNotReady // of a barrier
+	f.node.err = errNotReady // the error of a barrier
 	before := time.Now()
 	f.publisher.prove(t.Context())
 	if f.configuration.certified != 3 || f.configuration.asOf.Before(before) || f.node.barriers > 0 {
--- a/internal/control/recording_topic_test.go
+++ b/internal/control/recording_topic_test.go
@@ -30,10 +30,10 @@
 	signal(r.changed)
 }
 
-// wait returns once a version is certified.
+// wait returns once a version or a later one is certified. Each certified version must have been published before.
 func (r *recordingTopic) wait(t *testing.T, sequence uint64) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), testCalls)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	for {
 		r.mutex.Lock()
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// controlChain is the number of the chain that replicates the control state.
+	// controlChain is the identifier of the chain that replicates the control state.
 	controlChain = 0
-	// chainDirectory is where it keeps its files, within the data directory of the process.
+	// chainDirectory is the directory of its files, within the data directory of the process.
 	chainDirectory = "control"
-	// minimumChainMembers is the number of members that a view has where there are so many replicas, even if no loss has to
-	// be tolerated.
+	// minimumChainMembers is the number of members of a full view, if there are that many replicas, even if no loss has to be
+	// tolerated.
 	minimumChainMembers = 3
 )
 
@@ -46,13 +46,13 @@
 	})
 	if err != nil {
 		node.Close()
-		return c.handleOpenError(merry.Prepend(err, "views of the control chain"))
+		return c.handleOpenError(merry.Prepend(err, "reconfigurer of the control chain"))
 	}
 	return nil
 }
 
-// chainPolicy returns the sizes of the control chain for a number of disks that may be lost at once. As many replicas vote
-// on its views as a full view has members.
+// chainPolicy returns the sizes of the views of the control chain for a number of disks that may be lost at once. The number
+// of voters on a view is that of the members of a full view.
 func chainPolicy(losses int) view.Policy {
 	full := max(minimumChainMembers, 2*losses+1)
 	return view.Policy{MinimumMembers: losses + 1, MaximumMembers: full, Voters: full}
--- a/internal/control/report.go
+++ b/internal/control/report.go
@@ -7,34 +7,34 @@
 	"nickelline/internal/peer"
 )
 
-// Kinds of messages of this package.
+// Kinds of the peer messages of this package.
 const (
 	reportKind = peer.ControlKinds + iota
 )
 
-// Report is how far the replicas of a store have progressed.
+// Report describes the progress of a store's replicas of partitions.
 type Report struct {
 	Store  Store
 	Chains []ChainStatus
-	// Impaired is set if the store's disk does not work: it can be in no view for now.
+	// Impaired is set while the store's disk does not work, so that the store can be in no view.
 	Impaired bool
 }
 
-// ChainStatus is how far a store's replica of one partition has progressed. Its chain is placement.ChainOf(partition).
+// ChainStatus describes the progress of a store's replica of one partition. Chain is placement.ChainOf(partition).
 type ChainStatus struct {
 	Chain uint32
-	// Epoch is that of the latest view of the partition that the replica has installed, 0 for a learner without one.
+	// Epoch is the epoch of the latest view of the partition that the replica has installed, 0 for a learner without a view.
 	Epoch uint64
-	// Complete is set if the replica has everything that was ever committed (chain.Status.Complete).
+	// Complete is set if the replica has every entry that was ever committed (chain.Status.Complete).
 	Complete bool
-	// CaughtUp is set if a learner has everything that its source knew to be committed (chain.Status.CaughtUp).
+	// CaughtUp is set if a learner has every entry that its source knew to be committed (chain.Status.CaughtUp).
 	CaughtUp bool
-	// Running is how many batch items run, if the replica is the head.
+	// Running is the number of running batch items, if the replica is the head.
 	Running uint32
 }
 
-// ReportReplicas sends a report to a control node, which forwards it to the head of the control chain. The error is
-// fault.NotReady if neither that node nor the next one is the head.
+// ReportReplicas sends a report to a control node, which forwards it to the head of the control chain. The error is of kind
+// fault.NotReady if neither the node nor the one to which it forwards the report is the head.
 func ReportReplicas(ctx context.Context, transport *peer.Transport, to netip.AddrPort, report Report) error {
 	return sendReport(ctx, transport, to, report, false)
 }
--- a/internal/control/report_benchmark_test.go
+++ b/internal/control/report_benchmark_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkReport encodes, reads and keeps the report of a store, by the number of its partitions.
+// BenchmarkReport measures the encoding, decoding and storing of a report, by the number of its partitions.
 func BenchmarkReport(b *testing.B) {
 	for _, partitions := range []int{4, 40, 400} {
 		b.Run(fmt.Sprint(partitions), func(b *testing.B) {
--- a/internal/control/report_codec.go
+++ b/internal/control/report_codec.go
@@ -5,7 +5,7 @@
 	"nickelline/internal/control/controlwire"
 )
 
-// encodeReport returns a report as a Cap'n Proto message. It is marked if another node has forwarded it.
+// encodeReport returns a report as a Cap'n Proto message. forwarded marks it as forwarded by a control node.
 func encodeReport(report Report, forwarded bool) ([]byte, error) {
 	return capnpcodec.Marshal(0, controlwire.NewRootReport, func(root controlwire.Report) error {
 		root.SetForwarded(forwarded)
--- a/internal/control/report_handler.go
+++ b/internal/control/report_handler.go
@@ -9,14 +9,14 @@
 	"nickelline/internal/peer"
 )
 
-// reportHandler receives the reports of stores. The head of the control chain keeps them, other nodes forward them to it.
+// reportHandler receives the reports of stores. The head of the control chain stores them, other nodes forward them to it.
 type reportHandler struct {
 	reports   *reportStore
 	transport *peer.Transport
 	// head returns the address of the head of the control chain, and whether that is this node.
-	head func() (address netip.AddrPort, own bool)
-	// changed is called after a report that differs from the one before.
-	changed func()
+	head func() (address netip.AddrPort, isSelf bool)
+	// onChange is called after a report that differs from the previous one of its store.
+	onChange func()
 }
 
 func (h *reportHandler) handle(ctx context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
@@ -24,11 +24,11 @@
 	if err != nil {
 		return peer.Message{}, fault.Wrap(fault.BadRequest, err)
 	}
-	address, own := h.head()
+	address, isSelf := h.head()
 	switch {
-	case own:
+	case isSelf:
 		if h.reports.put(report, time.Now()) {
-			h.changed()
+			h.onChange()
 		}
 		return peer.Message{Kind: reportKind}, nil
 	case forwarded || !address.IsValid():
--- a/internal/control/report_store.go
+++ b/internal/control/report_store.go
@@ -22,7 +22,7 @@
 
 func newReportStore() *reportStore { return &reportStore{byReplica: map[uint64]receivedReport{}} }
 
-// put keeps a report that was received at a time, and reports whether it differs from the one before.
+// put stores a report that was received at a time, and returns whether it differs from the previous one of its store.
 func (r *reportStore) put(report Report, at time.Time) bool {
 	slices.SortFunc(report.Chains, func(a, b ChainStatus) int { return cmp.Compare(a.Chain, b.Chain) })
 	r.mutex.Lock()
@@ -32,7 +32,8 @@
 	return !known || last.impaired != report.Impaired || !slices.Equal(last.chains, report.Chains)
 }
 
-// recent returns what a replica reported last, and whether that was received since a time and the replica is not impaired.
+// recent returns the chains of a replica's latest report, and whether that report was received at or after since and the
+// replica is not impaired.
 func (r *reportStore) recent(replica uint64, since time.Time) ([]ChainStatus, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -40,7 +41,7 @@
 	return received.chains, known && !received.impaired && !received.at.Before(since)
 }
 
-// expire drops the reports that were received before a time.
+// expire drops the reports that were received before the given time.
 func (r *reportStore) expire(before time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/control/report_test.go
+++ b/internal/control/report_test.go
@@ -46,7 +46,7 @@
 	}
 	decoded, _, err := decodeReport(encoded)
 	if err != nil || !decoded.Impaired {
-		t.Fatalf("%+v, %v", decoded, err)
+		t.Fatalf("decode an impaired report: got %+v, %v", decoded, err)
 	}
 	if !r.put(decoded, begin) || r.put(decoded, begin) {
 		t.Error("put two equal reports of an impaired store: got other than true, then false")
@@ -55,10 +55,10 @@
 		t.Error("impaired store: got a recent report")
 	}
 	if !r.put(exampleReport, begin) {
-		t.Error("put a report of a store that is impaired no more: got false, want true")
+		t.Error("put a report of a recovered store: got false, want true")
 	}
 	if _, recent := r.recent(7, begin); !recent {
-		t.Error("store that is impaired no more: got no recent report")
+		t.Error("recovered store: got no recent report")
 	}
 }
 
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	reports := newReportStore()
-	h := &reportHandler{reports: reports, transport: transport, head: head, changed: func() {}}
+	h := &reportHandler{reports: reports, transport: transport, head: head, onChange: func() {}}
 	transport.Handle(reportKind, h.handle)
 	transport.Start()
 	t.Cleanup(transport.Close)
@@ -103,14 +103,14 @@
 func TestReportsAreForwardedToTheHead(t *testing.T) {
 	headReports, head := reportNode(t, func() (netip.AddrPort, bool) { return netip.AddrPort{}, true })
 	otherReports, other := reportNode(t, func() (netip.AddrPort, bool) { return head.Address(), false })
-	_, lost := reportNode(t, func() (netip.AddrPort, bool) { return other.Address(), false })
-	if err := ReportReplicas(t.Context(), lost, other.Address(), exampleReport); err != nil {
+	_, misdirected := reportNode(t, func() (netip.AddrPort, bool) { return other.Address(), false })
+	if err := ReportReplicas(t.Context(), misdirected, other.Address(), exampleReport); err != nil {
 		t.Fatal(err)
 	}
 	if len(headReports.byReplica) != 1 || len(otherReports.byReplica) != 0 {
 		t.Errorf("got %d reports at the head and %d elsewhere, want 1 and 0", len(headReports.byReplica), len(otherReports.byReplica))
 	}
-	// A node that is not the head does not forward a report that was forwarded already.
-	err := ReportReplicas(t.Context(), head, lost.Address(), exampleReport)
+	// The misdirected node forwards to a node that is not the head, which does not forward the report again.
+	err := ReportReplicas(t.Context(), head, misdirected.Address(), exampleReport)
 	checkKind(t, err, fault.NotReady)
 }
--- a/internal/control/responses.go
+++ b/internal/control/responses.go
@@ -11,16 +11,16 @@
 	"nickelline/internal/fault"
 )
 
-// retryAfterSeconds is the pause before a retry that a caller is advised of when its call was certainly not executed.
+// retryAfterSeconds is the Retry-After header, in seconds, of the response to a call that was certainly not executed.
 const retryAfterSeconds = "0.3"
 
-// answerError answers with the status of an error's kind, and its text for the operator.
-func answerError(request *app.RequestContext, err error) {
-	answer := fault.ResponseFor(fault.KindOf(err))
-	if answer.NotExecuted {
+// writeError responds with the status of an error's kind and the error's text for the operator.
+func writeError(request *app.RequestContext, err error) {
+	response := fault.ResponseFor(fault.KindOf(err))
+	if response.NotExecuted {
 		request.Header("Retry-After", retryAfterSeconds)
 	}
-	answerJSON(request, answer.Status, controlapi.ErrorBody{Error: errorText(err)})
+	writeJSON(request, response.Status, controlapi.ErrorBody{Error: errorText(err)})
 }
 
 func errorText(err error) string {
@@ -30,7 +30,7 @@
 	return err.Error()
 }
 
-func answerJSON(request *app.RequestContext, status int, reply any) {
+func writeJSON(request *app.RequestContext, status int, reply any) {
 	body, err := json.Marshal(reply)
 	if err != nil {
 		status, body = http.StatusInternalServerError, []byte("{}")
--- a/internal/control/result.go
+++ b/internal/control/result.go
@@ -2,10 +2,10 @@
 
 import "nickelline/internal/fault"
 
-// Outcome is what applying a command did.
+// Outcome says whether a command changed the state, or why it did not.
 type Outcome uint8
 
-// The outcomes of commands. Their numbers are part of the form of results.
+// The outcomes of commands. Their numbers are part of the encoding of results.
 const (
 	// Malformed commands cannot be read.
 	Malformed Outcome = iota
@@ -17,7 +17,7 @@
 	Invalid
 	// VersionMismatch commands build on a state that is not the current one.
 	VersionMismatch
-	// Refused commands are not possible in the current state.
+	// Refused commands cannot be carried out in the current state.
 	Refused
 )
 
@@ -28,7 +28,7 @@
 	Refused:         fault.Conflict,
 }
 
-// Result is the answer to a command that was applied.
+// Result is the result of applying a command.
 type Result struct {
 	Outcome Outcome
 	// Version is the version of the configuration, of the placement, or of the set of leaseholders after the command.
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -9,15 +9,15 @@
 
 // Timeouts of the operator's calls.
 const (
-	// callTimeout bounds the retries of a call within this node: a caller tries another node after a second.
+	// callTimeout bounds the retries of a call within this node. A caller tries another node after one second.
 	callTimeout = 800 * time.Millisecond
-	// callTimeoutPerMegabyte is added for large commands.
+	// callTimeoutPerMegabyte is added to callTimeout for each megabyte of the command.
 	callTimeoutPerMegabyte = time.Second
 	// retryInterval is the pause between two attempts.
 	retryInterval = 40 * time.Millisecond
 )
 
-// chainReplica is the control chain as the operator's calls use it: a *chain.Node.
+// chainReplica is the part of *chain.Node that the operator's calls use.
 type chainReplica interface {
 	Propose(ctx context.Context, command []byte) ([]byte, error)
 	Barrier(ctx context.Context) error
@@ -25,12 +25,12 @@
 
 // storeLister lists the stores of the system.
 type storeLister interface {
-	// Stores returns all known stores, those of them that can be relied on to hold data, and whether the list is complete: a
-	// store that is not in it does not exist.
+	// Stores returns all known stores, those of them that can be relied on to hold data, and whether the list of known stores
+	// is complete, so that a store that is not in it does not exist.
 	Stores() (known, remaining []Store, complete bool)
 }
 
-// service carries out the operator's calls, independently of the protocol. Its methods may be called concurrently.
+// service implements the operator's calls, independently of HTTP. Its methods may be called concurrently.
 type service struct {
 	replica chainReplica
 	machine *Machine
@@ -52,9 +52,9 @@
 	}
 }
 
-// Configure has a change of the configuration committed. When it returns no error, the change is acknowledged: it is on the
-// disks of all members of the control chain, and Machine.configure has accepted it. An error of kind fault.NotReady or
-// fault.Unclear leaves its outcome open; any other is a refusal that is final.
+// Configure has a change of the configuration committed. If it returns no error, the change is acknowledged: it is on the
+// disks of all members of the control chain, and Machine.configure has accepted it. After an error of kind fault.NotReady the
+// change was not made, and after fault.Unclear it may have been; any other error is a final refusal.
 func (s *service) Configure(ctx context.Context, request *Configure) (Result, error) {
 	if s.machine.HasAccepted(request.Digest()) {
 		return Result{Outcome: Repeated, Version: s.machine.State().Version()}, nil
@@ -74,7 +74,8 @@
 	return s.machine.State(), nil
 }
 
-// Retire requests that the store on a machine be emptied.
+// Retire requests that the store with a name be emptied. fault.NotFound means that neither such a store nor a retirement of it
+// exists.
 func (s *service) Retire(ctx context.Context, name string, duration time.Duration) (Result, error) {
 	known, remaining, complete := s.stores.Stores()
 	store, found := findStore(known, name)
@@ -89,7 +90,7 @@
 	return s.acknowledgeRetirement(ctx, name)
 }
 
-// acknowledgeRetirement acknowledges the retirement of a store that is known from an earlier request only.
+// acknowledgeRetirement acknowledges the retirement of a store that is known only from an earlier request.
 func (s *service) acknowledgeRetirement(ctx context.Context, name string) (Result, error) {
 	if _, err := s.Retirement(ctx, name); err != nil {
 		return Result{}, err
--- a/internal/control/service_fixture_test.go
+++ b/internal/control/service_fixture_test.go
@@ -9,16 +9,16 @@
 	"nickelline/internal/fault"
 )
 
-// fakeReplica applies commands to a machine at once, unless a fault is injected.
+// fakeReplica applies commands to a machine at once, unless an error is injected.
 type fakeReplica struct {
 	mutex    sync.Mutex
 	machine  *Machine
 	sequence uint64
-	// faults are the errors of the next calls, one each; nil lets a call pass.
+	// faults are the errors of the next calls, one for each call; a call with nil succeeds.
 	faults []error
-	// appliedAnyway applies the commands whose callers get a fault.
-	appliedAnyway bool
-	// always is the error of all calls once faults is empty.
+	// applyDespiteFaults makes the replica apply also the commands whose callers get an error.
+	applyDespiteFaults bool
+	// always is the error of all calls after faults is empty.
 	always error
 	calls  int
 }
@@ -44,7 +44,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	err := f.nextFault()
-	if err != nil && !f.appliedAnyway {
+	if err != nil && !f.applyDespiteFaults {
 		return nil, err
 	}
 	f.sequence++
@@ -63,12 +63,12 @@
 	complete bool
 }
 
-func (f fakeStores) Stores() (known, remaining []Store, whole bool) {
+func (f fakeStores) Stores() (known, remaining []Store, isComplete bool) {
 	return f.list, f.list, f.complete
 }
 
-// testCallTime is how long the calls of a test are tried.
-const testCallTime = 100 * time.Millisecond
+// testCallTimeout is the call timeout of the services under test.
+const testCallTimeout = 100 * time.Millisecond
 
 var (
 	errNotReady = fault.New(fault.NotReady, "no head")
@@ -80,7 +80,7 @@
 	f.machine = NewMachine()
 	s := newService(f, f.machine, threeStores, 2)
 	s.retryInterval = time.Microsecond
-	s.callTimeout = testCallTime
+	s.callTimeout = testCallTimeout
 	return s
 }
 
--- a/internal/control/service_test.go
+++ b/internal/control/service_test.go
@@ -18,15 +18,15 @@
 }
 
 func TestConfigureAfterALostAnswer(t *testing.T) {
-	f := &fakeReplica{faults: []error{errUnclear}, appliedAnyway: true}
+	f := &fakeReplica{faults: []error{errUnclear}, applyDespiteFaults: true}
 	s := newTestService(f)
 	result, err := s.Configure(t.Context(), put(0, documentText(3, 10)).Configure)
 	if err != nil || result.Outcome != Repeated || result.Version != 3 {
-		t.Errorf("got %+v, %v; want it repeated", result, err)
+		t.Errorf("got %+v, %v; want outcome Repeated", result, err)
 	}
 }
 
-func TestConfigureWithoutAChain(t *testing.T) {
+func TestConfigureWhileTheChainIsUnavailable(t *testing.T) {
 	s := newTestService(&fakeReplica{always: errNotReady})
 	_, err := s.Configure(t.Context(), put(0, documentText(3, 10)).Configure)
 	checkKind(t, err, fault.NotReady)
@@ -35,7 +35,7 @@
 	checkKind(t, err, fault.Unclear)
 }
 
-func TestConfigureAcknowledgesWithoutAChain(t *testing.T) {
+func TestRepeatedChangeIsAcknowledgedWhileTheChainIsUnavailable(t *testing.T) {
 	f := &fakeReplica{}
 	s := newTestService(f)
 	request := put(0, documentText(3, 10)).Configure
@@ -48,7 +48,7 @@
 	f.fail(errNotReady)
 	result, err := s.Configure(t.Context(), request)
 	if err != nil || result.Outcome != Repeated {
-		t.Errorf("got %+v, %v; want it repeated", result, err)
+		t.Errorf("got %+v, %v; want outcome Repeated", result, err)
 	}
 }
 
@@ -98,7 +98,7 @@
 	checkKind(t, err, fault.NotFound)
 	result, err := s.Retire(t.Context(), "a", time.Second)
 	if err != nil || result.Outcome != Accepted {
-		t.Fatalf("got %+v, %v; want it accepted", result, err)
+		t.Fatalf("got %+v, %v; want outcome Accepted", result, err)
 	}
 	_, err = s.Retire(t.Context(), "b", time.Second)
 	checkKind(t, err, fault.Conflict)
@@ -108,7 +108,7 @@
 	}
 	s.stores = fakeStores{list: threeStores.list[1:], complete: true}
 	if result, err := s.Retire(t.Context(), "a", time.Second); err != nil || result.Outcome != Repeated {
-		t.Errorf("repeat a retirement of a machine that is gone: got %+v, %v", result, err)
+		t.Errorf("repeat the retirement of a store that is gone: got %+v, %v; want outcome Repeated", result, err)
 	}
 }
 
@@ -129,6 +129,6 @@
 	s := newTestService(&fakeReplica{always: errNotReady})
 	_, err := s.Configure(t.Context(), put(0, documentText(3, 10)).Configure)
 	if err == nil || !strings.Contains(err.Error(), "no head") {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want it to contain %q", err, "no head")
 	}
 }
--- a/internal/control/simulated_chain_test.go
+++ b/internal/control/simulated_chain_test.go
@@ -9,23 +9,23 @@
 	"nickelline/internal/fault"
 )
 
-// simulatedChain is the control chain as its state machine sees it: one sequence of commands, which nodes apply with a lag.
-// Package chain has its own histories.
+// simulatedChain is a model of the control chain as its state machine sees it: one sequence of commands, which nodes apply with
+// a lag. The tests of package chain cover the replication itself.
 type simulatedChain struct {
 	random  *rand.Rand
 	entries [][]byte
-	late    [][]byte // commands of calls that ended without an answer, which may still be appended
+	late    [][]byte // commands of calls that ended without a response, which may still be appended
 	nodes   []*simulatedNode
 }
 
-// simulatedNode is a replica of the control state with the service that answers operators.
+// simulatedNode is a replica of the control state, with the service for operators.
 type simulatedNode struct {
 	chain         *simulatedChain
 	machine       *Machine
 	service       *service
 	applied       int
 	snapshot      []byte
-	snapshotIndex int // entries that the snapshot contains
+	snapshotIndex int // number of entries that the snapshot contains
 }
 
 func newSimulatedChain(random *rand.Rand) *simulatedChain {
@@ -44,7 +44,7 @@
 	n.service.callTimeout, n.service.retryInterval = time.Nanosecond, 0
 }
 
-// applyUpTo applies entries and returns the result of the last one.
+// applyUpTo applies entries until count entries are applied, and returns the result of the last one.
 func (n *simulatedNode) applyUpTo(count int) []byte {
 	var result []byte
 	for n.applied < count {
@@ -54,7 +54,8 @@
 	return result
 }
 
-// Propose implements chainReplica: a command may be refused, appended with or without an answer, or appended later or never.
+// Propose implements chainReplica. At random, a command is refused, appended with or without a response, or appended later or
+// never without a response.
 func (n *simulatedNode) Propose(_ context.Context, command []byte) ([]byte, error) {
 	switch n.chain.random.IntN(8) {
 	case 0:
@@ -79,23 +80,24 @@
 	return nil
 }
 
-// disturb makes one of the events happen that happen independently of calls.
-func (l *simulatedChain) disturb(t *testing.T) {
+// randomEvent triggers at most one event that is independent of calls: a node applies entries, takes a snapshot or restarts, or
+// a late command is appended.
+func (c *simulatedChain) randomEvent(t *testing.T) {
 	t.Helper()
-	node := l.nodes[l.random.IntN(len(l.nodes))]
-	switch l.random.IntN(6) {
+	node := c.nodes[c.random.IntN(len(c.nodes))]
+	switch c.random.IntN(6) {
 	case 0:
-		node.applyUpTo(node.applied + l.random.IntN(len(l.entries)-node.applied+1))
+		node.applyUpTo(node.applied + c.random.IntN(len(c.entries)-node.applied+1))
 	case 1:
 		node.snapshot, node.snapshotIndex = node.machine.Snapshot(), node.applied
 	case 2:
 		node.restart(t)
 	case 3:
-		l.appendLate()
+		c.appendLate()
 	}
 }
 
-// restart restores a node from its snapshot. It applies the entries after that again later.
+// restart restores a node from its snapshot. The node applies the entries after the snapshot again later.
 func (n *simulatedNode) restart(t *testing.T) {
 	t.Helper()
 	machine := NewMachine()
@@ -108,10 +110,10 @@
 	n.open(machine)
 }
 
-func (l *simulatedChain) appendLate() {
-	if len(l.late) > 0 {
-		i := l.random.IntN(len(l.late))
-		l.entries = append(l.entries, l.late[i])
-		l.late = append(l.late[:i], l.late[i+1:]...)
+func (c *simulatedChain) appendLate() {
+	if len(c.late) > 0 {
+		i := c.random.IntN(len(c.late))
+		c.entries = append(c.entries, c.late[i])
+		c.late = append(c.late[:i], c.late[i+1:]...)
 	}
 }
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -10,23 +10,23 @@
 
 // State is the control state after some command. It is immutable.
 type State struct {
-	// Document and Configuration are the operator's configuration, as written and as compiled, nil before the first.
+	// Document is the operator's configuration as written, Configuration the same compiled. Both are nil before the first one.
 	Document      *configuration.Document
 	Configuration *configuration.Snapshot
 	// Retirements are in the order in which they were requested.
 	Retirements []Retirement
 	// RetirementRevision counts the changes of the retirements.
 	RetirementRevision uint64
-	// Placement is the placement table of the batch partitions, as encoded, and PlacementVersion counts its changes.
+	// Placement is the encoded placement.Table of the batch partitions, and PlacementVersion counts its changes.
 	Placement        []byte
 	PlacementVersion uint64
 	// Leaseholders are the proxies that may hold quota leases.
 	Leaseholders LeaseholderSet
 
-	encoded func() []byte
+	encodeDocument func() []byte // encodes Document on the first call only; nil if Document is nil
 }
 
-// Retirement is a request that a store be emptied, and whether that is completed.
+// Retirement is a request to empty a store, and whether that is completed.
 type Retirement struct {
 	Store     Store
 	Duration  time.Duration
@@ -35,12 +35,12 @@
 
 // LeaseholderSet is the set of proxies that may hold quota leases.
 type LeaseholderSet struct {
-	// Epoch is that of the allocator that made the latest change, and Revision counts the changes.
+	// Epoch is the epoch of the allocator that made the latest change, and Revision counts the changes.
 	Epoch, Revision uint64
-	// Members are sorted by their addresses, one for each address.
+	// Members are sorted by address, with one member for each address.
 	Members []Leaseholder
-	// Former are processes that were replaced by others at their addresses and have ended, the oldest first, so that their late
-	// messages are told from those of new ones: the last maximumFormer of each address.
+	// Former are the ended processes that were replaced by others at their addresses, the oldest first: the last
+	// maxFormerPerAddress of each address. They distinguish late messages of ended processes from those of new ones.
 	Former []Leaseholder
 	// Reserves are the tenants whose quota reserves are kept for the next allocator, sorted.
 	Reserves []string
@@ -59,7 +59,7 @@
 	if s.Document == nil {
 		return nil
 	}
-	return s.encoded()
+	return s.encodeDocument()
 }
 
 // Retirement returns the latest retirement of the store with a name, and whether there is one.
@@ -75,8 +75,8 @@
 	return slices.IndexFunc(s.Retirements, func(r Retirement) bool { return r.Store.Name == name })
 }
 
-// Retired reports whether a store must not be given data. While a retirement is in progress that holds for every replica
-// on the machine; once it is completed, for the replica that was retired.
+// Retired reports whether a store must not be given data. While a retirement is in progress, this applies to every replica on
+// the machine; after it is completed, only to the replica that was retired.
 func (s *State) Retired(store Store) bool {
 	return slices.ContainsFunc(s.Retirements, func(r Retirement) bool {
 		if r.Completed {
@@ -91,7 +91,7 @@
 	next := *s
 	next.Document = document
 	next.Configuration = snapshot
-	next.encoded = sync.OnceValue(document.Encode)
+	next.encodeDocument = sync.OnceValue(document.Encode)
 	return &next
 }
 
--- a/internal/control/state_codec.go
+++ b/internal/control/state_codec.go
@@ -8,7 +8,7 @@
 	"nickelline/internal/control/controlwire"
 )
 
-// encodeState returns the snapshot of a state and of the changes that were accepted and refused, as a Cap'n Proto message.
+// encodeState returns a state and the digests of accepted and refused changes as a Cap'n Proto message: a snapshot.
 func encodeState(s *State, accepted, refused []Digest) []byte {
 	document := s.EncodedDocument()
 	return mustMarshal(controlwire.NewRootState, func(root controlwire.State) error {
@@ -101,7 +101,7 @@
 	return readDocument(state, document)
 }
 
-// readDocument returns the state with a configuration, which is compiled anew.
+// readDocument returns the state with an encoded configuration, which it compiles.
 func readDocument(state *State, encoded []byte) (*State, error) {
 	document, err := configuration.Parse(encoded)
 	if err != nil {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -8,7 +8,7 @@
 	"nickelline/internal/view"
 )
 
-// Status describes the system as this node knows it, without asking others.
+// Status describes the system as this node knows it. It makes no calls to other nodes.
 func (c *Control) Status() controlapi.Status {
 	state := c.machine.State()
 	return controlapi.Status{
@@ -50,7 +50,7 @@
 	}
 }
 
-// isRunning reports whether a replica of the control chain runs, as far as this node knows.
+// isRunning reports whether a replica of the control chain is running, as far as this node knows.
 func (c *Control) isRunning(replica view.ReplicaID) bool {
 	if replica == c.options.Replica {
 		return true
--- a/internal/control/stored_data_test.go
+++ b/internal/control/stored_data_test.go
@@ -24,18 +24,18 @@
 	"nickelline/internal/view"
 )
 
-// The test in this file opens a data directory of a control replica that an earlier version of the program has written.
-// It guards the format of stored data: names of files, kinds of records and their fields. The directory is never written
-// anew: to add one of a later format, add a directory beside it. -update writes it only where it is missing.
+// The test in this file opens a data directory of a control replica that an earlier version of the program wrote. It guards
+// the format of stored data: names of files, kinds of records and their fields. The directory must never be rewritten: to
+// cover a later format, add another directory. -update writes the directory only if it is missing.
 
 const (
 	storedDirectory = "testdata/stored/replica"
-	// storedAddress is the address in the stored view. Nothing listens there while the test runs.
+	// storedAddress is the address of the replica in the stored view. Nothing listens there while the test runs.
 	storedAddress = "127.83.83.1:18300"
 	testAddress   = "127.0.0.1:0"
 )
 
-// storedReplica is a control process without others, on a data directory.
+// storedReplica is a single control process that runs on a data directory.
 type storedReplica struct {
 	t         *testing.T
 	directory string
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatalf("load identity: %v", err)
 	}
-	read := &settings.Settings{
+	nodeSettings := &settings.Settings{
 		NodeName:      "f-1",
 		IP:            transport.Address().Addr(),
 		Zone:          "z-1",
@@ -63,13 +63,13 @@
 		DataDirectory: directory,
 		HeartbeatMs:   400,
 	}
-	read.Listen.ControlPlane = netip.MustParseAddrPort(testAddress)
-	read.SeedNodes = []netip.AddrPort{transport.Address()}
+	nodeSettings.Listen.ControlPlane = netip.MustParseAddrPort(testAddress)
+	nodeSettings.SeedNodes = []netip.AddrPort{transport.Address()}
 	members := member.New(member.Member{
-		Name: read.NodeName, Role: controlRole, Zone: read.Zone, Address: transport.Address(), Replica: uint64(replica),
+		Name: nodeSettings.NodeName, Role: controlRole, Zone: nodeSettings.Zone, Address: transport.Address(), Replica: uint64(replica),
 	}, nil, transport, zap.NewNop())
 	control, err := New(Options{
-		Settings: read, FileSystem: segment.OperatingSystem{}, Replica: replica, Transport: transport, Members: members,
+		Settings: nodeSettings, FileSystem: segment.OperatingSystem{}, Replica: replica, Transport: transport, Members: members,
 		Configuration: newRecordingTopic(), Placement: newRecordingTopic(), Log: zap.NewNop(),
 	})
 	if err != nil {
@@ -80,7 +80,7 @@
 	return &storedReplica{t: t, directory: directory, control: control, transport: transport}
 }
 
-// close ends the process without changing the view.
+// close stops the process without a change of the view.
 func (s *storedReplica) close() {
 	s.t.Helper()
 	s.control.api.stop()
@@ -89,13 +89,13 @@
 		s.control.goroutines.Wait()
 	}
 	if err := s.control.listener.Close(); !errors.Is(err, net.ErrClosed) {
-		s.t.Errorf("listener after the stop: got %v, want %v", err, net.ErrClosed)
+		s.t.Errorf("close the listener after the server stopped: got %v, want %v", err, net.ErrClosed)
 	}
 	s.control.node.Close()
 	s.transport.Close()
 }
 
-// closeWithSnapshot ends the process and returns a snapshot of its state.
+// closeWithSnapshot stops the process and returns a snapshot of its state.
 func (s *storedReplica) closeWithSnapshot() segment.Snapshot {
 	s.t.Helper()
 	status := s.control.node.Status()
@@ -104,7 +104,7 @@
 	return snapshot
 }
 
-// propose has a command applied and compares its outcome.
+// propose has a command committed and checks its outcome.
 func (s *storedReplica) propose(command *Command, want Outcome) {
 	s.t.Helper()
 	reply, err := s.control.node.Propose(s.t.Context(), mustEncodeCommand(s.t, command))
@@ -123,7 +123,7 @@
 // awaitApplied returns once all entries of the log are applied.
 func (s *storedReplica) awaitApplied() {
 	s.t.Helper()
-	ctx, cancel := context.WithTimeout(s.t.Context(), testCalls)
+	ctx, cancel := context.WithTimeout(s.t.Context(), testTimeout)
 	defer cancel()
 	for {
 		err := s.control.node.Barrier(ctx)
@@ -138,7 +138,7 @@
 	}
 }
 
-// describe renders all that the replica has stored.
+// describe returns a text with all data that the replica has stored.
 func (s *storedReplica) describe() string {
 	s.t.Helper()
 	s.awaitApplied()
@@ -235,18 +235,18 @@
 	return Leaseholder{Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 0, n}), 7100+uint16(n)), Generation: 1000 + uint64(n)}
 }
 
-// refusedOrder builds on a version that does not exist yet when it is proposed, so that it stays refused.
-func refusedOrder() *Command { return patch(9, patchText(12, 70)) }
+// refusedChange returns a change that builds on a version that does not exist when it is first proposed, so it stays refused.
+func refusedChange() *Command { return patch(9, patchText(12, 70)) }
 
-// writeStoredReplica writes the directory: a snapshot that replaced the whole log, entries, a snapshot of these, and further
-// entries.
+// writeStoredReplica writes the directory. It then contains a snapshot that replaced the whole log, entries after it, a second
+// snapshot that includes these entries, and further entries.
 func writeStoredReplica(t *testing.T) {
 	t.Helper()
 	s := openStoredReplica(t, storedDirectory, storedAddress, true)
 	s.control.Start()
 	s.awaitApplied()
 	s.propose(put(0, documentText(3, 10)), Accepted)
-	s.propose(refusedOrder(), VersionMismatch)
+	s.propose(refusedChange(), VersionMismatch)
 	s.propose(retire("a", 1), Accepted)
 	s.propose(complete("a", 1, 0), Accepted)
 	s.propose(retire("b", 2), Accepted)
@@ -265,8 +265,8 @@
 	s.close()
 }
 
-// writeStoredSnapshot has the log keep a snapshot, by Reset or SaveSnapshot. A replica that learns from another resets its log:
-// only then does the directory depend on the snapshot, as a log that has all entries can be read without one.
+// writeStoredSnapshot writes a snapshot to the log by Reset or SaveSnapshot. A replica that learns from another one resets its
+// log. Only after Reset does reading the directory depend on the snapshot, as a log with all entries can be read without one.
 func writeStoredSnapshot(t *testing.T, write func(*segment.Log, segment.Snapshot) error, snapshot segment.Snapshot) {
 	t.Helper()
 	directory := path.Join(storedDirectory, chainDirectory, chain.LogDirectory)
@@ -289,10 +289,10 @@
 	s := openStoredReplica(t, directory, testAddress, false)
 	golden.Text(t, "stored/replica.txt", s.describe())
 	golden.Text(t, "stored/replica-files.txt", golden.FileNames(t, directory))
-	for _, taken := range []*Command{put(0, documentText(3, 10)), patch(3, patchText(5, 20)), patch(5, patchText(9, 30))} {
-		s.propose(taken, Repeated)
+	for _, accepted := range []*Command{put(0, documentText(3, 10)), patch(3, patchText(5, 20)), patch(5, patchText(9, 30))} {
+		s.propose(accepted, Repeated)
 	}
-	s.propose(refusedOrder(), VersionMismatch)
+	s.propose(refusedChange(), VersionMismatch)
 	s.propose(patch(9, patchText(11, 40)), Accepted)
 	s.propose(retire("b", 2), Repeated)
 	s.propose(complete("b", 2, 2), Accepted)
@@ -304,5 +304,5 @@
 	s = openStoredReplica(t, directory, testAddress, false)
 	defer s.close()
 	golden.Text(t, "stored/replica-appended.txt", s.describe())
-	s.propose(refusedOrder(), VersionMismatch)
+	s.propose(refusedChange(), VersionMismatch)
 }
--- a/internal/control/stores.go
+++ b/internal/control/stores.go
@@ -9,13 +9,13 @@
 	"nickelline/internal/view"
 )
 
-// Roles of processes, as their settings name them.
+// Roles of processes, as their settings and the table of members name them.
 const (
 	controlRole = "control"
 	storeRole   = "store"
 )
 
-// membership is the table of members as it is used here: a *member.Service.
+// membership provides the table of members. It is implemented by *member.Service.
 type membership interface {
 	Table() *member.Table
 }
@@ -24,7 +24,7 @@
 type storeDirectory struct {
 	members membership
 	machine *Machine
-	// completeFrom is the time from which on the list is complete: a store that is not in it does not exist.
+	// completeFrom is the time from which the list is complete, so that a store that is not in it does not exist.
 	completeFrom time.Time
 	now          func() time.Time
 }
@@ -46,7 +46,8 @@
 	return known, remaining, !d.now().Before(d.completeFrom)
 }
 
-// canHoldData reports whether a store can be relied on to hold data later: it runs, or is down but has data to return with.
+// canHoldData reports whether a store can be relied on to hold data later: it is running, or the placement names it, so that it
+// will return with its data.
 func canHoldData(m *member.Member, table placement.Table) bool {
 	if m.Replica == 0 || m.Leaving {
 		return false
@@ -54,7 +55,7 @@
 	return m.Running() || table.Names(view.ReplicaID(m.Replica))
 }
 
-// appendPlacedStores appends the stores that the placement names but that are not known otherwise.
+// appendPlacedStores appends the stores that the placement names and that are not in the list.
 func appendPlacedStores(known []Store, table placement.Table) []Store {
 	for _, partition := range table.Partitions {
 		for _, m := range slices.Concat(partition.View.Members, partition.Learners) {
@@ -66,8 +67,8 @@
 	return known
 }
 
-// decodePlacement reads the placement of a state. One that cannot be read counts as empty, as callers derive from it only
-// what stores there are.
+// decodePlacement decodes the placement of a state. A placement that cannot be decoded counts as empty, as callers only list
+// its contents.
 func decodePlacement(state *State) placement.Table {
 	table, err := placement.Decode(state.Placement)
 	if err != nil {
--- a/internal/control/system_test.go
+++ b/internal/control/system_test.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	testControls = 3
-	testCalls    = 15 * time.Second
+	testNodeCount = 3
+	testTimeout   = 15 * time.Second
 )
 
-// controlSystem is a few control processes on loopback addresses of one port each.
+// controlSystem consists of testNodeCount control processes on different loopback addresses, with the same ports.
 type controlSystem struct {
 	t            *testing.T
 	internalPort uint16
@@ -32,13 +32,13 @@
 	nodes        []*controlProcess
 }
 
-// controlProcess is a control role with what it needs of its process.
+// controlProcess is a control role with the parts of a process that it needs.
 type controlProcess struct {
 	control        *Control
 	transport      *peer.Transport
 	stop           context.CancelFunc
 	topic          *recordingTopic
-	viewChanged    chan struct{} // a view came into force
+	viewChanged    chan struct{} // a new view was installed
 	members        *member.Service
 	membersChanged chan struct{} // the table of members changed
 }
@@ -47,7 +47,7 @@
 
 func newControlSystem(t *testing.T) *controlSystem {
 	s := &controlSystem{t: t, internalPort: freePort(t), operatorPort: freePort(t)}
-	for range testControls {
+	for range testNodeCount {
 		s.directories = append(s.directories, t.TempDir())
 		s.nodes = append(s.nodes, nil)
 	}
@@ -56,7 +56,7 @@
 }
 
 func (s *controlSystem) settings(node int, first bool) *settings.Settings {
-	read := &settings.Settings{
+	nodeSettings := &settings.Settings{
 		NodeName:       fmt.Sprintf("f-%d", node+1),
 		IP:             nodeAddress(node),
 		Zone:           fmt.Sprintf("z-%d", node+1),
@@ -66,14 +66,14 @@
 		HeartbeatMs:    400,
 		FaultTolerance: settings.FaultTolerance{Machines: 1},
 	}
-	read.Listen.ControlPlane = netip.AddrPortFrom(nodeAddress(node), s.operatorPort)
-	for seed := range testControls {
-		read.SeedNodes = append(read.SeedNodes, netip.AddrPortFrom(nodeAddress(seed), s.operatorPort))
+	nodeSettings.Listen.ControlPlane = netip.AddrPortFrom(nodeAddress(node), s.operatorPort)
+	for seed := range testNodeCount {
+		nodeSettings.SeedNodes = append(nodeSettings.SeedNodes, netip.AddrPortFrom(nodeAddress(seed), s.operatorPort))
 	}
-	return read
+	return nodeSettings
 }
 
-// start runs a node on its directory.
+// start starts a node on its directory.
 func (s *controlSystem) start(node int, first bool) {
 	s.t.Helper()
 	if err := s.open(node, first); err != nil {
@@ -81,28 +81,28 @@
 	}
 }
 
-// open runs a node on its directory, if it can be opened.
+// open starts a node on its directory, or returns the error of opening it.
 func (s *controlSystem) open(node int, first bool) error {
-	read := s.settings(node, first)
+	nodeSettings := s.settings(node, first)
 	log := zap.NewNop()
-	transport, err := peer.Listen(read.ControlInternal(read.IP), log)
+	transport, err := peer.Listen(nodeSettings.ControlInternal(nodeSettings.IP), log)
 	if err != nil {
 		return err
 	}
-	replica, _, err := view.LoadIdentity(segment.OperatingSystem{}, read.DataDirectory)
+	replica, _, err := view.LoadIdentity(segment.OperatingSystem{}, nodeSettings.DataDirectory)
 	if err != nil {
 		transport.Close()
 		return err
 	}
 	members := member.New(member.Member{
-		Name: read.NodeName, Role: controlRole, Zone: read.Zone, Address: transport.Address(),
-		ControlPlane: read.Listen.ControlPlane, Replica: uint64(replica),
-	}, read.SeedInternal(), transport, log)
-	met := make(chan struct{}, 1)
-	members.OnChange(func(*member.Table) { signal(met) })
+		Name: nodeSettings.NodeName, Role: controlRole, Zone: nodeSettings.Zone, Address: transport.Address(),
+		ControlPlane: nodeSettings.Listen.ControlPlane, Replica: uint64(replica),
+	}, nodeSettings.SeedInternal(), transport, log)
+	membersChanged := make(chan struct{}, 1)
+	members.OnChange(func(*member.Table) { signal(membersChanged) })
 	topic := newRecordingTopic()
 	control, err := New(Options{
-		Settings: read, FileSystem: segment.OperatingSystem{}, Replica: replica, Transport: transport, Members: members,
+		Settings: nodeSettings, FileSystem: segment.OperatingSystem{}, Replica: replica, Transport: transport, Members: members,
 		Configuration: topic, Placement: newRecordingTopic(), Log: log,
 	})
 	if err != nil {
@@ -113,39 +113,39 @@
 	transport.Start()
 	members.Start(ctx)
 	control.Start()
-	viewed := make(chan struct{}, 1)
-	control.OnView(func(view.View, bool) { signal(viewed) })
+	viewChanged := make(chan struct{}, 1)
+	control.OnView(func(view.View, bool) { signal(viewChanged) })
 	s.nodes[node] = &controlProcess{
-		control: control, transport: transport, stop: stop, topic: topic, viewChanged: viewed, members: members, membersChanged: met,
+		control: control, transport: transport, stop: stop, topic: topic, viewChanged: viewChanged, members: members, membersChanged: membersChanged,
 	}
 	return nil
 }
 
-// waitForFullView returns once the view at a node names all nodes: before that another one must not be lost.
+// waitForFullView returns once the view at a node has all nodes as members. Before that, no other node may fail.
 func (s *controlSystem) waitForFullView(node int) {
 	s.t.Helper()
-	ctx, cancel := context.WithTimeout(s.t.Context(), testCalls)
+	ctx, cancel := context.WithTimeout(s.t.Context(), testTimeout)
 	defer cancel()
 	p := s.nodes[node]
-	for len(p.control.node.View().Members) < testControls {
+	for len(p.control.node.View().Members) < testNodeCount {
 		select {
 		case <-ctx.Done():
-			s.t.Fatalf("got a view of %d nodes, want %d", len(p.control.node.View().Members), testControls)
+			s.t.Fatalf("got a view of %d nodes, want %d", len(p.control.node.View().Members), testNodeCount)
 		case <-p.viewChanged:
 		}
 	}
 }
 
-// waitForAllMembers returns once a node knows all nodes as members: the chain may work before.
+// waitForAllMembers returns once a node knows all nodes as alive. The chain may work before that.
 func (s *controlSystem) waitForAllMembers(node int) {
 	s.t.Helper()
-	ctx, cancel := context.WithTimeout(s.t.Context(), testCalls)
+	ctx, cancel := context.WithTimeout(s.t.Context(), testTimeout)
 	defer cancel()
 	p := s.nodes[node]
-	for len(p.members.Table().Alive()) < testControls {
+	for len(p.members.Table().Alive()) < testNodeCount {
 		select {
 		case <-ctx.Done():
-			s.t.Fatalf("got %d alive members, want %d", len(p.members.Table().Alive()), testControls)
+			s.t.Fatalf("got %d alive members, want %d", len(p.members.Table().Alive()), testNodeCount)
 		case <-p.membersChanged:
 		}
 	}
@@ -157,7 +157,7 @@
 	}
 }
 
-// stop shuts a node down.
+// stop shuts a node down gracefully.
 func (s *controlSystem) stop(node int) {
 	p := s.nodes[node]
 	if p == nil {
@@ -171,7 +171,7 @@
 	p.transport.Close()
 }
 
-// kill ends a node without notice to the others: nothing that it sends from now on arrives.
+// kill stops a node without notice to the others: none of its later messages is delivered.
 func (s *controlSystem) kill(node int) {
 	p := s.nodes[node]
 	if p == nil {
@@ -191,14 +191,14 @@
 	}
 }
 
-// operator returns a client of some nodes.
+// operator returns an operator's client of the given nodes.
 func (s *controlSystem) operator(nodes ...int) *operator.Client {
 	s.t.Helper()
 	var addresses []string
 	for _, node := range nodes {
 		addresses = append(addresses, netip.AddrPortFrom(nodeAddress(node), s.operatorPort).String())
 	}
-	client, err := operator.New(operator.Options{Nodes: addresses, Timeout: testCalls})
+	client, err := operator.New(operator.Options{Nodes: addresses, Timeout: testTimeout})
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/internal/control/validation.go
+++ b/internal/control/validation.go
@@ -17,7 +17,7 @@
 	return nil
 }
 
-// validateBody checks a document or a patch by itself, and returns the version that it asks for.
+// validateBody checks a document or a patch without the current configuration, and returns the version that it sets.
 func validateBody(request *Configure) (version uint64, err error) {
 	if request.Patch {
 		patch, err := configuration.ParsePatch(request.Body)
