--- a/internal/gossip/announce.go
+++ b/internal/gossip/announce.go
@@ -9,40 +9,41 @@
 )
 
 const (
-	// announceDelay is the time before a new version is announced, so that a proof that comes with it is there.
+	// announceDelay is the time between storing a new version and announcing it. It lets the proof that follows the version
+	// arrive before other members fetch both.
 	announceDelay = 5 * time.Millisecond
 
-	// controlFanout and fanout are the numbers of members of the own zone that a control process and any other announce a
-	// new version to.
+	// controlFanout and fanout are the numbers of members of its own zone to which a control process and any other process
+	// announce a new version.
 	controlFanout = 16
 	fanout        = 4
 )
 
-// announcer holds the topics with a new version that is not announced yet.
+// announcer holds the topics with a new version that has not been announced yet.
 type announcer struct {
 	due     time.Duration
-	pending [topics]pendingAnnouncement
+	pending [topicCount]pendingAnnouncement
 }
 
 type pendingAnnouncement struct {
-	due           bool
-	publishedHere bool // the version is of this process
+	valid         bool
+	publishedHere bool // whether this process published the version
 }
 
-// add has the version of a topic announced soon.
+// add schedules the announcement of the local version of a topic.
 func (a *announcer) add(now time.Duration, topic Topic, publishedHere bool) {
-	a.pending[topic] = pendingAnnouncement{due: true, publishedHere: publishedHere}
+	a.pending[topic] = pendingAnnouncement{valid: true, publishedHere: publishedHere}
 	a.due = min(a.due, now+announceDelay)
 }
 
-// announce announces the new versions to a few members of the own zone, and those that were published here to the other
-// zones as well.
+// announce announces the pending versions to a few members of the same zone, and those that this process published to one
+// member of each other zone as well.
 func (d *disseminator) announce() {
 	d.announcer.due = never
 	var all, publishedHere []summary
 	for i := range d.announcer.pending {
 		pending := &d.announcer.pending[i]
-		if !pending.due {
+		if !pending.valid {
 			continue
 		}
 		s := summary{topic: Topic(i), version: d.entries[i].value.Version, age: UnknownAge}
@@ -68,7 +69,7 @@
 	return d.pick(d.members().Alive(), count, d.inOwnZone)
 }
 
-// otherZoneTargets returns one member of each other zone, a control process where there is one.
+// otherZoneTargets returns one member of each other zone, a control process if the zone has one.
 func (d *disseminator) otherZoneTargets() []netip.AddrPort {
 	table := d.members()
 	var targets []netip.AddrPort
--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -8,40 +8,41 @@
 )
 
 const (
-	// exchangesPerRound is the number of exchanges of which one is with any member, the others with a control process.
+	// exchangesPerRound is the number of exchanges in a round: one with any member, the others with a control process.
 	exchangesPerRound = 4
-	// exchangeRetry is the time to the next exchange after one that did not help. It is doubled up to the heartbeat.
-	exchangeRetry = 100 * time.Millisecond
-	// maxDigestBytes bounds the updates in the answer to a digest. Longer ones are fetched.
+	// initialRetryDelay is the delay of the next exchange after an unsuccessful one: one that failed or left this process
+	// stale. The delay doubles with each further unsuccessful exchange, up to the heartbeat.
+	initialRetryDelay = 100 * time.Millisecond
+	// maxDigestBytes bounds the total size of the updates in the answer to a digest. Updates that do not fit are fetched.
 	maxDigestBytes = 64 << 10
 )
 
-// antiEntropy exchanges a digest with a partner in each heartbeat.
+// antiEntropy schedules an exchange of digests with a partner in each heartbeat.
 type antiEntropy struct {
-	nextExchange time.Duration
-	underWay     bool
-	retry        time.Duration // until the next exchange, after one that did not help
-	failing      bool          // the last exchange did not help
-	count        int
-	partner      netip.AddrPort // of the last exchange
+	nextExchange  time.Duration
+	inFlight      bool
+	retryDelay    time.Duration // until the next exchange, after an unsuccessful one
+	lastFailed    bool          // the last exchange was unsuccessful
+	exchangeCount int
+	partner       netip.AddrPort // of the last exchange
 }
 
 func (a *antiEntropy) due() time.Duration {
-	if a.underWay {
+	if a.inFlight {
 		return never
 	}
 	return a.nextExchange
 }
 
-// exchangeSoon has the next exchange take place soon.
+// exchangeSoon makes the next exchange due within initialRetryDelay.
 func (a *antiEntropy) exchangeSoon(now time.Duration) {
-	a.nextExchange = min(a.nextExchange, now+exchangeRetry)
+	a.nextExchange = min(a.nextExchange, now+initialRetryDelay)
 }
 
-// interval returns the time until the next exchange. The one with any member lies in the middle between two with a control
-// process, so that these are never more than a heartbeat apart.
+// interval returns the time until the next exchange. The exchange with any member lies halfway between two exchanges
+// with a control process, so that exchanges with control processes are never more than a heartbeat apart.
 func (a *antiEntropy) interval(heartbeat time.Duration) time.Duration {
-	position := a.count % exchangesPerRound
+	position := a.exchangeCount % exchangesPerRound
 	if position == 0 || position == exchangesPerRound-1 {
 		return heartbeat / 2
 	}
@@ -54,23 +55,24 @@
 	}
 	partner, found := d.choosePartner()
 	if !found {
-		d.antiEntropy.nextExchange = now + exchangeRetry
+		d.antiEntropy.nextExchange = now + initialRetryDelay
 		return
 	}
-	d.antiEntropy.underWay = true
+	d.antiEntropy.inFlight = true
 	d.antiEntropy.partner = partner
-	d.antiEntropy.count++
+	d.antiEntropy.exchangeCount++
 	d.output.digest = &digestCall{to: partner, summaries: d.summaries(now)}
 }
 
-// choosePartner returns a control process of the own zone, in one exchange of each round any member, and after an exchange
-// that did not help another control process.
+// choosePartner returns a control process of the same zone, in one exchange of each round any member, and after an
+// unsuccessful exchange another control process. If there is no such member, it returns any control process or any
+// member.
 func (d *disseminator) choosePartner() (netip.AddrPort, bool) {
 	table := d.members()
 	controls := table.ByRole(ControlRole)
-	withAnyMember := d.antiEntropy.count%exchangesPerRound == exchangesPerRound-1
+	withAnyMember := d.antiEntropy.exchangeCount%exchangesPerRound == exchangesPerRound-1
 	switch {
-	case d.antiEntropy.failing:
+	case d.antiEntropy.lastFailed:
 		if partner, found := d.pickOne(controls, d.isNotLastPartner); found {
 			return partner, true
 		}
@@ -89,7 +91,7 @@
 	return m.Address != d.antiEntropy.partner
 }
 
-// answerDigest returns the answer to the digest of a member.
+// answerDigest returns the answer to the digest of a member, and schedules fetches of the newer versions in the digest.
 func (d *disseminator) answerDigest(now time.Duration, from netip.AddrPort, theirs []summary) digestAnswer {
 	answer := digestAnswer{summaries: d.summaries(now)}
 	budget := maxDigestBytes
@@ -119,20 +121,20 @@
 	return nil
 }
 
-// digestAnswered handles the answer to the digest of this heartbeat, which was sent at the given time.
+// digestAnswered handles the answer to the periodic digest that was sent at sentAt.
 func (d *disseminator) digestAnswered(now, sentAt time.Duration, from netip.AddrPort, answer *digestAnswer) {
 	d.applyDigestAnswer(now, sentAt, from, answer)
 	d.exchangeEnded(now)
 	d.Advance(now)
 }
 
-// digestFailed is called when the digest of this heartbeat got no answer.
+// digestFailed is called when the exchange of the periodic digest failed or timed out.
 func (d *disseminator) digestFailed(now time.Duration) {
 	d.exchangeFailed(now)
 	d.Advance(now)
 }
 
-// extraDigestAnswered handles the answer to a digest that was sent at the given time besides those of each heartbeat.
+// extraDigestAnswered handles the answer to a digest that was sent at sentAt in addition to the periodic ones.
 func (d *disseminator) extraDigestAnswered(now, sentAt time.Duration, from netip.AddrPort, answer *digestAnswer) {
 	d.applyDigestAnswer(now, sentAt, from, answer)
 	d.Advance(now)
@@ -149,31 +151,31 @@
 	d.noteVersions(now, from, answer.summaries)
 }
 
-// exchangeEnded schedules the next exchange: after a heartbeat, or soon with another partner if the present versions are
-// still not proven to be current.
+// exchangeEnded schedules the next exchange: after a heartbeat, or sooner and with another partner if this process is
+// still stale.
 func (d *disseminator) exchangeEnded(now time.Duration) {
 	if d.isStale(now) {
 		d.exchangeFailed(now)
 		return
 	}
 	exchanges := &d.antiEntropy
-	exchanges.underWay = false
-	exchanges.failing = false
-	exchanges.retry = exchangeRetry
+	exchanges.inFlight = false
+	exchanges.lastFailed = false
+	exchanges.retryDelay = initialRetryDelay
 	exchanges.nextExchange = now + jitter(d.random, exchanges.interval(d.heartbeat))
 }
 
-// exchangeFailed schedules the next exchange after one that did not help.
+// exchangeFailed schedules the next exchange after an unsuccessful one.
 func (d *disseminator) exchangeFailed(now time.Duration) {
 	exchanges := &d.antiEntropy
-	exchanges.underWay = false
-	exchanges.failing = true
-	exchanges.nextExchange = now + jitter(d.random, min(exchanges.retry, d.heartbeat))
-	exchanges.retry = min(2*exchanges.retry, d.heartbeat)
+	exchanges.inFlight = false
+	exchanges.lastFailed = true
+	exchanges.nextExchange = now + jitter(d.random, min(exchanges.retryDelay, d.heartbeat))
+	exchanges.retryDelay = min(2*exchanges.retryDelay, d.heartbeat)
 }
 
-// isStale reports whether there is no configuration, or a topic lacks a young proof. The list of backends does not count: it
-// is proven at longer intervals, and members read it themselves where its proof is too old.
+// isStale reports whether there is no configuration, or a topic has no recent proof. The list of backends is exempt: its
+// proof is renewed at longer intervals, and members read the list themselves if the proof is too old.
 func (d *disseminator) isStale(now time.Duration) bool {
 	for i := range d.entries {
 		e := &d.entries[i]
--- a/internal/gossip/bench_test.go
+++ b/internal/gossip/bench_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// BenchmarkDigest measures one exchange of digests between members that hold the same, with its messages encoded and
-// read.
+// BenchmarkDigest measures one exchange of digests between members that have the same versions, including encoding and
+// decoding of the messages.
 func BenchmarkDigest(b *testing.B) {
 	s := newSimulation(b, 1, 100)
-	for topic := range topics {
+	for topic := range topicCount {
 		s.publish(s.nodes[0], topic, 1, 1000)
 	}
 	s.run(10*time.Second, nil)
@@ -19,10 +19,10 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now += testHeartbeat
-		for topic := range topics {
+		for topic := range topicCount {
 			partner.certify(topic, Version{Sequence: 1}, now)
 		}
-		requester.antiEntropy.underWay = false
+		requester.antiEntropy.inFlight = false
 		requester.Advance(now)
 		call := requester.Take(true).digest
 		request, err := encodeDigestRequest(call.summaries)
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -13,7 +13,7 @@
 // unknownMicros encodes UnknownAge.
 const unknownMicros = math.MaxUint64
 
-// encodeAge rounds up: an age may only grow on its way.
+// encodeAge rounds up, so that an age is never understated.
 func encodeAge(age time.Duration) uint64 {
 	if age == UnknownAge {
 		return unknownMicros
@@ -29,7 +29,7 @@
 }
 
 func checkTopic(topic Topic) error {
-	if topic >= topics {
+	if topic >= topicCount {
 		return merry.Errorf("unknown topic %d", topic)
 	}
 	return nil
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// decodeSummaries leaves out topics that this process does not know: they may come from a newer one.
+// decodeSummaries skips topics that this process does not know, since the sender may run a newer release.
 func decodeSummaries(list gossipwire.Summary_List, err error) ([]summary, error) {
 	if err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 	var summaries []summary
 	for i := range list.Len() {
 		s := decodeSummary(list.At(i))
-		if s.topic < topics {
+		if s.topic < topicCount {
 			summaries = append(summaries, s)
 		}
 	}
--- a/internal/gossip/delivery.go
+++ b/internal/gossip/delivery.go
@@ -2,12 +2,13 @@
 
 import "sync"
 
-// delivery calls the subscribers, one at a time and never with an older version after a newer one. A subscriber may use
-// the service: what that brings is delivered after it has returned. Its zero value is ready to be used.
+// delivery calls the subscribers one at a time, and never with an older version after a newer one. A subscriber may use
+// the service: versions that are published meanwhile are delivered after it has returned. The zero value is ready to
+// use.
 type delivery struct {
 	mutex      sync.Mutex
 	delivering bool
-	topics     [topics]topicDelivery
+	topics     [topicCount]topicDelivery
 }
 
 type topicDelivery struct {
@@ -19,7 +20,7 @@
 type subscription struct {
 	call     func(Value)
 	notified bool
-	last     Version // of which it was notified
+	last     Version // with which call was last called, if notified
 }
 
 func (d *delivery) subscribe(topic Topic, call func(Value)) {
@@ -29,8 +30,8 @@
 	t.subscribers = append(t.subscribers, subscription{call: call})
 }
 
-// deliver notes a version and calls the subscribers with it, unless another goroutine or a subscriber further up the stack
-// does so already: that one goes on until all are notified.
+// deliver records a version and calls the subscribers with it. If a call of deliver is already in progress, in another
+// goroutine or further up the stack, that call notifies the subscribers instead.
 func (d *delivery) deliver(v Value) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -51,8 +52,8 @@
 	d.delivering = false
 }
 
-// next returns a subscriber that was not notified of the newest version, with that version, and marks it as notified. The
-// function is nil if there is none.
+// next returns a subscriber that has not been called with the newest version of its topic, with that version, and marks
+// it as notified. The function is nil if there is no such subscriber.
 func (d *delivery) next() (func(Value), Value) {
 	for i := range d.topics {
 		t := &d.topics[i]
--- a/internal/gossip/disseminator.go
+++ b/internal/gossip/disseminator.go
@@ -19,19 +19,19 @@
 	members   func() *member.Table
 	heartbeat time.Duration
 
-	entries     [topics]entry
+	entries     [topicCount]entry
 	announcer   announcer
 	antiEntropy antiEntropy
 
 	output output
 }
 
-// output is what the driver has to do.
+// output holds the actions that the service has to perform.
 type output struct {
 	announcements []announcement
 	digest        *digestCall // nil for none
 	fetches       []fetchCall
-	values        []Value // for the subscribers
+	values        []Value // with which to call the subscribers
 }
 
 func newDisseminator(self member.Member, members func() *member.Table, heartbeat time.Duration, random *rand.Rand, now time.Duration) *disseminator {
@@ -41,11 +41,11 @@
 		members:     members,
 		heartbeat:   heartbeat,
 		announcer:   announcer{due: never},
-		antiEntropy: antiEntropy{nextExchange: now, retry: exchangeRetry},
+		antiEntropy: antiEntropy{nextExchange: now, retryDelay: initialRetryDelay},
 	}
 }
 
-// Next returns when Advance has to be called, if no event comes before.
+// Next returns when Advance has to be called if no event occurs earlier.
 func (d *disseminator) Next() time.Duration {
 	due := min(d.announcer.due, d.antiEntropy.due())
 	for i := range d.entries {
@@ -54,7 +54,7 @@
 	return due
 }
 
-// Advance does what is due.
+// Advance performs the actions that are due.
 func (d *disseminator) Advance(now time.Duration) {
 	if now >= d.announcer.due {
 		d.announce()
@@ -63,8 +63,8 @@
 	d.advanceFetches(now)
 }
 
-// Take returns what is to be done since the last call. Before the start that is only to call the subscribers, and the rest is
-// held back.
+// Take returns the output since the last call. Before the start it returns only the values for the subscribers and
+// retains the rest.
 func (d *disseminator) Take(started bool) output {
 	if !started {
 		values := d.output.values
@@ -76,13 +76,14 @@
 	return taken
 }
 
-// publish stores a version of this process, with the steps to it from the one before it.
+// publish stores a version that this process publishes, with the steps to it from the local version.
 func (d *disseminator) publish(now time.Duration, v Value, steps []step) {
 	d.store(now, v, steps, true)
 	d.Advance(now)
 }
 
-// store stores a value if it is newer than the present one, and passes it on.
+// store stores a value if it is newer than the local one, and schedules its delivery to the subscribers and its
+// announcement.
 func (d *disseminator) store(now time.Duration, v Value, steps []step, publishedHere bool) {
 	if !d.entries[v.Topic].store(v, steps) {
 		return
@@ -91,34 +92,35 @@
 	d.announcer.add(now, v.Topic, publishedHere)
 }
 
-// applyUpdate stores a version that another member has sent. It reports whether the value could be read.
+// applyUpdate stores a version that another member has sent, unless the local version is at least as new. It returns
+// false if the value could not be reconstructed.
 func (d *disseminator) applyUpdate(now time.Duration, u *update) bool {
 	e := &d.entries[u.value.Topic]
 	if !e.lacks(u.value.Version) {
 		return true
 	}
-	value, steps, readable := e.read(u)
-	if readable {
+	value, steps, ok := e.reconstruct(u)
+	if ok {
 		d.store(now, value, steps, false)
 	}
-	return readable
+	return ok
 }
 
 func (d *disseminator) certify(topic Topic, version Version, asOf time.Duration) {
 	d.entries[topic].certify(version, asOf)
 }
 
-// certifyAge notes a proof by its age when the answer to a request was sent. Counted from when it was requested, the proof is
-// held to be older than it is, never younger.
+// certifyAge records a proof by its age at the time when the answer to a request was sent. The age is counted from the
+// time of the request, so that it may be overstated but is never understated.
 func (d *disseminator) certifyAge(topic Topic, version Version, requestedAt, age time.Duration) {
 	if age != UnknownAge {
 		d.certify(topic, version, requestedAt-age)
 	}
 }
 
-// summaries returns the own digest.
+// summaries returns the digest of this process.
 func (d *disseminator) summaries(now time.Duration) []summary {
-	summaries := make([]summary, 0, topics)
+	summaries := make([]summary, 0, topicCount)
 	for i := range d.entries {
 		e := &d.entries[i]
 		if e.present {
@@ -134,13 +136,13 @@
 	d.Advance(now)
 }
 
-// noteVersions notes the versions that a member has, to fetch those that are newer than the present ones.
+// noteVersions records the versions that a member has, and schedules fetches of those that are newer than the local ones.
 func (d *disseminator) noteVersions(now time.Duration, from netip.AddrPort, summaries []summary) {
-	at := now
+	due := now
 	if sender, known := d.members().Get(from); known && sender.Zone != d.self.Zone {
-		at += otherZoneDelay
+		due += otherZoneDelay
 	}
 	for _, s := range summaries {
-		d.entries[s.topic].noteVersion(s.version, from, at)
+		d.entries[s.topic].noteVersion(s.version, from, due)
 	}
 }
--- a/internal/gossip/disseminator_test.go
+++ b/internal/gossip/disseminator_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// seeds is the number of simulated histories of each test.
-const seeds = 10
+// seedCount is the number of simulation runs of each test.
+const seedCount = 10
 
 func forEachSeed(t *testing.T, test func(t *testing.T, seed uint64)) {
 	t.Helper()
-	for seed := range uint64(seeds) {
+	for seed := range uint64(seedCount) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			test(t, seed)
@@ -26,16 +26,16 @@
 		t.Run(fmt.Sprint(bytes, " bytes"), func(t *testing.T) {
 			forEachSeed(t, func(t *testing.T, seed uint64) {
 				s := newSimulation(t, seed, size)
-				s.loss = 0.01
+				s.datagramLossRate = 0.01
 				s.run(5*time.Second, nil)
 				start := s.clock.Now()
 				s.publish(s.nodes[int(seed)%size], Backends, 1, bytes)
 				s.run(start+300*time.Millisecond, nil)
-				if reached := s.replicas(Backends, 1); reached < size*3/4 {
+				if reached := s.nodesWithVersion(Backends, 1); reached < size*3/4 {
 					t.Errorf("nodes with the version after 300 ms: got %d, want at least %d", reached, size*3/4)
 				}
-				s.run(start+2*testHeartbeat, func() bool { return s.replicas(Backends, 1) == size })
-				if reached := s.replicas(Backends, 1); reached < size {
+				s.run(start+2*testHeartbeat, func() bool { return s.nodesWithVersion(Backends, 1) == size })
+				if reached := s.nodesWithVersion(Backends, 1); reached < size {
 					t.Errorf("nodes with the version after two heartbeats: got %d, want %d", reached, size)
 				}
 				t.Logf("all after %v, %d datagrams, %d fetches", s.clock.Now()-start, s.datagrams, s.fetches)
@@ -47,8 +47,8 @@
 func TestAllMembersConvergeOnTheNewestVersion(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		s := newSimulation(t, seed, 60)
-		s.loss = 0.3
-		s.failing = 0.1
+		s.datagramLossRate = 0.3
+		s.callFailureRate = 0.1
 		s.maxLatency = 500 * time.Millisecond
 		const versions = 50
 		for sequence := uint64(1); sequence <= versions; sequence++ {
@@ -57,30 +57,30 @@
 			s.clock.At(delay, func() { s.publish(publisher, Placement, sequence, s.random.IntN(2*maxDigestBytes)) })
 		}
 		s.run(30*time.Second, nil)
-		if reached := s.replicas(Placement, versions); reached != len(s.nodes) {
+		if reached := s.nodesWithVersion(Placement, versions); reached != len(s.nodes) {
 			t.Errorf("nodes with the newest version: got %d, want %d", reached, len(s.nodes))
 		}
 	})
 }
 
-// commitHistory is the ground truth: the time at which each version was committed, sequence 1 first.
+// commitHistory records the actual time at which each version was committed, in order from sequence 1.
 type commitHistory struct{ commits []time.Duration }
 
-// newestAt returns the sequence of the newest version at a time, 0 before the first.
+// newestAt returns the sequence of the newest version at a time, 0 before the first commit.
 func (r *commitHistory) newestAt(at time.Duration) uint64 {
 	count, _ := slices.BinarySearch(r.commits, at+1)
 	return uint64(count)
 }
 
-// barrier is a proof of a control process: at asOf the sequence was the newest.
+// barrier is the proof by a control process that the sequence was the newest at asOf.
 type barrier struct {
 	asOf     time.Duration
 	sequence uint64
 }
 
-// chain simulates commits, and barriers of the control processes that prove which version is the newest. A new version is
-// certified with the time of the last barrier: it is as current as the version before it was proven to be.
-func (s *simulation) chain(until time.Duration, commitPeriod, barrierPeriod, barrierDelay time.Duration) *commitHistory {
+// simulateCommits simulates commits, and the barriers by which control processes prove which version is the newest. A new
+// version is certified as of the last barrier, since it is at least as current as the version that the barrier proved.
+func (s *simulation) simulateCommits(until time.Duration, commitPeriod, barrierPeriod, barrierDelay time.Duration) *commitHistory {
 	r := &commitHistory{}
 	barriers := make(map[*simulatedNode]barrier)
 	vary := func(period time.Duration) time.Duration {
@@ -123,14 +123,14 @@
 	return r
 }
 
-func TestProofsAreNeverHeldToBeTooYoung(t *testing.T) {
+func TestProofAgeIsNeverUnderstated(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		s := newSimulation(t, seed, 40)
-		s.loss = 0.1
-		s.failing = 0.05
+		s.datagramLossRate = 0.1
+		s.callFailureRate = 0.05
 		s.maxLatency = 800 * time.Millisecond
 		const end = time.Minute
-		r := s.chain(end, 700*time.Millisecond, 600*time.Millisecond, 900*time.Millisecond)
+		r := s.simulateCommits(end, 700*time.Millisecond, 600*time.Millisecond, 900*time.Millisecond)
 		checks := 0
 		s.check = func(n *simulatedNode) {
 			e := &n.disseminator.entries[Configuration]
@@ -140,7 +140,7 @@
 			}
 			checks++
 			if newest := r.newestAt(s.clock.Now() - age); e.value.Version.Sequence < newest {
-				t.Errorf("%s has version %d with a proof of age %v, when %d was the newest", n.self.Name, e.value.Version.Sequence, age, newest)
+				t.Errorf("%s: got version %d with a proof of age %v, but %d was the newest then", n.self.Name, e.value.Version.Sequence, age, newest)
 			}
 		}
 		for range 20 {
@@ -156,12 +156,12 @@
 	})
 }
 
-func TestProofsStayYoungAtRest(t *testing.T) {
+func TestProofAgeIsBoundedWithoutFailures(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		s := newSimulation(t, seed, 100)
-		s.loss = 0.01
+		s.datagramLossRate = 0.01
 		const end = time.Minute
-		s.chain(end, 5*time.Second, testHeartbeat/2, 20*time.Millisecond)
+		s.simulateCommits(end, 5*time.Second, testHeartbeat/2, 20*time.Millisecond)
 		oldest := time.Duration(0)
 		s.check = func(n *simulatedNode) {
 			if s.clock.Now() > 12*time.Second {
@@ -184,7 +184,7 @@
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		const pause = 10 * time.Second
 		s := newSimulation(t, seed, 40)
-		s.chain(time.Minute, 3*time.Second, testHeartbeat/2, 20*time.Millisecond)
+		s.simulateCommits(time.Minute, 3*time.Second, testHeartbeat/2, 20*time.Millisecond)
 		n := s.nodes[len(s.nodes)-1]
 		s.run(15*time.Second+time.Duration(s.random.Int64N(int64(testHeartbeat))), nil)
 		n.process.Freeze()
@@ -192,14 +192,14 @@
 		s.run(s.clock.Now()+pause, nil)
 		s.check = func(checked *simulatedNode) {
 			if age := n.disseminator.entries[Configuration].age(s.clock.Now()); checked == n && age < pause {
-				t.Errorf("the proof is %v old after a pause of %v", age, s.clock.Now()-frozen)
+				t.Errorf("proof age after a pause of %v: got %v, want at least %v", s.clock.Now()-frozen, age, pause)
 			}
 		}
 		s.thaw(n)
 		s.check = nil
 		s.run(s.clock.Now()+testHeartbeat, nil)
 		if age := n.disseminator.entries[Configuration].age(s.clock.Now()); age > 2*testHeartbeat {
-			t.Errorf("the proof is %v old after the thaw", age)
+			t.Errorf("proof age a heartbeat after the thaw: got %v, want at most %v", age, 2*testHeartbeat)
 		}
 	})
 }
@@ -208,7 +208,7 @@
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		s := newSimulation(t, seed, 60)
 		const end = 40 * time.Second
-		s.chain(end, 5*time.Second, testHeartbeat/2, 20*time.Millisecond)
+		s.simulateCommits(end, 5*time.Second, testHeartbeat/2, 20*time.Millisecond)
 		s.run(15*time.Second, nil)
 		for _, n := range s.controls() {
 			if n.self.Zone == "zone 1" {
@@ -250,7 +250,7 @@
 		t.Errorf("age after the proof for a newer version: got %v, want 50s", age)
 	}
 	if e.store(value(1), nil) || !e.store(value(3), nil) {
-		t.Error("store: got an older version stored or a newer one refused, want the newer one only")
+		t.Error("store: got a version stored that is not newer, or a newer one refused, want only the newer one stored")
 	}
 	if e.age(now) != UnknownAge {
 		t.Errorf("age after the proof for another version: got %v, want none", e.age(now))
@@ -261,20 +261,21 @@
 	}
 }
 
-// After a start of the whole system a control process may know the list of backends before the control state is back.
+// After a restart of the whole system a control process may have the list of backends before it has recovered the control
+// state. It must not consider itself up to date until it has the configuration.
 func TestExchangesAreRetriedUntilThereIsAConfiguration(t *testing.T) {
 	const now = time.Minute
 	s := newSimulation(t, 1, 20)
 	d := s.nodes[len(s.nodes)-1].disseminator
 	d.store(now, Value{Topic: Backends, Version: Version{Sequence: 1}}, nil, false)
 	d.exchangeEnded(now)
-	if !d.antiEntropy.failing || d.antiEntropy.due() > now+exchangeRetry {
+	if !d.antiEntropy.lastFailed || d.antiEntropy.due() > now+initialRetryDelay {
 		t.Errorf("time to the next exchange without a configuration: got %v, want a retry", d.antiEntropy.due()-now)
 	}
 	d.store(now, Value{Topic: Configuration, Version: Version{Sequence: 1}}, nil, false)
 	d.certify(Configuration, Version{Sequence: 1}, now)
 	d.exchangeEnded(now)
-	if d.antiEntropy.failing || d.antiEntropy.due() <= now+exchangeRetry {
+	if d.antiEntropy.lastFailed || d.antiEntropy.due() <= now+initialRetryDelay {
 		t.Errorf("time to the next exchange with a proven configuration: got %v, want a heartbeat", d.antiEntropy.due()-now)
 	}
 }
@@ -295,7 +296,7 @@
 	if len(out.fetches) != 1 || out.fetches[0].to != second {
 		t.Fatalf("fetches after a failure: got %+v, want one from %v", out.fetches, second)
 	}
-	d.fetched(time.Second, 0, &fetchAnswer{update: update{value: Value{Topic: Backends, Version: Version{Sequence: 5}}}, age: UnknownAge})
+	d.fetchAnswered(time.Second, 0, &fetchAnswer{update: update{value: Value{Topic: Backends, Version: Version{Sequence: 5}}}, age: UnknownAge})
 	if due := d.entries[Backends].fetchDue(); due != never {
 		t.Errorf("time of the next fetch: got %v, want none", due)
 	}
--- a/internal/gossip/entry.go
+++ b/internal/gossip/entry.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// entry is what this process has of one topic.
+// entry is the state of one topic in this process.
 type entry struct {
-	present bool // whether it has any version
+	present bool // whether there is a local version
 	value   Value
 	history history
-	// proof is the newest one for the present version.
+	// proof is the latest proof for the local version.
 	proof proof
-	// proofAhead is the newest one for a version above the present one, which is not here yet.
-	proofAhead proof
-	fetch      pendingFetch
+	// pendingProof is the latest proof for a version that is newer than the local one and has not arrived yet.
+	pendingProof proof
+	fetch        pendingFetch
 }
 
-// lacks reports whether the version is above the present one.
+// lacks reports whether the version is newer than the local one.
 func (e *entry) lacks(v Version) bool { return !e.present || v.newerThan(e.value.Version) }
 
-// store replaces the value if the new one is newer, and reports whether it is. Steps lead to it from the present one, where
-// they are known.
+// store replaces the value if the new one is newer, and reports whether it is. The steps lead from the local version to
+// the new one; there are none if they are unknown.
 func (e *entry) store(v Value, steps []step) bool {
 	if !e.lacks(v.Version) {
 		return false
@@ -30,11 +30,11 @@
 	e.present = true
 	e.value = v
 	e.proof = proof{}
-	if e.proofAhead.known && e.proofAhead.version == v.Version {
-		e.proof = e.proofAhead
+	if e.pendingProof.known && e.pendingProof.version == v.Version {
+		e.proof = e.pendingProof
 	}
-	if e.proofAhead.known && !e.proofAhead.version.newerThan(v.Version) {
-		e.proofAhead = proof{}
+	if e.pendingProof.known && !e.pendingProof.version.newerThan(v.Version) {
+		e.pendingProof = proof{}
 	}
 	if e.fetch.valid && !e.fetch.version.newerThan(v.Version) {
 		e.fetch.valid = false
@@ -42,17 +42,17 @@
 	return true
 }
 
-// certify notes a proof. One for a version below the present one is of no use.
+// certify records a proof. A proof for a version older than the local one is ignored.
 func (e *entry) certify(version Version, asOf time.Duration) {
 	switch {
 	case e.lacks(version):
-		e.proofAhead = e.proofAhead.newest(version, asOf)
+		e.pendingProof = e.pendingProof.newest(version, asOf)
 	case version == e.value.Version:
 		e.proof = e.proof.newest(version, asOf)
 	}
 }
 
-// age returns how long ago the present version was proven to be the newest, UnknownAge if it is not proven.
+// age returns the age of the proof for the local version, UnknownAge if there is no proof.
 func (e *entry) age(now time.Duration) time.Duration {
 	if !e.proof.known {
 		return UnknownAge
--- a/internal/gossip/fetch.go
+++ b/internal/gossip/fetch.go
@@ -5,57 +5,60 @@
 	"time"
 )
 
-// otherZoneDelay is the time before a value is fetched from a member of another zone: it may come from the own one.
+// otherZoneDelay is the delay of a fetch from another zone. A member of the same zone may offer the value in the
+// meantime.
 const otherZoneDelay = 100 * time.Millisecond
 
-// pendingFetch is a version above the present one that another member has announced.
+// pendingFetch is a version newer than the local one that another member has reported.
 type pendingFetch struct {
 	valid   bool
 	version Version
 	from    netip.AddrPort
-	// alternative has the version as well, if valid.
+	// alternative is another member that has the version, if valid.
 	alternative netip.AddrPort
-	at          time.Duration // when it is fetched
-	// underWay is set while a fetch is under way, which may be of a version before this one.
-	underWay bool
-	// whole is set if differences did not lead to the version.
+	due         time.Duration // when the fetch begins
+	// inFlight is set while a fetch is in flight, which may be of an older version than this one.
+	inFlight bool
+	// whole is set if the received steps did not lead to the version.
 	whole bool
 }
 
-// noteVersion notes that a member has a version. If it is above the present one, it is to be fetched at the given time.
-func (e *entry) noteVersion(version Version, from netip.AddrPort, at time.Duration) {
+// noteVersion records that a member has a version. If the version is newer than the local one, it schedules a fetch at
+// the given time.
+func (e *entry) noteVersion(version Version, from netip.AddrPort, due time.Duration) {
 	if !e.lacks(version) {
 		return
 	}
 	pending := &e.fetch
 	switch {
 	case !pending.valid || version.newerThan(pending.version):
-		*pending = pendingFetch{valid: true, version: version, from: from, at: at, underWay: pending.underWay}
-	case version == pending.version && from != pending.from && at < pending.at:
+		*pending = pendingFetch{valid: true, version: version, from: from, due: due, inFlight: pending.inFlight}
+	case version == pending.version && from != pending.from && due < pending.due:
 		pending.alternative = pending.from
 		pending.from = from
-		pending.at = at
+		pending.due = due
 	case version == pending.version && from != pending.from:
 		pending.alternative = from
 	}
 }
 
-// fetchDue returns when a fetch has to begin.
+// fetchDue returns when the next fetch has to begin, never if none is pending or one is in flight.
 func (e *entry) fetchDue() time.Duration {
-	if !e.fetch.valid || e.fetch.underWay {
+	if !e.fetch.valid || e.fetch.inFlight {
 		return never
 	}
-	return e.fetch.at
+	return e.fetch.due
 }
 
-// fetchWhole has the pending version fetched once more, whole: the differences did not lead to it.
+// fetchWhole schedules another fetch of the pending version, as the whole value, after steps that did not lead to it.
 func (e *entry) fetchWhole(now time.Duration) {
-	e.fetch.underWay = false
+	e.fetch.inFlight = false
 	e.fetch.whole = true
-	e.fetch.at = now
+	e.fetch.due = now
 }
 
-// fetchBase returns the version from which a fetch may bring differences, nil if it has to bring the whole value.
+// fetchBase returns the version from which the answer to a fetch may contain steps, nil if it must contain the whole
+// value.
 func (e *entry) fetchBase() *Version {
 	if !e.present || e.fetch.whole {
 		return nil
@@ -64,17 +67,18 @@
 	return &base
 }
 
-// fetchEnded is called after a fetch. If the pending version has not come, it is fetched from the alternative.
+// fetchEnded is called after a fetch. If the pending version has not arrived, it is fetched from the alternative, if
+// there is one.
 func (e *entry) fetchEnded(now time.Duration) {
 	pending := &e.fetch
-	pending.underWay = false
+	pending.inFlight = false
 	if !pending.valid {
 		return
 	}
 	pending.valid = pending.alternative.IsValid()
 	pending.from = pending.alternative
 	pending.alternative = netip.AddrPort{}
-	pending.at = now
+	pending.due = now
 }
 
 // advanceFetches begins the fetches that are due.
@@ -84,20 +88,20 @@
 		if now < e.fetchDue() {
 			continue
 		}
-		e.fetch.underWay = true
+		e.fetch.inFlight = true
 		request := fetchRequest{topic: Topic(i), base: e.fetchBase()}
 		d.output.fetches = append(d.output.fetches, fetchCall{to: e.fetch.from, request: request})
 	}
 }
 
-// answerFetch returns the answer to a member that requests a value, and whether there is any.
+// answerFetch returns the answer to a member that requests a value, and whether this process has any version of it.
 func (d *disseminator) answerFetch(now time.Duration, request fetchRequest) (fetchAnswer, bool) {
 	e := &d.entries[request.topic]
 	return fetchAnswer{update: e.updateFrom(request.base), age: e.age(now)}, e.present
 }
 
-// fetched applies the answer to a fetch that was requested at the given time.
-func (d *disseminator) fetched(now, requestedAt time.Duration, answer *fetchAnswer) {
+// fetchAnswered applies the answer to a fetch that was requested at the given time.
+func (d *disseminator) fetchAnswered(now, requestedAt time.Duration, answer *fetchAnswer) {
 	received := answer.update.value
 	d.certifyAge(received.Topic, received.Version, requestedAt, answer.age)
 	e := &d.entries[received.Topic]
@@ -109,7 +113,7 @@
 	d.fetchEnded(now, received.Topic)
 }
 
-// fetchFailed is called when a fetch got no answer.
+// fetchFailed is called when a fetch failed or timed out.
 func (d *disseminator) fetchFailed(now time.Duration, topic Topic) { d.fetchEnded(now, topic) }
 
 func (d *disseminator) fetchEnded(now time.Duration, topic Topic) {
--- a/internal/gossip/fuzz_test.go
+++ b/internal/gossip/fuzz_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// FuzzDecode checks that no bytes make the reading of a message fail otherwise than by an error, and that only known
-// topics are read.
+// FuzzDecode checks that decoding arbitrary bytes either succeeds or returns an error, and that decoded messages only
+// have known topics.
 func FuzzDecode(f *testing.F) {
 	value := Value{Topic: Backends, Version: Version{Sequence: 4}, Data: []byte("data")}
 	stepped := update{value: Value{Topic: Backends}, steps: []step{{difference: []byte("difference")}}}
@@ -25,16 +25,16 @@
 		if read, err := decodeAnnouncement(data); err == nil {
 			checkTopics(t, read)
 		}
-		if read, err := decodeFetchAnswer(data); err == nil && read.update.value.Topic >= topics {
-			t.Errorf("topic %d", read.update.value.Topic)
+		if read, err := decodeFetchAnswer(data); err == nil && read.update.value.Topic >= topicCount {
+			t.Errorf("topic of the decoded update: got %d, want less than %d", read.update.value.Topic, topicCount)
 		}
 	})
 }
 
 func checkTopics(t *testing.T, summaries []summary) {
 	for _, s := range summaries {
-		if s.topic >= topics {
-			t.Errorf("topic %d", s.topic)
+		if s.topic >= topicCount {
+			t.Errorf("topic of a decoded summary: got %d, want less than %d", s.topic, topicCount)
 		}
 	}
 }
--- a/internal/gossip/history.go
+++ b/internal/gossip/history.go
@@ -2,20 +2,22 @@
 
 import "nickelline/internal/delta"
 
-// Bounds of the steps that a history keeps. Longer ones help members that are further behind, and cost memory.
+// Bounds of the steps that a history keeps. A longer history serves members that are further behind, but takes
+// more memory.
 const (
 	maxSteps     = 16
 	maxStepBytes = 32 << 10
 )
 
-// step leads from one version of a value to a later one.
+// step holds the difference from one version of a value to a later one.
 type step struct {
 	from, to   Version
 	difference []byte
 }
 
-// differences returns the step from a value to a newer one, or none where it would not save anything.
-func differences(older, newer Value) []step {
+// stepsBetween returns the step from a value to a newer one. It returns none if the difference cannot be computed, is
+// longer than maxStepBytes or is not shorter than the newer value.
+func stepsBetween(older, newer Value) []step {
 	difference, err := delta.Difference(older.Data, newer.Data)
 	if err != nil || len(difference) > maxStepBytes || len(difference) >= len(newer.Data) {
 		return nil
@@ -23,10 +25,10 @@
 	return []step{{from: older.Version, to: newer.Version, difference: difference}}
 }
 
-// history holds the last steps to the present version, each of which begins where the one before it ends.
+// history holds the most recent steps to the local version, each of which begins where the previous one ends.
 type history struct{ steps []step }
 
-// extend appends the steps that led from the present version to the next one. Without any the history begins anew.
+// extend appends the steps from the local version to its successor. If there are none, it clears the history.
 func (h *history) extend(steps []step) {
 	if len(steps) == 0 {
 		h.steps = nil
@@ -39,7 +41,7 @@
 	h.steps = all
 }
 
-// since returns the steps that lead from a version to the present one, and whether they are known.
+// since returns the steps that lead from a version to the local one, and whether they are known.
 func (h *history) since(base Version) ([]step, bool) {
 	for i := range h.steps {
 		if h.steps[i].from == base {
@@ -57,8 +59,8 @@
 	return bytes
 }
 
-// update is a version on its way to a member: the whole value, or the steps to it from a version that the member has,
-// and then without data.
+// update is a version that is sent to a member: the whole value, or the steps to it from a version that the member has.
+// With steps, the value has no data.
 type update struct {
 	value Value
 	steps []step
@@ -67,7 +69,7 @@
 // bytes estimates the encoded size of the update.
 func (u *update) bytes() int { return len(u.value.Data) + stepBytes(u.steps) }
 
-// updateFrom returns the update for a member that has the base, nil if it has no version.
+// updateFrom returns the update for a member that has the base version, or needs the whole value if base is nil.
 func (e *entry) updateFrom(base *Version) update {
 	if base != nil {
 		if steps, found := e.history.since(*base); found {
@@ -77,9 +79,9 @@
 	return update{value: e.value}
 }
 
-// read returns the value of an update, with the steps that lead to it from the present one. It reports whether that was
-// possible: steps may begin at a version that is not present.
-func (e *entry) read(u *update) (Value, []step, bool) {
+// reconstruct returns the value of an update, the steps that lead to it from the local version, and whether it succeeded.
+// It fails if the steps do not lead from the local version to that of the update, or if a difference is damaged.
+func (e *entry) reconstruct(u *update) (Value, []step, bool) {
 	if len(u.steps) == 0 {
 		return u.value, nil, true
 	}
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -9,17 +9,17 @@
 type summary struct {
 	topic   Topic
 	version Version
-	// age of the proof for the version, UnknownAge without one.
+	// age is that of the proof for the version, UnknownAge if there is no proof.
 	age time.Duration
 }
 
-// digestAnswer is the digest of the partner of an exchange, with updates of what the requester lacks if they are not long.
+// digestAnswer holds the digest of the answering member, and the updates that the requester lacks, up to maxDigestBytes.
 type digestAnswer struct {
 	summaries []summary
 	updates   []update
 }
 
-// fetchAnswer is the update that was requested, with the age of its proof.
+// fetchAnswer holds the requested update and the age of the proof for its version.
 type fetchAnswer struct {
 	update update
 	age    time.Duration
@@ -31,7 +31,7 @@
 	summaries []summary
 }
 
-// digestCall requests the digest of a partner, and carries the own one.
+// digestCall requests the digest of a partner, and carries the digest of this process.
 type digestCall struct {
 	to        netip.AddrPort
 	summaries []summary
@@ -43,9 +43,9 @@
 	request fetchRequest
 }
 
-// fetchRequest names the value that is requested.
+// fetchRequest identifies the requested value.
 type fetchRequest struct {
 	topic Topic
-	// base is the version that the requester has, nil if it needs the whole value.
+	// base is the version from which the requester can apply steps, nil if it needs the whole value.
 	base *Version
 }
--- a/internal/gossip/packer.go
+++ b/internal/gossip/packer.go
@@ -6,10 +6,11 @@
 	"nickelline/internal/delta"
 )
 
-// packer compresses whole values, each version once for all members that request it. Its zero value is ready to be used.
+// packer compresses whole values. It caches the newest version of each topic, which is thus compressed once for all
+// members that request it. The zero value is ready to use.
 type packer struct {
 	mutex  sync.Mutex
-	packed [topics]packedValue
+	packed [topicCount]packedValue
 }
 
 type packedValue struct {
@@ -17,7 +18,7 @@
 	frame   []byte
 }
 
-// pack returns the compressed value. It keeps that of the newest version of each topic.
+// pack returns the compressed value. It caches the newest version of each topic.
 func (p *packer) pack(v Value) ([]byte, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/gossip/proof.go
+++ b/internal/gossip/proof.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// proof says that at a time by the own clock the version was the newest. Its zero value is no proof.
+// proof states that the version was the newest at asOf, a time by the local clock. The zero value stands for no proof.
 type proof struct {
 	known   bool
 	version Version
 	asOf    time.Duration
 }
 
-// newest returns p, or the proof of the arguments if that is for a newer version, or for the same one at a later time.
+// newest returns the proof that the arguments describe if it is for a newer version than p, or for the same version at a
+// later time. Otherwise it returns p.
 func (p proof) newest(version Version, asOf time.Duration) proof {
 	older := p.known && p.version.newerThan(version)
 	younger := !p.known || version.newerThan(p.version) || asOf > p.asOf
--- a/internal/gossip/select.go
+++ b/internal/gossip/select.go
@@ -12,7 +12,7 @@
 
 func (d *disseminator) inOwnZone(m *member.Member) bool { return m.Zone == d.self.Zone }
 
-// pickOne chooses one of the suitable members at random, never this process, and reports whether there is any.
+// pickOne returns the address of a random suitable member other than this process, and whether there is one.
 func (d *disseminator) pickOne(members []member.Member, suitable func(*member.Member) bool) (netip.AddrPort, bool) {
 	picked := d.pick(members, 1, suitable)
 	if len(picked) == 0 {
@@ -21,7 +21,7 @@
 	return picked[0], true
 }
 
-// pick chooses up to count of the suitable members at random, never this process.
+// pick returns the addresses of up to count random suitable members other than this process, by reservoir sampling.
 func (d *disseminator) pick(members []member.Member, count int, suitable func(*member.Member) bool) []netip.AddrPort {
 	var picked []netip.AddrPort
 	seen := 0
@@ -42,7 +42,7 @@
 	return picked
 }
 
-// jitter shortens a period by up to a tenth, so that members do not act all at the same time.
+// jitter shortens a period by up to a tenth, so that members do not all act at the same time.
 func jitter(random *rand.Rand, period time.Duration) time.Duration {
 	const share = 10
 	spread := max(int64(period)/share, 1)
--- a/internal/gossip/service.go
+++ b/internal/gossip/service.go
@@ -22,27 +22,28 @@
 )
 
 const (
-	// digestTimeoutMinimum and digestTimeoutMaximum bound how long the answer to a digest may take, a heartbeat otherwise.
+	// digestTimeoutMinimum and digestTimeoutMaximum bound the timeout of an exchange of digests, which is otherwise a
+	// heartbeat.
 	digestTimeoutMinimum = 500 * time.Millisecond
 	digestTimeoutMaximum = time.Second
-	// fetchTimeout is how long a fetch may take.
+	// fetchTimeout is the timeout of a fetch.
 	fetchTimeout = 5 * time.Second
 )
 
-// Service spreads and receives values in this process. Its methods may be called by any goroutine.
+// Service publishes and receives values in this process. Its methods are safe for concurrent use.
 type Service struct {
 	transport     *peer.Transport
 	log           *zap.Logger
 	digestTimeout time.Duration
-	disseminator  *disseminator // used within calls of the driver only
+	disseminator  *disseminator // only accessed in functions that the driver calls
 	driver        *driver.Driver[output]
 	delivery      delivery
 	packer        packer
 }
 
-// New returns the service of the process that self describes, and sets its handlers on the transport, which must not be
-// started yet. The heartbeat is the time between exchanges of digests: a shorter one keeps proofs younger, and costs more
-// messages.
+// New returns the service of the process that self describes, and registers its handlers with the transport, which must
+// not be started yet. The heartbeat is the time between exchanges of digests: a shorter one keeps proofs more recent,
+// but takes more messages.
 func New(self member.Member, members func() *member.Table, t *peer.Transport, heartbeat time.Duration, log *zap.Logger) *Service {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	s := &Service{
@@ -58,19 +59,19 @@
 	return s
 }
 
-// Start begins to exchange with other members, until ctx ends. Before it nothing is sent. It must be called once. The
-// goroutines of exchanges and fetches end soon after ctx; nobody waits for them.
+// Start begins to exchange messages with other members, until ctx ends. Nothing is sent before Start. It must be called
+// once. The goroutines of exchanges and fetches end soon after ctx; nothing waits for them.
 func (s *Service) Start(ctx context.Context) { s.driver.Start(ctx) }
 
-// Publish announces a version that this process has made or learned of otherwise. One that is not newer than the present one
-// is ignored.
+// Publish stores and announces a version that this process has created, or learned of by other means than gossip. A
+// version that is not newer than the local one is ignored.
 func (s *Service) Publish(v Value) {
 	if checkTopic(v.Topic) != nil {
 		return
 	}
 	var steps []step
 	if current, found := s.Current(v.Topic); found && v.Version.newerThan(current.Version) {
-		steps = differences(current, v)
+		steps = stepsBetween(current, v)
 	}
 	s.driver.Do(func(now time.Duration) { s.disseminator.publish(now, v, steps) })
 }
@@ -86,8 +87,8 @@
 	return value, present
 }
 
-// Subscribe has a function called with each version that is newer than those before, the present one included if there is
-// one. Versions may be passed over when newer ones have come. Calls come one at a time.
+// Subscribe registers a function that is called with the local version, if there is one, and with each newer version.
+// Versions may be skipped once newer ones have arrived. Subscribers are called one at a time.
 func (s *Service) Subscribe(topic Topic, subscriber func(Value)) {
 	s.delivery.subscribe(topic, subscriber)
 	if current, found := s.Current(topic); found {
@@ -95,19 +96,19 @@
 	}
 }
 
-// Certify says that at asOf, a time by the monotonic clock, no version of the topic was newer.
+// Certify records the proof that no version of the topic was newer at asOf, which must have a monotonic clock reading.
 func (s *Service) Certify(topic Topic, version Version, asOf time.Time) {
 	s.driver.Inspect(func(time.Duration) { s.disseminator.certify(topic, version, s.driver.TimeOf(asOf)) })
 }
 
-// ProofAge returns how long ago the present version was certainly the newest, UnknownAge if there is no proof for it.
+// ProofAge returns the age of the proof that the local version was the newest, UnknownAge if there is no proof.
 func (s *Service) ProofAge(topic Topic) time.Duration {
 	age := UnknownAge
 	s.driver.Inspect(func(now time.Duration) { age = s.disseminator.entries[topic].age(now) })
 	return age
 }
 
-// perform carries out what the state machine wants done.
+// perform performs the output of the state machine.
 func (s *Service) perform(ctx context.Context, now time.Duration, out output) {
 	for _, v := range out.values {
 		s.delivery.deliver(v)
@@ -143,8 +144,8 @@
 	s.driver.Do(func(now time.Duration) { s.disseminator.receiveAnnouncement(now, from, summaries) })
 }
 
-// exchangeDigest exchanges digests with a member, and hands the outcome to the state machine. Ages of the answer's proofs are
-// counted from sentAt.
+// exchangeDigest exchanges digests with a member, and passes the result to the state machine. The ages of the proofs in
+// the answer are counted from sentAt.
 func (s *Service) exchangeDigest(ctx context.Context, sentAt time.Duration, call digestCall) {
 	answer, err := s.callDigest(ctx, call)
 	if err != nil {
@@ -155,8 +156,8 @@
 	s.driver.Do(func(now time.Duration) { s.disseminator.digestAnswered(now, sentAt, call.to, &answer) })
 }
 
-// Exchange exchanges digests with a member now, besides the exchange of each heartbeat. It returns when what the member
-// answered is stored, or the error of the call.
+// Exchange exchanges digests with a member now, in addition to the periodic exchanges. It returns once the answer is
+// stored, or the error of the call.
 func (s *Service) Exchange(ctx context.Context, with netip.AddrPort) error {
 	var sentAt time.Duration
 	call := digestCall{to: with}
@@ -197,8 +198,8 @@
 	return peer.Message{Kind: digestKind, Body: body}, err
 }
 
-// fetch requests a value from a member, and hands the outcome to the state machine. The age of the answer's proof is counted
-// from requestedAt.
+// fetch requests a value from a member, and passes the result to the state machine. The age of the proof in the answer is
+// counted from requestedAt.
 func (s *Service) fetch(ctx context.Context, requestedAt time.Duration, call fetchCall) {
 	answer, err := s.callFetch(ctx, call)
 	if err != nil {
@@ -206,7 +207,7 @@
 		s.driver.Do(func(now time.Duration) { s.disseminator.fetchFailed(now, call.request.topic) })
 		return
 	}
-	s.driver.Do(func(now time.Duration) { s.disseminator.fetched(now, requestedAt, &answer) })
+	s.driver.Do(func(now time.Duration) { s.disseminator.fetchAnswered(now, requestedAt, &answer) })
 }
 
 func (s *Service) callFetch(ctx context.Context, call fetchCall) (fetchAnswer, error) {
@@ -225,7 +226,7 @@
 		return fetchAnswer{}, err
 	}
 	if got, want := answer.update.value.Topic, call.request.topic; got != want {
-		return fetchAnswer{}, fault.New(fault.Internal, "topic %d instead of %d", got, want)
+		return fetchAnswer{}, fault.New(fault.Internal, "answer to fetch: got topic %d, want %d", got, want)
 	}
 	return answer, nil
 }
--- a/internal/gossip/service_test.go
+++ b/internal/gossip/service_test.go
@@ -17,7 +17,7 @@
 	"nickelline/internal/peer"
 )
 
-// listen returns a transport that is not started yet, and closes it after the test.
+// listen returns a transport that is not started yet, and is closed after the test.
 func listen(t *testing.T) *peer.Transport {
 	t.Helper()
 	transport, err := peer.Listen(netip.MustParseAddrPort("127.0.0.1:0"), zap.NewNop())
@@ -28,26 +28,26 @@
 	return transport
 }
 
-// expectProofOnlyOfConfiguration fails the test if a service has a proof of the configuration that counts as younger than
-// began, or a list of backends.
+// expectProofOnlyOfConfiguration fails the test if the proof of the configuration is dated later than began, or if the
+// service has a list of backends or a proof of one.
 func expectProofOnlyOfConfiguration(t *testing.T, s *Service, began time.Time) {
 	t.Helper()
-	// The clock is read before: the proof cannot be younger than the time since it was made.
+	// The clock is read before the age, so that the age is at least the time since the proof was made.
 	since := time.Since(began)
 	if age := s.ProofAge(Configuration); age < since {
-		t.Errorf("age of the proof: got %v, want at least %v", age, since)
+		t.Errorf("proof age of the configuration: got %v, want at least %v", age, since)
 	}
 	if _, present := s.Current(Backends); present {
-		t.Error("value that was never published: got one, want none")
+		t.Error("list of backends, which was never published: got one, want none")
 	}
 	if age := s.ProofAge(Backends); age != UnknownAge {
-		t.Errorf("age of the proof of nothing: got %v, want none", age)
+		t.Errorf("proof age of the list of backends: got %v, want none", age)
 	}
 }
 
-// A proof that was made after the exchange of a heartbeat is fetched by an exchange besides it.
-func TestExchangeBringsAProof(t *testing.T) {
-	const longHeartbeat = time.Hour // no exchange of its own but those at the start
+// A proof that is made after the periodic exchange reaches another member by an extra exchange.
+func TestExchangeTransfersAProof(t *testing.T) {
+	const longHeartbeat = time.Hour // no periodic exchanges other than those at the start
 	var table atomic.Pointer[member.Table]
 	table.Store(member.NewTable())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -66,7 +66,7 @@
 	reader, other := services[0], services[1]
 	value := Value{Topic: Backends, Version: Version{Sequence: 1}, Data: []byte("list")}
 	reader.Publish(value)
-	// The second proof is so much newer than the first that no pause of the process can make up for it.
+	// The second proof is a minute newer than the first, so that a pause of the process cannot hide the difference.
 	for _, proofAge := range []time.Duration{time.Minute, 0} {
 		began := time.Now().Add(-proofAge)
 		reader.Certify(Backends, value.Version, began)
@@ -76,7 +76,7 @@
 		}
 		since := time.Since(began)
 		if age := other.ProofAge(Backends); age >= before || age < since {
-			t.Errorf("proof of age %v after one of %v, made %v ago", age, before, since)
+			t.Errorf("proof age after the exchange: got %v, want less than %v and at least %v", age, before, since)
 		}
 	}
 }
@@ -119,10 +119,10 @@
 		select {
 		case v := <-received:
 			if v.Version != value.Version || !bytes.Equal(v.Data, value.Data) {
-				t.Fatalf("version %v of %d bytes", v.Version, len(v.Data))
+				t.Fatalf("received: got version %v of %d bytes, want %v of %d bytes", v.Version, len(v.Data), value.Version, len(value.Data))
 			}
 		case <-timeout:
-			t.Fatal("the value did not reach all")
+			t.Fatalf("not all of %d subscribers were called within %v", count, serviceTimeout)
 		}
 	}
 	for _, s := range services {
@@ -135,7 +135,7 @@
 	}
 	services[0].Publish(Value{Topic: Configuration, Version: Version{Sequence: 2}})
 	if current, _ := services[0].Current(Configuration); current.Version != value.Version || late != 1 {
-		t.Error("an older version was taken")
+		t.Errorf("after publishing an older version: got version %v and %d calls, want %v and 1", current.Version, late, value.Version)
 	}
 }
 
@@ -207,18 +207,18 @@
 			t.Errorf("got %+v (%v)", got, err)
 		}
 	}
-	if data, err = encodeFetchRequest(fetchRequest{topic: topics}); err != nil {
+	if data, err = encodeFetchRequest(fetchRequest{topic: topicCount}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := decodeFetchRequest(data); err == nil {
-		t.Error("an unknown topic was taken")
+		t.Error("decode of a request with an unknown topic: got no error, want one")
 	}
 }
 
-func TestAgesOnlyGrowOnTheirWay(t *testing.T) {
+func TestEncodedAgeIsNeverUnderstated(t *testing.T) {
 	for _, age := range []time.Duration{0, 1, 999, 1000, 1001, time.Hour, UnknownAge - 1, UnknownAge} {
 		if got := decodeAge(encodeAge(age)); got < age {
-			t.Errorf("%v came as %v", age, got)
+			t.Errorf("age %v after encoding and decoding: got %v, want at least %v", age, got, age)
 		}
 	}
 }
--- a/internal/gossip/simulation_test.go
+++ b/internal/gossip/simulation_test.go
@@ -19,7 +19,8 @@
 	digestTimeout   = time.Second
 )
 
-// simulation runs state machines over a simulated network in simulated time. The list of members changes only by updateTable.
+// simulation runs state machines over a simulated network in simulated time. Only updateTable changes the list of
+// members.
 type simulation struct {
 	t      testing.TB
 	random *rand.Rand
@@ -28,18 +29,18 @@
 	byAddr map[netip.AddrPort]*simulatedNode
 	table  *member.Table
 
-	loss       float64 // of datagrams
-	failing    float64 // share of calls that get no answer
-	maxLatency time.Duration
+	datagramLossRate float64 // of datagrams
+	callFailureRate  float64 // share of calls that get no answer
+	maxLatency       time.Duration
 	// check is called after each event of a node.
 	check func(n *simulatedNode)
 
-	// published holds the data of the versions that publish has made.
+	// published holds the data of the versions that publish created.
 	published map[Topic]map[Version][]byte
 
 	datagrams, digests, fetches int
-	// sent counts the bytes of values and differences that members have sent each other.
-	sent int
+	// updateBytes is the number of bytes of values and differences that members have sent each other.
+	updateBytes int
 }
 
 type simulatedNode struct {
@@ -47,10 +48,10 @@
 	disseminator *disseminator
 	process      simnet.Process
 	timer        time.Duration
-	values       [topics]Version // the newest that subscribers were called with
+	values       [topicCount]Version // the newest with which subscribers were called
 }
 
-// newSimulation makes nodes in several zones, of which the first of each zone are control processes.
+// newSimulation creates nodes in several zones. The first nodes of each zone are control processes.
 func newSimulation(t testing.TB, seed uint64, size int) *simulation {
 	s := &simulation{
 		t:          t,
@@ -103,7 +104,7 @@
 	return time.Millisecond + time.Duration(s.random.Int64N(int64(s.maxLatency)))
 }
 
-// deliver hands an event to a node and performs its output, or does so after a freeze.
+// deliver passes an event to a node and performs its output, after the thaw if the node is frozen.
 func (s *simulation) deliver(n *simulatedNode, event func()) {
 	n.process.Do(func() {
 		event()
@@ -119,7 +120,7 @@
 		}
 		n.values[v.Topic] = v.Version
 		if data, known := s.published[v.Topic][v.Version]; known && !bytes.Equal(data, v.Data) {
-			s.t.Errorf("%s: subscribers called with other data of %v", n.self.Name, v.Version)
+			s.t.Errorf("%s: subscribers called with other data of version %v than was published", n.self.Name, v.Version)
 		}
 	}
 	for _, a := range out.announcements {
@@ -157,7 +158,7 @@
 func (s *simulation) announce(n *simulatedNode, a announcement) {
 	for _, address := range a.to {
 		s.datagrams++
-		if s.random.Float64() < s.loss {
+		if s.random.Float64() < s.datagramLossRate {
 			continue
 		}
 		to := s.byAddr[address]
@@ -167,7 +168,7 @@
 	}
 }
 
-// call simulates a request and its answer. The answer is called back at the node unless it has timed out before.
+// call simulates a request and its answer. The node handles the answer, or the failure if the request times out first.
 func (s *simulation) call(n *simulatedNode, address netip.AddrPort, timeout time.Duration, serve func(to *simulatedNode) (answered func()), failed func()) {
 	to := s.byAddr[address]
 	ended := false
@@ -178,7 +179,7 @@
 		}
 	}
 	s.clock.At(s.clock.Now()+timeout, func() { end(failed) })
-	if s.random.Float64() < s.failing {
+	if s.random.Float64() < s.callFailureRate {
 		return
 	}
 	s.clock.At(s.clock.Now()+s.latency(), func() {
@@ -191,29 +192,29 @@
 
 func (s *simulation) digest(n *simulatedNode, d digestCall) {
 	s.digests++
-	asked := s.clock.Now()
+	sentAt := s.clock.Now()
 	serve := func(to *simulatedNode) func() {
 		answer := to.disseminator.answerDigest(s.clock.Now(), n.self.Address, d.summaries)
 		for i := range answer.updates {
-			s.sent += answer.updates[i].bytes()
+			s.updateBytes += answer.updates[i].bytes()
 		}
-		return func() { n.disseminator.digestAnswered(s.clock.Now(), asked, d.to, &answer) }
+		return func() { n.disseminator.digestAnswered(s.clock.Now(), sentAt, d.to, &answer) }
 	}
 	s.call(n, d.to, digestTimeout, serve, func() { n.disseminator.digestFailed(s.clock.Now()) })
 }
 
 func (s *simulation) fetch(n *simulatedNode, f fetchCall) {
 	s.fetches++
-	asked := s.clock.Now()
+	requestedAt := s.clock.Now()
 	serve := func(to *simulatedNode) func() {
 		answer, present := to.disseminator.answerFetch(s.clock.Now(), f.request)
-		s.sent += answer.update.bytes()
+		s.updateBytes += answer.update.bytes()
 		return func() {
 			if !present {
 				n.disseminator.fetchFailed(s.clock.Now(), f.request.topic)
 				return
 			}
-			n.disseminator.fetched(s.clock.Now(), asked, &answer)
+			n.disseminator.fetchAnswered(s.clock.Now(), requestedAt, &answer)
 		}
 	}
 	s.call(n, f.to, fetchTimeout, serve, func() { n.disseminator.fetchFailed(s.clock.Now(), f.request.topic) })
@@ -224,7 +225,7 @@
 	s.deliver(n, func() { n.disseminator.Advance(s.clock.Now()) })
 }
 
-// run handles events until the time is reached or done, if there is one, reports true.
+// run handles events until the given time, or until done returns true if it is not nil.
 func (s *simulation) run(until time.Duration, done func() bool) {
 	s.clock.RunUntilDone(until, func() bool { return done != nil && done() })
 }
@@ -239,13 +240,13 @@
 	s.deliver(n, func() {
 		var steps []step
 		if e := &n.disseminator.entries[topic]; e.present {
-			steps = differences(e.value, v)
+			steps = stepsBetween(e.value, v)
 		}
 		n.disseminator.publish(s.clock.Now(), v, steps)
 	})
 }
 
-// versionData is a value of which one version differs from the others in a few places.
+// versionData returns the data of a version, which differs from that of any other version in a few places.
 func versionData(sequence uint64, size int) []byte {
 	const entry = 50
 	data := make([]byte, 0, size+entry)
@@ -259,8 +260,8 @@
 	return data[:size]
 }
 
-// replicas counts the nodes that are up and have the version.
-func (s *simulation) replicas(topic Topic, sequence uint64) int {
+// nodesWithVersion returns the number of running nodes that have the version.
+func (s *simulation) nodesWithVersion(topic Topic, sequence uint64) int {
 	count := 0
 	for _, n := range s.nodes {
 		e := &n.disseminator.entries[topic]
--- a/internal/gossip/update_codec.go
+++ b/internal/gossip/update_codec.go
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// decodeUpdates leaves out topics that this process does not know.
+// decodeUpdates skips topics that this process does not know.
 func decodeUpdates(list gossipwire.Update_List, err error) ([]update, error) {
 	if err != nil {
 		return nil, err
@@ -48,7 +48,7 @@
 	}
 	var updates []update
 	for i := range list.Len() {
-		if Topic(list.At(i).Topic()) >= topics {
+		if Topic(list.At(i).Topic()) >= topicCount {
 			continue
 		}
 		u, err := decodeUpdate(list.At(i))
--- a/internal/gossip/value.go
+++ b/internal/gossip/value.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// ControlRole is the role of the members that know the newest versions first.
+// ControlRole is the role of control processes, which are the first members to have the newest versions.
 const ControlRole = "control"
 
-// UnknownAge is the age of a proof that does not exist.
+// UnknownAge is the age that stands for a missing proof.
 const UnknownAge = time.Duration(math.MaxInt64)
 
 // Topic names a value of which all members keep the newest version.
@@ -24,20 +24,20 @@
 	// Placement is the placement of the batch partitions.
 	Placement
 
-	topics
+	topicCount
 )
 
-// Version orders the values of a topic. Two values of one version are the same.
+// Version orders the values of a topic. Two values of a topic with the same version are identical.
 type Version struct {
 	Epoch, Sequence uint64
 }
 
-// Compare returns -1 if v is older than other, 1 if it is newer, and 0 if they are the same.
+// Compare returns -1 if v is older than other, 1 if it is newer, and 0 if they are equal.
 func (v Version) Compare(other Version) int {
 	return cmp.Or(cmp.Compare(v.Epoch, other.Epoch), cmp.Compare(v.Sequence, other.Sequence))
 }
 
-// newerThan reports whether v replaces other.
+// newerThan reports whether v is newer than other.
 func (v Version) newerThan(other Version) bool { return v.Compare(other) > 0 }
 
 // Value is one version of a topic. It is immutable.
