--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// Never is later than any time of the clock: the time at which a machine is due that waits for an event only.
+// Never is later than any time of the clock. A machine that only waits for events returns it as its next deadline.
 const Never = time.Duration(math.MaxInt64)
 
 // Machine is a deterministic state machine. Times are by the clock of its driver.
 type Machine[Output any] interface {
-	// Advance does what is due.
+	// Advance performs the actions that are due.
 	Advance(now time.Duration)
-	// Next returns the time at which Advance has to be called if no event comes before, Never if there is none.
+	// Next returns the time at which Advance has to be called if no event occurs earlier, Never if nothing is due.
 	Next() time.Duration
-	// Take returns what is to be done since the last call. Before the driver is started the machine holds back what can
-	// only be done by a started process.
+	// Take returns the output since the last call. Before the driver is started the machine retains the output that only a
+	// started process can perform.
 	Take(started bool) Output
 }
 
-// Perform carries out what a machine wants done. The context ends when the driver stops; now is the time of the event. It
+// Perform performs the output of a machine. The context ends when the driver stops; now is the time of the event. It
 // must not block on the driver, but may call it.
 type Perform[Output any] func(ctx context.Context, now time.Duration, output Output)
 
 // Driver runs one machine.
 type Driver[Output any] struct {
 	perform Perform[Output]
-	epoch   time.Time // at which the clock reads 0
+	epoch   time.Time // time at which the clock of the machine reads 0
 
-	mutex   sync.Mutex // of the fields below
+	mutex   sync.Mutex // guards the fields below
 	machine Machine[Output]
 	ctx     context.Context
 	timer   *time.Timer // nil before Start
@@ -47,7 +47,7 @@
 	}
 }
 
-// Start begins to advance the machine, at once for the first time, until ctx ends. It must be called once.
+// Start begins to advance the machine, immediately and then whenever it is due, until ctx ends. It must be called once.
 func (d *Driver[Output]) Start(ctx context.Context) {
 	d.mutex.Lock()
 	d.ctx = ctx
@@ -65,8 +65,8 @@
 
 func (d *Driver[Output]) tick() { d.Do(d.machine.Advance) }
 
-// Do hands an event to the machine and performs its output. It reports whether the event was handled: after the driver has
-// stopped none is.
+// Do delivers an event to the machine and performs the output. It returns false, and does not handle the event, if the
+// driver has stopped.
 func (d *Driver[Output]) Do(event func(now time.Duration)) bool {
 	d.mutex.Lock()
 	if d.stopped {
@@ -86,15 +86,15 @@
 	return true
 }
 
-// Inspect calls a function that reads the machine, or changes what neither makes it due nor brings forth output. It does so
-// after the driver has stopped, too.
+// Inspect calls a function that reads the machine, or changes it without affecting its next deadline or producing
+// output. It also does so after the driver has stopped.
 func (d *Driver[Output]) Inspect(inspect func(now time.Duration)) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	inspect(d.now())
 }
 
-// TimeOf returns a time by the clock of the machine.
+// TimeOf converts a time to the clock of the machine.
 func (d *Driver[Output]) TimeOf(at time.Time) time.Duration { return at.Sub(d.epoch) }
 
 func (d *Driver[Output]) now() time.Duration { return time.Since(d.epoch) }
--- a/internal/driver/driver_test.go
+++ b/internal/driver/driver_test.go
@@ -10,7 +10,7 @@
 
 const testTimeout = 20 * time.Second
 
-// testMachine is due at a time that the tests set, and outputs the names of the events it has seen.
+// testMachine is due at a time that the tests set, and outputs the names of the events that it has handled.
 type testMachine struct {
 	due    time.Duration
 	events []string
@@ -34,7 +34,7 @@
 	return taken
 }
 
-// newTestDriver returns a driver and a channel of the events that its machine has output.
+// newTestDriver returns a driver, and a channel of the events that its machine outputs.
 func newTestDriver(machine *testMachine) (*Driver[[]string], <-chan string) {
 	performed := make(chan string, 100)
 	d := New(machine, func(_ context.Context, _ time.Duration, events []string) {
@@ -95,7 +95,7 @@
 	})
 }
 
-func TestNothingIsHandledAfterTheEnd(t *testing.T) {
+func TestNothingIsHandledAfterStop(t *testing.T) {
 	machine := &testMachine{due: Never}
 	d, performed := newTestDriver(machine)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -127,7 +127,7 @@
 			d.Do(func(time.Duration) { machine.events = append(machine.events, "second") })
 		}
 	})
-	d.timer = time.NewTimer(time.Hour) // started, without a tick of its own
+	d.timer = time.NewTimer(time.Hour) // marks the driver as started, without a timer tick
 	d.Do(func(time.Duration) { machine.events = append(machine.events, "first") })
 	if want := []string{"first", "second"}; !slices.Equal(performed, want) {
 		t.Errorf("performed: got %v, want %v", performed, want)
