--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs stand-ins of backends and of the platform's list of them, for trying the serving tier on one
-// machine. On SIGTERM the list shows the backends as draining for a while before they go.
+// Command standin runs stand-ins for backends and for the platform's list of them, for trials of the serving tier on one
+// machine. On SIGTERM or SIGINT the list shows the backends as draining for a while before they stop.
 package main
 
 import (
@@ -24,7 +24,7 @@
 
 const headerTimeout = 5 * time.Second
 
-// options are the command line.
+// options holds the command-line flags.
 type options struct {
 	List      netip.AddrPort `required:"" help:"Address of the platform's list."`
 	PageSize  int            `default:"50" help:"Backends on a page of the list."`
@@ -46,9 +46,10 @@
 	command.FatalIfErrorf(run(&o, log))
 }
 
-// run serves until SIGTERM or SIGINT and a drain.
+// run serves until a server fails, or until SIGTERM or SIGINT arrives and the backends have drained. It returns the
+// error of the server that failed.
 func run(o *options, log *zap.Logger) error {
-	stopped, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	var backends []*standin.Backend
 	var servers []*http.Server
@@ -63,10 +64,10 @@
 		backend := standin.NewBackend(b)
 		backends = append(backends, backend)
 		identifiers = append(identifiers, b.Identifier)
-		servers = append(servers, server(b.Address, backend))
+		servers = append(servers, newServer(b.Address, backend))
 	}
 	list := standin.NewList(o.PageSize, o.ListRate, backends...)
-	servers = append(servers, server(o.List, list))
+	servers = append(servers, newServer(o.List, list))
 	failed := make(chan error, len(servers))
 	var running sync.WaitGroup
 	for _, s := range servers {
@@ -80,7 +81,7 @@
 	var err error
 	select {
 	case err = <-failed:
-	case <-stopped.Done():
+	case <-ctx.Done():
 		for i, b := range backends {
 			list.SetState(identifiers[i], standin.StateDraining)
 			b.Drain()
@@ -95,11 +96,11 @@
 	return err
 }
 
-func server(address netip.AddrPort, handler http.Handler) *http.Server {
+func newServer(address netip.AddrPort, handler http.Handler) *http.Server {
 	return &http.Server{Addr: address.String(), Handler: handler, ReadHeaderTimeout: headerTimeout}
 }
 
-// parseBackend reads SERVICE,ZONE,ADDRESS[,SLOTS].
+// parseBackend parses a backend of the form SERVICE,ZONE,ADDRESS[,SLOTS].
 func parseBackend(text string) (standin.Options, error) {
 	fields := strings.Split(text, ",")
 	if len(fields) < 3 || len(fields) > 4 || fields[0] == "" || fields[1] == "" {
@@ -113,7 +114,7 @@
 	if len(fields) == 4 {
 		slots, err = strconv.Atoi(fields[3])
 		if err != nil || slots < 1 {
-			return standin.Options{}, merry.Errorf("backend %q: the slots are not a number above 0", text)
+			return standin.Options{}, merry.Errorf("backend %q: SLOTS is not a positive integer", text)
 		}
 	}
 	return standin.Options{Service: fields[0], Zone: fields[1], Address: address, Slots: slots}, nil
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -1,7 +1,9 @@
-// Package standin has stand-ins for what the serving tier talks to: backends of a service, and the platform's list of them.
-// They speak the protocol's side of a backend, for trying the tier on one machine and for tests.
+// Package standin provides stand-ins for the systems that the serving tier talks to: the backends of a service, and the
+// platform's list of backends. They implement their side of the protocol, for trials of the tier on one machine and for
+// tests.
 //
-// It is built on net/http and not on the HTTP library of the tier, so that the tier is not tried against itself.
+// The package is built on net/http instead of the HTTP library of the tier, so that the tier is not tested against
+// itself.
 package standin
 
 import (
@@ -22,40 +24,40 @@
 
 // Headers of the protocol.
 const (
-	headerAttempt     = "Nickelline-Attempt-Id"
-	headerSeal        = "Nickelline-Response-Seal"
-	headerExpected    = "Nickelline-Expected-Instance"
-	headerInstance    = "Nickelline-Instance-Id"
-	headerNotExecuted = "Nickelline-Not-Executed"
-	headerLoad        = "Nickelline-Server-Load"
-	headerDeadline    = "Nickelline-Deadline-Remaining-Ms"
-	headerTokens      = "Nickelline-Token-Usage"
-	headerLastEvent   = "Last-Event-Id"
+	headerAttemptID         = "Nickelline-Attempt-Id"
+	headerResponseSeal      = "Nickelline-Response-Seal"
+	headerExpectedInstance  = "Nickelline-Expected-Instance"
+	headerInstanceID        = "Nickelline-Instance-Id"
+	headerNotExecuted       = "Nickelline-Not-Executed"
+	headerServerLoad        = "Nickelline-Server-Load"
+	headerDeadlineRemaining = "Nickelline-Deadline-Remaining-Ms"
+	headerTokenUsage        = "Nickelline-Token-Usage"
+	headerLastEventID       = "Last-Event-Id"
 )
 
 const (
-	reportPath   = "/-/report"
-	queuePart    = 8        // of the slots, for requests that wait
-	bodyLimit    = 16 << 20 // bytes of a request's body
-	defaultStage = "both"
-	modelName    = "m"
-	modelVersion = 1
+	reportPath         = "/-/report"
+	slotsPerQueuePlace = 8        // one request may wait for each 8 slots, at least one for a backend
+	maxBodyBytes       = 16 << 20 // longer request bodies are truncated
+	pipelineStage      = "both"
+	modelName          = "m"
+	modelVersion       = 1
 )
 
-// Options describe a backend.
+// Options configures a backend.
 type Options struct {
 	Identifier string
 	Service    string
 	Zone       string
 	Address    netip.AddrPort
-	Slots      int           // requests that run at one time
-	HealthPath string        // answers while the backend is well and not draining
-	WorkTime   time.Duration // of a request, up to its first token if it is one for tokens
+	Slots      int           // number of requests that may run at the same time
+	HealthPath string        // path of the health check, which fails while the backend drains
+	WorkTime   time.Duration // duration of a request, or time to the first token of a stream
 	TokenTime  time.Duration // between the tokens of a stream
 }
 
-// Backend answers requests as a backend of a service does. A request that names its token usage is answered with a
-// stream of events, one for each token; any other with a short text.
+// Backend is an HTTP handler that acts as a backend of a service. It responds to a request with a token usage header
+// with a stream of events, one for each token, and to any other request with a short text.
 type Backend struct {
 	options  Options
 	slots    chan struct{}
@@ -63,39 +65,39 @@
 	draining atomic.Bool
 }
 
-// NewBackend makes a backend that is ready.
+// NewBackend returns a backend that is ready.
 func NewBackend(o Options) *Backend {
 	return &Backend{options: o, slots: make(chan struct{}, o.Slots)}
 }
 
-// Drain has the backend refuse health checks and ask for its connections to be closed.
+// Drain makes the backend fail health checks and ask its clients to close their connections.
 func (b *Backend) Drain() { b.draining.Store(true) }
 
-// ServeHTTP answers a request.
+// ServeHTTP responds to requests for the report, to health checks and, on all other paths, to requests for the service.
 func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if attempt := r.Header.Get(headerAttempt); attempt != "" {
-		w.Header().Set(headerAttempt, attempt)
+	if attempt := r.Header.Get(headerAttemptID); attempt != "" {
+		w.Header().Set(headerAttemptID, attempt)
 	}
-	w.Header().Set(headerLoad, b.load())
+	w.Header().Set(headerServerLoad, b.load())
 	if b.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	switch r.URL.Path {
 	case reportPath:
-		b.report(w)
+		b.serveReport(w)
 	case b.options.HealthPath:
-		b.health(w, r)
+		b.serveHealth(w, r)
 	default:
-		b.request(w, r)
+		b.serveRequest(w, r)
 	}
 }
 
-// load is the value of the load header: requests running, waiting, and slots.
+// load returns the value of the load header: running requests, waiting requests and slots.
 func (b *Backend) load() string {
 	return fmt.Sprintf("%d,%d,%d", len(b.slots), b.waiting.Load(), b.options.Slots)
 }
 
-func (b *Backend) report(w http.ResponseWriter) {
+func (b *Backend) serveReport(w http.ResponseWriter) {
 	type model struct {
 		Name     string   `json:"name"`
 		Version  int      `json:"version"`
@@ -112,42 +114,42 @@
 		CacheCapacity int64   `json:"cacheCapacity"`
 		OpenHandles   int     `json:"openHandles"`
 	}{
-		PipelineStage: defaultStage,
+		PipelineStage: pipelineStage,
 		Models:        []model{{Name: modelName, Version: modelVersion, Adapters: []string{}}},
 		Queued:        b.waiting.Load(),
 		Active:        len(b.slots),
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(state) // a client that has left cannot be answered
+	_ = json.NewEncoder(w).Encode(state) // an error means that the client has disconnected
 }
 
-// health waits for a slot as a request does.
-func (b *Backend) health(w http.ResponseWriter, r *http.Request) {
-	if !b.enter(r.Context()) {
+// serveHealth responds to a health check, which takes a slot as a request does.
+func (b *Backend) serveHealth(w http.ResponseWriter, r *http.Request) {
+	if !b.acquireSlot(r.Context()) {
 		refuse(w, http.StatusServiceUnavailable)
 		return
 	}
-	defer b.leave()
-	w.Header().Set(headerInstance, b.options.Identifier)
+	defer b.releaseSlot()
+	w.Header().Set(headerInstanceID, b.options.Identifier)
 	if b.draining.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// request runs a request, or says that it has not run.
-func (b *Backend) request(w http.ResponseWriter, r *http.Request) {
-	if r.Header.Get(headerAttempt) == "" {
+// serveRequest executes a request, or responds that it has not been executed.
+func (b *Backend) serveRequest(w http.ResponseWriter, r *http.Request) {
+	if r.Header.Get(headerAttemptID) == "" {
 		refuse(w, http.StatusBadRequest)
 		return
 	}
-	if expected := r.Header.Get(headerExpected); expected != "" && expected != b.options.Identifier {
-		w.Header().Set(headerInstance, b.options.Identifier)
+	if expected := r.Header.Get(headerExpectedInstance); expected != "" && expected != b.options.Identifier {
+		w.Header().Set(headerInstanceID, b.options.Identifier)
 		refuse(w, http.StatusMisdirectedRequest)
 		return
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, bodyLimit))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
-		return // the caller has gone
+		return // the client has disconnected
 	}
 	ctx, cancel, err := withDeadline(r)
 	if err != nil {
@@ -155,17 +157,17 @@
 		return
 	}
 	defer cancel()
-	if !b.enter(ctx) {
+	if !b.acquireSlot(ctx) {
 		refuse(w, http.StatusServiceUnavailable)
 		return
 	}
-	defer b.leave()
+	defer b.releaseSlot()
 	b.run(ctx, w, r, body)
 }
 
-// withDeadline bounds a request's context by the time that its caller has left.
+// withDeadline returns the context of a request, bounded by the remaining time in the deadline header, if it is set.
 func withDeadline(r *http.Request) (context.Context, context.CancelFunc, error) {
-	text := r.Header.Get(headerDeadline)
+	text := r.Header.Get(headerDeadlineRemaining)
 	if text == "" {
 		return r.Context(), func() {}, nil
 	}
@@ -177,15 +179,15 @@
 	return ctx, cancel, nil
 }
 
-// enter takes a slot, waiting for one if the queue has room. It reports whether it has one.
-func (b *Backend) enter(ctx context.Context) bool {
+// acquireSlot takes a slot, or waits for one if the queue has room. It reports whether it took one.
+func (b *Backend) acquireSlot(ctx context.Context) bool {
 	select {
 	case b.slots <- struct{}{}:
 		return true
 	default:
 	}
 	defer b.waiting.Add(-1)
-	if b.waiting.Add(1) > int64(max(1, b.options.Slots/queuePart)) {
+	if b.waiting.Add(1) > int64(max(1, b.options.Slots/slotsPerQueuePlace)) {
 		return false
 	}
 	select {
@@ -196,53 +198,54 @@
 	}
 }
 
-func (b *Backend) leave() { <-b.slots }
+func (b *Backend) releaseSlot() { <-b.slots }
 
-// run does the work of a request that has a slot.
+// run executes a request that has a slot.
 func (b *Backend) run(ctx context.Context, w http.ResponseWriter, r *http.Request, body []byte) {
-	attempt := r.Header.Get(headerAttempt)
-	w.Header().Set(headerSeal, b.seal(attempt))
+	attempt := r.Header.Get(headerAttemptID)
+	w.Header().Set(headerResponseSeal, b.seal(attempt))
 	if !pause.For(ctx, b.options.WorkTime) {
 		w.WriteHeader(http.StatusGatewayTimeout)
 		return
 	}
-	if usage := r.Header.Get(headerTokens); usage != "" {
+	if usage := r.Header.Get(headerTokenUsage); usage != "" {
 		b.stream(ctx, w, r, usage)
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain")
-	fmt.Fprint(w, Answer(r.Method, r.URL.RequestURI(), body))
+	fmt.Fprint(w, ResponseText(r.Method, r.URL.RequestURI(), body))
 }
 
-// seal is a mark of this backend on its answer to an attempt.
+// seal returns the value of the response seal header, which identifies this backend's response to an attempt.
 func (b *Backend) seal(attempt string) string {
 	sum := sha256.Sum256([]byte(b.options.Identifier + " " + attempt))
 	return fmt.Sprintf("%x.%x", sum[:2], sum[2:6])
 }
 
-// Answer is the body of an answer to a request that asks for no tokens.
-func Answer(method, target string, body []byte) string {
+// ResponseText returns the body of the response to a request without a token usage header.
+func ResponseText(method, target string, body []byte) string {
 	return fmt.Sprintf("%s %s, %d bytes with the sum %x\n", method, target, len(body), sha256.Sum256(body))
 }
 
-// Text is what a stream for an attempt says: the data of all of its events, separated by line feeds.
-func Text(attempt string, tokens int) string {
+// StreamText returns the data of all events in the stream for an attempt, separated by line feeds.
+func StreamText(attempt string, tokens int) string {
 	var lines []string
 	for id := 1; id <= tokens; id++ {
-		lines = append(lines, token(attempt, id))
+		lines = append(lines, tokenText(attempt, id))
 	}
 	return strings.Join(lines, "\n")
 }
 
-// token is the data of one event. It is the same at each backend, so that a stream may go on at another one.
-func token(attempt string, id int) string { return fmt.Sprintf("token %d of %s", id, attempt) }
+// tokenText returns the data of one event. It is the same at each backend, so that a stream can be resumed at another
+// one.
+func tokenText(attempt string, id int) string { return fmt.Sprintf("token %d of %s", id, attempt) }
 
-// stream answers with an event for each token that the request asks for, beginning behind the last one that it has.
+// stream responds with an event for each requested token, beginning after the last event that the client has received.
 func (b *Backend) stream(ctx context.Context, w http.ResponseWriter, r *http.Request, usage string) {
 	_, asked, _ := strings.Cut(usage, ",")
 	tokens, err := strconv.Atoi(strings.TrimSpace(asked))
 	last := 0
-	if text := r.Header.Get(headerLastEvent); text != "" && err == nil {
+	if text := r.Header.Get(headerLastEventID); text != "" && err == nil {
 		last, err = strconv.Atoi(text)
 	}
 	if err != nil || tokens < 1 || last < 0 {
@@ -252,17 +255,17 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	out := http.NewResponseController(w)
 	for id := last + 1; id <= tokens; id++ {
-		fmt.Fprintf(w, "id: %d\ndata: %s\n\n", id, token(r.Header.Get(headerAttempt), id))
+		fmt.Fprintf(w, "id: %d\ndata: %s\n\n", id, tokenText(r.Header.Get(headerAttemptID), id))
 		if out.Flush() != nil {
 			return
 		}
 		if id < tokens && !pause.For(ctx, b.options.TokenTime) {
-			panic(http.ErrAbortHandler) // the answer must not look whole
+			panic(http.ErrAbortHandler) // close the connection, so that the response does not look complete
 		}
 	}
 }
 
-// refuse says that a request has not run and will not.
+// refuse responds that a request has not been executed and will not be.
 func refuse(w http.ResponseWriter, status int) {
 	w.Header().Set(headerNotExecuted, "1")
 	w.WriteHeader(status)
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	listPath    = "/instances"
-	tokenPrefix = "p-" // of a token that names a page
+	listPath        = "/instances"
+	pageTokenPrefix = "p-" // prefix of page tokens, which is followed by the position of the first instance
 )
 
 // States of an instance.
@@ -32,26 +32,26 @@
 	ColdRemainingMs int    `json:"coldRemainingMs"`
 }
 
-// Page is an answer of the list. NextToken is null on the last page.
+// Page is one page of the list. NextToken is null on the last page.
 type Page struct {
 	Instances []Instance `json:"instances"`
 	NextToken *string    `json:"nextToken"`
 }
 
-// List is the platform's list of backends. It takes a bounded number of calls a second.
+// List is an HTTP handler that serves the platform's list of backends, with a limit of calls per second (a token bucket).
 type List struct {
-	pageSize int
-	rate     float64
+	pageSize       int
+	callsPerSecond float64
 
-	mutex     sync.Mutex
-	instances []Instance
-	allowance float64 // calls that may come at once
-	counted   time.Time
+	mutex          sync.Mutex
+	instances      []Instance
+	availableCalls float64 // fill level of the token bucket
+	refilledAt     time.Time
 }
 
-// NewList makes a list of backends that are ready. A rate of zero is no bound.
-func NewList(pageSize int, rate float64, backends ...*Backend) *List {
-	l := &List{pageSize: pageSize, rate: rate, allowance: rate, counted: time.Now()}
+// NewList returns a list of backends in the ready state. If callsPerSecond is zero, calls are not limited.
+func NewList(pageSize int, callsPerSecond float64, backends ...*Backend) *List {
+	l := &List{pageSize: pageSize, callsPerSecond: callsPerSecond, availableCalls: callsPerSecond, refilledAt: time.Now()}
 	for _, b := range backends {
 		l.instances = append(l.instances, Instance{
 			Identifier:    b.options.Identifier,
@@ -77,7 +77,7 @@
 	}
 }
 
-// ServeHTTP answers a call for a page of the list.
+// ServeHTTP responds to a request for a page of the list.
 func (l *List) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != listPath {
 		http.NotFound(w, r)
@@ -90,7 +90,7 @@
 	query := r.URL.Query()
 	from := 0
 	if token := query.Get("pageToken"); token != "" {
-		number, isToken := strings.CutPrefix(token, tokenPrefix)
+		number, isToken := strings.CutPrefix(token, pageTokenPrefix)
 		n, err := strconv.Atoi(number)
 		if !isToken || err != nil || n < 0 {
 			w.WriteHeader(http.StatusBadRequest)
@@ -102,23 +102,23 @@
 	_ = json.NewEncoder(w).Encode(l.page(query.Get("zone"), from))
 }
 
-// allow counts a call against the rate.
+// allow reports whether the rate limit admits a call, and counts the call if so.
 func (l *List) allow(now time.Time) bool {
-	if l.rate <= 0 {
+	if l.callsPerSecond <= 0 {
 		return true
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.allowance = min(l.rate, l.allowance+l.rate*now.Sub(l.counted).Seconds())
-	l.counted = now
-	if l.allowance < 1 {
+	l.availableCalls = min(l.callsPerSecond, l.availableCalls+l.callsPerSecond*now.Sub(l.refilledAt).Seconds())
+	l.refilledAt = now
+	if l.availableCalls < 1 {
 		return false
 	}
-	l.allowance--
+	l.availableCalls--
 	return true
 }
 
-// page returns the instances of a zone, or of all zones if it is empty, from a position on.
+// page returns a page of the instances of a zone, or of all zones if zone is empty, starting at a position.
 func (l *List) page(zone string, from int) Page {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -132,7 +132,7 @@
 	end := min(from+l.pageSize, len(matching))
 	page := Page{Instances: matching[from:end]}
 	if end < len(matching) {
-		next := tokenPrefix + strconv.Itoa(end)
+		next := pageTokenPrefix + strconv.Itoa(end)
 		page.NextToken = &next
 	}
 	return page
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -15,8 +15,8 @@
 	return Options{Identifier: "i-1", Service: "writer", Zone: "a", Address: netip.MustParseAddrPort("127.0.0.1:1"), Slots: 1, HealthPath: "/health"}
 }
 
-// ask sends a request with headers given as names and values in turn.
-func ask(t *testing.T, handler http.Handler, method, target, body string, headers ...string) *http.Response {
+// send sends a request to a handler. The headers are alternating names and values.
+func send(t *testing.T, handler http.Handler, method, target, body string, headers ...string) *http.Response {
 	t.Helper()
 	r := httptest.NewRequest(method, target, strings.NewReader(body))
 	for i := 0; i < len(headers); i += 2 {
@@ -27,7 +27,7 @@
 	return w.Result()
 }
 
-func text(t *testing.T, resp *http.Response) string {
+func readBody(t *testing.T, resp *http.Response) string {
 	t.Helper()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
@@ -36,13 +36,13 @@
 	return string(body)
 }
 
-func TestAnswer(t *testing.T) {
+func TestResponse(t *testing.T) {
 	b := NewBackend(options())
-	resp := ask(t, b, "POST", "/x/1?y=2", "body", headerAttempt, "7f", headerExpected, "i-1", headerDeadline, "10000")
-	if resp.StatusCode != 200 || resp.Header.Get(headerAttempt) != "7f" || resp.Header.Get(headerSeal) == "" || resp.Header.Get(headerLoad) != "0,0,1" {
-		t.Errorf("%d %v", resp.StatusCode, resp.Header)
+	resp := send(t, b, "POST", "/x/1?y=2", "body", headerAttemptID, "7f", headerExpectedInstance, "i-1", headerDeadlineRemaining, "10000")
+	if resp.StatusCode != 200 || resp.Header.Get(headerAttemptID) != "7f" || resp.Header.Get(headerResponseSeal) == "" || resp.Header.Get(headerServerLoad) != "0,0,1" {
+		t.Errorf("got status %d, headers %v, want status 200 with the id of the attempt, a seal and load 0,0,1", resp.StatusCode, resp.Header)
 	}
-	if got, want := text(t, resp), Answer("POST", "/x/1?y=2", []byte("body")); got != want {
+	if got, want := readBody(t, resp), ResponseText("POST", "/x/1?y=2", []byte("body")); got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
 }
@@ -57,42 +57,42 @@
 		headers []string
 	}{
 		"no id":                {ready, 400, nil},
-		"another instance":     {ready, 421, []string{headerAttempt, "7f", headerExpected, "i-2"}},
-		"a deadline of words":  {ready, 400, []string{headerAttempt, "7f", headerDeadline, "soon"}},
-		"full at the deadline": {full, 503, []string{headerAttempt, "7f", headerDeadline, "1"}},
+		"another instance":     {ready, 421, []string{headerAttemptID, "7f", headerExpectedInstance, "i-2"}},
+		"a deadline of words":  {ready, 400, []string{headerAttemptID, "7f", headerDeadlineRemaining, "soon"}},
+		"full at the deadline": {full, 503, []string{headerAttemptID, "7f", headerDeadlineRemaining, "1"}},
 	} {
-		resp := ask(t, c.backend, "POST", "/x", "", c.headers...)
-		if resp.StatusCode != c.status || resp.Header.Get(headerNotExecuted) == "" || resp.Header.Get(headerSeal) != "" {
-			t.Errorf("%s: %d %v", name, resp.StatusCode, resp.Header)
+		resp := send(t, c.backend, "POST", "/x", "", c.headers...)
+		if resp.StatusCode != c.status || resp.Header.Get(headerNotExecuted) == "" || resp.Header.Get(headerResponseSeal) != "" {
+			t.Errorf("%s: got status %d, headers %v, want status %d without a seal, marked as not executed", name, resp.StatusCode, resp.Header, c.status)
 		}
 	}
 	full.waiting.Store(1)
-	if resp := ask(t, full, "POST", "/x", "", headerAttempt, "7f"); resp.StatusCode != 503 || resp.Header.Get(headerLoad) != "1,1,1" {
-		t.Errorf("with a full queue: %d %v", resp.StatusCode, resp.Header)
+	if resp := send(t, full, "POST", "/x", "", headerAttemptID, "7f"); resp.StatusCode != 503 || resp.Header.Get(headerServerLoad) != "1,1,1" {
+		t.Errorf("with a full queue: got status %d, headers %v, want status 503 and load 1,1,1", resp.StatusCode, resp.Header)
 	}
 }
 
 func TestStream(t *testing.T) {
 	b := NewBackend(options())
-	resp := ask(t, b, "POST", "/x", "", headerAttempt, "7f", headerTokens, "100,3")
+	resp := send(t, b, "POST", "/x", "", headerAttemptID, "7f", headerTokenUsage, "100,3")
 	want := "id: 1\ndata: token 1 of 7f\n\nid: 2\ndata: token 2 of 7f\n\nid: 3\ndata: token 3 of 7f\n\n"
-	if got := text(t, resp); got != want || resp.Header.Get("Content-Type") != "text/event-stream" {
-		t.Errorf("%q, %v", got, resp.Header)
+	if got := readBody(t, resp); got != want || resp.Header.Get("Content-Type") != "text/event-stream" {
+		t.Errorf("stream: got %q, headers %v, want %q as text/event-stream", got, resp.Header, want)
 	}
-	resp = ask(t, b, "POST", "/x", "", headerAttempt, "7f", headerTokens, "100,3", headerLastEvent, "2")
-	if got, want := text(t, resp), "id: 3\ndata: token 3 of 7f\n\n"; got != want {
-		t.Errorf("continued: %q, want %q", got, want)
+	resp = send(t, b, "POST", "/x", "", headerAttemptID, "7f", headerTokenUsage, "100,3", headerLastEventID, "2")
+	if got, want := readBody(t, resp), "id: 3\ndata: token 3 of 7f\n\n"; got != want {
+		t.Errorf("resumed stream: got %q, want %q", got, want)
 	}
-	if resp := ask(t, b, "POST", "/x", "", headerAttempt, "7f", headerTokens, "many"); resp.StatusCode != http.StatusUnprocessableEntity {
-		t.Errorf("without a number of tokens: %d", resp.StatusCode)
+	if resp := send(t, b, "POST", "/x", "", headerAttemptID, "7f", headerTokenUsage, "many"); resp.StatusCode != http.StatusUnprocessableEntity {
+		t.Errorf("without a number of tokens: got status %d, want 422", resp.StatusCode)
 	}
-	if got, want := Text("7f", 2), "token 1 of 7f\ntoken 2 of 7f"; got != want {
+	if got, want := StreamText("7f", 2), "token 1 of 7f\ntoken 2 of 7f"; got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
 }
 
-// A stream that is broken off at its deadline does not look whole.
-func TestStreamBrokenOff(t *testing.T) {
+// A stream that is interrupted at its deadline must not look complete to the client.
+func TestStreamInterruptedAtDeadline(t *testing.T) {
 	o := options()
 	o.TokenTime = time.Hour
 	server := httptest.NewServer(NewBackend(o))
@@ -101,36 +101,36 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Header.Set(headerAttempt, "7f")
-	r.Header.Set(headerTokens, "100,3")
-	r.Header.Set(headerDeadline, "50")
+	r.Header.Set(headerAttemptID, "7f")
+	r.Header.Set(headerTokenUsage, "100,3")
+	r.Header.Set(headerDeadlineRemaining, "50")
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
 	if body, err := io.ReadAll(resp.Body); err == nil {
-		t.Errorf("%q looks whole", body)
+		t.Errorf("interrupted stream: got %q without an error, want a read error", body)
 	}
 }
 
 func TestHealthAndReport(t *testing.T) {
 	b := NewBackend(options())
-	if resp := ask(t, b, "GET", "/health", ""); resp.StatusCode != 200 || resp.Header.Get(headerInstance) != "i-1" {
-		t.Errorf("%d %v", resp.StatusCode, resp.Header)
+	if resp := send(t, b, "GET", "/health", ""); resp.StatusCode != 200 || resp.Header.Get(headerInstanceID) != "i-1" {
+		t.Errorf("health check: got status %d, headers %v, want status 200 and instance i-1", resp.StatusCode, resp.Header)
 	}
 	var report struct {
 		Active        *int
 		Models        []struct{ Name string }
 		CacheCapacity *int
 	}
-	resp := ask(t, b, "GET", reportPath, "")
+	resp := send(t, b, "GET", reportPath, "")
 	if err := json.NewDecoder(resp.Body).Decode(&report); err != nil || report.Active == nil || len(report.Models) != 1 || report.CacheCapacity == nil {
-		t.Errorf("%+v, %v", report, err)
+		t.Errorf("report: got %+v, error %v, want active, one model and cacheCapacity", report, err)
 	}
 	b.Drain()
-	if resp := ask(t, b, "GET", "/health", ""); resp.StatusCode != 503 || resp.Header.Get("Connection") != "close" {
-		t.Errorf("draining: %d %v", resp.StatusCode, resp.Header)
+	if resp := send(t, b, "GET", "/health", ""); resp.StatusCode != 503 || resp.Header.Get("Connection") != "close" {
+		t.Errorf("health check while draining: got status %d, headers %v, want status 503 and Connection: close", resp.StatusCode, resp.Header)
 	}
 }
 
@@ -155,7 +155,7 @@
 		"?zone=a&pageToken=p-1": "i-2 draining",
 	} {
 		var page Page
-		resp := ask(t, list, "GET", listPath+query, "")
+		resp := send(t, list, "GET", listPath+query, "")
 		if err := json.NewDecoder(resp.Body).Decode(&page); err != nil {
 			t.Fatal(err)
 		}
@@ -168,24 +168,24 @@
 			line += " next " + *page.NextToken
 		}
 		if line != want {
-			t.Errorf("%q: %q, want %q", query, line, want)
+			t.Errorf("list with query %q: got %q, want %q", query, line, want)
 		}
 	}
-	if resp := ask(t, list, "GET", listPath+"?pageToken=x", ""); resp.StatusCode != 400 {
-		t.Errorf("a token of another kind: %d", resp.StatusCode)
+	if resp := send(t, list, "GET", listPath+"?pageToken=x", ""); resp.StatusCode != 400 {
+		t.Errorf("invalid page token: got status %d, want 400", resp.StatusCode)
 	}
 }
 
 func TestListRate(t *testing.T) {
 	list := NewList(2, 2)
-	now := list.counted
+	now := list.refilledAt
 	for i, c := range []struct {
 		after time.Duration
 		want  bool
 	}{{0, true}, {0, true}, {0, false}, {time.Second / 4, false}, {time.Second / 4, true}, {0, false}} {
 		now = now.Add(c.after)
 		if got := list.allow(now); got != c.want {
-			t.Errorf("call %d: %v, want %v", i, got, c.want)
+			t.Errorf("call %d allowed: got %v, want %v", i, got, c.want)
 		}
 	}
 }
