--- a/internal/placement/balance_heads.go
+++ b/internal/placement/balance_heads.go
@@ -10,18 +10,18 @@
 // noMember is the position that stands for no member of a view.
 const noMember = -1
 
-// headMove makes a member of a partition its head.
+// headMove is the change of a partition's head to another member.
 type headMove struct {
 	partition int
-	// position is that of the member in the view, noMember for no move.
+	// position is that of the new head in the current view, noMember for no move.
 	position int
-	// difference is how many more partitions the store of the head is head of than the store of the member.
+	// difference is how many more partitions the store of the current head is the head of than the store of the new one.
 	difference int
-	// running is how many items run at the head.
+	// running is how many items run at the current head.
 	running uint32
 }
 
-// isBetterThan reports whether a move has the greater difference, or the same with fewer running items.
+// isBetterThan reports whether a move has a greater difference than the best one so far, or the same with fewer running items.
 func (m headMove) isBetterThan(best headMove) bool {
 	if m.difference != best.difference {
 		return m.difference > best.difference
@@ -29,8 +29,8 @@
 	return m.running < best.running && best.position != noMember
 }
 
-// balanceHeads moves the heads of partitions to members whose stores are head of fewer: those with no running items first,
-// and of the others at most one.
+// balanceHeads moves the heads of partitions to members whose stores are the head of fewer partitions: first heads without
+// running items, then, if the policy allows it, at most one head with running items.
 func (p *plan) balanceHeads() {
 	for range p.policy.concurrentMoves() {
 		best := p.bestHeadMove(0)
@@ -47,7 +47,7 @@
 	}
 }
 
-// bestHeadMove returns the best move of the head of a partition with at most a number of running items.
+// bestHeadMove returns the best move among the heads with at most maximumRunning running items.
 func (p *plan) bestHeadMove(maximumRunning uint32) headMove {
 	best := headMove{position: noMember, difference: minimumLoadDifference - 1, running: math.MaxUint32}
 	for i := range p.table.Partitions {
@@ -68,7 +68,7 @@
 	return best
 }
 
-// headDifference returns how many more partitions the store of a partition's head is head of than the store of a member.
+// headDifference returns how many more partitions the store of a partition's head is the head of than the store of a member.
 func (p *plan) headDifference(partition int, member view.Member) int {
 	return p.heads[p.headStore(partition)] - p.heads[p.storeOf(member)]
 }
--- a/internal/placement/balance_heads_test.go
+++ b/internal/placement/balance_heads_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// setRunning has the heads of all partitions report some running items.
+// setRunning sets the number of running items that the head of each partition reports.
 func setRunning(table Table, stores []Store, running func(partition int) uint32) {
 	for i := range stores {
 		for n := range stores[i].Progress {
@@ -16,7 +16,7 @@
 	}
 }
 
-// unevenHeads returns a table in which one of three stores is head of nothing.
+// unevenHeads returns a table in which one of three stores is the head of no partition.
 func unevenHeads(t *testing.T) (Table, []Store) {
 	t.Helper()
 	stores := testStores(3, 3)
@@ -32,20 +32,21 @@
 	return table, stores
 }
 
-func movedHeads(before, after Table) (moved []int) {
+// movedHeads returns the partitions whose heads differ.
+func movedHeads(before, after Table) (partitions []int) {
 	for i := range after.Partitions {
 		if before.Partitions[i].View.Members[0].Replica != after.Partitions[i].View.Members[0].Replica {
-			moved = append(moved, i)
+			partitions = append(partitions, i)
 		}
 	}
-	return moved
+	return partitions
 }
 
 func TestHeadsWithRunningItemsAreNotMoved(t *testing.T) {
 	table, stores := unevenHeads(t)
 	setRunning(table, stores, func(int) uint32 { return 100 })
 	if next, changes := Next(table, stores, PolicyFor(1)); len(changes) > 0 {
-		t.Errorf("got heads of %v moved while items run", movedHeads(table, next))
+		t.Errorf("got the heads of partitions %v moved while items run there, want none", movedHeads(table, next))
 	}
 }
 
@@ -63,7 +64,7 @@
 	})
 	next, _ := Next(table, stores, PolicyFor(1))
 	if moved := movedHeads(table, next); len(moved) != 1 || moved[0] != idle {
-		t.Errorf("got heads of %v moved, want that of %d, where nothing runs", moved, idle)
+		t.Errorf("got the heads of partitions %v moved, want only that of %d, where no items run", moved, idle)
 	}
 }
 
@@ -75,13 +76,13 @@
 	next, _ := Next(table, stores, policy)
 	moved := movedHeads(table, next)
 	if len(moved) != 1 {
-		t.Fatalf("got heads of %v moved, want one", moved)
+		t.Fatalf("got the heads of partitions %v moved, want one", moved)
 	}
 	p := newPlan(table, stores, policy)
 	p.countAssignments()
 	for i := range table.Partitions {
 		if p.runningItems(i) < p.runningItems(moved[0]) && p.heads[p.headStore(i)] >= p.heads[p.headStore(moved[0])] {
-			t.Errorf("got head of partition %d with %d items moved, want %d with %d", moved[0], p.runningItems(moved[0]), i, p.runningItems(i))
+			t.Errorf("got the head of partition %d with %d items moved, want that of %d with %d", moved[0], p.runningItems(moved[0]), i, p.runningItems(i))
 		}
 	}
 }
--- a/internal/placement/balance_replicas.go
+++ b/internal/placement/balance_replicas.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// minimumLoadDifference is the least difference between two counts at which moving one makes them more even.
+// minimumLoadDifference is the least difference between two counts at which moving one unit reduces the difference.
 const minimumLoadDifference = 2
 
-// balanceReplicas begins moves of replicas to stores that hold fewer partitions, or to zones that suit a partition better. The
-// store that is to take over a replica becomes a learner; dropExcess finishes the move once it has become a member.
+// balanceReplicas begins moves of replicas to zones of lower cost (zoneCost), or to stores that hold fewer partitions. The
+// store that is to take over a replica becomes a learner; dropExcess finishes the move once that store is a member.
 func (p *plan) balanceReplicas() {
 	for range p.policy.concurrentMoves() - p.movesInProgress() {
 		best := p.bestMove()
@@ -17,7 +17,7 @@
 	}
 }
 
-// movesInProgress counts the partitions that have more replicas than wanted, learners included.
+// movesInProgress counts the partitions that have more replicas than the replication factor, learners included.
 func (p *plan) movesInProgress() int {
 	count := 0
 	for i := range p.table.Partitions {
@@ -33,7 +33,7 @@
 type replicaMove struct {
 	partition int
 	from, to  int
-	// gain orders moves: zones count more than loads. 0 stands for no move.
+	// gain orders moves: a lower zone cost outweighs any difference of loads. 0 stands for no move.
 	gain int
 }
 
@@ -42,7 +42,7 @@
 	var best replicaMove
 	lowest := p.lowestLoad()
 	for i := range p.table.Partitions {
-		if !p.canMove(i) || !p.isUneven(i, lowest) {
+		if !p.canMove(i) || !p.mayGainFromMove(i, lowest) {
 			continue
 		}
 		if move := p.bestMoveOf(i); move.gain > best.gain {
@@ -63,9 +63,9 @@
 	return lowest
 }
 
-// isUneven reports whether a move of one of a partition's replicas may have a gain. It is a quick check that saves most
-// searches for one.
-func (p *plan) isUneven(partition, lowestLoad int) bool {
+// mayGainFromMove reports whether a move of one of a partition's replicas may have a gain. It is a cheap check that avoids most
+// calls of bestMoveOf.
+func (p *plan) mayGainFromMove(partition, lowestLoad int) bool {
 	assigned := p.assigned[partition]
 	lowestCost := len(assigned)
 	for i := range p.zones {
@@ -77,8 +77,8 @@
 	})
 }
 
-// minimumZoneDifference is the least difference between the costs of two zones at which a move between them helps. Where
-// replicas are concentrated, one more in the same zone does.
+// minimumZoneDifference is the least difference between the costs of two zones at which a move between them helps. If
+// replicas are concentrated, a difference of 1 is enough: the move increases it.
 func (p *plan) minimumZoneDifference() int {
 	if p.policy.Concentrated {
 		return 1
@@ -86,7 +86,7 @@
 	return minimumLoadDifference
 }
 
-// canMove reports whether a partition needs no other change, so that it may be changed for the sake of balance.
+// canMove reports whether a partition needs no other change, so that a replica of it may be moved to balance the table.
 func (p *plan) canMove(partition int) bool {
 	current := &p.table.Partitions[partition]
 	return !p.changed[partition] && len(current.Learners) == 0 && len(current.View.Members) == p.replicationFactor &&
@@ -110,20 +110,20 @@
 	return best
 }
 
-// moveGain returns how much better it is to have a replica beside the others at a store than at another one.
+// moveGain returns the gain of a move of one replica from one store to another while the partition's other replicas stay.
 func (p *plan) moveGain(others []int, from, to int) int {
-	zones := p.zoneCost(others, p.stores[from].Zone) - p.zoneCost(others, p.stores[to].Zone)
-	difference := p.loads[from] - p.loads[to]
+	zoneGain := p.zoneCost(others, p.stores[from].Zone) - p.zoneCost(others, p.stores[to].Zone)
+	loadDifference := p.loads[from] - p.loads[to]
 	switch {
-	case zones > 0:
-		return zones*2*p.loadScale() + difference
-	case zones == 0 && difference >= minimumLoadDifference:
-		return difference
+	case zoneGain > 0:
+		return zoneGain*2*p.loadScale() + loadDifference
+	case zoneGain == 0 && loadDifference >= minimumLoadDifference:
+		return loadDifference
 	}
 	return 0
 }
 
-// beginMove adds the learner of a move, and counts the store that is to be left as not assigned any more.
+// beginMove adds the learner of a move, and removes the store that it replaces from the assigned ones.
 func (p *plan) beginMove(move replicaMove) {
 	assigned := p.assigned[move.partition]
 	p.addLearner(move.partition, move.to)
--- a/internal/placement/benchmark_test.go
+++ b/internal/placement/benchmark_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// benchmarkSizes are the numbers of stores that benchmarks are run with.
+// benchmarkSizes are the numbers of stores in the benchmarks.
 var benchmarkSizes = []int{16, 100, 400}
 
 const benchmarkZones = 8
 
-// BenchmarkNextAtRest is what is paid for each look at a table in which nothing is to be done.
+// BenchmarkNextAtRest measures Next on a table that needs no changes.
 func BenchmarkNextAtRest(b *testing.B) {
 	for _, count := range benchmarkSizes {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -27,7 +27,7 @@
 	}
 }
 
-// BenchmarkNextAfterLoss computes the views after the loss of a zone.
+// BenchmarkNextAfterLoss measures Next after the loss of a zone.
 func BenchmarkNextAfterLoss(b *testing.B) {
 	for _, count := range benchmarkSizes {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// BenchmarkNextUneven begins moves to stores that were added.
+// BenchmarkNextUneven measures Next when it begins moves to stores that were added.
 func BenchmarkNextUneven(b *testing.B) {
 	for _, count := range benchmarkSizes {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -64,7 +64,7 @@
 	}
 }
 
-// BenchmarkCodec encodes and decodes a table.
+// BenchmarkCodec measures the encoding and decoding of a table, and reports the size of the message.
 func BenchmarkCodec(b *testing.B) {
 	for _, count := range benchmarkSizes {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/internal/placement/change.go
+++ b/internal/placement/change.go
@@ -2,22 +2,23 @@
 
 import "fmt"
 
-// ChangeKind is what was changed.
+// ChangeKind tells what a Change changes in a partition.
 type ChangeKind uint8
 
 // The kinds of changes.
 const (
-	// Created is a first view.
+	// Created is the first view of a partition.
 	Created ChangeKind = iota + 1
-	// Repaired is a view without unreachable or leaving members, or with learners that have caught up, or both.
+	// Repaired is a view from which unreachable or leaving members were dropped, to which learners that have caught up were
+	// appended, or both.
 	Repaired
-	// RetiringDropped is a view without the members on stores that are being retired.
+	// RetiringDropped is a view from which the members on stores that are being retired were dropped.
 	RetiringDropped
-	// ExcessDropped is a view without members beyond the replication factor.
+	// ExcessDropped is a view from which members beyond the replication factor were dropped.
 	ExcessDropped
-	// HeadMoved is a view with another member as head.
+	// HeadMoved is a view with the same members, one of which has replaced the previous head.
 	HeadMoved
-	// LearnerAdded and LearnerRemoved change the learners.
+	// LearnerAdded and LearnerRemoved change the learners and keep the view.
 	LearnerAdded
 	LearnerRemoved
 )
@@ -45,7 +46,7 @@
 	Store string
 }
 
-// MovesHead reports whether the change moves a head for the sake of balance.
+// MovesHead reports whether the change moves a head in order to balance the table.
 func (c Change) MovesHead() bool { return c.Kind == HeadMoved }
 
 // String returns a description of the change.
--- a/internal/placement/codec.go
+++ b/internal/placement/codec.go
@@ -11,8 +11,8 @@
 	"nickelline/internal/view"
 )
 
-// Encode returns a table as a Cap'n Proto message. Replicas that several partitions name are listed once, and referred to by
-// their index in the list.
+// Encode returns a table as a Cap'n Proto message. Each replica is listed once, and partitions refer to it by its index in the
+// list.
 func Encode(t Table) ([]byte, error) {
 	data, err := encode(t)
 	if err != nil {
@@ -45,14 +45,14 @@
 	return nil
 }
 
-// replicaTable numbers the replicas that a table names. Members that differ only in when they joined are the same replica.
+// replicaTable lists the replicas of a table and maps each to its index. Members that differ only in Joined are one replica.
 type replicaTable struct {
-	numbers  map[view.Member]uint32
+	indexes  map[view.Member]uint32
 	replicas []view.Member
 }
 
 func newReplicaTable(t Table) *replicaTable {
-	list := &replicaTable{numbers: make(map[view.Member]uint32)}
+	list := &replicaTable{indexes: make(map[view.Member]uint32)}
 	for _, partition := range t.Partitions {
 		for _, member := range partition.View.Members {
 			list.add(member)
@@ -66,16 +66,16 @@
 
 func (l *replicaTable) add(member view.Member) {
 	member.Joined = 0
-	if _, ok := l.numbers[member]; ok {
+	if _, ok := l.indexes[member]; ok {
 		return
 	}
-	l.numbers[member] = uint32(len(l.replicas))
+	l.indexes[member] = uint32(len(l.replicas))
 	l.replicas = append(l.replicas, member)
 }
 
-func (l *replicaTable) numberOf(member view.Member) uint32 {
+func (l *replicaTable) indexOf(member view.Member) uint32 {
 	member.Joined = 0
-	return l.numbers[member]
+	return l.indexes[member]
 }
 
 func (l *replicaTable) encode(root placementwire.Table) error {
@@ -113,7 +113,7 @@
 		return err
 	}
 	for i, member := range partition.View.Members {
-		members.At(i).SetReplica(l.numberOf(member))
+		members.At(i).SetReplica(l.indexOf(member))
 		members.At(i).SetJoined(member.Joined)
 	}
 	learners, err := entry.NewLearners(int32(len(partition.Learners)))
@@ -121,12 +121,12 @@
 		return err
 	}
 	for i, learner := range partition.Learners {
-		learners.Set(i, l.numberOf(learner))
+		learners.Set(i, l.indexOf(learner))
 	}
 	return nil
 }
 
-// Decode reads a table that Encode wrote. No data at all stands for the table before the first placement.
+// Decode reads a table that Encode wrote. Empty data stands for the empty table before the first placement.
 func Decode(data []byte) (Table, error) {
 	if len(data) == 0 {
 		return Table{}, nil
@@ -230,9 +230,9 @@
 	return partition, nil
 }
 
-func replicaAt(replicas []view.Member, number uint32) (view.Member, error) {
-	if uint64(number) >= uint64(len(replicas)) {
-		return view.Member{}, merry.Errorf("replica %d of %d", number, len(replicas))
+func replicaAt(replicas []view.Member, index uint32) (view.Member, error) {
+	if uint64(index) >= uint64(len(replicas)) {
+		return view.Member{}, merry.Errorf("replica index %d out of range, the table lists %d", index, len(replicas))
 	}
-	return replicas[number], nil
+	return replicas[index], nil
 }
--- a/internal/placement/codec_test.go
+++ b/internal/placement/codec_test.go
@@ -27,6 +27,6 @@
 		t.Errorf("decode no data: got %+v, %v; want an empty table", empty, err)
 	}
 	if _, err := Decode(data[:len(data)/2]); err == nil {
-		t.Error("decode half a message: got no error")
+		t.Error("decode half a message: got no error, want one")
 	}
 }
--- a/internal/placement/concentrated_test.go
+++ b/internal/placement/concentrated_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// zonesOf counts the members of a partition in each zone.
-func zonesOf(p Partition) map[string]int {
+// membersPerZone returns the number of members of a partition in each zone.
+func membersPerZone(p Partition) map[string]int {
 	counts := make(map[string]int)
 	for _, member := range p.View.Members {
 		counts[member.Zone]++
@@ -14,7 +14,7 @@
 	return counts
 }
 
-func concentrated(faultTolerance int) Policy {
+func concentratedPolicy(faultTolerance int) Policy {
 	policy := PolicyFor(faultTolerance)
 	policy.Concentrated = true
 	return policy
@@ -23,8 +23,8 @@
 func checkOneZone(t *testing.T, table Table) {
 	t.Helper()
 	for _, partition := range table.Partitions {
-		if zones := zonesOf(partition); len(zones) != 1 {
-			t.Errorf("chain %d: got members in zones %v", partition.View.Chain, zones)
+		if zones := membersPerZone(partition); len(zones) != 1 {
+			t.Errorf("chain %d: got members in zones %v, want one zone", partition.View.Chain, zones)
 		}
 	}
 }
@@ -37,7 +37,7 @@
 	} {
 		t.Run(fmt.Sprint(test.stores, " stores"), func(t *testing.T) {
 			stores := testStores(test.stores, test.zones)
-			policy := concentrated(test.tolerance)
+			policy := concentratedPolicy(test.tolerance)
 			table := mustCreate(t, stores, policy)
 			checkOneZone(t, table)
 			if difference := countDifference(table, stores, isHead); difference > 1 {
@@ -45,16 +45,17 @@
 			}
 			reportAll(table, stores)
 			if _, changes := Next(table, stores, policy); len(changes) > 0 {
-				t.Errorf("new table: got changes %v", changes)
+				t.Errorf("new table: got changes %v, want none", changes)
 			}
 		})
 	}
 }
 
-// While a zone has too few stores, partitions use others, and return to one zone afterwards.
+// While a zone has too few stores, its partitions use stores of another zone too. Once its stores are back, each partition is in
+// one zone again.
 func TestConcentratedPartitionsReturnToTheirZone(t *testing.T) {
 	stores := testStores(12, 3)
-	policy := concentrated(2)
+	policy := concentratedPolicy(2)
 	table := mustCreate(t, stores, policy)
 	stores[0].Alive, stores[3].Alive = false, false
 	table = runUntilStable(t, table, stores, policy)
@@ -62,8 +63,8 @@
 		if count := len(partition.View.Members); count != policy.ReplicationFactor {
 			t.Errorf("chain %d: got %d members, want %d", partition.View.Chain, count, policy.ReplicationFactor)
 		}
-		if zones := zonesOf(partition); len(zones) > 2 {
-			t.Errorf("chain %d: got members in zones %v", partition.View.Chain, zones)
+		if zones := membersPerZone(partition); len(zones) > 2 {
+			t.Errorf("chain %d: got members in zones %v, want at most two zones", partition.View.Chain, zones)
 		}
 	}
 	stores[0].Alive, stores[3].Alive = true, true
@@ -71,14 +72,14 @@
 	checkOneZone(t, table)
 }
 
-// Where zones have fewer stores than a partition has replicas, as few zones as possible are used.
+// If no zone has as many stores as a partition has replicas, the partition uses as few zones as possible.
 func TestConcentratedPartitionsUseFewZones(t *testing.T) {
 	stores := testStores(6, 3)
-	policy := concentrated(1)
+	policy := concentratedPolicy(1)
 	table := runUntilStable(t, mustCreate(t, stores, policy), stores, policy)
 	for _, partition := range table.Partitions {
-		if zones := zonesOf(partition); len(zones) > 2 || len(partition.View.Members) != policy.ReplicationFactor {
-			t.Errorf("chain %d: got members in zones %v", partition.View.Chain, zones)
+		if zones := membersPerZone(partition); len(zones) > 2 || len(partition.View.Members) != policy.ReplicationFactor {
+			t.Errorf("chain %d: got members in zones %v, want %d members in at most two", partition.View.Chain, zones, policy.ReplicationFactor)
 		}
 	}
 }
--- a/internal/placement/create.go
+++ b/internal/placement/create.go
@@ -11,16 +11,16 @@
 	minimumPartitions  = 4
 	maximumPartitions  = 512
 
-	// maximumEvenOutPasses bounds the passes over the first table that even out the loads.
-	maximumEvenOutPasses = 4
+	// maximumRebalancePasses bounds the passes over the first table that balance the loads of stores.
+	maximumRebalancePasses = 4
 
 	// firstEpoch is the epoch of the first view of a chain.
 	firstEpoch = 1
 )
 
-// Create returns the first table, and false while there are fewer eligible stores than MinimumReplicas. The number of
-// partitions stays the same from then on, and is derived from the number of stores: the caller should wait until no more
-// stores start.
+// Create returns the first table, and false while there are fewer eligible stores than MinimumReplicas. It derives the number
+// of partitions from the number of eligible stores, and that number never changes afterwards: the caller should wait until
+// all stores of the deployment have started.
 func Create(stores []Store, policy Policy) (Table, []Change, bool) {
 	eligible := 0
 	for i := range stores {
@@ -35,8 +35,8 @@
 	for i := range p.table.Partitions {
 		p.assignStores(i)
 	}
-	for range maximumEvenOutPasses {
-		if !p.evenOut() {
+	for range maximumRebalancePasses {
+		if !p.rebalance() {
 			break
 		}
 	}
@@ -47,16 +47,16 @@
 	return created, changes, true
 }
 
-// partitionCount returns the number of partitions for a number of stores.
+// partitionCount returns the number of partitions for a number of eligible stores.
 func partitionCount(stores int) int {
 	return min(max(partitionsPerStore*stores, minimumPartitions), maximumPartitions)
 }
 
-// assignStores chooses the stores of a partition, beginning with that which is head of the fewest.
+// assignStores chooses the stores of a partition. The first, its head, is the store that is the head of the fewest partitions.
 func (p *plan) assignStores(partition int) {
 	head := noStore
 	for store := range p.stores {
-		if p.stores[store].isEligible() && (head == noStore || p.betterHead(store, head)) {
+		if p.stores[store].isEligible() && (head == noStore || p.isBetterHead(store, head)) {
 			head = store
 		}
 	}
@@ -71,8 +71,8 @@
 	p.assigned[partition] = assigned
 }
 
-// evenOut makes the best move of each partition, except of its head, and reports whether there was any.
-func (p *plan) evenOut() bool {
+// rebalance makes the best move of each partition unless it moves the head, and reports whether it made any move.
+func (p *plan) rebalance() bool {
 	changed := false
 	for i := range p.table.Partitions {
 		move := p.bestMoveOf(i)
@@ -87,8 +87,9 @@
 	return changed
 }
 
-// betterHead reports whether a store should rather become the head of a partition than another one.
-func (p *plan) betterHead(a, b int) bool {
+// isBetterHead reports whether store a is to be preferred to store b as the head of a partition: it is the head of fewer
+// partitions or, if the numbers are equal, has the lower load.
+func (p *plan) isBetterHead(a, b int) bool {
 	if p.heads[a] != p.heads[b] {
 		return p.heads[a] < p.heads[b]
 	}
--- a/internal/placement/create_test.go
+++ b/internal/placement/create_test.go
@@ -33,7 +33,7 @@
 			}
 			reportAll(table, stores)
 			if _, changes := Next(table, stores, PolicyFor(test.tolerance)); len(changes) > 0 {
-				t.Errorf("new table: got changes %v", changes)
+				t.Errorf("new table: got changes %v, want none", changes)
 			}
 		})
 	}
@@ -44,6 +44,6 @@
 	stores[1].Alive = false
 	stores[2].Replica = 0
 	if _, _, ok := Create(stores, PolicyFor(1)); ok {
-		t.Fatal("one eligible store: got a table")
+		t.Fatal("one eligible store: got a table, want none")
 	}
 }
--- a/internal/placement/fixture_test.go
+++ b/internal/placement/fixture_test.go
@@ -28,7 +28,7 @@
 	return stores
 }
 
-// reportAll has all stores report that they know the table, and are complete or have caught up.
+// reportAll sets the progress of all stores: they know the views of the table, members are complete and learners caught up.
 func reportAll(table Table, stores []Store) {
 	for i := range stores {
 		stores[i].Progress = nil
@@ -47,12 +47,12 @@
 	t.Helper()
 	table, _, ok := Create(stores, policy)
 	if !ok {
-		t.Fatal("Create: got no table")
+		t.Fatal("Create: got no table, want one")
 	}
 	return table
 }
 
-// runUntilStable applies Next until it changes nothing, with all stores reporting at once.
+// runUntilStable applies Next until it changes nothing. All stores report the progress that they need at each step.
 func runUntilStable(t testing.TB, table Table, stores []Store, policy Policy) Table {
 	t.Helper()
 	for range 10000 {
@@ -63,11 +63,12 @@
 		}
 		table = next
 	}
-	t.Fatal("got a table that does not become stable")
+	t.Fatal("the table does not become stable")
 	return table
 }
 
-// countDifference returns the difference between the stores with the most and the fewest of what is counted.
+// countDifference counts, for each eligible store, the partitions for which count is true, and returns the difference between
+// the highest and the lowest number.
 func countDifference(table Table, stores []Store, count func(Partition, view.ReplicaID) bool) int {
 	lowest, highest := len(table.Partitions), 0
 	for i := range stores {
@@ -89,6 +90,7 @@
 
 func isHead(p Partition, replica view.ReplicaID) bool { return p.View.Index(replica) == 0 }
 
+// checkZones checks that no zone has more members of a partition than an even spread over the zones gives.
 func checkZones(t *testing.T, table Table, zones int) {
 	t.Helper()
 	for _, partition := range table.Partitions {
--- a/internal/placement/golden_test.go
+++ b/internal/placement/golden_test.go
@@ -28,7 +28,7 @@
 	golden.RoundTrip(t, "table.hex", table, Encode, Decode)
 }
 
-// The chain of a partition, and the partition of a tenant, are the same in all versions: stored data depends on them.
+// The chain of a partition and the partition of a tenant must not change between versions: stored data depends on them.
 func TestGoldenPartitionNumbers(t *testing.T) {
 	table := Table{Partitions: make([]Partition, 64)}
 	for _, c := range []struct {
--- a/internal/placement/history_checks_test.go
+++ b/internal/placement/history_checks_test.go
@@ -6,11 +6,12 @@
 	"nickelline/internal/view"
 )
 
+// hasComplete reports whether a view has a complete member.
 func (h *history) hasComplete(v view.View) bool {
 	return slices.ContainsFunc(v.Members, func(member view.Member) bool { return h.isComplete(v.Chain, member) })
 }
 
-// isComplete reports whether a member actually has everything that was committed.
+// isComplete reports whether a member is alive and has all committed entries according to the simulation, not its reports.
 func (h *history) isComplete(chain uint32, member view.Member) bool {
 	for _, m := range h.simulated {
 		if m.store.Replica == member.Replica && m.store.Alive {
@@ -34,21 +35,21 @@
 	if after.View.Epoch != before.View.Epoch {
 		h.checkView(before.View, after.View)
 	} else if !after.View.Equal(before.View) {
-		h.fatal("got views %+v and %+v with the same epoch", before.View, after.View)
+		h.fatal("got different views %+v and %+v with the same epoch", before.View, after.View)
 	}
 	for _, learner := range after.Learners {
 		switch {
 		case after.View.Has(learner.Replica):
 			h.fatal("chain %d: got %s as member and learner", after.View.Chain, learner.Name)
 		case !before.hasLearner(learner.Replica) && !h.isEligible(learner.Replica):
-			h.fatal("chain %d: got learner %s, which is not eligible", after.View.Chain, learner.Name)
+			h.fatal("chain %d: got new learner %s, which is not eligible", after.View.Chain, learner.Name)
 		}
 	}
 }
 
 func (h *history) checkView(before, after view.View) {
 	if after.Epoch != before.Epoch+1 || after.Chain != before.Chain {
-		h.fatal("got epoch %d of chain %d after %d of %d", after.Epoch, after.Chain, before.Epoch, before.Chain)
+		h.fatal("got epoch %d of chain %d after epoch %d of chain %d", after.Epoch, after.Chain, before.Epoch, before.Chain)
 	}
 	if len(after.Members) < h.policy.MinimumReplicas {
 		h.fatal("chain %d: got %d members, want at least %d", after.Chain, len(after.Members), h.policy.MinimumReplicas)
@@ -61,7 +62,7 @@
 	}
 	head, _ := after.Head()
 	if !before.Has(head.Replica) || !h.isComplete(after.Chain, head) {
-		h.fatal("chain %d, epoch %d: got a head that is not complete", after.Chain, after.Epoch)
+		h.fatal("chain %d, epoch %d: got a head that is new or not complete", after.Chain, after.Epoch)
 	}
 	for i, member := range after.Members {
 		if after.Index(member.Replica) != i {
@@ -84,7 +85,7 @@
 	})
 }
 
-// allOnDisk reports whether all members of all partitions have disks with everything that was committed.
+// allOnDisk reports whether all members of all partitions have all committed entries on their disks.
 func (h *history) allOnDisk() bool {
 	return !slices.ContainsFunc(h.table.Partitions, func(p Partition) bool {
 		return slices.ContainsFunc(p.View.Members, func(member view.Member) bool { return !h.onDisk(p.View.Chain, member) })
@@ -108,18 +109,18 @@
 	})
 }
 
-// checkStable checks a table that is stable.
+// checkStable checks that a stable table is fully replicated and balanced, and holds no retiring stores.
 func (h *history) checkStable() {
 	stores := h.stores()
 	p := newPlan(h.table, stores, h.policy)
 	for i, partition := range h.table.Partitions {
 		if len(partition.View.Members) != p.replicationFactor || len(partition.Learners) > 0 || !p.isFullyReplicated(i) {
-			h.fatal("chain %d: got stable partition %+v", partition.View.Chain, partition)
+			h.fatal("chain %d: got stable partition %+v, want %d complete members and no learners", partition.View.Chain, partition, p.replicationFactor)
 		}
 	}
 	for i := range stores {
 		if stores[i].Retiring && !CanRemove(h.table, stores, stores[i].Replica, h.policy) {
-			h.fatal("got retiring store %s in a stable table", stores[i].Name)
+			h.fatal("got retiring store %s that cannot be removed from a stable table", stores[i].Name)
 		}
 	}
 	if difference := countDifference(h.table, stores, isHead); difference > 2 {
--- a/internal/placement/history_test.go
+++ b/internal/placement/history_test.go
@@ -15,18 +15,18 @@
 	maximumStableSteps  = 3000
 )
 
-// history drives the placement through failures, losses of disks, additions and retirements, with stores that learn views and
-// catch up after random delays, and checks each table.
+// history runs the placement through random failures, losses of disks, additions and retirements of stores. The stores install
+// views and catch up after random delays. Each table is checked.
 type history struct {
-	t         *testing.T
-	seed      uint64
-	random    *rand.Rand
-	policy    Policy
-	zones     int
-	simulated []*simulatedStore
-	created   int
-	table     Table
-	// unrepairedLosses counts the disks that were lost since all members of all partitions were complete last.
+	t           *testing.T
+	seed        uint64
+	random      *rand.Rand
+	policy      Policy
+	zones       int
+	simulated   []*simulatedStore
+	storesAdded int
+	table       Table
+	// unrepairedLosses counts the disks that were lost since all members of all partitions were last complete.
 	unrepairedLosses int
 	lostDisks        int
 }
@@ -50,12 +50,12 @@
 }
 
 func (h *history) add() {
-	h.created++
-	store := testStore(h.created, h.zones)
+	h.storesAdded++
+	store := testStore(h.storesAdded, h.zones)
 	h.simulated = append(h.simulated, &simulatedStore{store: store, replicas: make(map[uint32]*simulatedReplica)})
 }
 
-// stores returns what the head of the control chain knows, in random order.
+// stores returns the stores as the head of the control chain knows them, in random order.
 func (h *history) stores() []Store {
 	stores := make([]Store, 0, len(h.simulated))
 	for _, m := range h.simulated {
@@ -70,7 +70,7 @@
 	return stores
 }
 
-// step makes a random event, computes the next table and checks it.
+// step causes a random event, computes the next table and checks it.
 func (h *history) step() {
 	h.randomEvent()
 	h.runNext()
@@ -117,7 +117,7 @@
 	}
 }
 
-// wipe empties the disk of a store, unless more disks would be lost than may be at the same time.
+// wipe empties the disk of a store, unless more disks would be lost at the same time than the policy tolerates.
 func (h *history) wipe(m *simulatedStore) {
 	if h.allOnDisk() {
 		h.unrepairedLosses = 0
@@ -154,9 +154,9 @@
 		m.store.Alive = true
 		m.store.Leaving = false
 	}
-	holding := slices.IndexFunc(h.simulated, func(m *simulatedStore) bool { return !m.store.Retiring })
-	if holding < 0 {
-		h.fatal("got no store that is not retiring")
+	notRetiring := slices.IndexFunc(h.simulated, func(m *simulatedStore) bool { return !m.store.Retiring })
+	if notRetiring < 0 {
+		h.fatal("all stores are retiring, want at least one that is not")
 	}
 	stable := 0
 	for range maximumStableSteps {
@@ -169,12 +169,12 @@
 			return
 		}
 	}
-	h.fatal("got a table that does not become stable")
+	h.fatal("the table is not stable after %d steps", maximumStableSteps)
 }
 
-// TestHistories checks over seeded histories that a view always keeps a complete head of the former one, that none has
-// fewer members than MinimumReplicas, that the table becomes stable in balance, that retiring stores are emptied, and that the
-// loss of as many disks as may be lost, at any step, leaves a complete replica of each partition.
+// TestHistories checks over seeded histories that the head of each view is a complete member of the previous one, that no view
+// has fewer members than MinimumReplicas, that the table becomes stable and balanced, that retiring stores are emptied, and
+// that the loss of as many disks as the policy tolerates, at any step, leaves a complete replica of each partition.
 func TestHistories(t *testing.T) {
 	lost := 0
 	for seed := range uint64(historyCount) {
--- a/internal/placement/learners.go
+++ b/internal/placement/learners.go
@@ -6,7 +6,7 @@
 	"nickelline/internal/view"
 )
 
-// removeLearners removes the learners of a partition that are gone, or that are not assigned to it any more.
+// removeLearners removes the learners of a partition whose store is not known, or is no longer assigned to the partition.
 func (p *plan) removeLearners(partition int) {
 	if p.changed[partition] {
 		return
@@ -23,7 +23,8 @@
 	current.Learners = remaining
 }
 
-// addLearners assigns as many stores to a partition as are missing, and adds their replicas as learners.
+// addLearners assigns stores to a partition up to the replication factor, as far as there are eligible ones, and adds their
+// replicas as learners.
 func (p *plan) addLearners(partition int) {
 	if p.changed[partition] {
 		return
--- a/internal/placement/learners_test.go
+++ b/internal/placement/learners_test.go
@@ -15,10 +15,10 @@
 	reportAll(table, stores)
 	next, changes := Next(table, stores, policy)
 	if len(changes) != DefaultConcurrentMoves {
-		t.Fatalf("got changes %v", changes)
+		t.Fatalf("got changes %v, want %d", changes, DefaultConcurrentMoves)
 	}
 	if _, changes := Next(next, stores, policy); len(changes) > 0 {
-		t.Fatalf("before the learners have caught up: got changes %v", changes)
+		t.Fatalf("before the learners have caught up: got changes %v, want none", changes)
 	}
 	next = runUntilStable(t, next, stores, policy)
 	checkZones(t, next, 3)
@@ -40,6 +40,6 @@
 	reportAll(table, stores)
 	next, changes := Next(table, stores, policy)
 	if partition := next.Partitions[0]; len(partition.Learners) > 0 || partition.View.Epoch != 1 {
-		t.Fatalf("got changes %v", changes)
+		t.Fatalf("got partition %+v after changes %v, want epoch 1 without learners", partition, changes)
 	}
 }
--- a/internal/placement/next.go
+++ b/internal/placement/next.go
@@ -6,8 +6,8 @@
 	"nickelline/internal/view"
 )
 
-// Next derives the table that should follow from what is known of the stores. Each partition is changed at most once. If
-// nothing is to be changed, the table is returned as it is, and there are no changes.
+// Next derives the next table from the current one and the state of the stores. It changes each partition at most once, and
+// leaves the given table unmodified. If nothing is to be changed, it returns an equal table and no changes.
 func Next(table Table, stores []Store, policy Policy) (Table, []Change) {
 	p := newPlan(table.Clone(), stores, policy)
 	p.countAssignments()
@@ -19,8 +19,9 @@
 	return p.finish()
 }
 
-// maintain makes the changes that a partition needs independently of the others. It changes nothing before all members that
-// are alive have reported, so that a control node that has just become head does not change what is in order.
+// maintain makes the changes that a partition needs independently of the others. It changes nothing until all members that
+// are alive have reported: a node that has just become head of the control chain has no reports yet, and would otherwise
+// change partitions that need no change.
 func (p *plan) maintain(partition int) {
 	if !p.hasReports(partition) {
 		return
@@ -47,7 +48,7 @@
 	return true
 }
 
-// isComplete reports whether a member is alive and has everything that was ever committed.
+// isComplete reports whether a member is alive and has all entries that were ever committed.
 func (p *plan) isComplete(chain uint32, member view.Member) bool {
 	store := p.storeOf(member)
 	if store == noStore || !p.stores[store].Alive {
@@ -57,7 +58,7 @@
 	return progress.Complete && progress.Epoch >= member.Joined
 }
 
-// isCurrent reports whether a member is complete and knows the view.
+// isCurrent reports whether a member is complete and has reported that it knows the view.
 func (p *plan) isCurrent(v view.View, member view.Member) bool {
 	if !p.isComplete(v.Chain, member) {
 		return false
@@ -66,7 +67,7 @@
 	return progress.Epoch >= v.Epoch
 }
 
-// isStable reports whether all members of a view are complete and know the view, and none is about to shut down.
+// isStable reports whether all members of a partition's view are complete and know the view, and none is about to shut down.
 func (p *plan) isStable(partition int) bool {
 	v := p.table.Partitions[partition].View
 	return !slices.ContainsFunc(v.Members, func(m view.Member) bool {
--- a/internal/placement/next_test.go
+++ b/internal/placement/next_test.go
@@ -15,7 +15,7 @@
 	slices.Reverse(stores)
 	got, gotChanges := Next(table, stores, PolicyFor(2))
 	if !got.Equal(want) || !reflect.DeepEqual(gotChanges, wantChanges) {
-		t.Fatal("got different tables or changes")
+		t.Fatalf("got %+v, %v with the stores reversed; want %+v, %v", got, gotChanges, want, wantChanges)
 	}
 }
 
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -16,15 +16,16 @@
 	policy            Policy
 	replicationFactor int
 	stores            []Store
-	// zones are those with eligible stores.
-	zones   []zone
+	// zones lists the zones that have eligible stores.
+	zones []zone
+	// index maps replicas to the index of their store.
 	index   map[view.ReplicaID]int
 	changes []Change
-	// changed is whether this computation has changed a partition. Each is changed at most once.
+	// changed tells, for each partition, whether this computation has changed it. Each is changed at most once.
 	changed []bool
-	// assigned are, for each partition, the stores that will hold it once the moves in progress are finished.
+	// assigned lists, for each partition, the stores that will hold it once the moves in progress are finished.
 	assigned [][]int
-	// loads and heads count, for each store, the partitions that it will hold and those that it is the head of.
+	// loads and heads count, for each store, the partitions that it is assigned to and those that it is the head of.
 	loads []int
 	heads []int
 }
@@ -67,20 +68,20 @@
 		}
 	}
 	for i := range p.table.Partitions {
-		p.dropDispensable(i)
+		p.trimAssigned(i)
 	}
 }
 
-// dropDispensable reduces the assigned stores of a partition to the replication factor.
-func (p *plan) dropDispensable(partition int) {
+// trimAssigned reduces the assigned stores of a partition to the replication factor.
+func (p *plan) trimAssigned(partition int) {
 	for len(p.assigned[partition]) > p.replicationFactor {
-		position := p.mostDispensable(p.assigned[partition])
+		position := p.removalPosition(p.assigned[partition])
 		p.addLoad(p.assigned[partition][position], -1)
 		p.assigned[partition] = slices.Delete(p.assigned[partition], position, position+1)
 	}
 }
 
-// eligibleStores returns the stores that are members or learners of a partition and may keep it.
+// eligibleStores returns the eligible stores that are members or learners of a partition.
 func (p *plan) eligibleStores(partition *Partition) []int {
 	var stores []int
 	for _, members := range [][]view.Member{partition.View.Members, partition.Learners} {
@@ -93,7 +94,7 @@
 	return stores
 }
 
-// storeOf returns the store that has the replica of a member, noStore if it is not known.
+// storeOf returns the store that has the replica of a member, noStore if none is known.
 func (p *plan) storeOf(member view.Member) int {
 	store, ok := p.index[member.Replica]
 	if !ok || member.Replica == 0 {
@@ -102,7 +103,7 @@
 	return store
 }
 
-// headStore returns the store of the head of a partition, noStore if it is not known.
+// headStore returns the store of the head of a partition, noStore if none is known.
 func (p *plan) headStore(partition int) int {
 	head, ok := p.table.Partitions[partition].View.Head()
 	if !ok {
@@ -111,25 +112,26 @@
 	return p.storeOf(head)
 }
 
-// mostDispensable returns the position of the store whose removal leaves the best distribution over zones, among these that
-// with the highest load, and among these the last.
-func (p *plan) mostDispensable(assigned []int) int {
+// removalPosition returns the position of the store whose removal leaves the best distribution over zones. Ties are broken by
+// the highest load, then by the last position.
+func (p *plan) removalPosition(assigned []int) int {
 	best := 0
 	for position := 1; position < len(assigned); position++ {
-		if p.dispensability(assigned, position) >= p.dispensability(assigned, best) {
+		if p.removalRank(assigned, position) >= p.removalRank(assigned, best) {
 			best = position
 		}
 	}
 	return best
 }
 
-// dispensability is the cost of the zone of the store at a position, then its load.
-func (p *plan) dispensability(assigned []int, position int) int {
+// removalRank returns the rank of the assigned store at a position: by the cost of its zone, then by its load. The store of the
+// highest rank is removed first.
+func (p *plan) removalRank(assigned []int, position int) int {
 	store := assigned[position]
 	return p.zoneCost(assigned, p.stores[store].Zone)*p.loadScale() + p.loads[store]
 }
 
-// loadScale is above any load.
+// loadScale is greater than any load: a value multiplied by it outweighs a difference of loads.
 func (p *plan) loadScale() int { return len(p.table.Partitions) + 1 }
 
 func (p *plan) recordChange(partition int, kind ChangeKind, store string) {
@@ -138,7 +140,7 @@
 	p.changes = append(p.changes, Change{Kind: kind, Chain: v.Chain, Epoch: v.Epoch, Store: store})
 }
 
-// setView replaces the view of a partition. Learners that are members of it are learners no more.
+// setView replaces the view of a partition, and removes the learners that have become members of it.
 func (p *plan) setView(partition int, next view.View, kind ChangeKind) {
 	current := &p.table.Partitions[partition]
 	current.View = next
--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -5,23 +5,23 @@
 
 // Policy bounds the tables that Next returns.
 type Policy struct {
-	// MinimumReplicas is the number of disks that an entry has to be on: no view is made with fewer members.
+	// MinimumReplicas is the least number of disks that an entry is on before it is committed: no view has fewer members.
 	MinimumReplicas int
-	// ReplicationFactor is the number of members that views have where there are enough stores.
+	// ReplicationFactor is the number of members that views have if there are enough eligible stores.
 	ReplicationFactor int
-	// ConcurrentMoves is how many partitions are balanced at the same time. 0 stands for DefaultConcurrentMoves. More of them
-	// even out the table sooner, at the cost of more traffic of learners.
+	// ConcurrentMoves is how many partitions are balanced at the same time. 0 stands for DefaultConcurrentMoves. A greater
+	// number balances the table sooner, at the cost of more replication traffic to learners.
 	ConcurrentMoves int
-	// Concentrated places the replicas of a partition in one zone as far as it has enough stores, so that replication does not
+	// Concentrated places the replicas of a partition in one zone if a zone has enough stores, so that replication does not
 	// cross zones. It is for deployments that need not tolerate the loss of a zone. Otherwise replicas are spread over zones.
 	Concentrated bool
-	// MayInterrupt allows the head of one partition to move for the sake of balance though items run there: the next head has
-	// to read their prompts again.
+	// MayInterrupt allows Next to move one head at which items run, in order to balance heads. The cost of such a move is that
+	// the new head has to read the prompts of these items again.
 	MayInterrupt bool
 }
 
-// PolicyFor returns the policy for a number of machines that may be lost at the same time. Views have one replica more than
-// has to remain after that, so that a loss does not stop a partition.
+// PolicyFor returns the policy for a number of machines that may be lost at the same time. The replication factor is one above
+// MinimumReplicas, so that the loss of one machine does not stop a partition.
 func PolicyFor(faultTolerance int) Policy {
 	return Policy{MinimumReplicas: faultTolerance + 1, ReplicationFactor: faultTolerance + 2}
 }
@@ -33,7 +33,7 @@
 	return DefaultConcurrentMoves
 }
 
-// replicationFactor returns the number of members that views should have with a number of eligible stores.
+// replicationFactor returns the number of members that views should have, given the number of eligible stores.
 func (p Policy) replicationFactor(stores int) int {
 	return max(p.MinimumReplicas, min(p.ReplicationFactor, stores))
 }
--- a/internal/placement/repair.go
+++ b/internal/placement/repair.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// candidates returns the members of a partition, and those of its learners that are still assigned to it.
+// candidates returns the members of a partition, and the learners whose stores are still assigned to it.
 func (p *plan) candidates(partition int) []view.Candidate {
 	current := &p.table.Partitions[partition]
 	var candidates []view.Candidate
@@ -49,12 +49,13 @@
 	}
 }
 
-// isDiskLost reports whether another replica is alive at the address of a member that is not known.
+// isDiskLost reports whether the disk of a member whose store is not known was lost: another replica is alive at its address.
 func (p *plan) isDiskLost(member view.Member) bool {
 	return slices.ContainsFunc(p.stores, func(s Store) bool { return s.Alive && s.Replica != 0 && s.Address == member.Address })
 }
 
-// dropRetiring drops the members on stores that are being retired, once as many others as are wanted are complete.
+// dropRetiring drops the members on stores that are being retired, once as many other members as the replication factor are
+// complete and the first of them can be the head.
 func (p *plan) dropRetiring(partition int) {
 	v := p.table.Partitions[partition].View
 	if p.changed[partition] {
@@ -77,7 +78,7 @@
 	p.setView(partition, view.View{Chain: v.Chain, Epoch: v.Epoch + 1, Members: remaining}, RetiringDropped)
 }
 
-// dropExcess drops the members that are not assigned to a partition any more, as a move has replaced them.
+// dropExcess drops the members whose stores are no longer assigned to a partition because a move has replaced them.
 func (p *plan) dropExcess(partition int) {
 	v := p.table.Partitions[partition].View
 	if p.changed[partition] || len(v.Members) <= p.replicationFactor || !p.isStable(partition) {
--- a/internal/placement/repair_test.go
+++ b/internal/placement/repair_test.go
@@ -19,18 +19,18 @@
 	next, _ := Next(table, stores, policy)
 	v := next.Partitions[0].View
 	if v.Epoch != 2 || len(v.Members) != 2 || v.Has(lost) {
-		t.Fatalf("got view %+v", v)
+		t.Fatalf("got view %+v, want epoch 2 with two members and without the dead one", v)
 	}
 	reportAll(next, stores)
 	next, _ = Next(next, stores, policy)
 	if partition := next.Partitions[0]; partition.View.Epoch != 2 || len(partition.Learners) != 1 {
-		t.Fatalf("got partition %+v", partition)
+		t.Fatalf("got partition %+v, want epoch 2 with one learner", partition)
 	}
 	reportAll(next, stores)
 	next, _ = Next(next, stores, policy)
 	partition := next.Partitions[0]
 	if partition.View.Epoch != 3 || len(partition.View.Members) != 3 || len(partition.Learners) > 0 {
-		t.Fatalf("got partition %+v", partition)
+		t.Fatalf("got partition %+v, want epoch 3 with three members and no learners", partition)
 	}
 	if tail, _ := partition.View.Tail(); tail.Joined != 3 {
 		t.Fatalf("got epoch of joining %d, want 3", tail.Joined)
@@ -44,14 +44,14 @@
 	reportAll(table, stores)
 	stores[0].Alive = false
 	if _, changes := Next(table, stores, policy); len(changes) > 0 {
-		t.Fatalf("got changes %v", changes)
+		t.Fatalf("got changes %v, want none", changes)
 	}
 
 	stores = append(stores, testStore(2, 3))
 	reportAll(table, stores)
 	next, _ := Next(table, stores, policy)
 	reportAll(next, stores)
-	// The lost store may hold the second copy of what was committed until the new one is complete.
+	// Until the new member is complete, the dead store may hold the second copy of committed entries, and stays a member.
 	next, _ = Next(next, stores, policy)
 	for _, partition := range next.Partitions {
 		v := partition.View
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestWipedStoreIsANewReplica(t *testing.T) {
+func TestWipedStoreBecomesANewReplica(t *testing.T) {
 	stores := testStores(3, 3)
 	policy := PolicyFor(1)
 	table := mustCreate(t, stores, policy)
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestLeavingStoreHandsOver(t *testing.T) {
+func TestLeavingStoreIsDropped(t *testing.T) {
 	stores := testStores(3, 3)
 	table := mustCreate(t, stores, PolicyFor(1))
 	reportAll(table, stores)
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestExcessIsDroppedOnlyWhereEnoughStay(t *testing.T) {
+func TestExcessMembersAreDroppedOnlyIfEnoughRemain(t *testing.T) {
 	stores := testStores(4, 1)
 	stores[3].Zone = "other zone"
 	var members []view.Member
--- a/internal/placement/retire.go
+++ b/internal/placement/retire.go
@@ -7,8 +7,8 @@
 	"nickelline/internal/view"
 )
 
-// CheckRetire returns an error if a store cannot be emptied: fault.NotFound if there is no store of that name, and
-// fault.Conflict if too few would remain.
+// CheckRetire returns an error if a store cannot be retired: one of kind fault.NotFound if there is no store of that name, and
+// one of kind fault.Conflict if fewer eligible stores than MinimumReplicas would remain.
 func CheckRetire(stores []Store, name string, policy Policy) error {
 	known := false
 	remaining := 0
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// CanRemove reports whether a store that is being retired can be taken away: no partition names its replica, and each
-// partition has its full number of complete replicas elsewhere.
+// CanRemove reports whether a store that is being retired can be removed: its replica is neither a member nor a learner of any
+// partition, and each partition has its full number of complete replicas on other stores.
 func CanRemove(table Table, stores []Store, retiring view.ReplicaID, policy Policy) bool {
 	if table.Names(retiring) {
 		return false
@@ -44,7 +44,7 @@
 	return true
 }
 
-// isFullyReplicated reports whether a partition has as many complete replicas as are wanted on eligible stores.
+// isFullyReplicated reports whether a partition has as many complete replicas on eligible stores as the replication factor.
 func (p *plan) isFullyReplicated(partition int) bool {
 	v := p.table.Partitions[partition].View
 	isMissing := func(m view.Member) bool { return !p.isCurrent(v, m) || !p.stores[p.storeOf(m)].isEligible() }
--- a/internal/placement/retire_test.go
+++ b/internal/placement/retire_test.go
@@ -19,22 +19,22 @@
 			stores[1].Retiring = true
 			reportAll(table, stores)
 			if CanRemove(table, stores, stores[1].Replica, policy) {
-				t.Fatal("CanRemove before the retirement: got true")
+				t.Fatal("CanRemove before the store is emptied: got true, want false")
 			}
 			next := runUntilStable(t, table, stores, policy)
 			if next.Names(stores[1].Replica) {
-				t.Fatal("got a retiring store in the placement")
+				t.Fatal("got the retiring store in the stable table, want it dropped from all partitions")
 			}
 			if !CanRemove(next, stores, stores[1].Replica, policy) {
-				t.Fatal("CanRemove after the retirement: got false")
+				t.Fatal("CanRemove after the store is emptied: got false, want true")
 			}
 			stores[2].Progress[0].Epoch--
 			if CanRemove(next, stores, stores[1].Replica, policy) {
-				t.Fatal("CanRemove while a member does not know the view: got true")
+				t.Fatal("CanRemove while a member does not know the view: got true, want false")
 			}
 			stores[2].Progress = nil
 			if CanRemove(next, stores, stores[1].Replica, policy) {
-				t.Fatal("CanRemove while a replica elsewhere is not complete: got true")
+				t.Fatal("CanRemove while a replica on another store is not complete: got true, want false")
 			}
 		})
 	}
@@ -50,6 +50,6 @@
 		t.Errorf("too few stores: got %v, want kind Conflict", err)
 	}
 	if err := CheckRetire(stores, stores[2].Name, PolicyFor(1)); err != nil {
-		t.Errorf("store that is being retired: got %v", err)
+		t.Errorf("store that is being retired: got %v, want no error", err)
 	}
 }
--- a/internal/placement/simulated_store_test.go
+++ b/internal/placement/simulated_store_test.go
@@ -1,6 +1,6 @@
 package placement
 
-// simulatedReplica is what a simulated store has of one chain.
+// simulatedReplica is the state of a simulated store's replica of one chain.
 type simulatedReplica struct {
 	epoch    uint64
 	complete bool
@@ -9,13 +9,13 @@
 	remaining int
 }
 
-// simulatedStore is a store that installs views and makes progress after random delays.
+// simulatedStore is a store that installs views and catches up after random delays.
 type simulatedStore struct {
 	store    Store
 	replicas map[uint32]*simulatedReplica
 }
 
-// advance has the store learn of the table, and make progress.
+// advance installs some of the views that the store is assigned to, and advances its replicas by one step.
 func (m *simulatedStore) advance(h *history) {
 	if !m.store.Alive {
 		return
@@ -56,7 +56,7 @@
 	r.complete = r.complete || v.Epoch == firstEpoch
 }
 
-// progress brings a replica nearer to its source, if there is a complete member that is alive.
+// progress advances a replica by one step of catching up, if there is a complete member that is alive.
 func (m *simulatedStore) progress(h *history, chain uint32, r *simulatedReplica) {
 	partition := h.table.Partitions[chain-1]
 	if !h.hasComplete(partition.View) {
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -9,23 +9,23 @@
 
 // Table is the placement of all partitions. It must not be changed once it is published.
 type Table struct {
-	// Version counts the changes from 1. 0 is the table before the first placement, which has no partitions.
+	// Version is 1 for the table that Create returns and rises by 1 with each change. 0 is that of the empty table before.
 	Version    uint64
 	Partitions []Partition
 }
 
-// Partition is one chain of stores, with the stores that are to join it.
+// Partition is one chain of stores, with the replicas that are to join it.
 type Partition struct {
 	View view.View
-	// Learners are the replicas that follow the chain in order to become members.
+	// Learners are the replicas that replicate the chain's log in order to become members.
 	Learners []view.Member
 }
 
 // ChainOf returns the number of the chain of the partition at an index. Chain 0 is that of the control state.
 func ChainOf(partition int) uint32 { return uint32(partition) + 1 }
 
-// PartitionOf returns the index of the partition of a tenant, -1 if there are no partitions. It stays the same as long as
-// the number of partitions does.
+// PartitionOf returns the index of the partition of a tenant, -1 if there are no partitions. The index depends only on the
+// tenant's name and the number of partitions.
 func (t Table) PartitionOf(tenant string) int {
 	if len(t.Partitions) == 0 {
 		return -1
@@ -35,7 +35,7 @@
 	return int(finalizeHash(hash.Sum64()) % uint64(len(t.Partitions)))
 }
 
-// finalizeHash spreads the bits of a hash, so that similar names do not get similar numbers (the finalizer of MurmurHash3).
+// finalizeHash mixes the bits of a hash, so that similar names do not get similar values (the finalizer of MurmurHash3).
 func finalizeHash(hash uint64) uint64 {
 	hash ^= hash >> 33
 	hash *= 0xff51afd7ed558ccd
@@ -44,11 +44,11 @@
 	return hash ^ hash>>33
 }
 
-// Assignment is the role of a replica in a partition.
+// Assignment is the role of one replica in a partition.
 type Assignment struct {
 	Partition int
 	View      view.View
-	// Learner is set if the replica is not a member of the view, and has to follow the chain.
+	// Learner is set if the replica is a learner of the partition and not a member of the view.
 	Learner bool
 }
 
--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -18,7 +18,7 @@
 	if lowest := slices.Min(counts); lowest < 900 {
 		t.Errorf("got tenants per partition %v, want at least 900 each", counts)
 	}
-	// The partition of a tenant must never change, as its jobs are stored there.
+	// The partition of a tenant must never change, because its jobs are stored there.
 	for tenant, want := range map[string]int{"huka270": 4, "tenant-1": 0, "": 2} {
 		if got := table.PartitionOf(tenant); got != want {
 			t.Errorf("tenant %q: got partition %d, want %d", tenant, got, want)
--- a/internal/placement/zone.go
+++ b/internal/placement/zone.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// zone lists the eligible stores of a zone.
+// zone holds the eligible stores of one zone.
 type zone struct {
 	name   string
 	stores []int
-	// sorted is set while the stores are in the order of compareLoads.
+	// sorted is set while stores is in the order of compareLoads.
 	sorted bool
 }
 
@@ -22,18 +22,18 @@
 	p.zones[i].stores = append(p.zones[i].stores, store)
 }
 
-// zoneIndex returns the index of the zone of a store, -1 if it has no eligible stores.
+// zoneIndex returns the index of the zone of a store, -1 if the zone has no eligible stores.
 func (p *plan) zoneIndex(store int) int {
 	return slices.IndexFunc(p.zones, func(z zone) bool { return z.name == p.stores[store].Zone })
 }
 
-// addLoad changes the number of partitions that a store will hold.
+// addLoad adds to the number of partitions that a store is assigned to. The count may be negative.
 func (p *plan) addLoad(store, count int) {
 	p.loads[store] += count
 	p.invalidateOrder(store)
 }
 
-// addHeads changes the number of partitions that a store is the head of.
+// addHeads adds to the number of partitions that a store is the head of. The count may be negative.
 func (p *plan) addHeads(store, count int) {
 	p.heads[store] += count
 	p.invalidateOrder(store)
@@ -46,13 +46,13 @@
 	}
 }
 
-// compareLoads orders stores by their loads, then by the numbers of partitions whose heads they are.
+// compareLoads orders stores by their loads, then by the numbers of partitions that they are the head of, then by index.
 func (p *plan) compareLoads(a, b int) int {
 	return cmp.Or(cmp.Compare(p.loads[a], p.loads[b]), cmp.Compare(p.heads[a], p.heads[b]), cmp.Compare(a, b))
 }
 
-// leastLoaded returns the store of a zone with the lowest load that is neither assigned nor excluded, noStore if there is
-// none.
+// leastLoaded returns the first store of a zone in the order of compareLoads that is neither assigned nor excluded, noStore if
+// there is none.
 func (p *plan) leastLoaded(z *zone, assigned []int, excluded int) int {
 	if !z.sorted {
 		slices.SortFunc(z.stores, p.compareLoads)
@@ -66,8 +66,9 @@
 	return noStore
 }
 
-// bestStore returns the store that should hold a partition beside the assigned ones: that in the zone with the lowest cost,
-// with the lowest load there, and with the fewest heads. One store is excluded. It returns noStore if there is no other.
+// bestStore returns the store that should hold one more replica of a partition beside the assigned stores: the first in the
+// order of compareLoads among those in the zones of lowest cost. It never returns the excluded store, and returns noStore if
+// no other is left.
 func (p *plan) bestStore(assigned []int, excluded int) int {
 	best, lowestCost := noStore, 0
 	for i := range p.zones {
@@ -83,8 +84,8 @@
 	return best
 }
 
-// zoneCost returns how little a zone suits one more replica beside the assigned stores. It rises with the number of these in
-// the zone, or falls where replicas are concentrated.
+// zoneCost returns the cost of one more replica in a zone beside the assigned stores. It rises with the number of assigned
+// stores in the zone or, if replicas are concentrated, falls with it.
 func (p *plan) zoneCost(assigned []int, name string) int {
 	count := p.countInZone(assigned, name)
 	if p.policy.Concentrated {
