--- a/internal/configuration/benchmark_test.go
+++ b/internal/configuration/benchmark_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// largeDocument makes a document with a number of routes and as many tenants.
+// largeDocument returns the text of a document with size routes and size tenants.
 func largeDocument(size int) string {
 	var routes, tenants []string
 	for i := range size {
-		routes = append(routes, route(fmt.Sprintf(`{"name":"r-%d","hostname":"h%d.example","pathPrefix":"/p%d/"}`, i, i%8, i)))
+		routes = append(routes, routeText(fmt.Sprintf(`{"name":"r-%d","hostname":"h%d.example","pathPrefix":"/p%d/"}`, i, i%8, i)))
 		tenants = append(tenants, fmt.Sprintf(`{"name":"t-%d","apiKeys":["key-%d-a","key-%d-b"],"ratePerS":81,"burstSize":81}`, i, i, i))
 	}
-	return whole(strings.Join(routes, ","), strings.Join(tenants, ","))
+	return documentText(strings.Join(routes, ","), strings.Join(tenants, ","))
 }
 
 var benchmarkSizes = []int{100, 1_000, 10_000}
@@ -56,7 +56,7 @@
 func BenchmarkPatch(b *testing.B) {
 	for _, size := range benchmarkSizes {
 		document := mustParse(b, largeDocument(size))
-		patch := []byte(`{"version":9,"upsert":{"routes":[` + route(`{"name":"r-50","pathPrefix":"/p50/","timeoutMs":7}`) + `]}}`)
+		patch := []byte(`{"version":9,"upsert":{"routes":[` + routeText(`{"name":"r-50","pathPrefix":"/p50/","timeoutMs":7}`) + `]}}`)
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			b.ReportMetric(float64(len(patch)), "patch-bytes")
 			b.ReportAllocs()
--- a/internal/configuration/compile.go
+++ b/internal/configuration/compile.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Limits that hold where the document does not state them.
+// Limits that apply if the document does not set them.
 const (
 	defaultMaxHeaderBytes = 16 << 10
 	defaultMaxBodyBytes   = 4 << 20
@@ -12,23 +12,24 @@
 	defaultIdleTimeout    = 60 * time.Second
 )
 
-// Check returns an error of kind fault.InvalidConfiguration if a document is invalid, whatever version is current.
+// Check returns an error of kind fault.InvalidConfiguration if a document is invalid. It does not compare the version of the
+// document with the current one.
 func Check(d *Document) error {
 	_, err := Compile(d)
 	return err
 }
 
-// Compile checks a document and returns its snapshot.
+// Compile checks a document and returns its snapshot, or an error of kind fault.InvalidConfiguration that lists all problems.
 func Compile(d *Document) (*Snapshot, error) {
 	snapshot, err := compile(d, &problemCollector{withoutPaths: true})
 	if err != nil {
-		// A second pass finds the paths of the problems.
+		// The first pass leaves out the paths because of their cost. A second one adds them to the problems.
 		return compile(d, &problemCollector{})
 	}
 	return snapshot, nil
 }
 
-// compile makes the snapshot of a document, and collects the problems of the document.
+// compile returns the snapshot of a document, and adds the problems of the document to the collector.
 func compile(d *Document, collector *problemCollector) (*Snapshot, error) {
 	c := newCompiler(d, collector)
 	c.compileServices()
@@ -41,7 +42,7 @@
 	return c.snapshot, nil
 }
 
-// compiler builds one snapshot.
+// compiler builds one snapshot from the root of a document.
 type compiler struct {
 	root     node
 	snapshot *Snapshot
@@ -61,7 +62,7 @@
 	}
 }
 
-// requiredList returns the elements of a top-level list that every document has.
+// requiredList returns the elements of a top-level list, and records a problem if the list is missing.
 func (c *compiler) requiredList(name string) []node {
 	list := c.root.field(name)
 	if list.isAbsent() {
@@ -79,7 +80,7 @@
 	}
 }
 
-// readService returns a service.
+// readService reads one element of the list of services.
 func readService(n node) *Service {
 	return &Service{
 		Name:            n.field(nameField).requiredText(),
@@ -89,7 +90,7 @@
 	}
 }
 
-// readEngine returns the description of an engine, nil if absent.
+// readEngine reads the description of an inference engine. It returns nil if there is none.
 func readEngine(n node) *Engine {
 	if n.isAbsent() || !n.requireObject() {
 		return nil
@@ -106,7 +107,7 @@
 	return engine
 }
 
-// addService adds a service unless its name is taken.
+// addService adds a service, or records a problem if its name is taken.
 func (c *compiler) addService(n node, s *Service) {
 	if c.snapshot.servicesByName[s.Name] != nil {
 		n.addProblem("two services are named %q", s.Name)
@@ -127,7 +128,7 @@
 	}
 }
 
-// readTenant returns a tenant.
+// readTenant reads one element of the list of tenants.
 func readTenant(n node) *Tenant {
 	priority := n.field("priority")
 	t := &Tenant{
@@ -143,7 +144,7 @@
 	return t
 }
 
-// addTenant adds a tenant unless its name is taken.
+// addTenant adds a tenant, or records a problem if its name is taken. A key that another tenant has is a problem too.
 func (c *compiler) addTenant(n node, t *Tenant) {
 	if c.snapshot.tenantsByName[t.Name] != nil {
 		n.addProblem("two tenants are named %q", t.Name)
@@ -159,7 +160,7 @@
 	c.snapshot.Tenants = append(c.snapshot.Tenants, t)
 }
 
-// compileLimits compiles the limits of clients.
+// compileLimits compiles the limits that apply to clients.
 func (c *compiler) compileLimits() {
 	n := c.root.field(limitsField)
 	if !n.isAbsent() {
@@ -173,7 +174,7 @@
 	}
 }
 
-// orDefault returns a value, or a fallback for 0.
+// orDefault returns a value, or the fallback if the value is 0.
 func orDefault[T int | time.Duration](value, fallback T) T {
 	if value == 0 {
 		return fallback
--- a/internal/configuration/compileroutes.go
+++ b/internal/configuration/compileroutes.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// compileRoutes compiles the list of routes. Services must have been compiled.
+// compileRoutes compiles the list of routes. The services must have been compiled before.
 func (c *compiler) compileRoutes() {
 	for _, n := range c.requiredList(routesField) {
 		if n.requireObject() {
@@ -14,13 +14,13 @@
 	}
 }
 
-// readRoute returns a route.
+// readRoute reads one element of the list of routes.
 func (c *compiler) readRoute(n node) *Route {
 	r := &Route{
 		Name:             n.field(nameField).requiredText(),
 		Host:             normalizeHost(n.field("hostname").requiredText()),
 		Prefix:           readPrefix(n.field("pathPrefix")),
-		Kind:             kindNames[n.field("routeKind").text()],
+		Kind:             kindsByName[n.field("routeKind").text()],
 		TargetLatency:    n.field("targetLatencyMs").milliseconds(),
 		GapTarget:        n.field("gap_aim_ms").milliseconds(),
 		CompletionTarget: n.field("completionTargetMs").milliseconds(),
@@ -37,7 +37,7 @@
 	return r
 }
 
-// readPrefix returns a path prefix, which starts and ends with a slash.
+// readPrefix reads a path prefix, which must start and end with a slash.
 func readPrefix(n node) string {
 	prefix := n.requiredText()
 	if prefix != "" && !(strings.HasPrefix(prefix, "/") && strings.HasSuffix(prefix, "/")) {
@@ -46,7 +46,8 @@
 	return prefix
 }
 
-// readTimeout returns a timeout, which must not be 0. Routes of batch jobs may have none: it does not apply to items.
+// readTimeout reads the timeout of a route, which must be above 0. Only routes of kind Batch may omit it, because it does not
+// apply to the items of batch jobs.
 func readTimeout(n node, kind Kind) time.Duration {
 	if n.isAbsent() {
 		if kind != Batch {
@@ -61,8 +62,8 @@
 	return timeout
 }
 
-// readSplit returns the services of a route: one under "service", or several with weights under "trafficSplit", which takes
-// precedence where both are given.
+// readSplit reads the services of a route: one under "service", or several with weights under "trafficSplit". If both are
+// given, a "trafficSplit" that is not empty takes precedence.
 func (c *compiler) readSplit(n node) []WeightedService {
 	single := n.field("service")
 	split := n.field("trafficSplit")
@@ -75,7 +76,7 @@
 	return c.readSplitList(split)
 }
 
-// readServiceName returns the service that a field names.
+// readServiceName returns the service that a field names, and records a problem if there is none.
 func (c *compiler) readServiceName(n node) *Service {
 	name := n.requiredText()
 	service := c.snapshot.servicesByName[name]
@@ -85,7 +86,7 @@
 	return service
 }
 
-// readSplitList returns the services of a list with weights. Those of weight 0 are checked, and left out.
+// readSplitList reads a list of services with weights. Services of weight 0 are checked too, but left out of the result.
 func (c *compiler) readSplitList(list node) []WeightedService {
 	var split []WeightedService
 	total := 0.0
@@ -106,7 +107,7 @@
 	return split
 }
 
-// addRoute adds a route unless its name, or its host and prefix, are taken.
+// addRoute adds a route, or records a problem if its name, or its host and prefix together, are taken.
 func (c *compiler) addRoute(n node, r *Route) {
 	if c.snapshot.routesByName[r.Name] != nil {
 		n.addProblem("two routes are named %q", r.Name)
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	document, err := Parse([]byte(text))
 	if err != nil {
-		t.Fatalf("document refused: %v", err)
+		t.Fatalf("Parse: got %v, want no error", err)
 	}
 	return document
 }
@@ -42,13 +42,13 @@
 	t.Helper()
 	snapshot, err := Compile(mustParse(t, text))
 	if err != nil {
-		t.Fatalf("document refused: %v", err)
+		t.Fatalf("Compile: got %v, want no error", err)
 	}
 	return snapshot
 }
 
-// decoded returns JSON text as maps, with numbers as they are written.
-func decoded(t testing.TB, text []byte) any {
+// decodeJSON returns the value of a JSON text, with numbers as they are written.
+func decodeJSON(t testing.TB, text []byte) any {
 	t.Helper()
 	decoder := json.NewDecoder(strings.NewReader(string(text)))
 	decoder.UseNumber()
@@ -62,7 +62,7 @@
 func TestCompileReadsAllFields(t *testing.T) {
 	s := mustCompile(t, example)
 	if s.Version != 7 || len(s.Routes) != 3 || len(s.Services) != 2 || len(s.Tenants) != 2 {
-		t.Fatalf("got %+v", s)
+		t.Fatalf("got %+v, want version 7 with 3 routes, 2 services and 2 tenants", s)
 	}
 	engine, plain := s.ServiceByName("huvo11a"), s.ServiceByName("wuno96b")
 	chat := &Route{
@@ -83,7 +83,7 @@
 	}
 	wantEngine := &Engine{CapacitySlots: 96, CacheTokenCapacity: 305000, TokenSizeBytes: 131072, Stride: 11, Models: []string{"m"}}
 	if !reflect.DeepEqual(engine, &Service{Name: "huvo11a", HealthPath: "/health", ConnectionLimit: 510, Engine: wantEngine}) {
-		t.Errorf("service huvo11a: got %+v with engine %+v", engine, engine.Engine)
+		t.Errorf("service huvo11a: got %+v with engine %+v, want engine %+v", engine, engine.Engine, wantEngine)
 	}
 	wantLimits := Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 4194304, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 	if s.Limits != wantLimits {
@@ -95,21 +95,21 @@
 	}
 	free := s.Tenant("key-3")
 	if free.HasPriority || free.Limited() || !wantTenant.Limited() || s.Tenant("key-4") != nil || s.Tenant("") != nil {
-		t.Errorf("tenant free: got %+v", free)
+		t.Errorf("tenant free: got %+v, want no priority and no limit, and no tenant for other keys", free)
 	}
 	if !s.RequiresKey() {
-		t.Error("RequiresKey: got false for a document with tenants")
+		t.Error("RequiresKey of a document with tenants: got false, want true")
 	}
 }
 
 func TestEncodeKeepsTheDocument(t *testing.T) {
 	document := mustParse(t, example)
-	if !reflect.DeepEqual(decoded(t, document.Encode()), decoded(t, []byte(example))) {
-		t.Errorf("got %s", document.Encode())
+	if !reflect.DeepEqual(decodeJSON(t, document.Encode()), decodeJSON(t, []byte(example))) {
+		t.Errorf("got %s, want the value of %s", document.Encode(), example)
 	}
 	again := mustParse(t, string(document.Encode()))
 	if !reflect.DeepEqual(again, document) {
-		t.Error("a document that was encoded and parsed differs")
+		t.Errorf("encoded and parsed: got %+v, want %+v", again, document)
 	}
 }
 
@@ -131,13 +131,13 @@
 	}
 }
 
-// route returns the JSON text of a valid route, with fields changed.
-func route(changes string) string {
-	return edited(`{"name":"r","hostname":"h","pathPrefix":"/p/","routeKind":"idempotent","timeoutMs":100,"service":"s"}`, changes)
+// routeText returns the JSON text of a valid route with some of its fields changed, see withFields.
+func routeText(changes string) string {
+	return withFields(`{"name":"r","hostname":"h","pathPrefix":"/p/","routeKind":"idempotent","timeoutMs":100,"service":"s"}`, changes)
 }
 
-// edited replaces fields of a JSON object by those of another; null ones go.
-func edited(object, changes string) string {
+// withFields returns a JSON object with the fields of another one set. Fields that are null there are removed.
+func withFields(object, changes string) string {
 	fields := map[string]json.RawMessage{}
 	for _, text := range []string{object, changes} {
 		if err := json.Unmarshal([]byte(text), &fields); err != nil {
@@ -156,46 +156,46 @@
 	return string(text)
 }
 
-// whole returns the JSON text of a document.
-func whole(routes, tenants string) string {
+// documentText returns the JSON text of a document with the given elements of the lists of routes and tenants.
+func documentText(routes, tenants string) string {
 	return fmt.Sprintf(`{"version":3,"routes":[%s],"services":[{"name":"s"},{"name":"z"}],"limits":{},"tenants":[%s]}`, routes, tenants)
 }
 
 // invalidDocuments break one rule each.
 var invalidDocuments = []struct{ name, text, problem string }{
-	{"unknown service", whole(route(`{"service":"x"}`), ""), `routes[0].service: there is no service named "x"`},
-	{"unknown service in a split", whole(route(`{"service":null,"trafficSplit":[{"service":"x","weight":1}]}`), ""), `no service named "x"`},
-	{"unknown service of weight 0", whole(route(`{"service":null,"trafficSplit":[{"service":"s","weight":1},{"service":"x","weight":0}]}`), ""), `no service named "x"`},
-	{"unknown service beside a split", whole(route(`{"service":"x","trafficSplit":[{"service":"s","weight":1}]}`), ""), `no service named "x"`},
-	{"same host and prefix", whole(route(`{}`)+","+route(`{"name":"q"}`), ""), `route "q" has the host and the prefix of route "r"`},
-	{"same host in other letters", whole(route(`{}`)+","+route(`{"name":"q","hostname":"H"}`), ""), `host and the prefix`},
-	{"same name of routes", whole(route(`{}`)+","+route(`{"pathPrefix":"/q/"}`), ""), `two routes are named "r"`},
-	{"weights sum to 0", whole(route(`{"service":null,"trafficSplit":[{"service":"s","weight":0},{"service":"z","weight":0}]}`), ""), `the weights sum to 0`},
-	{"weights sum to 0 beside a service", whole(route(`{"trafficSplit":[{"service":"z","weight":0}]}`), ""), `the weights sum to 0`},
-	{"empty split", whole(route(`{"service":null,"trafficSplit":[]}`), ""), `the weights sum to 0`},
-	{"no service", whole(route(`{"service":null}`), ""), `the weights sum to 0`},
-	{"negative weight", whole(route(`{"service":null,"trafficSplit":[{"service":"s","weight":-1},{"service":"z","weight":2}]}`), ""), `must not be negative`},
-	{"time-out 0", whole(route(`{"timeoutMs":0}`), ""), `routes[0].timeoutMs: it must be above 0`},
-	{"time-out 0.0", whole(route(`{"timeoutMs":0.0}`), ""), `must be above 0`},
-	{"time-out 0 of batch jobs", whole(route(`{"timeoutMs":0,"routeKind":"batch_processing"}`), ""), `must be above 0`},
-	{"negative time-out", whole(route(`{"timeoutMs":-5}`), ""), `must not be negative`},
-	{"no time-out", whole(route(`{"timeoutMs":null}`), ""), `routes[0].timeoutMs: it is missing`},
-	{"time-out as text", whole(route(`{"timeoutMs":"100"}`), ""), `a number is needed`},
-	{"prefix without a first slash", whole(route(`{"pathPrefix":"p/"}`), ""), `must start and end with a slash`},
-	{"prefix without a last slash", whole(route(`{"pathPrefix":"/p"}`), ""), `must start and end with a slash`},
-	{"no prefix", whole(route(`{"pathPrefix":null}`), ""), `routes[0].pathPrefix: it is missing`},
-	{"no host", whole(route(`{"hostname":null}`), ""), `routes[0].hostname: it is missing`},
-	{"no name", whole(route(`{"name":null}`), ""), `routes[0].name: it is missing`},
-	{"empty name", whole(route(`{"name":""}`), ""), `must not be empty`},
-	{"attempts as text", whole(route(`{"maxAttempts":"1"}`), ""), `a number is needed`},
-	{"fraction of an attempt", whole(route(`{"maxAttempts":1.5}`), ""), `not a whole number`},
-	{"public as text", whole(route(`{"public":"no"}`), ""), `true or false is needed`},
-	{"a route that is no object", whole(`"r"`, ""), `an object is needed`},
-	{"shared key", whole(route(`{}`), `{"name":"a","apiKeys":["k","l"]},{"name":"b","apiKeys":["m","k"]}`), `tenant "b" shares a key with tenant "a"`},
-	{"same name of tenants", whole(route(`{}`), `{"name":"a","apiKeys":["k"]},{"name":"a","apiKeys":["l"]}`), `two tenants are named "a"`},
-	{"tenant without a name", whole(route(`{}`), `{"apiKeys":["k"]}`), `tenants[0].name: it is missing`},
-	{"key that is no text", whole(route(`{}`), `{"name":"a","apiKeys":[5]}`), `a string is needed`},
-	{"negative rate", whole(route(`{}`), `{"name":"a","ratePerS":-1}`), `must not be negative`},
+	{"unknown service", documentText(routeText(`{"service":"x"}`), ""), `routes[0].service: there is no service named "x"`},
+	{"unknown service in a split", documentText(routeText(`{"service":null,"trafficSplit":[{"service":"x","weight":1}]}`), ""), `no service named "x"`},
+	{"unknown service of weight 0", documentText(routeText(`{"service":null,"trafficSplit":[{"service":"s","weight":1},{"service":"x","weight":0}]}`), ""), `no service named "x"`},
+	{"unknown service beside a split", documentText(routeText(`{"service":"x","trafficSplit":[{"service":"s","weight":1}]}`), ""), `no service named "x"`},
+	{"same host and prefix", documentText(routeText(`{}`)+","+routeText(`{"name":"q"}`), ""), `route "q" has the host and the prefix of route "r"`},
+	{"same host in other letters", documentText(routeText(`{}`)+","+routeText(`{"name":"q","hostname":"H"}`), ""), `host and the prefix`},
+	{"same name of routes", documentText(routeText(`{}`)+","+routeText(`{"pathPrefix":"/q/"}`), ""), `two routes are named "r"`},
+	{"weights sum to 0", documentText(routeText(`{"service":null,"trafficSplit":[{"service":"s","weight":0},{"service":"z","weight":0}]}`), ""), `the weights sum to 0`},
+	{"weights sum to 0 beside a service", documentText(routeText(`{"trafficSplit":[{"service":"z","weight":0}]}`), ""), `the weights sum to 0`},
+	{"empty split", documentText(routeText(`{"service":null,"trafficSplit":[]}`), ""), `the weights sum to 0`},
+	{"no service", documentText(routeText(`{"service":null}`), ""), `the weights sum to 0`},
+	{"negative weight", documentText(routeText(`{"service":null,"trafficSplit":[{"service":"s","weight":-1},{"service":"z","weight":2}]}`), ""), `must not be negative`},
+	{"time-out 0", documentText(routeText(`{"timeoutMs":0}`), ""), `routes[0].timeoutMs: it must be above 0`},
+	{"time-out 0.0", documentText(routeText(`{"timeoutMs":0.0}`), ""), `must be above 0`},
+	{"time-out 0 of batch jobs", documentText(routeText(`{"timeoutMs":0,"routeKind":"batch_processing"}`), ""), `must be above 0`},
+	{"negative time-out", documentText(routeText(`{"timeoutMs":-5}`), ""), `must not be negative`},
+	{"no time-out", documentText(routeText(`{"timeoutMs":null}`), ""), `routes[0].timeoutMs: it is missing`},
+	{"time-out as text", documentText(routeText(`{"timeoutMs":"100"}`), ""), `a number is needed`},
+	{"prefix without a first slash", documentText(routeText(`{"pathPrefix":"p/"}`), ""), `must start and end with a slash`},
+	{"prefix without a last slash", documentText(routeText(`{"pathPrefix":"/p"}`), ""), `must start and end with a slash`},
+	{"no prefix", documentText(routeText(`{"pathPrefix":null}`), ""), `routes[0].pathPrefix: it is missing`},
+	{"no host", documentText(routeText(`{"hostname":null}`), ""), `routes[0].hostname: it is missing`},
+	{"no name", documentText(routeText(`{"name":null}`), ""), `routes[0].name: it is missing`},
+	{"empty name", documentText(routeText(`{"name":""}`), ""), `must not be empty`},
+	{"attempts as text", documentText(routeText(`{"maxAttempts":"1"}`), ""), `a number is needed`},
+	{"fraction of an attempt", documentText(routeText(`{"maxAttempts":1.5}`), ""), `not a whole number`},
+	{"public as text", documentText(routeText(`{"public":"no"}`), ""), `true or false is needed`},
+	{"a route that is no object", documentText(`"r"`, ""), `an object is needed`},
+	{"shared key", documentText(routeText(`{}`), `{"name":"a","apiKeys":["k","l"]},{"name":"b","apiKeys":["m","k"]}`), `tenant "b" shares a key with tenant "a"`},
+	{"same name of tenants", documentText(routeText(`{}`), `{"name":"a","apiKeys":["k"]},{"name":"a","apiKeys":["l"]}`), `two tenants are named "a"`},
+	{"tenant without a name", documentText(routeText(`{}`), `{"apiKeys":["k"]}`), `tenants[0].name: it is missing`},
+	{"key that is no text", documentText(routeText(`{}`), `{"name":"a","apiKeys":[5]}`), `a string is needed`},
+	{"negative rate", documentText(routeText(`{}`), `{"name":"a","ratePerS":-1}`), `must not be negative`},
 	{"no routes", `{"version":1,"services":[]}`, `routes: it is missing`},
 	{"no services", `{"version":1,"routes":[]}`, `services: it is missing`},
 	{"routes that are no list", `{"version":1,"routes":{},"services":[]}`, `routes: a list is needed`},
@@ -217,7 +217,7 @@
 	}
 }
 
-// unreadableDocuments are not one JSON object with a version.
+// unreadableDocuments are not exactly one JSON object with a version.
 var unreadableDocuments = []string{
 	"", " ", "null", "[]", "7", `"text"`, "{", "{}", `{"version":7`, `{"version":7}}`, `{"version":7} {}`, `{"version":7}x`,
 	`{"version":null}`, `{"version":"7"}`, `{"version":-1}`, `{"version":7.5}`, `{"version":18446744073709551616}`,
@@ -237,7 +237,7 @@
 func TestEveryTruncatedDocumentIsUnreadable(t *testing.T) {
 	for end := range len(example) {
 		if _, err := Parse([]byte(example[:end])); err == nil {
-			t.Fatalf("Parse of a document truncated after %d bytes: got no error", end)
+			t.Fatalf("Parse of a document truncated after %d bytes: got no error, want one", end)
 		}
 	}
 }
@@ -247,23 +247,23 @@
 		"fewest fields":              `{"version":1,"routes":[],"services":[]}`,
 		"whole number as a fraction": `{"version":7.0,"routes":[],"services":[]}`,
 		"greatest version":           `{"version":18446744073709551615,"routes":[],"services":[]}`,
-		"unknown fields":             whole(route(`{"new":{"a":[1]}}`), `{"name":"a","new":1}`),
+		"unknown fields":             documentText(routeText(`{"new":{"a":[1]}}`), `{"name":"a","new":1}`),
 		"null for optional fields":   `{"version":1,"routes":[],"services":[],"limits":null,"tenants":null}`,
-		"batch without time-out":     whole(route(`{"timeoutMs":null,"routeKind":"batch_processing"}`), ""),
-		"unknown kind":               whole(route(`{"routeKind":"later"}`), ""),
-		"fraction of a time-out":     whole(route(`{"timeoutMs":0.0000001}`), ""),
-		"weights beside a service":   whole(route(`{"trafficSplit":[{"service":"z","weight":0.5}]}`), ""),
-		"empty split and a service":  whole(route(`{"trafficSplit":[]}`), ""),
-		"key twice at one tenant":    whole(route(`{}`), `{"name":"a","apiKeys":["k","k"]}`),
-		"tenant without keys":        whole(route(`{}`), `{"name":"a"}`),
-		"same prefix, other host":    whole(route(`{}`)+","+route(`{"name":"q","hostname":"i"}`), ""),
-		"prefix within another":      whole(route(`{}`)+","+route(`{"name":"q","pathPrefix":"/p/p/"}`), ""),
-		"all paths":                  whole(route(`{"pathPrefix":"/"}`), ""),
-		"priority below 0":           whole(route(`{"priority":-1}`), ""),
+		"batch without time-out":     documentText(routeText(`{"timeoutMs":null,"routeKind":"batch_processing"}`), ""),
+		"unknown kind":               documentText(routeText(`{"routeKind":"later"}`), ""),
+		"fraction of a time-out":     documentText(routeText(`{"timeoutMs":0.0000001}`), ""),
+		"weights beside a service":   documentText(routeText(`{"trafficSplit":[{"service":"z","weight":0.5}]}`), ""),
+		"empty split and a service":  documentText(routeText(`{"trafficSplit":[]}`), ""),
+		"key twice at one tenant":    documentText(routeText(`{}`), `{"name":"a","apiKeys":["k","k"]}`),
+		"tenant without keys":        documentText(routeText(`{}`), `{"name":"a"}`),
+		"same prefix, other host":    documentText(routeText(`{}`)+","+routeText(`{"name":"q","hostname":"i"}`), ""),
+		"prefix within another":      documentText(routeText(`{}`)+","+routeText(`{"name":"q","pathPrefix":"/p/p/"}`), ""),
+		"all paths":                  documentText(routeText(`{"pathPrefix":"/"}`), ""),
+		"priority below 0":           documentText(routeText(`{"priority":-1}`), ""),
 	}
 	for name, text := range texts {
 		if _, err := Compile(mustParse(t, text)); err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("Compile of %s: got %v, want no error", name, err)
 		}
 	}
 }
@@ -281,21 +281,21 @@
 
 func TestProblemsAreBounded(t *testing.T) {
 	routes := strings.Repeat(`{},`, 500) + `{}`
-	err := Check(mustParse(t, whole(routes, "")))
+	err := Check(mustParse(t, documentText(routes, "")))
 	if err == nil || len(err.Error()) > 2000 || !strings.Contains(err.Error(), "more") {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want at most 2000 bytes that tell how many problems are omitted", err)
 	}
 	if problems := Problems(err); len(problems) != maxProblems+1 || problems[0] != "routes[0].name: it is missing" {
-		t.Errorf("got %q", problems)
+		t.Errorf("got %q, want %d problems and the number of omitted ones", problems, maxProblems)
 	}
 }
 
 func TestProblemsOfOtherErrors(t *testing.T) {
 	if Problems(nil) != nil {
-		t.Error("no error has problems")
+		t.Error("Problems(nil): got some, want nil")
 	}
 	_, err := Parse([]byte("{"))
 	if problems := Problems(err); len(problems) != 1 || !strings.Contains(problems[0], "cannot be read") {
-		t.Errorf("got %q", problems)
+		t.Errorf("got %q, want one problem that contains %q", problems, "cannot be read")
 	}
 }
--- a/internal/configuration/document.go
+++ b/internal/configuration/document.go
@@ -25,7 +25,8 @@
 	root    map[string]any
 }
 
-// Parse decodes a whole configuration. It checks only that the document is one JSON object with a version: see Check.
+// Parse decodes a whole document. It checks only that the document is one JSON object with a version; Check checks the rest.
+// Errors are of kind fault.InvalidConfiguration.
 func Parse(body []byte) (*Document, error) {
 	root, err := decodeObject(body)
 	if err != nil {
@@ -41,7 +42,7 @@
 // Version returns the version that the document carries.
 func (d *Document) Version() uint64 { return d.version }
 
-// Encode returns the document as JSON, with all fields that the operator sent.
+// Encode returns the document as JSON, with all fields that the operator sent, including unknown ones.
 func (d *Document) Encode() []byte {
 	var buffer bytes.Buffer
 	encoder := json.NewEncoder(&buffer)
@@ -52,7 +53,7 @@
 	return bytes.TrimSuffix(buffer.Bytes(), []byte("\n"))
 }
 
-// decodeObject decodes exactly one JSON object. Numbers keep their text.
+// decodeObject decodes exactly one JSON object. Numbers are decoded as json.Number, which keeps their text.
 func decodeObject(body []byte) (map[string]any, error) {
 	if !utf8.Valid(body) {
 		return nil, unreadableError("the text is not valid UTF-8")
@@ -72,7 +73,7 @@
 	return root, nil
 }
 
-// unreadableError returns the error of a document that is not JSON of the right form.
+// unreadableError returns the error for a document that is not exactly one JSON object.
 func unreadableError(format string, arguments ...any) error {
 	return fault.New(fault.InvalidConfiguration, "the document cannot be read: "+format, arguments...)
 }
--- a/internal/configuration/match_test.go
+++ b/internal/configuration/match_test.go
@@ -30,7 +30,7 @@
 			got = route.Name
 		}
 		if got != c.want {
-			t.Errorf("%s %s: route %q in place of %q", c.host, c.path, got, c.want)
+			t.Errorf("Match(%q, %q): got route %q, want %q", c.host, c.path, got, c.want)
 		}
 	}
 }
@@ -38,12 +38,12 @@
 func TestMatchOfAnEmptySnapshot(t *testing.T) {
 	s := &Snapshot{}
 	if s.Match("h", "/p/") != nil || s.Tenant("k") != nil || s.ServiceByName("s") != nil || s.RequiresKey() {
-		t.Error("an empty snapshot matches something")
+		t.Error("an empty snapshot: got a route, a tenant, a service or a required key, want none")
 	}
 }
 
-// TestMatchEqualsSearch compares Match with a plain search on random prefixes.
-func TestMatchEqualsSearch(t *testing.T) {
+// TestMatchEqualsLinearSearch compares Match with a linear search over random prefixes.
+func TestMatchEqualsLinearSearch(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	part := func() string { return strings.Repeat(string(rune('a'+random.IntN(2))), random.IntN(3)) + "/" }
 	path := func(parts int) string {
@@ -60,24 +60,24 @@
 			prefix := path(random.IntN(4))
 			if !prefixes[prefix] {
 				prefixes[prefix] = true
-				routes = append(routes, route(fmt.Sprintf(`{"name":%q,"pathPrefix":%q}`, prefix, prefix)))
+				routes = append(routes, routeText(fmt.Sprintf(`{"name":%q,"pathPrefix":%q}`, prefix, prefix)))
 			}
 		}
-		s := mustCompile(t, whole(strings.Join(routes, ","), ""))
+		s := mustCompile(t, documentText(strings.Join(routes, ","), ""))
 		for range 50 {
-			asked := path(random.IntN(6)) + strings.Trim(part(), "/")
+			requested := path(random.IntN(6)) + strings.Trim(part(), "/")
 			want := ""
 			for prefix := range prefixes {
-				if strings.HasPrefix(asked, prefix) && len(prefix) > len(want) {
+				if strings.HasPrefix(requested, prefix) && len(prefix) > len(want) {
 					want = prefix
 				}
 			}
 			got := ""
-			if found := s.Match("h", asked); found != nil {
+			if found := s.Match("h", requested); found != nil {
 				got = found.Name
 			}
 			if got != want {
-				t.Fatalf("%q among %v: %q in place of %q", asked, prefixes, got, want)
+				t.Fatalf("Match of %q among %v: got %q, want %q", requested, prefixes, got, want)
 			}
 		}
 	}
@@ -92,25 +92,25 @@
 		counts[chat.Choose(float64(i)/draws).Name]++
 	}
 	if counts["huvo11a"] != 900 || counts["wuno96b"] != 100 {
-		t.Errorf("got %v", counts)
+		t.Errorf("got counts %v, want 900 of huvo11a and 100 of wuno96b", counts)
 	}
 	if name := s.RouteByName("cards").Choose(0.999).Name; name != "wuno96b" {
-		t.Errorf("got %s", name)
+		t.Errorf("Choose of the route with one service: got %s, want wuno96b", name)
 	}
 	if last := chat.Choose(1).Name; last != "wuno96b" {
-		t.Errorf("Choose at the end of the range: got %s", last)
+		t.Errorf("Choose at the end of the range: got %s, want wuno96b", last)
 	}
 	if (&Route{}).Choose(0) != nil {
-		t.Error("Choose of a route without services: got one")
+		t.Error("Choose of a route without services: got one, want nil")
 	}
 }
 
 func TestChooseLeavesOutWeightZero(t *testing.T) {
-	text := whole(route(`{"service":null,"trafficSplit":[{"service":"s","weight":0},{"service":"z","weight":3}]}`), "")
+	text := documentText(routeText(`{"service":null,"trafficSplit":[{"service":"s","weight":0},{"service":"z","weight":3}]}`), "")
 	r := mustCompile(t, text).Routes[0]
 	for _, u := range []float64{0, 0.5, 0.999999} {
 		if name := r.Choose(u).Name; name != "z" {
-			t.Errorf("Choose(%v): got %s", u, name)
+			t.Errorf("Choose(%v): got %s, want z", u, name)
 		}
 	}
 }
--- a/internal/configuration/node.go
+++ b/internal/configuration/node.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// node is a value of the document and its path.
+// node is a value of a document, with its path for the texts of problems.
 type node struct {
 	collector *problemCollector
 	path      string
@@ -14,7 +14,7 @@
 	n.collector.add(n.path, format, arguments...)
 }
 
-// field returns a member of an object. It is absent if the object lacks it, or it is null.
+// field returns a field of an object. The result is absent if the object lacks the field, or if the field is null.
 func (n node) field(name string) node {
 	object, _ := n.value.(map[string]any)
 	return node{collector: n.collector, path: n.fieldPath(name), value: object[name]}
@@ -37,7 +37,7 @@
 	return n.path + "[" + strconv.Itoa(index) + "]"
 }
 
-// isAbsent reports whether there is no value.
+// isAbsent reports whether the value is missing or null.
 func (n node) isAbsent() bool { return n.value == nil }
 
 // requireObject reports whether the value is an object, and records a problem if not.
@@ -49,7 +49,7 @@
 	return true
 }
 
-// list returns the elements of a list; none for an absent one.
+// list returns the elements of a list; none if absent.
 func (n node) list() []node {
 	if n.isAbsent() {
 		return nil
@@ -66,7 +66,7 @@
 	return elements
 }
 
-// text returns a string; an empty one if absent.
+// text returns a string; the empty string if absent.
 func (n node) text() string {
 	if n.isAbsent() {
 		return ""
@@ -78,7 +78,7 @@
 	return text
 }
 
-// requiredText returns a string that must not be empty.
+// requiredText returns a string, and records a problem if it is absent or empty.
 func (n node) requiredText() string {
 	if n.isAbsent() {
 		n.addProblem("it is missing")
@@ -91,7 +91,7 @@
 	return text
 }
 
-// boolean returns true or false; false if absent.
+// boolean returns a Boolean; false if absent.
 func (n node) boolean() bool {
 	if n.isAbsent() {
 		return false
--- a/internal/configuration/numbers.go
+++ b/internal/configuration/numbers.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// maxDuration is the greatest duration: longer ones are reduced to it.
+// maxDuration is the greatest duration that is returned: longer ones are reduced to it.
 const maxDuration = 365 * 24 * time.Hour
 
-// number returns a finite number that is not negative; 0 if absent.
+// number returns a finite number, and records a problem if it is negative; 0 if absent or invalid.
 func (n node) number() float64 {
 	if n.isAbsent() {
 		return 0
@@ -34,7 +34,7 @@
 	return value
 }
 
-// integer returns a whole number, exactly; 0 if absent.
+// integer returns an integer without rounding; 0 if absent or invalid.
 func (n node) integer() int64 {
 	if n.isAbsent() {
 		return 0
@@ -42,7 +42,7 @@
 	return n.integerWithin((*big.Int).IsInt64).Int64()
 }
 
-// integerWithin returns a whole number, exactly; 0 if it does not fit.
+// integerWithin returns an integer without rounding, and records a problem and returns 0 if it does not fit.
 func (n node) integerWithin(fits func(*big.Int) bool) *big.Int {
 	number, isNumber := n.value.(json.Number)
 	if !isNumber {
@@ -57,7 +57,7 @@
 	return exact
 }
 
-// count returns a whole number that is not negative; 0 if absent.
+// count returns an integer, and records a problem if it is negative; 0 if absent or invalid.
 func (n node) count() int64 {
 	value := n.integer()
 	if value < 0 {
@@ -67,18 +67,18 @@
 	return value
 }
 
-// version returns the version of a document or patch.
+// version returns the version field of a document or patch.
 func (n node) version() uint64 {
 	return n.field(versionField).integerWithin((*big.Int).IsUint64).Uint64()
 }
 
-// milliseconds returns a duration stated in milliseconds; 0 if absent. One above 0 stays above 0.
+// milliseconds returns a duration given in milliseconds; 0 if absent. A value above 0 never gives a duration of 0.
 func (n node) milliseconds() time.Duration { return n.duration(time.Millisecond) }
 
-// seconds returns a duration stated in seconds; 0 if absent. One above 0 stays above 0.
+// seconds returns a duration given in seconds; 0 if absent. A value above 0 never gives a duration of 0.
 func (n node) seconds() time.Duration { return n.duration(time.Second) }
 
-// duration returns a duration stated in some unit.
+// duration returns a duration given in a unit, at least 1 ns if the value is above 0 and at most maxDuration.
 func (n node) duration(unit time.Duration) time.Duration {
 	value := n.number() * float64(unit)
 	switch {
@@ -92,10 +92,11 @@
 	return time.Duration(value)
 }
 
-// maxExponent bounds the exponents that exactInteger expands.
+// maxExponent bounds the exponents that exactInteger expands: a huge one would need a number of that many digits.
 const maxExponent = 400
 
-// exactInteger returns a number such as 7, 7.0 or 7e3 without rounding. It reports false for fractions.
+// exactInteger returns the integer that a text such as 7, 7.0 or 7e3 stands for, without rounding. It reports false for
+// fractions, for numbers beyond the range of uint64 that are not plain digits, and for exponents beyond maxExponent.
 func exactInteger(number json.Number) (*big.Int, bool) {
 	text := number.String()
 	if exact, valid := new(big.Int).SetString(text, 10); valid {
--- a/internal/configuration/patch.go
+++ b/internal/configuration/patch.go
@@ -14,22 +14,22 @@
 	nameField   = "name"
 )
 
-// Patch is a decoded change of named items.
+// Patch is a decoded change of a document: items that are added, replaced or removed by name, and limits.
 type Patch struct {
 	version uint64
 	upsert  map[string][]namedItem
 	remove  map[string][]string
-	// limits holds the fields of the limits that are replaced.
+	// limits holds the fields of the document's limits that are replaced, nil if there are none.
 	limits map[string]any
 }
 
-// namedItem is an element of a collection, and the name that stands in it.
+// namedItem is an element of a collection, and the value of its name field.
 type namedItem struct {
 	name  string
 	value any
 }
 
-// ParsePatch decodes a patch and checks its form.
+// ParsePatch decodes a patch and checks its form. Errors are of kind fault.InvalidConfiguration.
 func ParsePatch(body []byte) (*Patch, error) {
 	root, err := decodeObject(body)
 	if err != nil {
@@ -43,10 +43,10 @@
 	return patch, nil
 }
 
-// Version returns the version of the document that the patch makes.
+// Version returns the version that a patched document has.
 func (p *Patch) Version() uint64 { return p.version }
 
-// Patch merges a patch, given as JSON, into the document. The result has yet to be checked: see Check.
+// Patch returns the document with a patch, given as JSON, merged into it. The result may be invalid: the caller must Check it.
 func (d *Document) Patch(body []byte) (*Document, error) {
 	patch, err := ParsePatch(body)
 	if err != nil {
@@ -55,8 +55,9 @@
 	return d.Apply(patch), nil
 }
 
-// Apply merges a patch into the document: items are removed first, then added, or replaced where they stand. A name to
-// be removed that is not there is passed over. The result has yet to be checked: see Check.
+// Apply returns the document with a patch merged into it. Items are removed first; then items are replaced in place, or added
+// at the end of their collection. A name to be removed that does not exist is ignored. The result may be invalid: the caller
+// must Check it.
 func (d *Document) Apply(p *Patch) *Document {
 	result := &Document{version: p.version, root: maps.Clone(d.root)}
 	result.root[versionField] = json.Number(strconv.FormatUint(p.version, 10))
@@ -74,7 +75,7 @@
 	return result
 }
 
-// readPatch returns a patch.
+// readPatch reads a patch from the root of its document.
 func readPatch(root node) *Patch {
 	p := &Patch{
 		version: root.version(),
@@ -99,7 +100,7 @@
 	node node
 }
 
-// fieldsOf returns the fields of an object in the order of their names, null ones left out; none for an absent object.
+// fieldsOf returns the fields of an object in the order of their names, except those that are null; none if absent.
 func fieldsOf(n node) []namedField {
 	if n.isAbsent() || !n.requireObject() {
 		return nil
@@ -113,23 +114,23 @@
 	return fields
 }
 
-// readUpsert takes the items of one collection that are to be added or replaced.
-func (p *Patch) readUpsert(m namedField) {
-	if m.name == limitsField {
-		if m.node.requireObject() {
-			p.limits = m.node.value.(map[string]any)
+// readUpsert reads the items of one collection that are to be added or replaced. The limits may also stand here.
+func (p *Patch) readUpsert(collection namedField) {
+	if collection.name == limitsField {
+		if collection.node.requireObject() {
+			p.limits = collection.node.value.(map[string]any)
 		}
 		return
 	}
-	for _, element := range m.node.list() {
+	for _, element := range collection.node.list() {
 		if element.requireObject() {
 			name := element.field(nameField).requiredText()
-			p.upsert[m.name] = append(p.upsert[m.name], namedItem{name: name, value: element.value})
+			p.upsert[collection.name] = append(p.upsert[collection.name], namedItem{name: name, value: element.value})
 		}
 	}
 }
 
-// readNames returns the names of a list.
+// readNames reads a list of names.
 func readNames(list node) []string {
 	var names []string
 	for _, element := range list.list() {
@@ -138,7 +139,7 @@
 	return names
 }
 
-// removeItems returns a collection without the items that have one of the names.
+// removeItems returns a collection without the items that have one of the given names.
 func removeItems(items []any, names []string) []any {
 	removed := make(map[string]bool, len(names))
 	for _, name := range names {
@@ -153,30 +154,30 @@
 	return kept
 }
 
-// upsertItems returns a collection with items replaced where they stand, or added at its end.
+// upsertItems returns a collection with items replaced in place by name, or added at its end.
 func upsertItems(collection any, items []namedItem) []any {
-	present, _ := collection.([]any)
-	result := slices.Clone(present)
+	existing, _ := collection.([]any)
+	result := slices.Clone(existing)
 	positions := make(map[string]int, len(result))
 	for i, value := range result {
 		positions[itemName(value)] = i
 	}
-	for _, entry := range items {
-		position, found := positions[entry.name]
+	for _, item := range items {
+		position, found := positions[item.name]
 		if found {
-			result[position] = entry.value
+			result[position] = item.value
 			continue
 		}
-		positions[entry.name] = len(result)
-		result = append(result, entry.value)
+		positions[item.name] = len(result)
+		result = append(result, item.value)
 	}
 	return result
 }
 
-// mergeFields returns an object with some of its fields replaced.
+// mergeFields returns a copy of an object with the given fields set.
 func mergeFields(object any, fields map[string]any) map[string]any {
-	present, _ := object.(map[string]any)
-	result := maps.Clone(present)
+	existing, _ := object.(map[string]any)
+	result := maps.Clone(existing)
 	if result == nil {
 		result = map[string]any{}
 	}
--- a/internal/configuration/patch_test.go
+++ b/internal/configuration/patch_test.go
@@ -15,12 +15,12 @@
 	t.Helper()
 	patched, err := d.Patch([]byte(text))
 	if err != nil {
-		t.Fatalf("the patch is refused: %v", err)
+		t.Fatalf("Patch: got %v, want no error", err)
 	}
 	return patched
 }
 
-func TestPatchOfTheExample(t *testing.T) {
+func TestPatch(t *testing.T) {
 	before := mustParse(t, example)
 	text := string(before.Encode())
 	after := mustPatch(t, before, `{"version":9,"upsert":{"routes":[
@@ -29,7 +29,7 @@
 		"services":[{"name":"third"}],"tenants":[{"name":"free","apiKeys":["key-9"]}]},
 		"remove":{"routes":["cards","r-old"],"tenants":["huka270"],"nothing":["x"]}}`)
 	if string(before.Encode()) != text {
-		t.Error("the patch changed the document that it was applied to")
+		t.Error("the patch changed the document that it was applied to, want a changed copy")
 	}
 	s, err := Compile(after)
 	if err != nil {
@@ -40,19 +40,19 @@
 		names = append(names, route.Name)
 	}
 	if !reflect.DeepEqual(names, []string{"chat", "lots", "new"}) {
-		t.Errorf("routes %v", names)
+		t.Errorf("got routes %v, want chat, lots and new", names)
 	}
 	if s.Version != 9 || s.RouteByName("chat").Timeout.Milliseconds() != 99 || s.RouteByName("chat").Kind != NonIdempotent {
-		t.Errorf("the route is not replaced whole: %+v", s.RouteByName("chat"))
+		t.Errorf("got version %d, route %+v; want version 9 and all fields of the route replaced", s.Version, s.RouteByName("chat"))
 	}
 	if s.Tenant("key-1") != nil || s.Tenant("key-3") != nil || s.Tenant("key-9") == nil {
-		t.Errorf("tenants %+v", s.Tenants)
+		t.Errorf("got tenants %+v, want only tenant free with key-9", s.Tenants)
 	}
 	if s.ServiceByName("third") == nil || len(s.Services) != 3 {
-		t.Errorf("services %+v", s.Services)
+		t.Errorf("got services %+v, want 3 with service third", s.Services)
 	}
 	if _, found := after.root["nothing"]; found {
-		t.Error("removing from a collection that is not there made one")
+		t.Error("removal from a missing collection: got it created, want it still missing")
 	}
 }
 
@@ -65,7 +65,7 @@
 			t.Fatal(err)
 		}
 		if s.Limits.IdleTimeout.Milliseconds() != 5000 || s.Limits.MaxHeaderBytes != 16384 {
-			t.Errorf("%s: %+v", text, s.Limits)
+			t.Errorf("%s: got limits %+v, want an idle timeout of 5000 ms and the others unchanged", text, s.Limits)
 		}
 	}
 }
@@ -74,15 +74,15 @@
 	patched := mustPatch(t, mustParse(t, example), `{"version":9,"remove":{"tenants":["free"]},"upsert":{"tenants":[{"name":"free","apiKeys":["key-8"]}]}}`)
 	s, err := Compile(patched)
 	if err != nil || s.Tenant("key-8") == nil || s.Tenant("key-3") != nil {
-		t.Errorf("got %v, %v", s, err)
+		t.Errorf("got %v, %v; want key-8 in place of key-3", s, err)
 	}
 }
 
-func TestLastTenantRemovedStillNeedsKeys(t *testing.T) {
+func TestKeysAreRequiredAfterTheLastTenantIsRemoved(t *testing.T) {
 	patched := mustPatch(t, mustParse(t, example), `{"version":9,"remove":{"tenants":["free","huka270"]}}`)
 	s, err := Compile(patched)
 	if err != nil || !s.RequiresKey() || len(s.Tenants) != 0 {
-		t.Errorf("got %+v, %v", s, err)
+		t.Errorf("got %+v, %v; want no tenants and keys required", s, err)
 	}
 }
 
@@ -96,7 +96,7 @@
 	document := mustParse(t, example)
 	for _, text := range unreadable {
 		if _, err := document.Patch([]byte(text)); fault.KindOf(err) != fault.InvalidConfiguration {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("Patch(%s): got %v, want an error of kind %v", text, err, fault.InvalidConfiguration)
 		}
 	}
 	invalid := map[string]string{
@@ -107,24 +107,25 @@
 	}
 	for name, text := range invalid {
 		if err := Check(mustPatch(t, document, text)); fault.KindOf(err) != fault.InvalidConfiguration {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("Check after patch %q: got %v, want an error of kind %v", name, err, fault.InvalidConfiguration)
 		}
 	}
 }
 
-// TestKeyMovesBetweenTenants passes a key on from one tenant to another within one patch.
+// TestKeyMovesBetweenTenants moves a key from one tenant to another within one patch.
 func TestKeyMovesBetweenTenants(t *testing.T) {
 	patched := mustPatch(t, mustParse(t, example), `{"version":9,"upsert":{"tenants":[
 		{"name":"free","apiKeys":["key-3","key-1"]},{"name":"huka270","apiKeys":["key-2"]}]}}`)
 	s, err := Compile(patched)
 	if err != nil || s.Tenant("key-1").Name != "free" {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want key-1 to be a key of tenant free", err)
 	}
 }
 
-// model is a document as plain collections of named texts: what patches are compared with.
+// model is a reference document: the JSON texts of items by collection and name. Patched documents are compared with it.
 type model map[string]map[string]string
 
+// document returns the JSON text of the whole document.
 func (m model) document(version int) string {
 	var collections []string
 	for _, collection := range []string{routesField, servicesField, tenantsField} {
@@ -137,8 +138,8 @@
 	return fmt.Sprintf(`{"version":%d,%s}`, version, strings.Join(collections, ","))
 }
 
-// byName returns the collections of a document by the names of their items.
-func byName(t *testing.T, d *Document) map[string]map[string]any {
+// itemsByName returns the collections of a document by the names of their items.
+func itemsByName(t *testing.T, d *Document) map[string]map[string]any {
 	t.Helper()
 	result := map[string]map[string]any{}
 	for collection, value := range d.root {
@@ -148,15 +149,16 @@
 				result[collection][itemName(element)] = element
 			}
 			if len(result[collection]) != len(list) {
-				t.Fatalf("a name stands twice in %s", collection)
+				t.Fatalf("collection %s: got two items with one name", collection)
 			}
 		}
 	}
 	return result
 }
 
-// TestRandomPatchesEqualTheWhole merges random patches one by one and compares each result with the document built whole.
-func TestRandomPatchesEqualTheWhole(t *testing.T) {
+// TestRandomPatchesEqualWholeDocuments merges random patches one by one, and compares each result with a document that is
+// built whole from the model.
+func TestRandomPatchesEqualWholeDocuments(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 0))
 		want := model{routesField: {}, servicesField: {}, tenantsField: {}}
@@ -164,17 +166,17 @@
 		for version := 2; version < 60; version++ {
 			document = mustPatch(t, document, randomPatch(random, want, version))
 			expected := mustParse(t, want.document(version))
-			if !reflect.DeepEqual(byName(t, document), byName(t, expected)) {
-				t.Fatalf("seed %d, version %d:\n%s\nis not\n%s", seed, version, document.Encode(), expected.Encode())
+			if !reflect.DeepEqual(itemsByName(t, document), itemsByName(t, expected)) {
+				t.Fatalf("seed %d, version %d: got\n%s\nwant\n%s", seed, version, document.Encode(), expected.Encode())
 			}
 			if document.Version() != uint64(version) || mustParse(t, string(document.Encode())).Version() != uint64(version) {
-				t.Fatalf("seed %d: version %d is kept as %d", seed, version, document.Version())
+				t.Fatalf("seed %d: got version %d, want %d in the document and in its encoding", seed, document.Version(), version)
 			}
 		}
 	}
 }
 
-// randomPatch changes the model and returns the patch that does the same.
+// randomPatch changes the model at random, and returns a patch that makes the same change.
 func randomPatch(random *rand.Rand, m model, version int) string {
 	upsert, remove := map[string][]json.RawMessage{}, map[string][]string{}
 	for collection, items := range m {
--- a/internal/configuration/problems.go
+++ b/internal/configuration/problems.go
@@ -13,13 +13,14 @@
 
 // problemCollector collects the problems that are found in a document.
 type problemCollector struct {
-	// withoutPaths leaves out the paths, which cost more than the rest of the reading: problems are found, but not located.
+	// withoutPaths leaves out the paths of problems. Building the paths costs more than reading the rest of the document.
 	withoutPaths bool
 	problems     []string
-	omitted      int
+	// omitted counts the problems beyond maxProblems.
+	omitted int
 }
 
-// add takes the problem of the value at a path.
+// add records a problem of the value at a path.
 func (c *problemCollector) add(path, format string, arguments ...any) {
 	if len(c.problems) == maxProblems {
 		c.omitted++
@@ -44,12 +45,12 @@
 	return fault.Wrap(fault.InvalidConfiguration, &invalidError{problems: problems})
 }
 
-// invalidError lists what is invalid in a document.
+// invalidError lists the problems of a document or patch.
 type invalidError struct{ problems []string }
 
 func (e *invalidError) Error() string { return strings.Join(e.problems, "; ") }
 
-// Problems returns what is invalid in a document, one by one, from the error with which it was refused.
+// Problems returns the problems that an error of this package lists, the text of any other error, nil for no error.
 func Problems(err error) []string {
 	var listed *invalidError
 	switch {
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -9,7 +9,7 @@
 
 // The kinds of routes.
 const (
-	// NonIdempotent requests run once at most for each try. It is also the kind of routes whose kind is not known.
+	// NonIdempotent requests run at most once for each attempt of the client. Routes whose kind is not known are of this kind.
 	NonIdempotent Kind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
@@ -19,7 +19,7 @@
 	Batch
 )
 
-var kindNames = map[string]Kind{
+var kindsByName = map[string]Kind{
 	"non_idempotent":   NonIdempotent,
 	"idempotent":       Idempotent,
 	"streaming":        Streaming,
@@ -28,7 +28,7 @@
 
 // String returns the name that the kind has in the document.
 func (k Kind) String() string {
-	for name, kind := range kindNames {
+	for name, kind := range kindsByName {
 		if kind == k {
 			return name
 		}
@@ -36,10 +36,10 @@
 	return "unknown"
 }
 
-// Snapshot is one version of the configuration, compiled for use. It is immutable.
+// Snapshot is one version of the configuration, compiled for lookups. It is immutable and safe for concurrent use.
 type Snapshot struct {
 	Version uint64
-	// Routes, Services and Tenants stand in the order of the document.
+	// Routes, Services and Tenants are in the order of the document.
 	Routes   []*Route
 	Services []*Service
 	Tenants  []*Tenant
@@ -61,7 +61,7 @@
 	IdleTimeout    time.Duration
 }
 
-// Route says where requests of a host and a path prefix go and how they are treated.
+// Route defines which services requests with a host and a path prefix are sent to, and how they are handled.
 type Route struct {
 	Name   string
 	Host   string // in lower case, without a port
@@ -69,26 +69,27 @@
 	Kind   Kind
 	// Timeout is the longest that a request may take.
 	Timeout time.Duration
-	// TargetLatency is the time within which an answer (of a stream the first event, of a batch job the 202) has full value.
+	// TargetLatency is the time within which an answer has full value. For a stream it is the time to the first event, for a
+	// batch job the time to the 202.
 	TargetLatency time.Duration
-	// GapTarget is the longest pause between the events of a stream that keeps it in time.
+	// GapTarget is the longest pause between two events of a stream that still counts as on time.
 	GapTarget time.Duration
-	// CompletionTarget is the time after the submission of a batch job by which its results are due.
+	// CompletionTarget is how long after the submission of a batch job its results are due.
 	CompletionTarget time.Duration
-	// Retention is the time after the submission of a batch job at which an item may be abandoned.
+	// Retention is the time since the submission of a batch job after which its waiting items may be abandoned; 0: never.
 	Retention time.Duration
-	// Priority is the rank of requests, 0 the highest. A tenant's own takes precedence.
+	// Priority is the rank of the route's requests, 0 the highest. The priority of a tenant, if set, takes precedence.
 	Priority int
 	// Split holds the services with weights above 0.
 	Split []WeightedService
 	// MaxAttempts is the greatest number of backends that may run one request, at least 1.
 	MaxAttempts int
-	// Public routes take requests without a key.
+	// Public routes accept requests without an API key.
 	Public          bool
 	SessionAffinity bool
-	// Resumable streams may be continued at another backend.
+	// Resumable streams may be continued by another backend.
 	Resumable bool
-	// MaxQueuedTokens is how many tokens a tenant may have waiting on the route; 0: no limit.
+	// MaxQueuedTokens is the greatest number of tokens that a tenant may have queued on the route; 0: no limit.
 	MaxQueuedTokens int64
 }
 
@@ -107,9 +108,9 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	// ConnectionLimit is how many connections a backend accepts from all callers together; 0: not known.
+	// ConnectionLimit is the number of connections that a backend accepts from all callers together; 0: not known.
 	ConnectionLimit int
-	// Engine is nil for services that are no language models.
+	// Engine is nil for services that are not language models.
 	Engine *Engine
 }
 
@@ -118,7 +119,7 @@
 	CapacitySlots      int
 	CacheTokenCapacity int64
 	TokenSizeBytes     int64
-	// Stride is how many tokens one event may carry.
+	// Stride is the greatest number of tokens that one event carries.
 	Stride int
 	Models []string
 }
@@ -127,13 +128,14 @@
 type Tenant struct {
 	Name string
 	Keys []string
-	// Priority takes precedence over a route's where HasPriority is true.
+	// Priority takes precedence over that of a route if HasPriority is true.
 	Priority    int
 	HasPriority bool
-	// RatePerSecond is how many requests the tenant may send; 0: no limit.
+	// RatePerSecond is the rate of requests that the tenant may send; 0: no limit.
 	RatePerSecond float64
-	Burst         float64
+	// Burst is the number of requests that the tenant may send at once.
+	Burst float64
 }
 
-// Limited reports whether the tenant's requests are counted.
+// Limited reports whether the tenant has a limit on its rate of requests.
 func (t *Tenant) Limited() bool { return t.RatePerSecond > 0 }
