--- a/internal/configuration/compile.go
+++ b/internal/configuration/compile.go
@@ -19,7 +19,8 @@
 	return err
 }
 
-// Compile checks a document and returns its snapshot, or an error of kind fault.InvalidConfiguration that lists all problems.
+// Compile checks a document and returns its snapshot, or an error of kind fault.InvalidConfiguration that lists the
+// problems.
 func Compile(d *Document) (*Snapshot, error) {
 	snapshot, err := compile(d, &problemCollector{withoutPaths: true})
 	if err != nil {
--- a/internal/configuration/doc.go
+++ b/internal/configuration/doc.go
@@ -6,8 +6,8 @@
 //   - A Document and a Snapshot are never changed: a patch returns a new document.
 //   - A Document keeps all that the operator sent, including fields that this program does not know, and numbers as they were
 //     written, so that it can be returned in full.
-//   - A Snapshot is made only of a valid document. Compile finds all problems of a document in one call; Problems returns them
-//     with the paths of their fields.
+//   - A Snapshot is made only of a valid document. Compile checks the whole document before it returns an error; Problems
+//     returns the problems with the paths of their fields, at most maxProblems of them and the number of the others.
 //
 // The package does no I/O and starts no goroutine.
 //
--- a/internal/configuration/patch.go
+++ b/internal/configuration/patch.go
@@ -114,7 +114,7 @@
 	return fields
 }
 
-// readUpsert reads the items of one collection that are to be added or replaced. The limits may also stand here.
+// readUpsert reads the items of one collection that are to be added or replaced. The limits are also accepted here.
 func (p *Patch) readUpsert(collection namedField) {
 	if collection.name == limitsField {
 		if collection.node.requireObject() {
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -9,7 +9,7 @@
 
 // The kinds of routes.
 const (
-	// NonIdempotent requests run at most once for each attempt of the client. Routes whose kind is not known are of this kind.
+	// NonIdempotent requests run at most once each time the client sends them. Routes of an unknown kind are of this kind.
 	NonIdempotent Kind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
--- a/internal/placement/balance_replicas.go
+++ b/internal/placement/balance_replicas.go
@@ -78,7 +78,7 @@
 }
 
 // minimumZoneDifference is the least difference between the costs of two zones at which a move between them helps. If
-// replicas are concentrated, a difference of 1 is enough: the move increases it.
+// replicas are concentrated, a difference of 1 is enough: the move adds a replica to the zone that holds more of them.
 func (p *plan) minimumZoneDifference() int {
 	if p.policy.Concentrated {
 		return 1
--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -12,16 +12,16 @@
 	// ConcurrentMoves is how many partitions are balanced at the same time. 0 stands for DefaultConcurrentMoves. A greater
 	// number balances the table sooner, at the cost of more replication traffic to learners.
 	ConcurrentMoves int
-	// Concentrated places the replicas of a partition in one zone if a zone has enough stores, so that replication does not
-	// cross zones. It is for deployments that need not tolerate the loss of a zone. Otherwise replicas are spread over zones.
+	// Concentrated places the replicas of a partition in one zone, or in as few zones as possible if none has enough stores, so
+	// that replication does not cross zones. It is for deployments that need not tolerate the loss of a zone. Otherwise replicas are spread over zones.
 	Concentrated bool
 	// MayInterrupt allows Next to move one head at which items run, in order to balance heads. The cost of such a move is that
 	// the new head has to read the prompts of these items again.
 	MayInterrupt bool
 }
 
-// PolicyFor returns the policy for a number of machines that may be lost at the same time. The replication factor is one above
-// MinimumReplicas, so that the loss of one machine does not stop a partition.
+// PolicyFor returns the policy for a number of machines that may be lost at the same time. An entry is on one disk more than
+// that number, and views have one member more than that, so that the loss of one machine does not stop a partition.
 func PolicyFor(faultTolerance int) Policy {
 	return Policy{MinimumReplicas: faultTolerance + 1, ReplicationFactor: faultTolerance + 2}
 }
