--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -13,7 +13,8 @@
 	// number balances the table sooner, at the cost of more replication traffic to learners.
 	ConcurrentMoves int
 	// Concentrated places the replicas of a partition in one zone, or in as few zones as possible if none has enough stores, so
-	// that replication does not cross zones. It is for deployments that need not tolerate the loss of a zone. Otherwise replicas are spread over zones.
+	// that replication does not cross zones. It is for deployments that need not tolerate the loss of a zone. Otherwise
+	// replicas are spread over zones.
 	Concentrated bool
 	// MayInterrupt allows Next to move one head at which items run, in order to balance heads. The cost of such a move is that
 	// the new head has to read the prompts of these items again.
