--- a/cmd/nickelline/control.go
+++ b/cmd/nickelline/control.go
@@ -28,7 +28,7 @@
 type controlNode struct {
 	*node
 	control    *control.Control
-	fileSystem segment.OperatingSystem
+	fileSystem segment.OSFileSystem
 	diskFailed chan error // receives the first failure of a disk
 }
 
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if n.node, err = newNode(p, roleControl, p.settings.ControlInternal(p.settings.IP), uint64(replica)); err != nil {
+	if n.node, err = newNode(p, roleControl, p.settings.ControlInternalAddress(p.settings.IP), uint64(replica)); err != nil {
 		return nil, err
 	}
 	n.control, err = control.New(control.Options{
--- a/cmd/nickelline/disk_test.go
+++ b/cmd/nickelline/disk_test.go
@@ -11,7 +11,7 @@
 
 func TestCheckDisk(t *testing.T) {
 	directory := t.TempDir()
-	if err := checkDisk(segment.OperatingSystem{}, directory); err != nil {
+	if err := checkDisk(segment.OSFileSystem{}, directory); err != nil {
 		t.Fatal(err)
 	}
 	if left, err := os.ReadDir(directory); err != nil || len(left) != 0 {
--- a/cmd/nickelline/node.go
+++ b/cmd/nickelline/node.go
@@ -59,7 +59,7 @@
 	}
 	n := &node{process: p, transport: transport}
 	transport.SetSameZone(n.isInOwnZone)
-	n.members = member.New(self, p.settings.SeedInternal(), transport, p.log)
+	n.members = member.New(self, p.settings.SeedInternalAddresses(), transport, p.log)
 	n.gossip = gossip.New(self, n.members.Table, transport, n.heartbeat(), p.log)
 	n.loads = load.New(load.Options{
 		Zone:          self.Zone,
--- a/cmd/nickelline/proxy.go
+++ b/cmd/nickelline/proxy.go
@@ -51,14 +51,14 @@
 		return nil, err
 	}
 	n := &proxyNode{}
-	if n.node, err = newNode(p, roleProxy, p.settings.ProxyInternal(), 0); err != nil {
+	if n.node, err = newNode(p, roleProxy, p.settings.ProxyInternalAddress(), 0); err != nil {
 		return nil, err
 	}
 	n.state = n.newState()
 	n.limiter = quota.NewLimiter(quota.PolicyOf(&p.settings.Bounds), n.transport, n.controlNodes, p.log)
 	n.limiter.HandleAnnouncements(n.transport)
 	n.sender = forward.NewClient(forward.Options{
-		Connections: int(backendDescriptors * float64(p.settings.Limits.FileDescriptors)),
+		MaxConnections: int(backendDescriptors * float64(p.settings.Limits.FileDescriptors)),
 	})
 	n.state.OnBackends(n.sender.SetBackends)
 	n.proxy = proxy.New(clients, readiness, n.proxyOptions())
@@ -67,18 +67,18 @@
 
 func (n *proxyNode) proxyOptions() proxy.Options {
 	return proxy.Options{
-		Configuration: n.state.Configuration,
-		ProofAge:      n.state.ConfigurationAge,
-		MaxProofAge:   maxProofAge(n.settings),
-		BackendsKnown: func() bool { return n.state.Backends() != nil },
-		Selector:      proxy.PoolSelector(n.state.Pool),
-		Loads:         n.loads,
-		Sender:        n.sender,
-		Quota:         n.limiter,
-		Batch:         newBatchClient(n.node, n.state),
-		GracePeriod:   settings.Seconds(n.settings.Bounds.GracePeriodS),
-		Connections:   int(clientDescriptors * float64(n.settings.Limits.FileDescriptors)),
-		Log:           n.log,
+		Configuration:  n.state.Configuration,
+		ProofAge:       n.state.ConfigurationAge,
+		MaxProofAge:    maxProofAge(n.settings),
+		BackendsKnown:  func() bool { return n.state.Backends() != nil },
+		Selector:       proxy.PoolSelector(n.state.Pool),
+		Loads:          n.loads,
+		Sender:         n.sender,
+		Quota:          n.limiter,
+		Batch:          newBatchClient(n.node, n.state),
+		GracePeriod:    settings.Seconds(n.settings.Bounds.GracePeriodS),
+		MaxConnections: int(clientDescriptors * float64(n.settings.Limits.FileDescriptors)),
+		Log:            n.log,
 	}
 }
 
--- a/cmd/nickelline/retire.go
+++ b/cmd/nickelline/retire.go
@@ -60,7 +60,7 @@
 	defer ticker.Stop()
 	begin := time.Now()
 	for {
-		completed, err := client.Retired(ctx, c.Store)
+		completed, err := client.IsRetired(ctx, c.Store)
 		if completed || err != nil {
 			return completed, err
 		}
--- a/cmd/nickelline/status.go
+++ b/cmd/nickelline/status.go
@@ -41,7 +41,7 @@
 		s.Configuration.Version, s.Configuration.Routes, s.Configuration.Services, s.Configuration.Tenants)
 	fmt.Fprintf(table, "control chain\tepoch %d: %s; committed %d of %d\n",
 		s.Chain.Epoch, strings.Join(s.Chain.Replicas, " > "), s.Chain.Committed, s.Chain.Appended)
-	fmt.Fprintf(table, "\tvoters: %s; further losses borne now: %d\n", strings.Join(s.Chain.Voters, ", "), s.Chain.LossesBorne)
+	fmt.Fprintf(table, "\tvoters: %s; further losses borne now: %d\n", strings.Join(s.Chain.Voters, ", "), s.Chain.ToleratedLosses)
 	fmt.Fprintf(table, "placement\tversion %d, %d partitions\n", s.Placement.Version, len(s.Placement.Partitions))
 	for _, retirement := range s.Retirements {
 		fmt.Fprintf(table, "retirement\t%s: %s\n", retirement.Node, retirement.State)
--- a/cmd/nickelline/store.go
+++ b/cmd/nickelline/store.go
@@ -36,7 +36,7 @@
 	sender     *forward.Client
 	store      *store.Service
 	replica    view.ReplicaID
-	fileSystem segment.OperatingSystem
+	fileSystem segment.OSFileSystem
 	diskFailed chan error // receives the first failure of a disk
 }
 
@@ -47,12 +47,12 @@
 	if n.replica, _, err = view.LoadIdentity(n.fileSystem, p.settings.DataDirectory); err != nil {
 		return nil, err
 	}
-	if n.node, err = newNode(p, roleStore, p.settings.StoreInternal(), uint64(n.replica)); err != nil {
+	if n.node, err = newNode(p, roleStore, p.settings.StoreInternalAddress(), uint64(n.replica)); err != nil {
 		return nil, err
 	}
 	n.state = n.newState()
 	n.sender = forward.NewClient(forward.Options{
-		Connections: int(storeDescriptors * float64(p.settings.Limits.FileDescriptors)),
+		MaxConnections: int(storeDescriptors * float64(p.settings.Limits.FileDescriptors)),
 	})
 	n.state.OnBackends(n.sender.SetBackends)
 	if n.store, err = store.New(n.storeOptions()); err != nil {
@@ -70,7 +70,7 @@
 			Address: n.transport.Address(),
 		},
 		Transport:       n.transport,
-		Registry:        chain.NewDispatcher(n.transport, n.log),
+		Dispatcher:      chain.NewDispatcher(n.transport, n.log),
 		FileSystem:      n.fileSystem,
 		Directory:       n.settings.DataDirectory,
 		MinimumReplicas: n.settings.FaultTolerance.Losses() + 1,
--- a/internal/chain/barrier_bench_test.go
+++ b/internal/chain/barrier_bench_test.go
@@ -20,13 +20,13 @@
 			if members := len(head.View().Members); members != replicas {
 				b.Fatalf("members of the chain: got %d, want %d", members, replicas)
 			}
-			before := measure.ProcessorTime()
+			before := measure.CPUTime()
 			for b.Loop() {
 				if err := head.Barrier(context.Background()); err != nil {
 					b.Fatal(err)
 				}
 			}
-			used := measure.ProcessorTime() - before
+			used := measure.CPUTime() - before
 			b.ReportMetric(float64(used.Microseconds())/float64(b.N), "cpu-us/barrier")
 		})
 	}
--- a/internal/chain/cluster_test.go
+++ b/internal/chain/cluster_test.go
@@ -107,7 +107,7 @@
 
 func (c *cluster) open(m *member, transport *peer.Transport, firstStart bool) {
 	c.t.Helper()
-	fileSystem := segment.OperatingSystem{}
+	fileSystem := segment.OSFileSystem{}
 	replica, _, err := view.LoadIdentity(fileSystem, m.directory)
 	if err != nil {
 		c.t.Fatal(err)
--- a/internal/chain/golden_test.go
+++ b/internal/chain/golden_test.go
@@ -238,7 +238,7 @@
 // goldenNode returns a node that can only write the record and acceptor files.
 func goldenNode(t *testing.T) *Node {
 	t.Helper()
-	return &Node{options: Options{FileSystem: segment.OperatingSystem{}, Directory: t.TempDir()}}
+	return &Node{options: Options{FileSystem: segment.OSFileSystem{}, Directory: t.TempDir()}}
 }
 
 // checkGoldenFile compares a file that a node has written with the golden file, and replaces it with the golden file.
--- a/internal/chain/node_test.go
+++ b/internal/chain/node_test.go
@@ -110,7 +110,7 @@
 	}
 	defer transport.Close()
 	dispatcher := NewDispatcher(transport, zap.NewNop())
-	files := &openFiles{FileSystem: segment.OperatingSystem{}}
+	files := &openFiles{FileSystem: segment.OSFileSystem{}}
 	open := func(directory string) (*Node, error) {
 		return Open(Options{
 			Self:            view.Member{Replica: 1, Address: transport.Address()},
@@ -141,7 +141,7 @@
 // writeLog writes a log with one entry.
 func writeLog(t *testing.T, directory string) {
 	t.Helper()
-	log, _, err := segment.Open(segment.OperatingSystem{}, directory, segment.Options{})
+	log, _, err := segment.Open(segment.OSFileSystem{}, directory, segment.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/chain/proposer_options.go
+++ b/internal/chain/proposer_options.go
@@ -22,7 +22,7 @@
 		}
 	}
 	options.Choose = func(answers []view.Promise) (view.View, bool) {
-		return view.Next(v, view.Confirm(candidates, answers), r.options.Policy)
+		return view.Next(v, view.UpdateCandidates(candidates, answers), r.options.Policy)
 	}
 	return options
 }
--- a/internal/chain/simulation_views_test.go
+++ b/internal/chain/simulation_views_test.go
@@ -166,7 +166,7 @@
 		if v.Epoch == 0 {
 			return view.First(0, answers, s.simulation.policy)
 		}
-		return view.Next(v, view.Confirm(candidates, answers), s.simulation.policy)
+		return view.Next(v, view.UpdateCandidates(candidates, answers), s.simulation.policy)
 	}
 }
 
--- a/internal/chain/stored_record_test.go
+++ b/internal/chain/stored_record_test.go
@@ -22,7 +22,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			directory := golden.CopyDirectory(t, test.directory)
-			got, err := loadRecord(Options{FileSystem: segment.OperatingSystem{}, Directory: directory})
+			got, err := loadRecord(Options{FileSystem: segment.OSFileSystem{}, Directory: directory})
 			if err != nil {
 				t.Fatalf("load record: %v", err)
 			}
--- a/internal/chain/throughput_bench_test.go
+++ b/internal/chain/throughput_bench_test.go
@@ -19,7 +19,7 @@
 			c.propose(c.members[0], 1)
 			command := append(addCommand(1), make([]byte, size)...)
 			head := c.head()
-			before := measure.ProcessorTime()
+			before := measure.CPUTime()
 			b.SetBytes(int64(callers * size))
 			for b.Loop() {
 				var running sync.WaitGroup
@@ -32,7 +32,7 @@
 				}
 				running.Wait()
 			}
-			used := measure.ProcessorTime() - before
+			used := measure.CPUTime() - before
 			b.ReportMetric(float64(used.Microseconds())/float64(b.N*callers), "cpu-us/command")
 		})
 	}
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -94,7 +94,7 @@
 		t.Errorf("tenant huka270: got %+v, want %+v", s.Tenant("key-2"), wantTenant)
 	}
 	free := s.Tenant("key-3")
-	if free.HasPriority || free.Limited() || !wantTenant.Limited() || s.Tenant("key-4") != nil || s.Tenant("") != nil {
+	if free.HasPriority || free.IsRateLimited() || !wantTenant.IsRateLimited() || s.Tenant("key-4") != nil || s.Tenant("") != nil {
 		t.Errorf("tenant free: got %+v, want no priority and no limit, and no tenant for other keys", free)
 	}
 	if !s.RequiresKey() {
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -137,5 +137,5 @@
 	Burst float64
 }
 
-// Limited reports whether the tenant has a limit on its rate of requests.
-func (t *Tenant) Limited() bool { return t.RatePerSecond > 0 }
+// IsRateLimited reports whether the tenant has a limit on its rate of requests.
+func (t *Tenant) IsRateLimited() bool { return t.RatePerSecond > 0 }
--- a/internal/control/controlapi/status.go
+++ b/internal/control/controlapi/status.go
@@ -25,11 +25,11 @@
 	// Replicas are the members of the view, the head first. Voters agree on the next view; a voter need not be a member.
 	Replicas []string `json:"replicas"`
 	Voters   []string `json:"voters"`
-	// LossesBorne is how many of the running machines may fail now and lose their disks before the chain depends on a machine
+	// ToleratedLosses is how many of the running machines may fail now and lose their disks before the chain depends on a machine
 	// that is not running.
-	LossesBorne int    `json:"lossesBorne"`
-	Committed   uint64 `json:"committed"`
-	Appended    uint64 `json:"appended"`
+	ToleratedLosses int    `json:"lossesBorne"`
+	Committed       uint64 `json:"committed"`
+	Appended        uint64 `json:"appended"`
 }
 
 // PlacementState describes the placement of batch partitions.
--- a/internal/control/losses_test.go
+++ b/internal/control/losses_test.go
@@ -33,7 +33,7 @@
 	p := s.nodes[node]
 	for {
 		status := p.control.Status().Chain
-		if len(status.Replicas) == replicas && len(status.Voters) == voters && status.LossesBorne == toleratedLosses {
+		if len(status.Replicas) == replicas && len(status.Voters) == voters && status.ToleratedLosses == toleratedLosses {
 			return
 		}
 		select {
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -40,7 +40,7 @@
 	c.node = node
 	c.reconfigurer, err = chain.NewReconfigurer(chain.ReconfigurerOptions{
 		Node:       node,
-		Seeds:      o.Settings.SeedInternal(),
+		Seeds:      o.Settings.SeedInternalAddresses(),
 		FirstStart: o.Settings.InitialStart,
 		Policy:     chainPolicy(losses),
 	})
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -40,13 +40,13 @@
 	v, status := c.node.View(), c.node.Status()
 	_, head := c.head()
 	return controlapi.ChainState{
-		Epoch:       v.Epoch,
-		Head:        head,
-		Replicas:    memberNames(v.Members),
-		Voters:      memberNames(v.Electorate()),
-		LossesBorne: v.ToleratedLosses(c.isRunning),
-		Committed:   status.Committed,
-		Appended:    status.LastAppended,
+		Epoch:           v.Epoch,
+		Head:            head,
+		Replicas:        memberNames(v.Members),
+		Voters:          memberNames(v.Electorate()),
+		ToleratedLosses: v.ToleratedLosses(c.isRunning),
+		Committed:       status.Committed,
+		Appended:        status.LastAppended,
 	}
 }
 
--- a/internal/control/stored_data_test.go
+++ b/internal/control/stored_data_test.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatalf("listen: %v", err)
 	}
-	replica, _, err := view.LoadIdentity(segment.OperatingSystem{}, directory)
+	replica, _, err := view.LoadIdentity(segment.OSFileSystem{}, directory)
 	if err != nil {
 		t.Fatalf("load identity: %v", err)
 	}
@@ -69,7 +69,7 @@
 		Name: nodeSettings.NodeName, Role: controlRole, Zone: nodeSettings.Zone, Address: transport.Address(), Replica: uint64(replica),
 	}, nil, transport, zap.NewNop())
 	control, err := New(Options{
-		Settings: nodeSettings, FileSystem: segment.OperatingSystem{}, Replica: replica, Transport: transport, Members: members,
+		Settings: nodeSettings, FileSystem: segment.OSFileSystem{}, Replica: replica, Transport: transport, Members: members,
 		Configuration: newRecordingTopic(), Placement: newRecordingTopic(), Log: zap.NewNop(),
 	})
 	if err != nil {
@@ -163,7 +163,7 @@
 
 func (s *storedReplica) describeAcceptor(text *strings.Builder) {
 	s.t.Helper()
-	data, err := segment.LoadRecord(segment.OperatingSystem{}, path.Join(s.directory, "control", "acceptor"))
+	data, err := segment.LoadRecord(segment.OSFileSystem{}, path.Join(s.directory, "control", "acceptor"))
 	if err != nil {
 		s.t.Fatalf("load acceptor: %v", err)
 	}
@@ -270,7 +270,7 @@
 func writeStoredSnapshot(t *testing.T, write func(*segment.Log, segment.Snapshot) error, snapshot segment.Snapshot) {
 	t.Helper()
 	directory := path.Join(storedDirectory, chainDirectory, chain.LogDirectory)
-	log, _, err := segment.Open(segment.OperatingSystem{}, directory, segment.Options{})
+	log, _, err := segment.Open(segment.OSFileSystem{}, directory, segment.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/stores.go
+++ b/internal/control/stores.go
@@ -52,7 +52,7 @@
 	if m.Replica == 0 || m.Leaving {
 		return false
 	}
-	return m.Running() || table.Names(view.ReplicaID(m.Replica))
+	return m.Running() || table.References(view.ReplicaID(m.Replica))
 }
 
 // appendPlacedStores appends the stores that the placement names and that are not in the list.
--- a/internal/control/system_test.go
+++ b/internal/control/system_test.go
@@ -85,11 +85,11 @@
 func (s *controlSystem) open(node int, first bool) error {
 	nodeSettings := s.settings(node, first)
 	log := zap.NewNop()
-	transport, err := peer.Listen(nodeSettings.ControlInternal(nodeSettings.IP), log)
+	transport, err := peer.Listen(nodeSettings.ControlInternalAddress(nodeSettings.IP), log)
 	if err != nil {
 		return err
 	}
-	replica, _, err := view.LoadIdentity(segment.OperatingSystem{}, nodeSettings.DataDirectory)
+	replica, _, err := view.LoadIdentity(segment.OSFileSystem{}, nodeSettings.DataDirectory)
 	if err != nil {
 		transport.Close()
 		return err
@@ -97,12 +97,12 @@
 	members := member.New(member.Member{
 		Name: nodeSettings.NodeName, Role: controlRole, Zone: nodeSettings.Zone, Address: transport.Address(),
 		ControlPlane: nodeSettings.Listen.ControlPlane, Replica: uint64(replica),
-	}, nodeSettings.SeedInternal(), transport, log)
+	}, nodeSettings.SeedInternalAddresses(), transport, log)
 	membersChanged := make(chan struct{}, 1)
 	members.OnChange(func(*member.Table) { signal(membersChanged) })
 	topic := newRecordingTopic()
 	control, err := New(Options{
-		Settings: nodeSettings, FileSystem: segment.OperatingSystem{}, Replica: replica, Transport: transport, Members: members,
+		Settings: nodeSettings, FileSystem: segment.OSFileSystem{}, Replica: replica, Transport: transport, Members: members,
 		Configuration: topic, Placement: newRecordingTopic(), Log: log,
 	})
 	if err != nil {
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -30,8 +30,8 @@
 
 // Options configures a Client.
 type Options struct {
-	// Connections is the greatest number of connections to backends at one time, over all backends.
-	Connections int
+	// MaxConnections is the greatest number of connections to backends at one time, over all backends.
+	MaxConnections int
 	// ConnectTimeout bounds the dialing of a connection; 200 ms if it is 0. A shorter timeout leaves more time to try another
 	// backend, a longer one tolerates slower machines and networks.
 	ConnectTimeout time.Duration
@@ -49,7 +49,7 @@
 // newClient returns a client that reuses a connection only after it has been idle for reuseAfter.
 func newClient(o Options, reuseAfter time.Duration) *Client {
 	pool := upstream.New[string](upstream.Options{
-		MaxConnections: o.Connections,
+		MaxConnections: o.MaxConnections,
 		MaxIdle:        maxIdle,
 		MinIdle:        reuseAfter,
 		SweepInterval:  sweepInterval,
--- a/internal/forward/client_test.go
+++ b/internal/forward/client_test.go
@@ -88,7 +88,7 @@
 
 func testClient(t *testing.T, minIdle time.Duration, backends ...*scriptedBackend) *Client {
 	t.Helper()
-	c := newClient(Options{Connections: 100}, minIdle)
+	c := newClient(Options{MaxConnections: 100}, minIdle)
 	list := make([]discovery.Backend, 0, len(backends))
 	for _, b := range backends {
 		list = append(list, b.Backend)
@@ -129,18 +129,18 @@
 	c := testClient(t, 0, b)
 	r := testRequest()
 	r.Header = http.Header{
-		"Authorization":       {"Bearer k"},
-		"Connection":          {"keep-alive, X-Hop"},
-		"X-Hop":               {"1"},
-		"Keep-Alive":          {"timeout=5"},
-		"Te":                  {"trailers"},
-		"Transfer-Encoding":   {"chunked"},
-		HeaderTenant:          {"other"},
-		HeaderAttemptID:       {"other"},
-		HeaderExpected:        {"other"},
-		HeaderDeadline:        {"99999999"},
-		"X-Kept":              {"one", "two"},
-		"Nickelline-Whatever": {"w"},
+		"Authorization":         {"Bearer k"},
+		"Connection":            {"keep-alive, X-Hop"},
+		"X-Hop":                 {"1"},
+		"Keep-Alive":            {"timeout=5"},
+		"Te":                    {"trailers"},
+		"Transfer-Encoding":     {"chunked"},
+		HeaderTenant:            {"other"},
+		HeaderAttemptID:         {"other"},
+		HeaderExpectedInstance:  {"other"},
+		HeaderDeadlineRemaining: {"99999999"},
+		"X-Kept":                {"one", "two"},
+		"Nickelline-Whatever":   {"w"},
 	}
 	response, failure := c.Do(t.Context(), b.Backend, r)
 	if failure != nil {
@@ -162,16 +162,16 @@
 			got.Method, got.RequestURI, got.Host, got.body, r.Method, r.Target, r.Host, "body")
 	}
 	for name, want := range map[string]string{
-		HeaderAttemptID: testID, HeaderExpected: "i-1", HeaderTenant: "t", "X-Kept": "one,two", "Nickelline-Whatever": "w",
+		HeaderAttemptID: testID, HeaderExpectedInstance: "i-1", HeaderTenant: "t", "X-Kept": "one,two", "Nickelline-Whatever": "w",
 		"Authorization": "", "Connection": "", "X-Hop": "", "Keep-Alive": "", "Te": "", "Transfer-Encoding": "",
 	} {
 		if values := strings.Join(got.Header[name], ","); values != want {
 			t.Errorf("%s: got %q, want %q", name, values, want)
 		}
 	}
-	remaining, err := time.ParseDuration(got.Header.Get(HeaderDeadline) + "ms")
+	remaining, err := time.ParseDuration(got.Header.Get(HeaderDeadlineRemaining) + "ms")
 	if err != nil || remaining > testTimeout || remaining < testTimeout/2 {
-		t.Errorf("%s: got %v, %v, want %v to %v", HeaderDeadline, remaining, err, testTimeout/2, testTimeout)
+		t.Errorf("%s: got %v, %v, want %v to %v", HeaderDeadlineRemaining, remaining, err, testTimeout/2, testTimeout)
 	}
 }
 
--- a/internal/forward/encode.go
+++ b/internal/forward/encode.go
@@ -38,21 +38,21 @@
 // omittedFields holds the header fields of a client's request that are not forwarded: they concern one connection, carry the
 // client's API key, or are set by this package. Keys are in canonical form.
 var omittedFields = map[string]bool{
-	"Authorization":     true,
-	"Connection":        true,
-	"Content-Length":    true,
-	"Expect":            true,
-	"Host":              true,
-	"Keep-Alive":        true,
-	"Proxy-Connection":  true,
-	"Te":                true,
-	"Trailer":           true,
-	"Transfer-Encoding": true,
-	"Upgrade":           true,
-	HeaderAttemptID:     true,
-	HeaderDeadline:      true,
-	HeaderExpected:      true,
-	HeaderTenant:        true,
+	"Authorization":         true,
+	"Connection":            true,
+	"Content-Length":        true,
+	"Expect":                true,
+	"Host":                  true,
+	"Keep-Alive":            true,
+	"Proxy-Connection":      true,
+	"Te":                    true,
+	"Trailer":               true,
+	"Transfer-Encoding":     true,
+	"Upgrade":               true,
+	HeaderAttemptID:         true,
+	HeaderDeadlineRemaining: true,
+	HeaderExpectedInstance:  true,
+	HeaderTenant:            true,
 }
 
 // appendRequest appends a request in HTTP/1.1 format.
@@ -84,10 +84,10 @@
 	fields := [...]struct{ name, value string }{
 		{"Host", r.Host},
 		{HeaderAttemptID, r.AttemptID},
-		{HeaderExpected, backend},
+		{HeaderExpectedInstance, backend},
 		{HeaderTenant, r.Tenant},
 		{HeaderLastEventID, r.LastEventID},
-		{HeaderDeadline, strconv.FormatInt(remaining.Milliseconds(), 10)},
+		{HeaderDeadlineRemaining, strconv.FormatInt(remaining.Milliseconds(), 10)},
 	}
 	for _, f := range fields {
 		if f.value == "" {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -37,9 +37,9 @@
 
 func heapInUse() int64 { return int64(Memory().HeapAlloc) }
 
-// ProcessorTime returns the CPU time, user and system, that the process has used since its start, or 0 if it is
+// CPUTime returns the CPU time, user and system, that the process has used since its start, or 0 if it is
 // unknown.
-func ProcessorTime() time.Duration {
+func CPUTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -35,8 +35,8 @@
 	runtime.KeepAlive(&pool)
 }
 
-func TestProcessorTime(*testing.T) {
-	before := ProcessorTime()
-	for ProcessorTime() == before {
+func TestCPUTime(*testing.T) {
+	before := CPUTime()
+	for CPUTime() == before {
 	}
 }
--- a/internal/operator/calls.go
+++ b/internal/operator/calls.go
@@ -50,8 +50,8 @@
 	return err
 }
 
-// Retired reports whether the retirement of the store on a node is complete: the store holds no data any more.
-func (c *Client) Retired(ctx context.Context, node string) (bool, error) {
+// IsRetired reports whether the retirement of the store on a node is complete: the store holds no data any more.
+func (c *Client) IsRetired(ctx context.Context, node string) (bool, error) {
 	var retirement controlapi.Retirement
 	err := c.doJSON(ctx, call{method: http.MethodGet, path: retirePath(node)}, &retirement)
 	return retirement.State == controlapi.RetirementCompleted, err
--- a/internal/operator/client_test.go
+++ b/internal/operator/client_test.go
@@ -160,10 +160,10 @@
 	n := newFakeNode(t, respond(200, `{"state":"in_progress"}`), respond(200, `{"state":"completed"}`), respond(200, `{"node":"n-1"}`),
 		respond(200, `{"version":1}`), respond(200, `{`))
 	c := newTestClient(t, 1, n)
-	if done, err := c.Retired(t.Context(), "s"); err != nil || done {
+	if done, err := c.IsRetired(t.Context(), "s"); err != nil || done {
 		t.Errorf("Retired of a retirement in progress: got %v, %v; want false", done, err)
 	}
-	if done, err := c.Retired(t.Context(), "s"); err != nil || !done {
+	if done, err := c.IsRetired(t.Context(), "s"); err != nil || !done {
 		t.Errorf("Retired of a completed retirement: got %v, %v; want true", done, err)
 	}
 	if status, err := c.Status(t.Context()); err != nil || status.Node != "n-1" {
--- a/internal/placement/retire.go
+++ b/internal/placement/retire.go
@@ -32,7 +32,7 @@
 // CanRemove reports whether a store that is being retired can be removed: its replica is neither a member nor a learner of any
 // partition, and each partition has its full number of complete replicas on other stores.
 func CanRemove(table Table, stores []Store, retiring view.ReplicaID, policy Policy) bool {
-	if table.Names(retiring) {
+	if table.References(retiring) {
 		return false
 	}
 	p := newPlan(table, stores, policy)
--- a/internal/placement/retire_test.go
+++ b/internal/placement/retire_test.go
@@ -22,7 +22,7 @@
 				t.Fatal("CanRemove before the store is emptied: got true, want false")
 			}
 			next := runUntilStable(t, table, stores, policy)
-			if next.Names(stores[1].Replica) {
+			if next.References(stores[1].Replica) {
 				t.Fatal("got the retiring store in the stable table, want it dropped from all partitions")
 			}
 			if !CanRemove(next, stores, stores[1].Replica, policy) {
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -66,8 +66,8 @@
 	return assignments
 }
 
-// Names reports whether a replica is a member or a learner of any partition.
-func (t Table) Names(replica view.ReplicaID) bool {
+// References reports whether a replica is a member or a learner of any partition.
+func (t Table) References(replica view.ReplicaID) bool {
 	return slices.ContainsFunc(t.Partitions, func(p Partition) bool { return p.View.Has(replica) || p.hasLearner(replica) })
 }
 
--- a/internal/proxy/batch.go
+++ b/internal/proxy/batch.go
@@ -195,7 +195,7 @@
 
 // clientTimeout returns the timeout that the client states, or fallback if it states none.
 func (r *request) clientTimeout(fallback time.Duration) time.Duration {
-	ms, err := strconv.ParseFloat(r.header.Get(forward.HeaderDeadline), 64)
+	ms, err := strconv.ParseFloat(r.header.Get(forward.HeaderDeadlineRemaining), 64)
 	if err != nil || !(ms >= 0) {
 		return fallback
 	}
--- a/internal/proxy/event_bench_test.go
+++ b/internal/proxy/event_bench_test.go
@@ -34,7 +34,7 @@
 	c := s.connect(b)
 	request := requestText("/stream/x", "Nickelline-Deadline-Remaining-Ms: 20000\r\nNickelline-Model-Name: m\r\n"+
 		"Nickelline-Token-Usage: 1460,80\r\nNickelline-Prompt-Prefix: 5c1e07a2:800,91bd3f06:410,e4402b7d:250\r\n", "body")
-	before := measure.ProcessorTime()
+	before := measure.CPUTime()
 	b.ReportAllocs()
 	for b.Loop() {
 		c.send(b, request)
@@ -61,7 +61,7 @@
 			b.Fatal(err)
 		}
 	}
-	used := measure.ProcessorTime() - before
+	used := measure.CPUTime() - before
 	b.ReportMetric(float64(used.Nanoseconds())/float64(b.N*events), "cpu-ns/event")
 }
 
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -166,7 +166,7 @@
 	unresponsive := startBackend(t, replyAndKeepOpen(""))
 	s := startTestProxy(t, nil, unresponsive, startBackend(t, okReply("")))
 	began := time.Now()
-	a := s.roundTrip(t, requestText(path, fmt.Sprintf("%s: %d\r\n", forward.HeaderDeadline, allowed.Milliseconds()), ""))
+	a := s.roundTrip(t, requestText(path, fmt.Sprintf("%s: %d\r\n", forward.HeaderDeadlineRemaining, allowed.Milliseconds()), ""))
 	if took := time.Since(began); a.StatusCode != 504 || took > allowed+time.Second {
 		t.Errorf("response: got %d after %v, want 504 within %v", a.StatusCode, took, allowed+time.Second)
 	}
@@ -179,9 +179,9 @@
 	if counts := s.requestCounts(); !slices.Equal(counts, []int{0, 0}) {
 		t.Errorf("further requests by backend: got %v, want none", counts)
 	}
-	remaining, _ := strconv.Atoi(first.Header.Get(forward.HeaderDeadline))
+	remaining, _ := strconv.Atoi(first.Header.Get(forward.HeaderDeadlineRemaining))
 	if most := int(allowed.Milliseconds()); remaining <= 0 || remaining > most {
-		t.Errorf("%s: got %d, want 1 to %d", forward.HeaderDeadline, remaining, most)
+		t.Errorf("%s: got %d, want 1 to %d", forward.HeaderDeadlineRemaining, remaining, most)
 	}
 	return true
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -48,9 +48,9 @@
 	Batch BatchAPI
 	// GracePeriod is the grace period: how long the process may run after a drain has begun.
 	GracePeriod time.Duration
-	// Connections is the maximum number of concurrent client connections.
-	Connections int
-	Log         *zap.Logger
+	// MaxConnections is the maximum number of concurrent client connections.
+	MaxConnections int
+	Log            *zap.Logger
 }
 
 // Proxy serves clients. It is safe for concurrent use.
@@ -70,7 +70,7 @@
 	p.clients = newServer(serverOptions{
 		listener:       clients,
 		handle:         p.serve,
-		maxConnections: o.Connections,
+		maxConnections: o.MaxConnections,
 		limits:         p.limits,
 		draining:       &p.draining,
 		onError:        func(kind fault.Kind) { p.counters.errors[kind].Add(1) },
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -235,7 +235,7 @@
 func startTestProxy(t testing.TB, change func(*Options), backends ...*backend) *testProxy {
 	t.Helper()
 	s := &testProxy{backends: backends, snapshot: testSnapshot(t)}
-	client := forward.NewClient(forward.Options{Connections: 100, ConnectTimeout: testTimeout})
+	client := forward.NewClient(forward.Options{MaxConnections: 100, ConnectTimeout: testTimeout})
 	var list []discovery.Backend
 	for _, b := range backends {
 		list = append(list, b.Backend)
@@ -258,11 +258,11 @@
 			defer s.mutex.Unlock()
 			return !s.backendsUnknown
 		},
-		Selector:    SelectorFunc(s.selectBackend),
-		Sender:      client,
-		GracePeriod: testTimeout,
-		Connections: 100,
-		Log:         zap.NewNop(),
+		Selector:       SelectorFunc(s.selectBackend),
+		Sender:         client,
+		GracePeriod:    testTimeout,
+		MaxConnections: 100,
+		Log:            zap.NewNop(),
 	}
 	if change != nil {
 		change(&options)
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -185,7 +185,7 @@
 
 func TestFullProxyClosesTheConnectionIdleLongest(t *testing.T) {
 	b := startBackend(t, replyAndKeepOpen(""))
-	s := startTestProxy(t, func(o *Options) { o.Connections = 2 }, b)
+	s := startTestProxy(t, func(o *Options) { o.MaxConnections = 2 }, b)
 	busy, idle := s.connect(t), s.connect(t)
 	busy.send(t, requestText("/many/x", "", ""))
 	wait(t, b.requests, "request")
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -100,7 +100,7 @@
 
 // Refund returns the token of an admitted request that certainly was not sent to any backend.
 func (l *Limiter) Refund(tenant *configuration.Tenant) {
-	if tenant == nil || !tenant.Limited() {
+	if tenant == nil || !tenant.IsRateLimited() {
 		return
 	}
 	l.mutex.Lock()
--- a/internal/segment/benchmark_test.go
+++ b/internal/segment/benchmark_test.go
@@ -12,7 +12,7 @@
 )
 
 func benchmarkLog(b *testing.B, directory string) *Log {
-	log, _, err := Open(OperatingSystem{}, directory, Options{})
+	log, _, err := Open(OSFileSystem{}, directory, Options{})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 	b.SetBytes(recoveredBytes)
 	b.ReportAllocs()
 	for b.Loop() {
-		log, recovered, err := Open(OperatingSystem{}, directory, Options{})
+		log, recovered, err := Open(OSFileSystem{}, directory, Options{})
 		if err != nil || len(recovered.Entries) != count {
 			b.Fatalf("open: got %d entries and error %v, want %d entries", len(recovered.Entries), err, count)
 		}
--- a/internal/segment/fault_injection_test.go
+++ b/internal/segment/fault_injection_test.go
@@ -99,7 +99,7 @@
 // TestConcurrentUse appends, syncs and replaces entries by snapshots at the same time.
 func TestConcurrentUse(t *testing.T) {
 	const entries = 300
-	log, _, err := segment.Open(segment.OperatingSystem{}, t.TempDir(), segment.Options{SegmentSize: 2000, BufferSize: 500})
+	log, _, err := segment.Open(segment.OSFileSystem{}, t.TempDir(), segment.Options{SegmentSize: 2000, BufferSize: 500})
 	mustSucceed(t, err)
 	appended := make(chan uint64, entries)
 	var group sync.WaitGroup
--- a/internal/segment/filesystem.go
+++ b/internal/segment/filesystem.go
@@ -42,18 +42,18 @@
 	SyncDirectory(path string) error
 }
 
-// OperatingSystem implements FileSystem with the file system of the operating system.
-type OperatingSystem struct{}
+// OSFileSystem implements FileSystem with the file system of the operating system.
+type OSFileSystem struct{}
 
-var _ FileSystem = OperatingSystem{}
+var _ FileSystem = OSFileSystem{}
 
 // Create implements FileSystem.
-func (OperatingSystem) Create(path string) (File, error) {
+func (OSFileSystem) Create(path string) (File, error) {
 	return openFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND)
 }
 
 // OpenAppend implements FileSystem.
-func (OperatingSystem) OpenAppend(path string) (File, error) {
+func (OSFileSystem) OpenAppend(path string) (File, error) {
 	return openFile(path, os.O_WRONLY|os.O_APPEND)
 }
 
@@ -66,16 +66,16 @@
 }
 
 // ReadFile implements FileSystem.
-func (OperatingSystem) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
+func (OSFileSystem) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
 
 // Rename implements FileSystem.
-func (OperatingSystem) Rename(from, to string) error { return os.Rename(from, to) }
+func (OSFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove implements FileSystem.
-func (OperatingSystem) Remove(path string) error { return os.Remove(path) }
+func (OSFileSystem) Remove(path string) error { return os.Remove(path) }
 
 // List implements FileSystem.
-func (OperatingSystem) List(directory string) ([]string, error) {
+func (OSFileSystem) List(directory string) ([]string, error) {
 	entries, err := os.ReadDir(directory)
 	if err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 }
 
 // MakeDirectory implements FileSystem. It syncs the parent of each directory that it creates.
-func (o OperatingSystem) MakeDirectory(path string) error {
+func (o OSFileSystem) MakeDirectory(path string) error {
 	if _, err := os.Stat(path); err == nil {
 		return nil
 	}
@@ -106,7 +106,7 @@
 }
 
 // SyncDirectory implements FileSystem.
-func (OperatingSystem) SyncDirectory(path string) error {
+func (OSFileSystem) SyncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
 		return err
--- a/internal/segment/golden_test.go
+++ b/internal/segment/golden_test.go
@@ -47,10 +47,10 @@
 func TestRecordFormat(t *testing.T) {
 	want := []byte("data of a record")
 	name := filepath.Join(t.TempDir(), "record")
-	mustSucceed(t, SaveRecord(OperatingSystem{}, name, want))
+	mustSucceed(t, SaveRecord(OSFileSystem{}, name, want))
 	stored := golden.Bytes(t, "record.hex", readFile(t, name))
 	mustSucceed(t, os.WriteFile(name, stored, filePermissions))
-	got, err := LoadRecord(OperatingSystem{}, name)
+	got, err := LoadRecord(OSFileSystem{}, name)
 	if err != nil || string(got) != string(want) {
 		t.Errorf("loaded record: got %q, %v, want %q", got, err, want)
 	}
@@ -62,10 +62,10 @@
 		ordinal:  0x3132333435363738,
 	}
 	name := filepath.Join(t.TempDir(), "snapshot")
-	mustSucceed(t, saveSnapshot(OperatingSystem{}, name, want))
+	mustSucceed(t, saveSnapshot(OSFileSystem{}, name, want))
 	stored := golden.Bytes(t, "snapshot.hex", readFile(t, name))
 	mustSucceed(t, os.WriteFile(name, stored, filePermissions))
-	got, err := loadSnapshot(OperatingSystem{}, name)
+	got, err := loadSnapshot(OSFileSystem{}, name)
 	if err != nil || !reflect.DeepEqual(*got, want) {
 		t.Errorf("loaded snapshot: got %+v, %v, want %+v", got, err, want)
 	}
@@ -124,7 +124,7 @@
 
 func listFiles(t *testing.T, directory string) []string {
 	t.Helper()
-	names, err := OperatingSystem{}.List(directory)
+	names, err := OSFileSystem{}.List(directory)
 	mustSucceed(t, err)
 	return names
 }
--- a/internal/segment/log_test.go
+++ b/internal/segment/log_test.go
@@ -19,7 +19,7 @@
 
 func openLog(t *testing.T, directory string, options Options) (*Log, Recovered) {
 	t.Helper()
-	log, recovered, err := Open(OperatingSystem{}, directory, options)
+	log, recovered, err := Open(OSFileSystem{}, directory, options)
 	if err != nil {
 		t.Fatalf("open: %v", err)
 	}
@@ -159,10 +159,10 @@
 	checkEntries(t, recovered.Entries, numberedEntries(13, 15))
 
 	flipBit(t, fileAt(t, directory, "*.snapshot", 0), -1)
-	if _, _, err := Open(OperatingSystem{}, directory, Options{}); !errors.Is(err, ErrDamaged) {
+	if _, _, err := Open(OSFileSystem{}, directory, Options{}); !errors.Is(err, ErrDamaged) {
 		t.Fatalf("open after damage of the only snapshot: got %v, want ErrDamaged", err)
 	}
-	mustSucceed(t, Clear(OperatingSystem{}, directory))
+	mustSucceed(t, Clear(OSFileSystem{}, directory))
 	_, recovered = openLog(t, directory, Options{})
 	if recovered.Snapshot != nil || recovered.Entries != nil {
 		t.Fatalf("recovered after Clear: got %+v, want nothing", recovered)
--- a/internal/segment/recovery_test.go
+++ b/internal/segment/recovery_test.go
@@ -85,7 +85,7 @@
 			}
 			mustSucceed(t, log.Close())
 			flipBit(t, fileAt(t, directory, "*.segment", segment), frameHeaderSize)
-			_, recovered, err := Open(OperatingSystem{}, directory, Options{})
+			_, recovered, err := Open(OSFileSystem{}, directory, Options{})
 			if !errors.Is(err, ErrDamaged) {
 				t.Fatalf("open after damage: got %v, want ErrDamaged", err)
 			}
@@ -105,7 +105,7 @@
 	}
 	mustSucceed(t, log.Close())
 	mustSucceed(t, os.Remove(fileAt(t, directory, "*.segment", 1)))
-	if _, _, err := Open(OperatingSystem{}, directory, Options{}); !errors.Is(err, ErrDamaged) {
+	if _, _, err := Open(OSFileSystem{}, directory, Options{}); !errors.Is(err, ErrDamaged) {
 		t.Fatalf("open without a segment: got %v, want ErrDamaged", err)
 	}
 }
@@ -129,7 +129,7 @@
 	mustSucceed(t, err)
 	contents = slices.Delete(contents, int(before), int(before)+frameHeaderSize)
 	mustSucceed(t, os.WriteFile(name, contents, filePermissions))
-	if _, _, err := Open(OperatingSystem{}, directory, Options{}); !errors.Is(err, ErrDamaged) {
+	if _, _, err := Open(OSFileSystem{}, directory, Options{}); !errors.Is(err, ErrDamaged) {
 		t.Fatalf("open without a frame: got %v, want ErrDamaged", err)
 	}
 }
@@ -147,7 +147,7 @@
 	mustSucceed(t, log.Close())
 
 	flipBit(t, fileAt(t, directory, "*.segment", 0), int(before)+sequenceOffset)
-	_, recovered, err := Open(OperatingSystem{}, directory, Options{})
+	_, recovered, err := Open(OSFileSystem{}, directory, Options{})
 	if !errors.Is(err, ErrDamaged) {
 		t.Fatalf("open after damage: got %v, want ErrDamaged", err)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -220,26 +220,26 @@
 // Has reports whether the role serves the named service, such as ServesFrontend.
 func (s *Settings) Has(service string) bool { return slices.Contains(s.Serves, service) }
 
-// ControlInternal returns the address at which the control role of a machine listens for other nodes.
-func (s *Settings) ControlInternal(machine netip.Addr) netip.AddrPort {
+// ControlInternalAddress returns the address at which the control role of a machine listens for other nodes.
+func (s *Settings) ControlInternalAddress(machine netip.Addr) netip.AddrPort {
 	return netip.AddrPortFrom(machine, s.InternalPorts[0]+controlPortOffset)
 }
 
-// ProxyInternal returns the address at which the proxy role of this machine listens for other nodes.
-func (s *Settings) ProxyInternal() netip.AddrPort {
+// ProxyInternalAddress returns the address at which the proxy role of this machine listens for other nodes.
+func (s *Settings) ProxyInternalAddress() netip.AddrPort {
 	return netip.AddrPortFrom(s.IP, s.InternalPorts[0]+proxyPortOffset)
 }
 
-// StoreInternal returns the address at which the store role of this machine listens for other nodes.
-func (s *Settings) StoreInternal() netip.AddrPort {
+// StoreInternalAddress returns the address at which the store role of this machine listens for other nodes.
+func (s *Settings) StoreInternalAddress() netip.AddrPort {
 	return netip.AddrPortFrom(s.IP, s.InternalPorts[0]+storePortOffset)
 }
 
-// SeedInternal returns the internal addresses of the control nodes that SeedNodes lists.
-func (s *Settings) SeedInternal() []netip.AddrPort {
+// SeedInternalAddresses returns the internal addresses of the control nodes that SeedNodes lists.
+func (s *Settings) SeedInternalAddresses() []netip.AddrPort {
 	var seeds []netip.AddrPort
 	for _, seed := range s.SeedNodes {
-		seeds = append(seeds, s.ControlInternal(seed.Addr()))
+		seeds = append(seeds, s.ControlInternalAddress(seed.Addr()))
 	}
 	return seeds
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -66,11 +66,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	seeds := s.SeedInternal()
+	seeds := s.SeedInternalAddresses()
 	if len(seeds) != 2 || seeds[1] != netip.MustParseAddrPort("10.2.0.42:7660") {
 		t.Errorf("seeds: got %v, want two, the second at 10.2.0.42:7660", seeds)
 	}
-	own := map[netip.AddrPort]bool{s.ControlInternal(s.IP): true, s.ProxyInternal(): true, s.StoreInternal(): true}
+	own := map[netip.AddrPort]bool{s.ControlInternalAddress(s.IP): true, s.ProxyInternalAddress(): true, s.StoreInternalAddress(): true}
 	if len(own) != rolePortCount {
 		t.Errorf("internal addresses of the roles: got %v, want %d different ones", own, rolePortCount)
 	}
--- a/internal/store/attempt_test.go
+++ b/internal/store/attempt_test.go
@@ -61,7 +61,7 @@
 		{"body", f.backends[0].bodies[0], string(item.Body)},
 		{"attempt id", got.Header.Get(forward.HeaderAttemptID), item.Identifier},
 		{"tenant", got.Header.Get(forward.HeaderTenant), testTenant},
-		{"expected instance", got.Header.Get(forward.HeaderExpected), "i-0"},
+		{"expected instance", got.Header.Get(forward.HeaderExpectedInstance), "i-0"},
 		{"last event id", got.Header.Get(forward.HeaderLastEventID), ""},
 		{"header of the item", got.Header.Get("X-Events"), "1"},
 	} {
--- a/internal/store/cluster_test.go
+++ b/internal/store/cluster_test.go
@@ -90,8 +90,8 @@
 	s.service, err = New(Options{
 		Self:            s.self,
 		Transport:       transport,
-		Registry:        chain.NewDispatcher(transport, zap.NewNop()),
-		FileSystem:      segment.OperatingSystem{},
+		Dispatcher:      chain.NewDispatcher(transport, zap.NewNop()),
+		FileSystem:      segment.OSFileSystem{},
 		Directory:       path.Join(s.directory, "store"),
 		MinimumReplicas: 2,
 		Bounds:          settings.Bounds{CancellationMs: 3000, SettlementMs: 1000, StatusIntervalS: 120},
--- a/internal/store/discard_test.go
+++ b/internal/store/discard_test.go
@@ -19,7 +19,7 @@
 	c.results(job)
 	c.close(0)
 	directory := filepath.Join(c.stores[0].directory, "store")
-	former, _, err := view.LoadIdentity(segment.OperatingSystem{}, directory)
+	former, _, err := view.LoadIdentity(segment.OSFileSystem{}, directory)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 	if err := c.tryOpen(0, c.stores[0].self.Address); !errors.Is(err, segment.ErrDamaged) {
 		t.Fatalf("start with a damaged log: got %v, want %v", err, segment.ErrDamaged)
 	}
-	next, created, err := view.LoadIdentity(segment.OperatingSystem{}, directory)
+	next, created, err := view.LoadIdentity(segment.OSFileSystem{}, directory)
 	if err != nil || !created || next == former {
 		t.Errorf("identity: got %d (created: %v), %v, want a new one after %d", next, created, err, former)
 	}
--- a/internal/store/fixture_test.go
+++ b/internal/store/fixture_test.go
@@ -114,7 +114,7 @@
 	f := &fixture{t: t, current: true, configuration: testConfiguration(t, testPrefix, 2, 40)}
 	f.partition, f.replica = newTestPartition()
 	f.admission = &fakeAdmission{}
-	client := forward.NewClient(forward.Options{Connections: 100, ConnectTimeout: testTimeout})
+	client := forward.NewClient(forward.Options{MaxConnections: 100, ConnectTimeout: testTimeout})
 	for i := range backends {
 		b := &backend{}
 		server := httptest.NewServer(b)
--- a/internal/store/options.go
+++ b/internal/store/options.go
@@ -18,9 +18,9 @@
 // may be nil.
 type Options struct {
 	// Self names this store's replica, with the identity on its disk.
-	Self      view.Member
-	Transport *peer.Transport
-	Registry  *chain.Dispatcher
+	Self       view.Member
+	Transport  *peer.Transport
+	Dispatcher *chain.Dispatcher
 	// FileSystem and Directory are where the partitions are stored.
 	FileSystem segment.FileSystem
 	Directory  string
--- a/internal/store/service.go
+++ b/internal/store/service.go
@@ -122,7 +122,7 @@
 	node, err := chain.Open(chain.Options{
 		Chain:           number,
 		Self:            s.options.Self,
-		Dispatcher:      s.options.Registry,
+		Dispatcher:      s.options.Dispatcher,
 		FileSystem:      s.options.FileSystem,
 		Directory:       s.directoryOf(number),
 		StateMachine:    hosted.partition.state,
--- a/internal/store/service_test.go
+++ b/internal/store/service_test.go
@@ -123,7 +123,7 @@
 	c.fixture.eventually("the former member keeps no partition", func() bool {
 		return len(c.stores[0].service.currentReport().Chains) == 0
 	})
-	names, err := segment.OperatingSystem{}.List(path.Join(c.stores[0].service.directoryOf(1), chain.LogDirectory))
+	names, err := segment.OSFileSystem{}.List(path.Join(c.stores[0].service.directoryOf(1), chain.LogDirectory))
 	if err != nil || len(names) != 0 {
 		t.Errorf("files of the log: got %v, %v, want none", names, err)
 	}
--- a/internal/store/stored_data_test.go
+++ b/internal/store/stored_data_test.go
@@ -158,7 +158,7 @@
 func writeStoredSnapshot(t *testing.T, write func(*segment.Log, segment.Snapshot) error, snapshot segment.Snapshot) {
 	t.Helper()
 	directory := path.Join(storedPartitionDirectory(), chain.LogDirectory)
-	log, _, err := segment.Open(segment.OperatingSystem{}, directory, segment.Options{})
+	log, _, err := segment.Open(segment.OSFileSystem{}, directory, segment.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -183,7 +183,7 @@
 		Chain:           storedChain,
 		Self:            storedSelf(),
 		Dispatcher:      chain.NewDispatcher(transport, zap.NewNop()),
-		FileSystem:      segment.OperatingSystem{},
+		FileSystem:      segment.OSFileSystem{},
 		Directory:       storedPartitionDirectory(),
 		StateMachine:    state,
 		MinimumReplicas: 1,
@@ -248,8 +248,8 @@
 	service, err := New(Options{
 		Self:            self,
 		Transport:       transport,
-		Registry:        chain.NewDispatcher(transport, zap.NewNop()),
-		FileSystem:      segment.OperatingSystem{},
+		Dispatcher:      chain.NewDispatcher(transport, zap.NewNop()),
+		FileSystem:      segment.OSFileSystem{},
 		Directory:       directory,
 		MinimumReplicas: 1,
 		MemoryMB:        344,
--- a/internal/view/doc.go
+++ b/internal/view/doc.go
@@ -19,7 +19,7 @@
 //
 //   - At most one view is decided for an epoch, provided that callers save Acceptor.State durably before they send the answer
 //     to a Prepare or Accept, and that an acceptor answers for an epoch only once it has the view of the epoch before.
-//   - The head of a decided view is complete: it has everything that was committed in earlier epochs (Next, Confirm).
+//   - The head of a decided view is complete: it has everything that was committed in earlier epochs (Next, UpdateCandidates).
 //   - From one view to the next, at most one replica becomes a voter (Next).
 //   - A view names each address at most once.
 //   - A ReplicaID identifies a disk, not a machine. A replica that lost its disk returns under another ReplicaID
--- a/internal/view/electorate_test.go
+++ b/internal/view/electorate_test.go
@@ -123,6 +123,6 @@
 	for _, sender := range []Member{testMember(1), testMember(2), wiped} {
 		answers = append(answers, Promise{Sender: sender, Complete: sender.Replica == 1})
 	}
-	next := mustNext(t, current, Confirm(candidates, answers), testPolicyWithVoters)
+	next := mustNext(t, current, UpdateCandidates(candidates, answers), testPolicyWithVoters)
 	checkView(t, next, []int{1, 2, 4}, []int{1, 2, 4})
 }
