--- a/internal/member/antientropy.go
+++ b/internal/member/antientropy.go
@@ -8,43 +8,43 @@
 )
 
 const (
-	// exchangeMinimum is the first time between exchanges of the list; it is doubled up to exchangeMaximum.
-	exchangeMinimum = 600 * time.Millisecond
-	exchangeMaximum = 30 * time.Second
-	// exchangeRetry is the time to the next exchange after one that got no answer.
-	exchangeRetry = 500 * time.Millisecond
-	// convergenceTime is how long the own list has to be unchanged before a digest that differs shows that an update was
-	// missed, instead of one that is still on its way.
+	// minExchangeInterval is the initial interval between exchanges of the list, which doubles up to maxExchangeInterval.
+	minExchangeInterval = 600 * time.Millisecond
+	maxExchangeInterval = 30 * time.Second
+	// exchangeRetryDelay is the time to the next exchange after one that got no response.
+	exchangeRetryDelay = 500 * time.Millisecond
+	// convergenceTime is how long the local list has to be unchanged before a different digest shows that an update was
+	// missed. Before that, the update may still be in transit.
 	convergenceTime = 200 * time.Millisecond
 	// forgetAfter is how long a member that died or left stays in the list.
 	forgetAfter = 10 * time.Minute
 )
 
-// antiEntropy exchanges whole lists with other members, one at a time.
+// antiEntropy schedules exchanges of whole lists with other members, one at a time.
 type antiEntropy struct {
 	interval     time.Duration // between exchanges
 	nextExchange time.Duration
 	lastExchange time.Duration
-	underWay     bool
-	partner      netip.AddrPort // of the exchange under way, or of the last one
-	rejoin       bool           // the partner was not known to be running before
-	pendingJoin  netip.AddrPort // a member that has joined, with which the list has to be exchanged
-	mismatch     netip.AddrPort // a member whose digest differs
+	inProgress   bool
+	partner      netip.AddrPort // of the current exchange, or of the last one
+	rejoin       bool           // the partner was not known to be running until it sent a message
+	pendingJoin  netip.AddrPort // a member that has joined, for the next exchange
+	mismatch     netip.AddrPort // a member whose digest differs from the local one
 }
 
 func (a *antiEntropy) start() {
-	a.interval = exchangeMinimum
+	a.interval = minExchangeInterval
 	a.nextExchange = never
 }
 
-// restart exchanges the list at once and then often, after a pause.
+// restart schedules an exchange at once, after a pause of this process, and resets the interval.
 func (a *antiEntropy) restart(now time.Duration) {
-	a.interval = exchangeMinimum
+	a.interval = minExchangeInterval
 	a.nextExchange = now
 }
 
 func (m *membership) antiEntropyDue() time.Duration {
-	if m.antiEntropy.underWay || m.running == 1 {
+	if m.antiEntropy.inProgress || m.running == 1 {
 		return never
 	}
 	return m.antiEntropy.nextExchange
@@ -53,7 +53,7 @@
 func (m *membership) advanceAntiEntropy(now time.Duration) {
 	exchanges := &m.antiEntropy
 	switch {
-	case exchanges.underWay:
+	case exchanges.inProgress:
 	case m.running == 1:
 		exchanges.nextExchange = never
 	case exchanges.nextExchange == never:
@@ -63,12 +63,12 @@
 	}
 }
 
-// compareDigest exchanges lists with a member whose list still differs after the update of the last change had time to
-// reach both.
+// compareDigest schedules an exchange with a member whose digest still differs once the update about the last change
+// has had time to reach both.
 func (m *membership) compareDigest(now time.Duration, from netip.AddrPort, digest uint64) {
 	exchanges := &m.antiEntropy
-	tooEarly := now < m.digestChangedAt+convergenceTime || now < exchanges.lastExchange+exchangeMinimum
-	if digest == m.digest || tooEarly || exchanges.underWay || exchanges.pendingJoin.IsValid() {
+	tooEarly := now < m.digestChangedAt+convergenceTime || now < exchanges.lastExchange+minExchangeInterval
+	if digest == m.digest || tooEarly || exchanges.inProgress || exchanges.pendingJoin.IsValid() {
 		return
 	}
 	exchanges.mismatch = from
@@ -86,56 +86,56 @@
 	exchanges.mismatch = netip.AddrPort{}
 	exchanges.lastExchange = now
 	m.forget(now)
-	exchanges.underWay = true
+	exchanges.inProgress = true
 	m.output.exchange = &exchangeCall{to: exchanges.partner}
 }
 
-// exchangePartner returns the member whose digest differs, or any other one that is running.
+// exchangePartner returns the member whose digest differs if there is one that runs, else a random running member.
 func (m *membership) exchangePartner() netip.AddrPort {
 	if m.antiEntropy.mismatch.IsValid() && m.isRunning(m.antiEntropy.mismatch) {
 		return m.antiEntropy.mismatch
 	}
-	return m.pick(1, netip.AddrPort{})[0]
+	return m.pickRandom(1, netip.AddrPort{})[0]
 }
 
-// answerExchange returns the list for a member that requests it.
-func (m *membership) answerExchange(now time.Duration, request *exchangeRequest) exchangeAnswer {
+// handleExchangeRequest returns the list for a member that requests it.
+func (m *membership) handleExchangeRequest(now time.Duration, request *exchangeRequest) exchangeResponse {
 	m.detectPause(now)
-	answer := exchangeAnswer{}
+	response := exchangeResponse{}
 	m.applyRecord(now, &request.self)
 	if m.digest == request.digest {
-		answer.equal = true
+		response.equal = true
 	} else {
-		answer.records = m.table().All()
+		response.records = m.table().All()
 	}
 	m.Advance(now)
-	return answer
+	return response
 }
 
-// exchangeFailed is called when an exchange got no answer.
+// exchangeFailed handles the failure of an exchange: it schedules another one.
 func (m *membership) exchangeFailed(now time.Duration) {
 	m.detectPause(now)
 	exchanges := &m.antiEntropy
-	exchanges.underWay = false
+	exchanges.inProgress = false
 	if exchanges.rejoin && !exchanges.pendingJoin.IsValid() {
 		exchanges.pendingJoin = exchanges.partner
 	}
-	exchanges.nextExchange = now + exchangeRetry
+	exchanges.nextExchange = now + exchangeRetryDelay
 	m.Advance(now)
 }
 
-// exchanged merges the list of the partner of the exchange.
-func (m *membership) exchanged(now time.Duration, answer *exchangeAnswer) {
+// exchangeSucceeded merges the list of the partner and schedules the next exchange.
+func (m *membership) exchangeSucceeded(now time.Duration, response *exchangeResponse) {
 	m.detectPause(now)
 	exchanges := &m.antiEntropy
-	exchanges.underWay = false
+	exchanges.inProgress = false
 	exchanges.nextExchange = now + jitter(m.random, exchanges.interval)
-	exchanges.interval = min(2*exchanges.interval, exchangeMaximum)
+	exchanges.interval = min(2*exchanges.interval, maxExchangeInterval)
 	if exchanges.pendingJoin.IsValid() {
 		exchanges.nextExchange = now
 	}
-	for i := range answer.records {
-		m.merge(now, &answer.records[i])
+	for i := range response.records {
+		m.merge(now, &response.records[i])
 	}
 	m.Advance(now)
 }
@@ -158,8 +158,8 @@
 	}
 }
 
-// verifyDeath is called when another member holds one to be dead that runs as far as known here: the member is suspected
-// until it answers. If it is alive it refutes, and its refutation also reaches the other member.
+// verifyDeath is called when the exchange partner considers a member dead that runs according to the local list: the
+// member is suspected until it answers. If it is alive it refutes, and its refutation also reaches the partner.
 func (m *membership) verifyDeath(now time.Duration, known *entry, theirs assertion) {
 	if known.member.State != Alive || !theirs.supersedes(known.member.assertion()) {
 		return
@@ -170,8 +170,9 @@
 	m.ping(known.member.Address)
 }
 
-// reviveAfterPartition is called when another member holds one to be running that is held to be dead here. A partner from
-// the other side of a healed partition knows better. Any other may only have missed the update.
+// reviveAfterPartition is called when the exchange partner considers a member running that is dead according to the
+// local list. A partner from the other side of a healed partition knows better and is believed. Any other partner may
+// have missed the update about the death.
 func (m *membership) reviveAfterPartition(now time.Duration, known *entry) {
 	if !m.antiEntropy.rejoin {
 		return
@@ -181,7 +182,8 @@
 	m.setState(now, known, alive)
 }
 
-// broadcastMerged broadcasts what a member that has joined or rejoined brought. What any other brought was broadcast before.
+// broadcastMerged broadcasts an update from the list of a partner that has joined or rejoined. Updates from the list of
+// any other partner have been broadcast before.
 func (m *membership) broadcastMerged(now time.Duration, address netip.AddrPort) {
 	if m.antiEntropy.rejoin {
 		m.enqueueBroadcast(now, address)
@@ -200,7 +202,7 @@
 	})
 }
 
-// jitter varies a period by a quarter, so that members do not act all at the same time.
+// jitter returns the period with a random deviation of up to a quarter, so that members do not act at the same time.
 func jitter(random *rand.Rand, period time.Duration) time.Duration {
 	return period*3/4 + time.Duration(random.Int64N(int64(period/2)))
 }
--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -20,8 +20,8 @@
 	return m
 }
 
-// BenchmarkProbeRound measures one period of a member: a probe and its ack, and a probe by another member, with their
-// messages encoded and read.
+// BenchmarkProbeRound measures one probe period of a member: a probe and its ack, and a probe by another member. It
+// includes encoding and decoding of the messages.
 func BenchmarkProbeRound(b *testing.B) {
 	for _, size := range []int{100, 400, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -33,19 +33,19 @@
 				m.Advance(now)
 				if current := m.prober.current; current != nil {
 					ack := message{messageType: ackMessage, sequence: current.sequence, generation: current.generation, digest: m.digest}
-					m.receive(now, current.target, recode(b, &ack))
+					m.receive(now, current.target, roundTrip(b, &ack))
 				}
 				ping := message{messageType: pingMessage, sequence: 1, digest: m.digest}
-				m.receive(now, simulatedAddress(1), recode(b, &ping))
+				m.receive(now, simulatedAddress(1), roundTrip(b, &ping))
 				for _, d := range m.Take(true).datagrams {
-					recode(b, &d.message)
+					roundTrip(b, &d.message)
 				}
 			}
 		})
 	}
 }
 
-func recode(b *testing.B, m *message) *message {
+func roundTrip(b *testing.B, m *message) *message {
 	data, err := m.encode()
 	if err != nil {
 		b.Fatal(err)
@@ -57,7 +57,7 @@
 	return &decoded
 }
 
-// BenchmarkTable measures the making of a table.
+// BenchmarkTable measures the construction of a table.
 func BenchmarkTable(b *testing.B) {
 	for _, size := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/member/broadcast.go
+++ b/internal/member/broadcast.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	// broadcastDelay is the time in which updates gather for one datagram.
+	// broadcastDelay is how long updates are collected before they are sent in a rumor.
 	broadcastDelay = 30 * time.Millisecond
-	// broadcastFanout is the number of members that a rumour is sent to.
+	// broadcastFanout is the number of members that a rumor is sent to.
 	broadcastFanout = 4
-	// broadcastDatagrams is the largest number of rumours sent to each of them at one time.
-	broadcastDatagrams = 6
+	// maxRumorsPerTarget is the largest number of rumors sent to each of these members at one time.
+	maxRumorsPerTarget = 6
 
-	rumourBudget    = 1100 // bytes of updates in a rumour
-	piggybackBudget = 500  // bytes of updates on a probe or ack
+	rumorBudgetBytes     = 1100 // of updates in a rumor
+	piggybackBudgetBytes = 500  // of updates on a probe or ack
 
 	// Estimates of encoded sizes, in bytes.
-	recordBytes      = 80 // of a record, without its texts
+	recordBytes      = 80 // of a record without its text fields
 	assertionBytes   = 32
-	textPaddingBytes = 8 // of each text
+	textPaddingBytes = 8 // of each text field
 )
 
-// broadcast is a member whose newest record or state is still being disseminated.
+// broadcast refers to a member whose newest record or assertion is still being disseminated.
 type broadcast struct {
 	address       netip.AddrPort
 	transmissions int
-	unsent        bool // in a rumour
+	unsent        bool // not yet sent in a rumor
 }
 
-// broadcastQueue holds the broadcasts, the newest last.
+// broadcastQueue holds the broadcasts, with the newest last.
 type broadcastQueue struct {
 	broadcasts []broadcast
-	due        time.Duration // of the next rumour
+	due        time.Duration // when the next rumors are sent
 }
 
 func (q *broadcastQueue) start() { q.due = never }
 
-// enqueueBroadcast broadcasts the present record of a member, instead of an earlier one.
+// enqueueBroadcast queues the current record of a member for broadcasting. It replaces an earlier one of the member.
 func (m *membership) enqueueBroadcast(now time.Duration, address netip.AddrPort) {
 	queue := &m.broadcasts
 	queue.broadcasts = slices.DeleteFunc(queue.broadcasts, func(b broadcast) bool { return b.address == address })
@@ -47,7 +47,7 @@
 	queue.due = min(queue.due, now+broadcastDelay)
 }
 
-// transmitLimit returns how often a broadcast is sent: in its rumour, and then on probes and acks.
+// transmitLimit returns how many times a broadcast is sent, first in a rumor and then on probes and acks.
 func (m *membership) transmitLimit() int {
 	return broadcastFanout + int(math.Ceil(math.Log2(float64(m.running+1))))
 }
@@ -59,13 +59,13 @@
 		return
 	}
 	queue.due = never
-	targets := m.pick(broadcastFanout, netip.AddrPort{})
+	targets := m.pickRandom(broadcastFanout, netip.AddrPort{})
 	if len(targets) == 0 {
 		queue.broadcasts = nil
 		return
 	}
-	for range broadcastDatagrams {
-		if !m.sendRumour(targets) {
+	for range maxRumorsPerTarget {
+		if !m.sendRumor(targets) {
 			return
 		}
 	}
@@ -74,27 +74,29 @@
 	}
 }
 
-// sendRumour sends one rumour to the targets. It reports whether there was anything to send.
-func (m *membership) sendRumour(targets []netip.AddrPort) bool {
-	rumour := message{messageType: rumourMessage}
-	m.attach(&rumour, rumourBudget, len(targets), true)
-	if len(rumour.records)+len(rumour.assertions) == 0 {
+// sendRumor sends one rumor to the targets. It reports whether there was anything to send.
+func (m *membership) sendRumor(targets []netip.AddrPort) bool {
+	rumor := message{messageType: rumorMessage}
+	m.attachBroadcasts(&rumor, rumorBudgetBytes, len(targets), true)
+	if len(rumor.records)+len(rumor.assertions) == 0 {
 		return false
 	}
-	rumour.running = uint32(m.running)
-	rumour.digest = m.digest
+	rumor.running = uint32(m.running)
+	rumor.digest = m.digest
 	for _, target := range targets {
-		m.output.datagrams = append(m.output.datagrams, datagram{to: target, message: rumour})
+		m.output.datagrams = append(m.output.datagrams, datagram{to: target, message: rumor})
 	}
 	return true
 }
 
 // piggyback adds broadcasts to a message that is sent to one member anyway.
-func (m *membership) piggyback(outgoing *message) { m.attach(outgoing, piggybackBudget, 1, false) }
+func (m *membership) piggyback(outgoing *message) {
+	m.attachBroadcasts(outgoing, piggybackBudgetBytes, 1, false)
+}
 
-// attach adds broadcasts of up to budget bytes to a message, the newest first. The message is to be sent to so many members:
-// broadcasts that were sent often enough with it are dropped.
-func (m *membership) attach(outgoing *message, budget, receivers int, unsentOnly bool) {
+// attachBroadcasts adds broadcasts of up to budget bytes to a message for the given number of receivers, the newest
+// first. Broadcasts that reach the transmit limit with this message are removed from the queue.
+func (m *membership) attachBroadcasts(outgoing *message, budget, receivers int, unsentOnly bool) {
 	queue := &m.broadcasts
 	limit := m.transmitLimit()
 	for i := len(queue.broadcasts) - 1; i >= 0; i-- {
@@ -123,7 +125,7 @@
 	})
 }
 
-// attachUpdate adds the record of a member that is alive, and the bare assertion of any other.
+// attachUpdate adds the record of a member that is alive, and only the assertion about any other.
 func attachUpdate(outgoing *message, member *Member) {
 	if member.State == Alive {
 		outgoing.records = append(outgoing.records, *member)
--- a/internal/member/codec.go
+++ b/internal/member/codec.go
@@ -12,7 +12,7 @@
 	return capnpcodec.Marshal(0, memberwire.NewRootDatagram, m.fill)
 }
 
-// fill writes the datagram into its root.
+// fill writes the message into the root of the datagram.
 func (m *message) fill(root memberwire.Datagram) error {
 	root.SetRunning(m.running)
 	root.SetDigest(m.digest)
@@ -28,7 +28,7 @@
 		root.SetIndirectPing()
 		root.IndirectPing().SetSequence(m.sequence)
 		root.IndirectPing().SetTarget(packAddress(m.target))
-	case rumourMessage:
+	case rumorMessage:
 		root.SetRumour()
 	}
 	if len(m.records) > 0 {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// decodeMessage reads a datagram. One of an unknown type, with an unknown state or without an address is an error.
+// decodeMessage decodes a datagram. An unknown type, an unknown state or a member without an address is an error.
 func decodeMessage(data []byte) (message, error) {
 	root, err := capnpcodec.Unmarshal(data, memberwire.ReadRootDatagram)
 	if err != nil {
@@ -62,7 +62,7 @@
 		m.sequence = root.IndirectPing().Sequence()
 		m.target = unpackAddress(root.IndirectPing().Target())
 	case memberwire.Datagram_Which_rumour:
-		m.messageType = rumourMessage
+		m.messageType = rumorMessage
 	default:
 		return message{}, merry.Errorf("datagram of unknown type %d", root.Which())
 	}
@@ -97,18 +97,18 @@
 	return exchangeRequest{digest: root.Digest(), self: self}, err
 }
 
-func (a *exchangeAnswer) encode() ([]byte, error) {
+func (r *exchangeResponse) encode() ([]byte, error) {
 	return capnpcodec.Marshal(0, memberwire.NewRootExchangeAnswer, func(root memberwire.ExchangeAnswer) error {
-		root.SetEqual(a.equal)
-		return encodeRecords(root.NewRecords, a.records)
+		root.SetEqual(r.equal)
+		return encodeRecords(root.NewRecords, r.records)
 	})
 }
 
-func decodeExchangeAnswer(data []byte) (exchangeAnswer, error) {
+func decodeExchangeResponse(data []byte) (exchangeResponse, error) {
 	root, err := capnpcodec.Unmarshal(data, memberwire.ReadRootExchangeAnswer)
 	if err != nil {
-		return exchangeAnswer{}, err
+		return exchangeResponse{}, err
 	}
 	records, err := decodeRecords(root.Records())
-	return exchangeAnswer{equal: root.Equal(), records: records}, err
+	return exchangeResponse{equal: root.Equal(), records: records}, err
 }
--- a/internal/member/codec_test.go
+++ b/internal/member/codec_test.go
@@ -29,7 +29,7 @@
 		{messageType: pingMessage, sequence: 7, running: 5, digest: 1 << 60},
 		{messageType: ackMessage, sequence: 7, generation: 9, records: []Member{sample, other}},
 		{messageType: indirectPingMessage, sequence: 7, target: sample.Address, assertions: []assertion{sample.assertion(), other.assertion()}},
-		{messageType: rumourMessage, records: []Member{other}, assertions: []assertion{sample.assertion()}},
+		{messageType: rumorMessage, records: []Member{other}, assertions: []assertion{sample.assertion()}},
 	} {
 		data, err := want.encode()
 		if err != nil {
@@ -55,19 +55,19 @@
 	if err != nil || gotRequest != request {
 		t.Errorf("got %+v (%v), want %+v", gotRequest, err, request)
 	}
-	answer := exchangeAnswer{records: []Member{sampleMember(), sampleMember()}}
-	if data, err = answer.encode(); err != nil {
+	response := exchangeResponse{records: []Member{sampleMember(), sampleMember()}}
+	if data, err = response.encode(); err != nil {
 		t.Fatal(err)
 	}
-	gotAnswer, err := decodeExchangeAnswer(data)
-	if err != nil || !reflect.DeepEqual(gotAnswer, answer) {
-		t.Errorf("got %+v (%v), want %+v", gotAnswer, err, answer)
+	gotResponse, err := decodeExchangeResponse(data)
+	if err != nil || !reflect.DeepEqual(gotResponse, response) {
+		t.Errorf("got %+v (%v), want %+v", gotResponse, err, response)
 	}
 }
 
 func TestInvalidMessagesAreRejected(t *testing.T) {
-	withoutAddress := message{messageType: rumourMessage, assertions: []assertion{{state: Dead}}}
-	unknownState := message{messageType: rumourMessage, records: []Member{{Address: sampleMember().Address, State: Left + 1}}}
+	withoutAddress := message{messageType: rumorMessage, assertions: []assertion{{state: Dead}}}
+	unknownState := message{messageType: rumorMessage, records: []Member{{Address: sampleMember().Address, State: Left + 1}}}
 	for _, m := range []message{withoutAddress, unknownState} {
 		data, err := m.encode()
 		if err != nil {
--- a/internal/member/digest.go
+++ b/internal/member/digest.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// The digest is the sum of the FNV-1a hashes of the running members, so that it is kept up to date member by member.
+// The digest is the sum of the FNV-1a hashes of the running members. A sum can be updated member by member.
 const (
 	digestInputBytes = 24
 	fnvOffset        = 14695981039346656037
 	fnvPrime         = 1099511628211
 )
 
-// digestOf returns what a member adds to the digest. It depends on neither its state nor its texts: a new incarnation stands
-// for every change of the record.
+// digestOf returns the hash that a member adds to the digest. It covers neither the state nor the text fields: each
+// change of a record comes with a new incarnation, and alive and suspect members both count as running.
 func digestOf(member *Member) uint64 {
 	var data [digestInputBytes]byte
 	binary.LittleEndian.PutUint64(data[:], packAddress(member.Address))
@@ -27,7 +27,7 @@
 	return hash
 }
 
-// updateDigest keeps the digest and the number of running members up to date with the change of a member.
+// updateDigest updates the digest and the number of running members after the change of a member.
 func (m *membership) updateDigest(now time.Duration, before, after *Member) {
 	previous, current := digestOf(before), digestOf(after)
 	if before.Running() {
--- a/internal/member/doc.go
+++ b/internal/member/doc.go
@@ -1,41 +1,43 @@
-// Package member keeps the list of the processes of a deployment with SWIM (Das, Gupta, Motivala: "SWIM: Scalable
+// Package member maintains the list of the processes of a deployment with SWIM (Das, Gupta, Motivala: "SWIM: Scalable
 // Weakly-consistent Infection-style Process Group Membership Protocol", 2002).
 //
-// Each member probes one other at a time. When no ack comes it asks others to probe in its place; when none of them gets an
-// ack either, it suspects the member. Suspicions, refutations and new members are broadcast by piggybacking them on the
-// datagrams. A suspect that does not refute in time is dead. Whole lists are exchanged (anti-entropy) on joining, after a
-// pause of the own process, after a network partition has healed, and now and then.
+// Each member probes one other member at a time. When no ack arrives in time, it asks further members to probe the
+// target; when none of them gets an ack either, it suspects the target. Suspicions, refutations and new members are
+// broadcast in rumors and piggybacked on probes and acks. A suspect that does not refute in time is declared dead. A
+// member exchanges whole lists with another one (anti-entropy) when it joins, after a pause of its process, after a
+// network partition has healed, and periodically.
 //
 // # Terms
 //
-//   - Generation: the number of a process start (Cassandra's gossip). Two processes at one address differ in it.
-//   - Incarnation: SWIM's number that orders the updates about a member. Only the member raises it, to refute a suspicion.
+//   - Generation: the number of a process start, as in Cassandra's gossip. Two processes at one address differ in it.
+//   - Incarnation: SWIM's number that orders the updates about a member. Only the member itself raises it.
 //   - Suspect: a member that has not answered a probe. It counts as running until the suspicion times out.
-//   - Assertion: the state that a member is said to have, as of one of its generations and incarnations.
-//   - Digest: a hash over the running members. Two members with equal digests hold equal lists.
+//   - Assertion: a claim about the state of a member, as of one of its generations and incarnations.
+//   - Rumor: a datagram that carries nothing but updates.
+//   - Digest: a hash over the running members. Members with equal digests have equal lists of running members.
 //
 // # Guarantees
 //
-// The list is weakly consistent: members learn of a change at different times, and one may for a while hold a running
-// member to be dead. Once messages arrive again, all members come to hold the same list. A member that runs and can be
-// reached by most others stays in it; one that refutes a suspicion gets more time to answer for a while. Nothing here is a
-// proof that a process has ended: what needs one takes it from a lease.
+// The list is weakly consistent: members learn of a change at different times, and a member may temporarily consider a
+// running one dead. Once messages are delivered again, the lists of all members converge. A running member that most
+// others can reach stays in the list; one that has refuted a suspicion is given more time to answer for a while. The
+// list is no proof that a process has ended: code that needs a proof relies on a lease.
 //
-// Nothing is kept on disk.
+// Nothing is stored on disk.
 //
 // # Files, in reading order
 //
-//	member.go       a member: identity, state, order of assertions
+//	member.go       a member: identity, state, order of its assertions
 //	table.go        the published list
 //	message.go      the messages; codec.go and record_codec.go encode them
-//	membership.go   the state machine: its events and what falls due
+//	membership.go   the state machine: its events and deadlines
 //	update.go       how records and assertions change the list
 //	probe.go        failure detector: direct and indirect probes
-//	suspicion.go    suspicions, their time-outs and their end
+//	suspicion.go    suspicions and their timeouts
 //	broadcast.go    dissemination of updates
-//	join.go         joining by way of seeds, rejoining after a partition
-//	antientropy.go  exchange of whole lists; digest.go: the hash that shows whether lists differ
-//	leave.go        planned end of this process
+//	join.go         joining through seeds, rejoining after a partition
+//	antientropy.go  exchange of whole lists; digest.go: the hash that tells whether lists differ
+//	leave.go        planned leave of this process
 //	service.go      the state machine over package peer, run by package driver
-//	publisher.go    calls of the subscribers with new tables
+//	publisher.go    calls the subscribers with new tables
 package member
--- a/internal/member/fuzz_test.go
+++ b/internal/member/fuzz_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// FuzzDecodeMessage checks that no datagram makes the reading fail otherwise than by an error, and that what is read is
-// in order.
+// FuzzDecodeMessage checks that decoding never panics, and that each decoded record and assertion has an address and a
+// known state.
 func FuzzDecodeMessage(f *testing.F) {
 	sample := sampleMember()
 	for _, m := range []message{
@@ -23,12 +23,12 @@
 		}
 		for _, record := range m.records {
 			if checkAssertion(record.assertion()) != nil {
-				t.Errorf("record %+v", record)
+				t.Errorf("got invalid record %+v, want a decoding error", record)
 			}
 		}
 		for _, c := range m.assertions {
 			if checkAssertion(c) != nil {
-				t.Errorf("assertion %+v", c)
+				t.Errorf("got invalid assertion %+v, want a decoding error", c)
 			}
 		}
 	})
--- a/internal/member/golden_test.go
+++ b/internal/member/golden_test.go
@@ -76,7 +76,7 @@
 			assertions:  goldenAssertions(),
 		},
 		"rumour.hex": {
-			messageType: rumourMessage,
+			messageType: rumorMessage,
 			running:     0x41424344,
 			digest:      0x5152535455565758,
 			records:     goldenMembers(),
@@ -97,16 +97,16 @@
 		encode := func(r exchangeRequest) ([]byte, error) { return r.encode() }
 		golden.RoundTrip(t, "exchange_request.hex", want, encode, decodeExchangeRequest)
 	})
-	encode := func(a exchangeAnswer) ([]byte, error) { return a.encode() }
+	encode := func(a exchangeResponse) ([]byte, error) { return a.encode() }
 	t.Run("answer", func(t *testing.T) {
-		golden.RoundTrip(t, "exchange_answer.hex", exchangeAnswer{records: goldenMembers()}, encode, decodeExchangeAnswer)
+		golden.RoundTrip(t, "exchange_answer.hex", exchangeResponse{records: goldenMembers()}, encode, decodeExchangeResponse)
 	})
 	t.Run("equal", func(t *testing.T) {
-		golden.RoundTrip(t, "exchange_answer_equal.hex", exchangeAnswer{equal: true}, encode, decodeExchangeAnswer)
+		golden.RoundTrip(t, "exchange_answer_equal.hex", exchangeResponse{equal: true}, encode, decodeExchangeResponse)
 	})
 }
 
-// TestGoldenDigest guards the hash over the members, which processes of different builds compare.
+// TestGoldenDigest checks that the hash over the members does not change: processes of different builds compare it.
 func TestGoldenDigest(t *testing.T) {
 	const want = uint64(0x11c359fdd19667ae)
 	got := uint64(0)
--- a/internal/member/join.go
+++ b/internal/member/join.go
@@ -7,35 +7,36 @@
 )
 
 const (
-	// joinRetryMinimum is the first time between pings of the seeds; it grows up to joinRetryMaximum.
-	joinRetryMinimum = 100 * time.Millisecond
-	joinRetryMaximum = time.Second
-	// unknownSeedRetryMaximum takes the place of joinRetryMaximum once other members are known.
-	unknownSeedRetryMaximum = 5 * time.Second
+	// minJoinRetryInterval is the initial interval between pings of the seeds, which grows up to maxJoinRetryInterval.
+	minJoinRetryInterval = 100 * time.Millisecond
+	maxJoinRetryInterval = time.Second
+	// maxUnknownSeedRetryInterval replaces maxJoinRetryInterval once other members are known.
+	maxUnknownSeedRetryInterval = 5 * time.Second
 
-	// rejoinPeriod is the shortest time between pings of dead members, for few members; it grows with the number of
-	// members up to rejoinPeriodMaximum.
-	rejoinPeriod        = time.Second
-	rejoinPeriodMaximum = 30 * time.Second
-	// rejoinShare is how many pings of each dead member all members together send in a period.
-	rejoinShare = 16
+	// minRejoinPeriod is the shortest period between pings of dead members by one member. The period grows with the
+	// number of members up to maxRejoinPeriod.
+	minRejoinPeriod = time.Second
+	maxRejoinPeriod = 30 * time.Second
+	// rejoinPingsPerPeriod is how many pings all members together send to each dead member in minRejoinPeriod, as far
+	// as the bounds of the period allow.
+	rejoinPingsPerPeriod = 16
 )
 
-// joiner looks for members that are not known, or may have become reachable again.
+// joiner looks for members that are unknown or may have become reachable again.
 type joiner struct {
-	retry       time.Duration // of seeds that are not known
-	nextAttempt time.Duration
+	retryInterval time.Duration // between pings of unknown seeds
+	nextAttempt   time.Duration
 }
 
 func (j *joiner) start(now time.Duration) { j.restart(now) }
 
-// restart begins anew, after a pause.
+// restart looks for members at once, after a pause of this process, and resets the retry interval.
 func (j *joiner) restart(now time.Duration) {
 	j.nextAttempt = now
-	j.retry = joinRetryMinimum
+	j.retryInterval = minJoinRetryInterval
 }
 
-// advanceJoining pings the seeds that are not known, and now and then a member that is dead or a seed that has left.
+// advanceJoining pings the unknown seeds and, at each attempt, a dead member or a seed that has left.
 func (m *membership) advanceJoining(now time.Duration) {
 	if now < m.joiner.nextAttempt {
 		return
@@ -48,22 +49,22 @@
 		m.joiner.nextAttempt = now + jitter(m.random, m.currentRejoinPeriod())
 		return
 	}
-	m.joiner.nextAttempt = now + m.joiner.retry
-	longest := joinRetryMaximum
+	m.joiner.nextAttempt = now + m.joiner.retryInterval
+	longest := maxJoinRetryInterval
 	if m.running > 1 {
-		longest = unknownSeedRetryMaximum
+		longest = maxUnknownSeedRetryInterval
 	}
-	m.joiner.retry = min(m.joiner.retry*3/2, longest)
+	m.joiner.retryInterval = min(m.joiner.retryInterval*3/2, longest)
 }
 
-// currentRejoinPeriod is longer where many members ping few dead ones.
+// currentRejoinPeriod returns the period between pings of dead members. It is longer if many members ping few dead ones.
 func (m *membership) currentRejoinPeriod() time.Duration {
 	dead := max(m.deadCount(), 1)
-	period := rejoinPeriod * time.Duration(m.running) / time.Duration(rejoinShare*dead)
-	return min(max(period, rejoinPeriod), rejoinPeriodMaximum)
+	period := minRejoinPeriod * time.Duration(m.running) / time.Duration(rejoinPingsPerPeriod*dead)
+	return min(max(period, minRejoinPeriod), maxRejoinPeriod)
 }
 
-// pingUnknownSeeds pings the seeds that are in no list of members yet, and reports whether there are any.
+// pingUnknownSeeds pings the seeds that are not in the list of members, and reports whether there are any.
 func (m *membership) pingUnknownSeeds() bool {
 	anyUnknown := false
 	for _, seed := range m.seeds {
@@ -103,9 +104,9 @@
 	return chosen
 }
 
-// noteJoin is called when a message came from a member that was not known to be running before. If it is now, and knows
-// others, the lists are exchanged.
-func (m *membership) noteJoin(now time.Duration, from netip.AddrPort, running uint32) {
+// recordJoin is called when a message came from a member that was not known to be running before. If the member is now
+// known to be running, and itself knows other members, an exchange of lists is scheduled.
+func (m *membership) recordJoin(now time.Duration, from netip.AddrPort, running uint32) {
 	if !m.isRunning(from) || running < 2 {
 		return
 	}
--- a/internal/member/leave.go
+++ b/internal/member/leave.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	// leaveTargets is the number of members that a planned leave is announced to.
+	// leaveTargets is the number of members that each announcement of a leave is sent to.
 	leaveTargets = 8
-	// leaveAcks is the number of acks after which enough members know of it.
+	// leaveAcks is the number of acks that confirm a leave.
 	leaveAcks = 2
-	// leaveRetry is the time from one announcement to the next, of leaveTries at most.
-	leaveRetry = 100 * time.Millisecond
-	leaveTries = 5
+	// leaveRetryInterval is the time from one announcement to the next, of maxLeaveAttempts at most.
+	leaveRetryInterval = 100 * time.Millisecond
+	maxLeaveAttempts   = 5
 )
 
 // leaver announces the planned end of this process.
 type leaver struct {
-	begun         bool
-	sequence      uint64
-	remainingAcks int
-	triesLeft     int
-	deadline      time.Duration
-	completed     bool
+	begun             bool
+	sequence          uint64
+	remainingAcks     int
+	remainingAttempts int
+	deadline          time.Duration
+	completed         bool
 }
 
-// leave announces the end of this process. From here on it takes no part in the protocol.
+// leave announces the end of this process, which takes no further part in the protocol.
 func (m *membership) leave(now time.Duration) {
 	if m.leaver.begun {
 		return
@@ -34,32 +34,33 @@
 	m.self.member.State = Left
 	m.output.publish = true
 	m.leaver = leaver{
-		begun:         true,
-		sequence:      m.prober.nextSequence(),
-		remainingAcks: min(leaveAcks, m.running-1),
-		triesLeft:     leaveTries,
+		begun:             true,
+		sequence:          m.prober.nextSequence(),
+		remainingAcks:     min(leaveAcks, m.running-1),
+		remainingAttempts: maxLeaveAttempts,
 	}
 	m.announceLeave(now)
 }
 
 func (m *membership) announceLeave(now time.Duration) {
-	if m.leaver.remainingAcks <= 0 || m.leaver.triesLeft == 0 {
+	if m.leaver.remainingAcks <= 0 || m.leaver.remainingAttempts == 0 {
 		m.completeLeave()
 		return
 	}
-	m.leaver.triesLeft--
-	m.leaver.deadline = now + leaveRetry
+	m.leaver.remainingAttempts--
+	m.leaver.deadline = now + leaveRetryInterval
 	announcement := message{
 		messageType: pingMessage,
 		sequence:    m.leaver.sequence,
 		assertions:  []assertion{m.self.member.assertion()},
 	}
-	for _, target := range m.pick(leaveTargets, netip.AddrPort{}) {
+	for _, target := range m.pickRandom(leaveTargets, netip.AddrPort{}) {
 		m.output.datagrams = append(m.output.datagrams, datagram{to: target, message: announcement})
 	}
 }
 
-// completeLeave ends the announcements. It is output once: acks may still come after the last try.
+// completeLeave ends the announcements. It outputs the end of the leave only once, as acks may still come after the last
+// attempt.
 func (m *membership) completeLeave() {
 	if m.leaver.completed {
 		return
--- a/internal/member/leave_test.go
+++ b/internal/member/leave_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// leaveOutputs counts the outputs of a member that leave says are the end of the leave.
-func leaveOutputs(m *membership, events ...func()) (count int) {
+// countLeaveEnds runs the events and counts the outputs that end the leave.
+func countLeaveEnds(m *membership, events ...func()) (count int) {
 	for _, event := range events {
 		event()
 		if m.Take(true).left {
@@ -16,7 +16,8 @@
 	return count
 }
 
-// Acks that come after the last announcement do not end the leave again: its driver closes a channel with the end.
+// Acks that come after the last announcement must not end the leave again: the service closes a channel at the end, and a
+// second close would panic.
 func TestLateAcksDoNotEndTheLeaveAgain(t *testing.T) {
 	s := newJoinedSimulation(t, 1, 16)
 	m := s.nodes[s.order[0]].membership
@@ -25,17 +26,17 @@
 		m.receive(s.clock.Now(), s.order[1], &message{messageType: ackMessage, sequence: m.leaver.sequence})
 	}
 	events := []func(){func() { m.leave(s.clock.Now()) }}
-	for try := range leaveTries + 1 {
-		events = append(events, func() { m.Advance(s.clock.Now() + time.Duration(try+1)*leaveRetry) })
+	for attempt := range maxLeaveAttempts + 1 {
+		events = append(events, func() { m.Advance(s.clock.Now() + time.Duration(attempt+1)*leaveRetryInterval) })
 	}
 	events = append(events, ack, ack, ack)
-	if got := leaveOutputs(m, events...); got != 1 {
+	if got := countLeaveEnds(m, events...); got != 1 {
 		t.Errorf("ends of the leave: got %d, want 1", got)
 	}
 }
 
-// A member that another one holds to be dead is suspected with the other's incarnation, and the digest is of the list that
-// is then held.
+// A member that the exchange partner considers dead is suspected with the incarnation that the partner knows, and the
+// digest is updated with that incarnation.
 func TestVerifiedDeathUpdatesTheDigest(t *testing.T) {
 	s := newJoinedSimulation(t, 1, 16)
 	m := s.nodes[s.order[0]].membership
@@ -54,6 +55,6 @@
 		}
 	}
 	if m.digest != want {
-		t.Errorf("digest: got %x, want %x of the list", m.digest, want)
+		t.Errorf("digest: got %x, want %x as computed from the list", m.digest, want)
 	}
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -5,18 +5,19 @@
 	"net/netip"
 )
 
-// State is the state that a member is held to be in.
+// State is the state of a member as recorded in the list of a process.
 type State uint8
 
 // States, in the order in which they supersede each other within one incarnation.
 const (
-	// Alive is a member that answers.
+	// Alive is the state of a member that answers.
 	Alive State = iota
-	// Suspect is a member that did not answer a probe and has not refuted the suspicion yet. It still counts as running.
+	// Suspect is the state of a member that did not answer a probe and has not refuted the suspicion yet. It still
+	// counts as running.
 	Suspect
-	// Dead is a member that has not refuted a suspicion in time.
+	// Dead is the state of a member that has not refuted a suspicion in time.
 	Dead
-	// Left is a member that has announced its end.
+	// Left is the state of a member that has announced its end.
 	Left
 )
 
@@ -38,20 +39,20 @@
 // Member is the record of one process.
 type Member struct {
 	Name, Role, Zone, Region string
-	// Address is where it listens for other processes.
+	// Address is where the member listens for other processes.
 	Address netip.AddrPort
-	// ControlPlane is where it listens for the operator, invalid if it does not.
+	// ControlPlane is where the member listens for the operator, invalid if it does not.
 	ControlPlane netip.AddrPort
-	// Replica is its identity on disk, 0 if it has none.
+	// Replica is the identity that the member keeps on disk, 0 if it has none.
 	Replica uint64
-	// Generation is the number of the process start, as in Cassandra's gossip: a random number that the process draws when it
-	// starts, and that tells it from others at its address.
+	// Generation identifies the process start, as in Cassandra's gossip: a random number that the process draws when it
+	// starts, and that distinguishes it from other processes at its address.
 	Generation uint64
-	// Incarnation is SWIM's: it orders the updates about a member. Only the member itself raises it, to refute a suspicion
-	// or to announce a change of its record.
+	// Incarnation is SWIM's incarnation number, which orders the updates about a member. Only the member itself raises
+	// it, to refute a suspicion or to announce a change of its record.
 	Incarnation uint64
 	State       State
-	// Leaving is set by a member that still serves but is to end soon.
+	// Leaving is set by a member that still serves but will end soon.
 	Leaving bool
 }
 
@@ -62,7 +63,7 @@
 	return assertion{address: m.Address, generation: m.Generation, incarnation: m.Incarnation, state: m.State}
 }
 
-// assertion is the state that a member is said to have, as of one of its generations and incarnations.
+// assertion is a claim about the state of a member, as of one of its generations and incarnations.
 type assertion struct {
 	address     netip.AddrPort
 	generation  uint64
@@ -70,7 +71,7 @@
 	state       State
 }
 
-// supersedes reports whether a is newer than other, which is about the same address. The order among processes of one
+// supersedes reports whether a is newer than other, which is about the same address. The order of processes with the same
 // address and incarnation is arbitrary: the one that runs raises its incarnation above all others.
 func (a assertion) supersedes(other assertion) bool {
 	if a.incarnation != other.incarnation {
--- a/internal/member/membership.go
+++ b/internal/member/membership.go
@@ -13,33 +13,33 @@
 const never = driver.Never
 
 const (
-	// pauseTolerance is how late an event may be. A later one shows that this process itself was held up.
+	// pauseTolerance is how late an event may be handled. A longer delay shows that this process was paused.
 	pauseTolerance = 250 * time.Millisecond
-	// longPause is a pause after which the whole list is fetched again.
+	// longPause is the shortest pause after which the whole list is fetched again.
 	longPause = time.Second
-	// publishPeriod is the shortest time from one table to the next.
-	publishPeriod = 50 * time.Millisecond
+	// minPublishInterval is the shortest time from one published table to the next.
+	minPublishInterval = 50 * time.Millisecond
 )
 
-// entry is what is known of one member.
+// entry is what this process knows about one member.
 type entry struct {
 	member Member
-	// suspicionDeadline is when a suspect is held to be dead.
+	// suspicionDeadline is when a suspect is declared dead.
 	suspicionDeadline time.Duration
-	// lenientUntil is set when the member has refuted a suspicion: until then its suspicions last longer.
-	lenientUntil time.Duration
-	// endedAt is when the member died or left, as far as known here.
+	// extendedTimeoutUntil is set when the member refutes a suspicion: suspicions that begin before then last longer.
+	extendedTimeoutUntil time.Duration
+	// endedAt is when this process learned that the member died or left.
 	endedAt time.Duration
 }
 
-// membership is the state machine of the protocol, run by a driver. Times are by the clock of its driver.
+// membership is the state machine of the protocol, run by a driver. Times are those of the driver's clock.
 type membership struct {
 	random  *rand.Rand
 	self    *entry
-	seeds   []netip.AddrPort // without the own address
+	seeds   []netip.AddrPort // without the address of this process
 	members map[netip.AddrPort]*entry
-	order   []*entry // the same, sorted by address
-	running int      // members alive or suspect, the own one included
+	order   []*entry // the entries of members, sorted by address
+	running int      // number of alive or suspect members, this process included
 
 	digest          uint64 // sum over the running members
 	digestChangedAt time.Duration
@@ -52,20 +52,20 @@
 	// suspicionDue is no later than the first deadline of a suspect.
 	suspicionDue time.Duration
 
-	tableChanged     bool // since the last table
+	tableChanged     bool // since the last published table
 	tablePublishedAt time.Duration
 
 	output output
 }
 
-// output is what the driver has to do.
+// output is what the driver has to carry out.
 type output struct {
 	datagrams []datagram
-	// exchange is the exchange that has to begin, nil for none.
+	// exchange is the exchange to begin, nil for none.
 	exchange *exchangeCall
-	// publish is set if the table has to be made anew.
+	// publish is set if a new table has to be published.
 	publish bool
-	// left is set when enough members know that this one has left, or the tries are used up.
+	// left is set when enough members have acknowledged the leave, or all attempts are used up.
 	left bool
 }
 
@@ -76,7 +76,7 @@
 		members:          make(map[netip.AddrPort]*entry),
 		running:          1,
 		tableChanged:     true,
-		tablePublishedAt: now - publishPeriod,
+		tablePublishedAt: now - minPublishInterval,
 		suspicionDue:     never,
 	}
 	for _, seed := range seeds {
@@ -94,19 +94,19 @@
 	return m
 }
 
-// Next returns when Advance has to be called, if no event comes before.
+// Next returns when Advance has to be called if no other event comes first.
 func (m *membership) Next() time.Duration {
 	if m.leaver.begun {
 		return m.leaver.deadline
 	}
 	due := min(m.prober.due(), m.broadcasts.due, m.joiner.nextAttempt, m.antiEntropyDue(), m.suspicionDue)
 	if m.tableChanged {
-		due = min(due, m.tablePublishedAt+publishPeriod)
+		due = min(due, m.tablePublishedAt+minPublishInterval)
 	}
 	return due
 }
 
-// Advance does what is due.
+// Advance carries out everything that is due.
 func (m *membership) Advance(now time.Duration) {
 	m.detectPause(now)
 	if m.leaver.begun {
@@ -121,7 +121,7 @@
 	m.advancePublishing(now)
 }
 
-// Take returns what is to be done since the last call. Before the start all of it is held back.
+// Take returns the output collected since the last call. Before the start it returns none and keeps collecting.
 func (m *membership) Take(started bool) output {
 	if !started {
 		return output{}
@@ -134,9 +134,9 @@
 	return taken
 }
 
-// detectPause notices that this process was held up, by how late the event is. That no message was received meanwhile says
-// nothing about the other members: the probe under way is given up, and suspicions last longer by the pause. Each event
-// calls it first.
+// detectPause detects a pause of this process by how late the event is. That no message was received during the pause
+// says nothing about the other members: the current probe is abandoned, and suspicions are extended by the pause. Each
+// event handler calls it first.
 func (m *membership) detectPause(now time.Duration) {
 	pause := now - m.Next()
 	if pause < pauseTolerance {
@@ -157,7 +157,7 @@
 }
 
 func (m *membership) advancePublishing(now time.Duration) {
-	if m.tableChanged && now >= m.tablePublishedAt+publishPeriod {
+	if m.tableChanged && now >= m.tablePublishedAt+minPublishInterval {
 		m.tableChanged = false
 		m.tablePublishedAt = now
 		m.output.publish = true
@@ -190,7 +190,7 @@
 	if wasRunning {
 		m.compareDigest(now, from, received.digest)
 	} else {
-		m.noteJoin(now, from, received.running)
+		m.recordJoin(now, from, received.running)
 	}
 	switch received.messageType {
 	case pingMessage:
@@ -199,13 +199,13 @@
 		m.receiveAck(from, received)
 	case indirectPingMessage:
 		m.receiveIndirectPing(now, from, received)
-	case rumourMessage:
+	case rumorMessage:
 	}
 	m.Advance(now)
 }
 
-// send queues a message with updates. A receiver that may not know this member is sent its record. One that is not held to
-// be alive is sent the assertion, so that it can refute it.
+// send queues a message with piggybacked updates. A receiver that may not know this member is sent its record. A receiver
+// that is not considered alive is sent the assertion about itself, so that it can refute it.
 func (m *membership) send(to netip.AddrPort, outgoing message) {
 	e := m.members[to]
 	if e == nil || !e.member.Running() {
@@ -220,8 +220,8 @@
 	m.output.datagrams = append(m.output.datagrams, datagram{to: to, message: outgoing})
 }
 
-// ping sends a ping that is no probe: nobody waits for its ack. It makes the receiver known to this member and the other
-// way round, or lets it refute what is asserted of it.
+// ping sends a ping that is not a probe: its ack is not awaited. It makes the receiver and this member known to each
+// other, or lets the receiver refute an assertion about itself.
 func (m *membership) ping(to netip.AddrPort) {
 	m.send(to, message{messageType: pingMessage, sequence: m.prober.nextSequence()})
 }
@@ -231,13 +231,13 @@
 	return e != nil && e.member.Running()
 }
 
-// pick returns up to count running members at random, without this process and the one left out.
-func (m *membership) pick(count int, except netip.AddrPort) []netip.AddrPort {
+// pickRandom returns up to count running members at random, other than this process and the excluded one.
+func (m *membership) pickRandom(count int, excluded netip.AddrPort) []netip.AddrPort {
 	picked := make([]netip.AddrPort, 0, count)
 	seen := 0
 	for _, e := range m.order {
 		address := e.member.Address
-		if e == m.self || address == except || !e.member.Running() {
+		if e == m.self || address == excluded || !e.member.Running() {
 			continue
 		}
 		seen++
@@ -252,7 +252,7 @@
 	return picked
 }
 
-// insertEntry adds an entry to the list, which stays sorted.
+// insertEntry adds an entry to the list, and keeps the order sorted.
 func (m *membership) insertEntry(e *entry) {
 	m.members[e.member.Address] = e
 	at, _ := slices.BinarySearchFunc(m.order, e.member.Address, func(e *entry, address netip.AddrPort) int {
--- a/internal/member/membership_test.go
+++ b/internal/member/membership_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// seedsBySize is the number of simulated histories for each number of members.
-var seedsBySize = map[int]uint64{16: 8, 100: 3}
+// seedCountBySize is the number of simulated histories for each number of members.
+var seedCountBySize = map[int]uint64{16: 8, 100: 3}
 
 // forEachHistory runs a test with several seeds and numbers of members.
 func forEachHistory(t *testing.T, test func(t *testing.T, seed uint64, size int)) {
 	t.Helper()
-	for size, count := range seedsBySize {
+	for size, count := range seedCountBySize {
 		for seed := range count {
 			t.Run(fmt.Sprintf("%d members, seed %d", size, seed), func(t *testing.T) {
 				t.Parallel()
@@ -29,7 +29,7 @@
 		s := newSimulation(t, seed, size)
 		s.loss = 0.01
 		s.run(startSpread, nil)
-		t.Log(s.runUntil("all know all", 3*time.Second, s.complete))
+		t.Log(s.runUntil("all members know each other", 3*time.Second, s.complete))
 	})
 }
 
@@ -51,7 +51,7 @@
 func TestCrashIsDetected(t *testing.T) {
 	for _, c := range []struct {
 		size, crashes int
-		mean          time.Duration // until all know
+		mean          time.Duration // upper bound of the mean time until all members know of the crash
 	}{
 		{size: 16, crashes: 15, mean: 1600 * time.Millisecond},
 		{size: 100, crashes: 15, mean: 2200 * time.Millisecond},
@@ -65,7 +65,7 @@
 			for range c.crashes {
 				address := s.order[s.random.IntN(len(s.order))]
 				s.crash(address)
-				sum += s.runUntil("detection", 5*time.Second, func() bool { return s.allHold(address, Dead) })
+				sum += s.runUntil("detection", 5*time.Second, func() bool { return s.allConsider(address, Dead) })
 				s.start(address, uint64(s.clock.Now()))
 				s.runUntil("return", 5*time.Second, s.complete)
 			}
@@ -83,14 +83,14 @@
 		s := newJoinedSimulation(t, seed, size)
 		address := s.order[s.random.IntN(size)]
 		s.freeze(address)
-		s.runUntil("detection", 6*time.Second, func() bool { return s.allHold(address, Dead) })
+		s.runUntil("detection", 6*time.Second, func() bool { return s.allConsider(address, Dead) })
 		s.run(s.clock.Now()+10*time.Second, nil)
 		s.falseDeaths = 0
 		s.thaw(address)
 		t.Log(s.runUntil("return", 2*time.Second, s.complete))
 		s.run(s.clock.Now()+5*time.Second, nil)
 		if !s.complete() {
-			t.Error("complete after the return: got false, want true")
+			t.Error("lists complete after the return: got false, want true")
 		}
 	})
 }
@@ -115,9 +115,9 @@
 	forEachHistory(t, func(t *testing.T, seed uint64, size int) {
 		s := newJoinedSimulation(t, seed, size)
 		s.loss = 0.01
-		s.slow = make(map[netip.AddrPort]time.Duration)
+		s.maxProcessingDelay = make(map[netip.AddrPort]time.Duration)
 		for _, i := range s.random.Perm(size)[:size/4] {
-			s.slow[s.order[i]] = 300 * time.Millisecond
+			s.maxProcessingDelay[s.order[i]] = 300 * time.Millisecond
 		}
 		s.run(s.clock.Now()+time.Minute, nil)
 		if s.falseDeaths > 0 {
@@ -132,15 +132,15 @@
 			forEachHistory(t, func(t *testing.T, seed uint64, size int) {
 				s := newJoinedSimulation(t, seed, size)
 				s.loss = 0.01
-				small := map[netip.AddrPort]bool{}
+				minority := map[netip.AddrPort]bool{}
 				for _, i := range s.random.Perm(size)[:1+s.random.IntN(size/2)] {
-					small[s.order[i]] = true
+					minority[s.order[i]] = true
 				}
-				s.connected = func(a, b netip.AddrPort) bool { return small[a] == small[b] }
+				s.connected = func(a, b netip.AddrPort) bool { return minority[a] == minority[b] }
 				s.run(s.clock.Now()+duration, nil)
 				s.connected = nil
-				took := s.runUntil("all know all", 8*time.Second, s.complete)
-				t.Logf("%d of %d members partitioned, rejoined after %v", len(small), size, took)
+				took := s.runUntil("all members know each other", 8*time.Second, s.complete)
+				t.Logf("%d of %d members partitioned, rejoined after %v", len(minority), size, took)
 				s.run(s.clock.Now()+5*time.Second, nil)
 				s.falseDeaths = 0
 				s.run(s.clock.Now()+20*time.Second, nil)
@@ -174,7 +174,7 @@
 				s.runUntil("new process known", 3*time.Second, superseded)
 				s.run(s.clock.Now()+5*time.Second, nil)
 				if !superseded() {
-					t.Error("earlier process: got it in a list again, want it superseded")
+					t.Error("earlier process: got it back in a list, want it superseded in all")
 				}
 			})
 		})
@@ -194,9 +194,9 @@
 			return confirmed
 		})
 		s.crash(address)
-		s.runUntil("left", time.Second, func() bool { return s.allHold(address, Left) })
+		s.runUntil("left", time.Second, func() bool { return s.allConsider(address, Left) })
 		s.run(s.clock.Now()+10*time.Second, nil)
-		if !s.allHold(address, Left) {
+		if !s.allConsider(address, Left) {
 			t.Errorf("state after the leave: got another one at some member, want %v at all", Left)
 		}
 	})
@@ -213,7 +213,7 @@
 			s.clock.At(s.clock.Now()+time.Duration(s.random.Int64N(int64(time.Second))), func() { s.start(address, 1) })
 		}
 		s.run(s.clock.Now()+time.Second, nil)
-		s.runUntil("all know all", 3*time.Second, s.complete)
+		s.runUntil("all members know each other", 3*time.Second, s.complete)
 	})
 }
 
--- a/internal/member/message.go
+++ b/internal/member/message.go
@@ -9,32 +9,33 @@
 	pingMessage messageType = iota
 	// ackMessage answers a ping.
 	ackMessage
-	// indirectPingMessage asks the receiver to probe the target and to pass the ack on.
+	// indirectPingMessage asks the receiver to ping the target and to pass the ack on.
 	indirectPingMessage
-	// rumourMessage only carries updates (rumor mongering).
-	rumourMessage
+	// rumorMessage only carries updates (rumor mongering).
+	rumorMessage
 )
 
-// message is a datagram. Updates travel on all of them: as a record if the member is alive, else as a bare assertion.
+// message is the content of a datagram. Each type carries updates: the record of a member that is alive, and only the
+// assertion about any other.
 type message struct {
 	messageType messageType
 	sequence    uint64         // ping, ack, indirect ping
-	generation  uint64         // ack: of the process that was probed
+	generation  uint64         // ack: of the process that was pinged
 	target      netip.AddrPort // indirect ping
-	running     uint32         // members that the sender holds to be running, itself included
-	digest      uint64         // over those members
+	running     uint32         // number of members that the sender considers running, itself included
+	digest      uint64         // over these members
 	records     []Member
 	assertions  []assertion
 }
 
-// exchangeRequest asks for the whole list, if it differs from the one of the digest.
+// exchangeRequest asks for the whole list if its digest differs from the given one.
 type exchangeRequest struct {
 	digest uint64
 	self   Member // of the requester
 }
 
-// exchangeAnswer holds all members, or none if the lists are equal.
-type exchangeAnswer struct {
+// exchangeResponse holds all members, or none if the digests are equal.
+type exchangeResponse struct {
 	equal   bool
 	records []Member
 }
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -8,47 +8,48 @@
 )
 
 const (
-	// probePeriod is the time from one probe to the next. A shorter one detects crashes earlier and costs more datagrams.
+	// probePeriod is the time from one probe to the next. A shorter period detects crashes earlier and costs more
+	// datagrams.
 	probePeriod = 400 * time.Millisecond
-	// directTimeout is how long an ack may take before other members are asked to probe.
+	// directTimeout is how long an ack may take before other members are asked to probe the target.
 	directTimeout = 150 * time.Millisecond
-	// probeTimeout is how long an ack may take, directly or indirectly, before the member is suspected.
+	// probeTimeout is how long an ack may take, directly or indirectly, before the target is suspected.
 	probeTimeout = 400 * time.Millisecond
-	// indirectProbes is the number of members that are asked to probe.
+	// indirectProbes is the number of members that are asked to probe the target.
 	indirectProbes = 3
-	// relayTimeout is how long an ack is passed on to the member that asked for the probe.
+	// relayTimeout is how long this process waits for an ack that it has to pass on to another member.
 	relayTimeout = time.Second
 
-	// An ack that comes after the time-out shows that this process or the other one is slow, not dead: the time-outs of
-	// probes grow with the number of late acks, and shrink with each in time. That is the local health multiplier of
-	// Lifeguard (Dadgar, Phillips, Currey, 2017), fed by late acks only.
+	// An ack that comes after the timeout shows that this process or the other one is slow, not dead: each late ack adds
+	// lateAckWeight to a score by which the timeouts of probes grow, and each ack in time subtracts 1. This is the local
+	// health multiplier of Lifeguard (Dadgar, Phillips, Currey, 2017), based on late acks only.
 	lateAckWeight   = 4
-	slownessMaximum = 12
+	maxLateAckScore = 12
 )
 
-// prober probes the members in a random order, one in each period.
+// prober probes the members in random order, one in each period.
 type prober struct {
-	sequence  uint64
-	nextProbe time.Duration
-	current   *probe
-	expired   *probe           // the last one that timed out
-	slowness  int              // late acks, weighed, less those in time
-	remaining []netip.AddrPort // of this round
-	relays    []relay
+	sequence     uint64
+	nextProbe    time.Duration
+	current      *probe
+	expired      *probe           // the last probe that timed out
+	lateAckScore int              // weighted number of late acks, less the acks in time
+	remaining    []netip.AddrPort // members left to be probed in this round
+	relays       []relay
 }
 
-// probe is the one that is under way.
+// probe is a probe in progress, or one that has timed out.
 type probe struct {
-	target       netip.AddrPort
-	generation   uint64
-	sequence     uint64
-	indirectTime time.Duration // when others are asked; never once they are
-	deadline     time.Duration
+	target           netip.AddrPort
+	generation       uint64
+	sequence         uint64
+	indirectProbeDue time.Duration // when other members are asked; never once they have been
+	deadline         time.Duration
 }
 
-// relay is a probe made for another member.
+// relay is a ping sent on behalf of another member.
 type relay struct {
-	sequence          uint64 // of this process
+	sequence          uint64 // of the ping that this process sent
 	requester         netip.AddrPort
 	requesterSequence uint64
 	deadline          time.Duration
@@ -60,23 +61,23 @@
 	if p.current == nil {
 		return p.nextProbe
 	}
-	return min(p.current.indirectTime, p.current.deadline)
+	return min(p.current.indirectProbeDue, p.current.deadline)
 }
 
-// stretch lengthens a time-out by the slowness.
-func (p *prober) stretch(timeout time.Duration) time.Duration {
-	return timeout + timeout*time.Duration(p.slowness)/lateAckWeight
+// scaleTimeout lengthens a timeout in proportion to the score of late acks.
+func (p *prober) scaleTimeout(timeout time.Duration) time.Duration {
+	return timeout + timeout*time.Duration(p.lateAckScore)/lateAckWeight
 }
 
-// noteAck learns from an ack whether probes are answered in time. It reports whether the ack answers the probe under way.
-func (p *prober) noteAck(ack *message) (inTime bool) {
+// recordAck updates the score of late acks with an ack. It reports whether the ack answers the current probe.
+func (p *prober) recordAck(ack *message) (inTime bool) {
 	if p.current != nil && p.current.answeredBy(ack) {
-		p.slowness = max(p.slowness-1, 0)
+		p.lateAckScore = max(p.lateAckScore-1, 0)
 		return true
 	}
 	if p.expired != nil && p.expired.answeredBy(ack) {
 		p.expired = nil
-		p.slowness = min(p.slowness+lateAckWeight, slownessMaximum)
+		p.lateAckScore = min(p.lateAckScore+lateAckWeight, maxLateAckScore)
 	}
 	return false
 }
@@ -85,7 +86,7 @@
 	return p.sequence == ack.sequence && p.generation == ack.generation
 }
 
-// insert puts a new member at a random position of the round, so that it is not left unprobed for the rest of it.
+// insert puts a new member at a random position of the current round, so that it does not have to wait for the next one.
 func (p *prober) insert(random *rand.Rand, address netip.AddrPort) {
 	if slices.Contains(p.remaining, address) {
 		return
@@ -107,8 +108,8 @@
 		m.probeFailed(now, current)
 	}
 	current = m.prober.current
-	if current != nil && now >= current.indirectTime {
-		current.indirectTime = never
+	if current != nil && now >= current.indirectProbeDue {
+		current.indirectProbeDue = never
 		m.probeIndirectly(current)
 	}
 	if m.prober.current == nil && now >= m.prober.nextProbe {
@@ -123,17 +124,17 @@
 		return
 	}
 	current := &probe{
-		target:       target.member.Address,
-		generation:   target.member.Generation,
-		sequence:     m.prober.nextSequence(),
-		indirectTime: now + m.prober.stretch(directTimeout),
-		deadline:     now + m.prober.stretch(probeTimeout),
+		target:           target.member.Address,
+		generation:       target.member.Generation,
+		sequence:         m.prober.nextSequence(),
+		indirectProbeDue: now + m.prober.scaleTimeout(directTimeout),
+		deadline:         now + m.prober.scaleTimeout(probeTimeout),
 	}
 	m.prober.current = current
 	m.send(current.target, message{messageType: pingMessage, sequence: current.sequence})
 }
 
-// nextTarget returns the next running member of the round, nil if there is none. A new round begins when one is over.
+// nextTarget returns the next running member of the round, nil if there is none. It starts a new round if none are left.
 func (m *membership) nextTarget() *entry {
 	if len(m.prober.remaining) == 0 {
 		m.startRound()
@@ -162,12 +163,12 @@
 }
 
 func (m *membership) probeIndirectly(current *probe) {
-	for _, helper := range m.pick(indirectProbes, current.target) {
+	for _, helper := range m.pickRandom(indirectProbes, current.target) {
 		m.send(helper, message{messageType: indirectPingMessage, sequence: current.sequence, target: current.target})
 	}
 }
 
-// probeFailed begins to suspect a member, and pings it so that it can refute.
+// probeFailed suspects the target of a probe that timed out, and pings it so that it can refute the suspicion.
 func (m *membership) probeFailed(now time.Duration, failed *probe) {
 	target := m.members[failed.target]
 	if target == nil || target.member.State != Alive || target.member.Generation != failed.generation {
@@ -194,9 +195,9 @@
 	m.send(request.target, message{messageType: pingMessage, sequence: sequence})
 }
 
-// receiveAck ends the probe that an ack answers, and passes the ack on if the probe was made for another member.
+// receiveAck ends the probe that the ack answers, and passes the ack on if the ping was sent on behalf of another member.
 func (m *membership) receiveAck(from netip.AddrPort, ack *message) {
-	if m.prober.noteAck(ack) {
+	if m.prober.recordAck(ack) {
 		m.clearSuspicion(m.prober.current.target, ack.generation)
 		m.prober.current = nil
 	}
--- a/internal/member/publisher.go
+++ b/internal/member/publisher.go
@@ -2,13 +2,14 @@
 
 import "sync"
 
-// publisher calls the subscribers with each new table, one call at a time and never with an older table after a newer one. A
-// subscriber may cause further tables: they are published after it has returned. Its zero value is ready to be used.
+// publisher calls the subscribers with each new table, one call at a time and never with an older table after a newer
+// one. A subscriber may cause further tables, which are published after it has returned. The zero value is ready for
+// use.
 type publisher struct {
-	mutex       sync.Mutex // of the fields below
+	mutex       sync.Mutex // guards the fields below
 	subscribers []func(*Table)
-	publishing  bool // by some goroutine
-	outdated    bool // the table that is being published, or none is
+	publishing  bool // some goroutine is publishing
+	outdated    bool // publish was called since the last table was made
 }
 
 func (p *publisher) subscribe(f func(*Table)) {
@@ -17,8 +18,9 @@
 	p.subscribers = append(p.subscribers, f)
 }
 
-// publish makes a table and calls the subscribers with it, unless another goroutine or a subscriber further up the stack
-// does so already: that one goes on until the newest table is published. A table may stand for several calls.
+// publish makes a table and calls the subscribers with it, unless another goroutine, or an outer call on the same
+// stack, is already publishing: that one continues until the newest table is published. One table may serve several
+// calls.
 func (p *publisher) publish(makeTable func() *Table) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/member/record_codec.go
+++ b/internal/member/record_codec.go
@@ -14,7 +14,7 @@
 	addressBytes = 4
 )
 
-// packAddress returns the IPv4 address and port as one number, 0 for an invalid address.
+// packAddress returns an IPv4 address and its port as one number, 0 for an invalid address.
 func packAddress(address netip.AddrPort) uint64 {
 	if !address.IsValid() {
 		return 0
@@ -155,7 +155,7 @@
 	return assertions, nil
 }
 
-// checkAssertion rejects what no member can send.
+// checkAssertion rejects an assertion that no member sends: one without an address or in an unknown state.
 func checkAssertion(asserted assertion) error {
 	if !asserted.address.IsValid() {
 		return merry.New("member without an address")
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -20,29 +20,30 @@
 	exchangeKind
 )
 
-// exchangeTimeout is how long the answer to an exchange request may take.
+// exchangeTimeout is how long the response to an exchange request may take.
 const exchangeTimeout = 2 * time.Second
 
-// Service keeps the table of members of this process up to date. Its methods may be called by any goroutine.
+// Service keeps the table of members of this process up to date. Its methods are safe for concurrent use.
 type Service struct {
 	transport  *peer.Transport
 	log        *zap.Logger
-	membership *membership // used within calls of the driver only
+	membership *membership // used only in functions that the driver calls
 	driver     *driver.Driver[output]
 	current    atomic.Pointer[Table]
 	left       chan struct{}
 	publisher  publisher
 }
 
-// New returns the service of the process that self describes, and sets its handlers on the transport, which must not be
-// started yet. The generation and the first incarnation are chosen here if they are 0.
+// New returns the service of the process that self describes, and sets its handlers on the transport, which must not have
+// been started. It chooses the generation and the first incarnation if they are 0.
 func New(self Member, seeds []netip.AddrPort, t *peer.Transport, log *zap.Logger) *Service {
 	self.State = Alive
 	if self.Generation == 0 {
 		self.Generation = rand.Uint64() | 1
 	}
 	if self.Incarnation == 0 {
-		// Most often above that of the earlier process at the address. If it is not, this process learns of that and raises it.
+		// The time is mostly above the incarnation of an earlier process at the address. If it is not, this process
+		// learns so from an assertion about the earlier one, and raises its incarnation.
 		self.Incarnation = uint64(time.Now().UnixMilli())
 	}
 	random := rand.New(rand.NewPCG(self.Generation, rand.Uint64()))
@@ -55,27 +56,28 @@
 	s.driver = driver.New(s.membership, s.perform)
 	s.current.Store(s.membership.table())
 	t.HandleDatagram(datagramKind, s.receive)
-	t.Handle(exchangeKind, s.answerExchange)
+	t.Handle(exchangeKind, s.handleExchangeRequest)
 	return s
 }
 
-// Start begins to take part, until ctx ends. Before it nothing is sent. It must be called once. The goroutines of exchanges
-// end soon after ctx; nobody waits for them.
+// Start starts the protocol, which runs until ctx ends. Nothing is sent before the call. It must be called once. The
+// goroutines of exchanges end soon after ctx; nothing waits for them.
 func (s *Service) Start(ctx context.Context) { s.driver.Start(ctx) }
 
-// Table returns the members as they are known now.
+// Table returns the current table of members.
 func (s *Service) Table() *Table { return s.current.Load() }
 
-// OnChange adds a function that is called with each new table, one at a time. It must not block, and may use the service.
+// OnChange adds a function that is called with each new table, one call at a time. The function must not block, and may
+// use the service.
 func (s *Service) OnChange(f func(*Table)) { s.publisher.subscribe(f) }
 
-// UpdateSelf changes the record of this process and broadcasts it. Address and generation stay as they are.
+// UpdateSelf changes the record of this process and broadcasts it. Changes of address and generation are undone.
 func (s *Service) UpdateSelf(change func(*Member)) {
 	s.driver.Do(func(now time.Duration) { s.membership.updateSelf(now, change) })
 }
 
-// Leave announces to other members that this process ends, and returns when some have confirmed, the tries are used up, or
-// ctx ends. It must be called while the context of Start goes on.
+// Leave announces to other members that this process ends. It returns when enough of them have confirmed, when all
+// attempts are used up, or when ctx ends. It must be called before the context of Start ends.
 func (s *Service) Leave(ctx context.Context) {
 	s.driver.Do(func(now time.Duration) { s.membership.leave(now) })
 	select {
@@ -84,7 +86,7 @@
 	}
 }
 
-// perform carries out what the state machine wants done.
+// perform carries out the output of the state machine.
 func (s *Service) perform(ctx context.Context, _ time.Duration, out output) {
 	for i := range out.datagrams {
 		s.send(&out.datagrams[i])
@@ -118,46 +120,46 @@
 	s.driver.Do(func(now time.Duration) { s.membership.receive(now, from, &received) })
 }
 
-func (s *Service) answerExchange(_ context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
+func (s *Service) handleExchangeRequest(_ context.Context, _ netip.AddrPort, m peer.Message) (peer.Message, error) {
 	request, err := decodeExchangeRequest(m.Body)
 	if err != nil {
 		return peer.Message{}, fault.Wrap(fault.BadRequest, err)
 	}
-	var answer exchangeAnswer
-	handled := s.driver.Do(func(now time.Duration) { answer = s.membership.answerExchange(now, &request) })
+	var response exchangeResponse
+	handled := s.driver.Do(func(now time.Duration) { response = s.membership.handleExchangeRequest(now, &request) })
 	if !handled {
 		return peer.Message{}, fault.New(fault.NotReady, "%v has stopped", s.transport.Address())
 	}
-	body, err := answer.encode()
+	body, err := response.encode()
 	return peer.Message{Kind: exchangeKind, Body: body}, err
 }
 
-// exchange requests the list of a member and hands the outcome to the state machine.
+// exchange requests the list of another member and passes the result to the state machine.
 func (s *Service) exchange(ctx context.Context, call exchangeCall) {
-	answer, err := s.callExchange(ctx, call)
+	response, err := s.callExchange(ctx, call)
 	if err != nil {
-		s.log.Debug("exchange of members failed", zap.Stringer("partner", call.to), zap.Error(err))
+		s.log.Debug("exchange of member lists failed", zap.Stringer("partner", call.to), zap.Error(err))
 		s.driver.Do(func(now time.Duration) { s.membership.exchangeFailed(now) })
 		return
 	}
-	s.driver.Do(func(now time.Duration) { s.membership.exchanged(now, &answer) })
+	s.driver.Do(func(now time.Duration) { s.membership.exchangeSucceeded(now, &response) })
 }
 
-func (s *Service) callExchange(ctx context.Context, call exchangeCall) (exchangeAnswer, error) {
+func (s *Service) callExchange(ctx context.Context, call exchangeCall) (exchangeResponse, error) {
 	body, err := call.request.encode()
 	if err != nil {
-		return exchangeAnswer{}, err
+		return exchangeResponse{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	answer, err := s.transport.Call(ctx, call.to, peer.Message{Kind: exchangeKind, Body: body})
+	response, err := s.transport.Call(ctx, call.to, peer.Message{Kind: exchangeKind, Body: body})
 	if err != nil {
-		return exchangeAnswer{}, err
+		return exchangeResponse{}, err
 	}
-	return decodeExchangeAnswer(answer.Body)
+	return decodeExchangeResponse(response.Body)
 }
 
-// publishTable makes the table anew and returns it, after the connections to members that have ended are closed.
+// publishTable makes a new table, closes the connections to members that have ended, and returns the table.
 func (s *Service) publishTable() *Table {
 	var table *Table
 	s.driver.Inspect(func(time.Duration) { table = s.membership.table() })
--- a/internal/member/service_test.go
+++ b/internal/member/service_test.go
@@ -14,12 +14,12 @@
 
 const serviceTimeout = 20 * time.Second
 
-// testProcess is a service on a transport of its own.
+// testProcess is a service with its own transport.
 type testProcess struct {
 	service   *Service
 	transport *peer.Transport
 	cancel    context.CancelFunc
-	tables    chan *Table // the newest
+	tables    chan *Table // holds the newest table only
 }
 
 func startProcess(t *testing.T, address netip.AddrPort, seeds []netip.AddrPort) *testProcess {
@@ -51,15 +51,15 @@
 	p.transport.Close()
 }
 
-// wait waits for a table that fits, and fails the test if none comes in time.
-func (p *testProcess) wait(t *testing.T, what string, fits func(*Table) bool) {
+// waitForTable waits for a table that meets the condition, and fails the test if none comes in time.
+func (p *testProcess) waitForTable(t *testing.T, what string, condition func(*Table) bool) {
 	t.Helper()
 	timeout := time.After(serviceTimeout)
-	for !fits(p.service.Table()) {
+	for !condition(p.service.Table()) {
 		select {
 		case <-p.tables:
 		case <-timeout:
-			t.Fatalf("%s: %+v", what, p.service.Table().All())
+			t.Fatalf("timed out waiting for %q: got members %+v", what, p.service.Table().All())
 		}
 	}
 }
@@ -73,11 +73,11 @@
 		processes = append(processes, startProcess(t, netip.MustParseAddrPort("127.0.0.1:0"), seeds))
 	}
 	for _, p := range processes {
-		p.wait(t, "all known", func(table *Table) bool { return len(table.Alive()) == count })
+		p.waitForTable(t, "all members known", func(table *Table) bool { return len(table.Alive()) == count })
 	}
 
 	processes[1].service.UpdateSelf(func(m *Member) { m.Replica = 77 })
-	processes[4].wait(t, "update known", func(table *Table) bool {
+	processes[4].waitForTable(t, "update known", func(table *Table) bool {
 		m, _ := table.Get(processes[1].transport.Address())
 		return m.Replica == 77
 	})
@@ -86,10 +86,10 @@
 	defer cancel()
 	processes[2].service.Leave(ctx)
 	if ctx.Err() != nil {
-		t.Fatal("the leave was not confirmed")
+		t.Fatal("leave: got no confirmation in time, want one")
 	}
 	processes[2].stop()
-	processes[3].wait(t, "leave known", func(table *Table) bool {
+	processes[3].waitForTable(t, "leave known", func(table *Table) bool {
 		m, _ := table.Get(processes[2].transport.Address())
 		return m.State == Left && len(table.Alive()) == count-1
 	})
@@ -97,12 +97,12 @@
 	address := processes[4].transport.Address()
 	before, _ := first.service.Table().Get(address)
 	processes[4].stop()
-	first.wait(t, "death known", func(table *Table) bool {
+	first.waitForTable(t, "death known", func(table *Table) bool {
 		m, _ := table.Get(address)
 		return m.State == Dead
 	})
 	startProcess(t, address, seeds)
-	first.wait(t, "restart known", func(table *Table) bool {
+	first.waitForTable(t, "restart known", func(table *Table) bool {
 		m, _ := table.Get(address)
 		return m.Running() && m.Generation != before.Generation
 	})
@@ -136,6 +136,6 @@
 	select {
 	case <-left:
 	case <-time.After(serviceTimeout):
-		t.Fatal("the subscriber and the service wait for each other")
+		t.Fatal("leave by a subscriber: timed out, want no deadlock between subscriber and service")
 	}
 }
--- a/internal/member/simulation_test.go
+++ b/internal/member/simulation_test.go
@@ -10,7 +10,7 @@
 	"nickelline/internal/simnet"
 )
 
-// simulation runs state machines over a simulated network in simulated time.
+// simulation runs state machines on a simulated network in simulated time.
 type simulation struct {
 	t      testing.TB
 	random *rand.Rand
@@ -22,9 +22,9 @@
 	loss       float64
 	minLatency time.Duration
 	maxLatency time.Duration
-	// slow nodes take up to so long until they act on an event.
-	slow map[netip.AddrPort]time.Duration
-	// connected reports whether there is a path; nil: always.
+	// maxProcessingDelay is how long a slow node takes at most until it handles an event.
+	maxProcessingDelay map[netip.AddrPort]time.Duration
+	// connected reports whether two nodes can reach each other; nil stands for always.
 	connected func(a, b netip.AddrPort) bool
 
 	datagrams   int
@@ -66,7 +66,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7660)
 }
 
-// start starts a process, with a new generation.
+// start starts a process with a new generation.
 func (s *simulation) start(address netip.AddrPort, incarnation uint64) {
 	self := Member{
 		Name:        fmt.Sprintf("frontend-some-long-name-%v", address.Addr()),
@@ -96,19 +96,19 @@
 	return s.minLatency + time.Duration(s.random.Int64N(int64(s.maxLatency-s.minLatency)))
 }
 
-func (s *simulation) slowness(address netip.AddrPort) time.Duration {
-	longest := s.slow[address]
+func (s *simulation) processingDelay(address netip.AddrPort) time.Duration {
+	longest := s.maxProcessingDelay[address]
 	if longest == 0 {
 		return 0
 	}
 	return time.Duration(s.random.Int64N(int64(longest)))
 }
 
-func (s *simulation) path(a, b netip.AddrPort) bool {
+func (s *simulation) hasPath(a, b netip.AddrPort) bool {
 	return s.connected == nil || s.connected(a, b)
 }
 
-// deliver hands an event to a node and performs its output, or does so after a freeze.
+// deliver has a node handle an event and performs its output, after the thaw if the node is frozen.
 func (s *simulation) deliver(n *simulatedNode, event func(*simulatedNode)) {
 	n.process.Do(func() {
 		event(n)
@@ -137,7 +137,7 @@
 		return
 	}
 	n.timer = due
-	s.clock.At(due+s.slowness(n.membership.self.member.Address), func() {
+	s.clock.At(due+s.processingDelay(n.membership.self.member.Address), func() {
 		if n.timer == due {
 			s.deliver(n, func(n *simulatedNode) {
 				n.timer = 0
@@ -161,16 +161,16 @@
 }
 
 func (s *simulation) send(from *simulatedNode, d datagram) {
-	const checkedShare = 100
+	const sizeCheckInterval = 100
 	s.datagrams++
-	if s.datagrams%checkedShare == 0 {
+	if s.datagrams%sizeCheckInterval == 0 {
 		s.checkSize(&d.message)
 	}
 	origin := from.membership.self.member.Address
-	if s.random.Float64() < s.loss || !s.path(origin, d.to) {
+	if s.random.Float64() < s.loss || !s.hasPath(origin, d.to) {
 		return
 	}
-	s.clock.At(s.clock.Now()+s.latency()+s.slowness(d.to), func() {
+	s.clock.At(s.clock.Now()+s.latency()+s.processingDelay(d.to), func() {
 		if to := s.nodes[d.to]; to != nil {
 			s.deliver(to, func(to *simulatedNode) { to.membership.receive(s.clock.Now(), origin, &d.message) })
 		}
@@ -184,12 +184,12 @@
 		s.t.Fatal(err)
 	}
 	if len(data) > 1400-frameBytes {
-		s.t.Errorf("datagram of %d bytes with %d records and %d assertions", len(data), len(m.records), len(m.assertions))
+		s.t.Errorf("got datagram of %d bytes with %d records and %d assertions, want at most 1400 bytes with the frame", len(data), len(m.records), len(m.assertions))
 	}
 }
 
 func (s *simulation) exchange(n *simulatedNode, call exchangeCall) {
-	own := n.membership.self.member.Address
+	requester := n.membership.self.member.Address
 	fail := func() {
 		s.clock.At(s.clock.Now()+callTimeout, func() {
 			s.deliver(n, func(n *simulatedNode) { n.membership.exchangeFailed(s.clock.Now()) })
@@ -197,37 +197,38 @@
 	}
 	s.clock.At(s.clock.Now()+s.latency(), func() {
 		to := s.nodes[call.to]
-		if !s.isUp(call.to) || !s.path(own, call.to) {
+		if !s.isUp(call.to) || !s.hasPath(requester, call.to) {
 			fail()
 			return
 		}
 		s.deliver(to, func(to *simulatedNode) {
-			answer := to.membership.answerExchange(s.clock.Now(), &call.request)
+			response := to.membership.handleExchangeRequest(s.clock.Now(), &call.request)
 			s.clock.At(s.clock.Now()+s.latency(), func() {
-				if !s.path(own, call.to) {
+				if !s.hasPath(requester, call.to) {
 					fail()
 					return
 				}
-				s.deliver(n, func(n *simulatedNode) { n.membership.exchanged(s.clock.Now(), &answer) })
+				s.deliver(n, func(n *simulatedNode) { n.membership.exchangeSucceeded(s.clock.Now(), &response) })
 			})
 		})
 	})
 }
 
-// run handles events until the time is reached or done, which is called in steps, reports true.
+// run handles events until the given time, or until done, which is called every step, reports true.
 func (s *simulation) run(until time.Duration, done func() bool) {
 	const step = 10 * time.Millisecond
-	called := s.clock.Now()
+	lastCheck := s.clock.Now()
 	s.clock.RunUntilDone(until, func() bool {
-		if done == nil || s.clock.Now() < called+step {
+		if done == nil || s.clock.Now() < lastCheck+step {
 			return false
 		}
-		called = s.clock.Now()
+		lastCheck = s.clock.Now()
 		return done()
 	})
 }
 
-// runUntil fails the test if done does not report true within the time. It returns how long it took.
+// runUntil runs the simulation until done reports true, and returns how long that took. It fails the test if that takes
+// longer than within.
 func (s *simulation) runUntil(what string, within time.Duration, done func() bool) time.Duration {
 	s.t.Helper()
 	start := s.clock.Now()
@@ -238,7 +239,7 @@
 	return s.clock.Now() - start
 }
 
-// complete reports whether all that are up hold just those to be alive.
+// complete reports whether each node that is up considers exactly the nodes that are up to be running.
 func (s *simulation) complete() bool {
 	var up []*simulatedNode
 	for _, address := range s.order {
@@ -261,7 +262,7 @@
 	return true
 }
 
-// differences describes what keeps complete from being true.
+// differences describes why complete returns false.
 func (s *simulation) differences() string {
 	const shown = 5
 	text := ""
@@ -275,19 +276,19 @@
 			if count > shown {
 				continue
 			}
-			held := "nothing"
+			known := "unknown"
 			if e := s.nodes[address].membership.members[other]; e != nil {
-				held = fmt.Sprintf("%v of incarnation %d", e.member.State, e.member.Incarnation)
+				known = fmt.Sprintf("%v of incarnation %d", e.member.State, e.member.Incarnation)
 			}
-			own := s.nodes[other].membership.self.member.Incarnation
-			text += fmt.Sprintf("\n%v knows of %v %s, its own is %d", address, other, held, own)
+			actual := s.nodes[other].membership.self.member.Incarnation
+			text += fmt.Sprintf("\nlist of %v: %v is %s, its actual incarnation is %d", address, other, known, actual)
 		}
 	}
 	return fmt.Sprintf("%d differences%s", count, text)
 }
 
-// allHold reports whether all that are up hold the member to be in the state.
-func (s *simulation) allHold(address netip.AddrPort, state State) bool {
+// allConsider reports whether all other nodes that are up consider the member to be in the state.
+func (s *simulation) allConsider(address netip.AddrPort, state State) bool {
 	for _, other := range s.order {
 		if other == address || !s.isUp(other) {
 			continue
@@ -300,7 +301,7 @@
 	return true
 }
 
-// newJoinedSimulation returns a simulation in which all know each other.
+// newJoinedSimulation returns a simulation in which all members know each other.
 func newJoinedSimulation(t testing.TB, seed uint64, size int) *simulation {
 	t.Helper()
 	s := newSimulation(t, seed, size)
--- a/internal/member/size_bench_test.go
+++ b/internal/member/size_bench_test.go
@@ -8,8 +8,8 @@
 	"nickelline/internal/measure"
 )
 
-// BenchmarkPeriodBytes measures what one period of a member puts on the network in a system at rest: its probe and the ack to
-// the probe by another member. Headers of UDP and IP are not in it.
+// BenchmarkPeriodBytes measures the bytes that a member sends in one probe period when no member changes: its probe,
+// and the ack to the probe by another member. They do not include the headers of UDP and IP.
 func BenchmarkPeriodBytes(b *testing.B) {
 	for _, size := range []int{100, 400, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// BenchmarkTableHeap measures what the state of membership holds in memory, for each member: the state machine and one table.
+// BenchmarkTableHeap measures the heap used per member by the state machine and one table.
 func BenchmarkTableHeap(b *testing.B) {
 	type state struct {
 		membership *membership
--- a/internal/member/suspicion.go
+++ b/internal/member/suspicion.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// suspicionUnit times the binary logarithm of the number of members is how long a suspicion lasts. A longer one leaves
-	// slow members more time to refute, a shorter one detects crashes earlier.
-	suspicionUnit = 125 * time.Millisecond
-	// suspicionMinimum is the shortest time that a suspicion lasts.
-	suspicionMinimum = 500 * time.Millisecond
-	// leniencyPeriod is how long a member that has refuted a suspicion is given twice the time.
-	leniencyPeriod = time.Minute
+	// suspicionTimeoutUnit times the binary logarithm of the number of members is how long a suspicion lasts. A longer
+	// timeout leaves slow members more time to refute, a shorter one detects crashes earlier.
+	suspicionTimeoutUnit = 125 * time.Millisecond
+	// minSuspicionTimeout is the shortest time that a suspicion lasts.
+	minSuspicionTimeout = 500 * time.Millisecond
+	// extendedTimeoutPeriod is how long, after a member has refuted a suspicion, new suspicions of it last twice as long.
+	extendedTimeoutPeriod = time.Minute
 )
 
-// suspect begins to suspect a member.
+// suspect marks a member as suspect.
 func (m *membership) suspect(now time.Duration, e *entry) {
 	suspected := e.member.assertion()
 	suspected.state = Suspect
@@ -30,15 +30,15 @@
 }
 
 func (m *membership) suspicionTimeout(now time.Duration, e *entry) time.Duration {
-	scaled := time.Duration(math.Log2(float64(m.running+1)) * float64(suspicionUnit))
-	timeout := max(scaled, suspicionMinimum)
-	if now < e.lenientUntil {
+	scaled := time.Duration(math.Log2(float64(m.running+1)) * float64(suspicionTimeoutUnit))
+	timeout := max(scaled, minSuspicionTimeout)
+	if now < e.extendedTimeoutUntil {
 		timeout *= 2
 	}
 	return timeout
 }
 
-// advanceSuspicions declares the suspects dead whose deadline has passed.
+// advanceSuspicions declares those suspects dead whose deadline has passed.
 func (m *membership) advanceSuspicions(now time.Duration) {
 	if now < m.suspicionDue {
 		return
@@ -64,8 +64,8 @@
 	}
 }
 
-// clearSuspicion ends the suspicion held here of a member that has answered. Other members wait for its own refutation, so
-// that this is not broadcast and does not change the digest.
+// clearSuspicion ends the local suspicion of a member that has answered. The change is not broadcast and leaves the
+// digest as it is, because the other members wait for the refutation by the member itself.
 func (m *membership) clearSuspicion(address netip.AddrPort, generation uint64) {
 	e := m.members[address]
 	if e == nil || e.member.State != Suspect || e.member.Generation != generation {
--- a/internal/member/update.go
+++ b/internal/member/update.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// updateSelf changes the own record and broadcasts it. Address and generation stay as they are.
+// updateSelf changes the record of this process and broadcasts it. Changes of address and generation are undone.
 func (m *membership) updateSelf(now time.Duration, change func(*Member)) {
 	m.modify(now, m.self, func(self *Member) {
 		address, generation := self.Address, self.Generation
@@ -17,14 +17,14 @@
 	m.Advance(now)
 }
 
-// raiseIncarnation sets the own incarnation and broadcasts the record at once.
+// raiseIncarnation sets the incarnation of this process and broadcasts its record without delay.
 func (m *membership) raiseIncarnation(now time.Duration, incarnation uint64) {
 	m.modify(now, m.self, func(self *Member) { self.Incarnation = incarnation })
 	m.enqueueBroadcast(now, m.self.member.Address)
 	m.broadcasts.due = now
 }
 
-// applyRecord applies a record that a datagram carried.
+// applyRecord applies a record received from another member.
 func (m *membership) applyRecord(now time.Duration, record *Member) {
 	known := m.admit(now, record, m.enqueueBroadcast)
 	if known != nil && record.assertion().supersedes(known.member.assertion()) {
@@ -33,8 +33,9 @@
 	}
 }
 
-// admit returns the entry of the member that a record describes. It is nil, and the record is done with, if the record is of
-// this process, or of a member that was not known until now; one that runs is added and broadcast.
+// admit returns the entry of the member that a record describes. It returns nil if the record needs no further
+// handling: one about this process is refuted if necessary, and one of an unknown member is added and broadcast if the
+// member runs.
 func (m *membership) admit(now time.Duration, record *Member, broadcast func(time.Duration, netip.AddrPort)) *entry {
 	if record.Address == m.self.member.Address {
 		m.refute(now, record.assertion())
@@ -48,7 +49,7 @@
 	return known
 }
 
-// applyAssertion applies a change of state that a datagram carried.
+// applyAssertion applies an assertion received in a datagram.
 func (m *membership) applyAssertion(now time.Duration, asserted assertion) {
 	if asserted.address == m.self.member.Address {
 		m.refute(now, asserted)
@@ -61,8 +62,8 @@
 	}
 }
 
-// refute answers an assertion about this process, or about an earlier one at its address, with a higher incarnation, unless
-// it is true or out of date.
+// refute raises the incarnation of this process above that of an assertion about it, or about an earlier process at its
+// address, unless the assertion is true or outdated.
 func (m *membership) refute(now time.Duration, asserted assertion) {
 	own := m.self.member.assertion()
 	if asserted.incarnation < own.incarnation || asserted == own {
@@ -89,13 +90,13 @@
 	})
 }
 
-// modify changes a member and keeps what depends on it up to date.
+// modify changes a member, and updates the state that depends on it, such as the digest and the suspicion deadline.
 func (m *membership) modify(now time.Duration, e *entry, change func(*Member)) {
 	before := e.member
 	change(&e.member)
 	after := &e.member
 	if before.State == Suspect && after.State == Alive && before.Generation == after.Generation {
-		e.lenientUntil = now + leniencyPeriod
+		e.extendedTimeoutUntil = now + extendedTimeoutPeriod
 	}
 	m.updateDigest(now, &before, after)
 	if after.Running() && !before.Running() {
