--- a/internal/simnet/clock.go
+++ b/internal/simnet/clock.go
@@ -5,28 +5,27 @@
 	"time"
 )
 
-// Clock is the clock of a simulation, with the queue of what is going to happen. Nothing takes time but waiting: the
-// clock jumps from one event to the next. The zero value is a clock at 0 without events. A Clock is not safe for
-// concurrent use.
+// Clock is the clock of a simulation with its queue of events. Events themselves take no time: the clock jumps from one
+// event to the next. The zero value is a clock at 0 without events. A Clock is not safe for concurrent use.
 type Clock struct {
-	now    time.Duration
-	events eventHeap
-	count  uint64 // of all events so far
+	now       time.Duration
+	events    eventHeap
+	scheduled uint64 // number of events scheduled so far
 }
 
 // Now returns the time since the start of the simulation.
 func (c *Clock) Now() time.Duration { return c.now }
 
-// At has f called at a time, or now if that time is over.
+// At schedules a call of f at the given time, or at the current time if that is later.
 func (c *Clock) At(at time.Duration, f func()) {
-	c.count++
-	heap.Push(&c.events, event{at: max(at, c.now), order: c.count, do: f})
+	c.scheduled++
+	heap.Push(&c.events, event{at: max(at, c.now), order: c.scheduled, do: f})
 }
 
-// After has f called after a time.
+// After schedules a call of f after the given wait.
 func (c *Clock) After(wait time.Duration, f func()) { c.At(c.now+wait, f) }
 
-// Step carries out the next event. It reports whether there was one.
+// Step advances the clock to the next event and runs it. It reports whether there was one.
 func (c *Clock) Step() bool {
 	if len(c.events) == 0 {
 		return false
@@ -37,13 +36,13 @@
 	return true
 }
 
-// RunUntil carries out all events up to a time, and sets the clock to that time.
+// RunUntil runs all events up to and including the given time, and sets the clock to that time.
 func (c *Clock) RunUntil(end time.Duration) {
 	c.RunUntilDone(end, func() bool { return false })
 }
 
-// RunUntilDone carries out events up to a time, or until done returns true after one of them. It reports whether that
-// was the case. Otherwise it sets the clock to the given time.
+// RunUntilDone runs events up to and including the given time, or until done returns true after one of them. It reports
+// whether done returned true. If not, it sets the clock to the given time.
 func (c *Clock) RunUntilDone(end time.Duration, done func() bool) bool {
 	for len(c.events) > 0 && c.events[0].at <= end {
 		c.Step()
@@ -55,7 +54,7 @@
 	return false
 }
 
-// event is something that happens at a time. Events of the same time happen in the order in which they were added.
+// event is a scheduled call. Events of the same time run in the order in which they were scheduled.
 type event struct {
 	at    time.Duration
 	order uint64
--- a/internal/simnet/clock_test.go
+++ b/internal/simnet/clock_test.go
@@ -9,11 +9,11 @@
 func TestClockRunsEventsInOrder(t *testing.T) {
 	var clock Clock
 	var got []string
-	note := func(name string) func() { return func() { got = append(got, name) } }
-	clock.At(2*time.Second, note("second"))
-	clock.At(time.Second, note("first"))
-	clock.At(2*time.Second, note("third"))
-	clock.At(3*time.Second, note("beyond the end"))
+	record := func(name string) func() { return func() { got = append(got, name) } }
+	clock.At(2*time.Second, record("second"))
+	clock.At(time.Second, record("first"))
+	clock.At(2*time.Second, record("third"))
+	clock.At(3*time.Second, record("beyond the end"))
 	clock.RunUntil(2 * time.Second)
 	if want := []string{"first", "second", "third"}; !slices.Equal(got, want) {
 		t.Errorf("events: got %v, want %v", got, want)
--- a/internal/simnet/disk.go
+++ b/internal/simnet/disk.go
@@ -9,37 +9,37 @@
 	"nickelline/internal/segment"
 )
 
-// ErrPowerLost is the error of all operations of a process whose machine lost power or that was killed.
+// ErrPowerLost is returned by all operations of a process that was killed or whose machine lost power.
 var ErrPowerLost = errors.New("the simulated process has ended")
 
-// ErrSyncFailed is the error of a sync that was made to fail.
+// ErrSyncFailed is returned by a sync that FailSyncs made fail.
 var ErrSyncFailed = errors.New("the simulated disk failed to sync")
 
-// Disk simulates the disk of a machine. What becomes of unsynced writes and names at a loss of power is drawn from its
-// random source: each write is present, torn or missing, and each name is as it is or as it was when its directory was
-// last synced. Its methods may be called from several goroutines.
+// Disk simulates the disk of a machine. Its random source determines what a loss of power does to unsynced writes and
+// names: each write is present, torn or missing, and each name is kept as it is or reverts to the last sync of its
+// directory. Its methods are safe for concurrent use.
 type Disk struct {
 	mutex       sync.Mutex
 	random      *rand.Rand
 	directories map[string]bool
-	// names are those that a process sees, and syncedNames those that surely last.
+	// names are the files that a process sees, and syncedNames those that survive any loss of power.
 	names       map[string]*inode
 	syncedNames map[string]*inode
-	// generation counts the processes that used the disk: only the newest may.
+	// generation counts the mounts of the disk and their ends. Only the mount of the current generation may use it.
 	generation int
-	// capacity is how many bytes all files together may have, 0 for any number.
+	// capacity is the largest total size of all files in bytes, 0 for no limit.
 	capacity int
-	// remaining is how many operations come before power is lost, negative for any number.
-	remaining int
-	// failingSyncs is the number of syncs to come that fail.
+	// remainingOperations is how many changes succeed before power is lost, negative for no limit.
+	remainingOperations int
+	// failingSyncs is how many of the next syncs fail.
 	failingSyncs int
-	// stalled is closed when syncs go on, nil while they are not stalled.
+	// stalled is closed when syncs resume. It is nil while they are not stalled.
 	stalled chan struct{}
-	// operations counts writes, syncs and changes of names.
+	// operations counts changes: writes, truncations, syncs and changes of names.
 	operations int
 }
 
-// NewDisk returns an empty disk. The same random source gives the same disk.
+// NewDisk returns an empty disk. Random sources with the same seed give disks that behave the same.
 func NewDisk(random *rand.Rand) *Disk {
 	disk := &Disk{random: random}
 	disk.clear()
@@ -50,41 +50,41 @@
 	d.directories = map[string]bool{".": true, "/": true}
 	d.names = make(map[string]*inode)
 	d.syncedNames = make(map[string]*inode)
-	d.remaining = -1
+	d.remainingOperations = -1
 	d.failingSyncs = 0
 }
 
-// Mount returns the disk's file system for a process that starts. Processes that had it before have ended.
+// Mount returns the disk's file system for a process that starts. It ends all file systems returned before.
 func (d *Disk) Mount() segment.FileSystem {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.generation++
-	d.remaining = -1
+	d.remainingOperations = -1
 	return &mount{disk: d, generation: d.generation}
 }
 
-// Kill ends the process. The files stay as it left them.
+// Kill ends the process that uses the disk. The files stay as it left them.
 func (d *Disk) Kill() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.generation++
 }
 
-// LosePower ends the process and loses what was not synced, or some of it.
+// LosePower ends the process. Any of the unsynced changes may be lost.
 func (d *Disk) LosePower() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.generation++
-	d.settleNames()
-	d.losePowerOfFiles()
+	d.loseUnsyncedNames()
+	d.loseUnsyncedWrites()
 }
 
-// LosePowerAfter ends the process at the operation that follows the given number of them. LosePower then settles what is
-// left.
+// LosePowerAfter lets the given number of changes succeed, and ends the process at the one that follows. A call of
+// LosePower must then decide which unsynced changes are lost.
 func (d *Disk) LosePowerAfter(operations int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.remaining = operations
+	d.remainingOperations = operations
 }
 
 // Wipe ends the process and empties the disk.
@@ -95,22 +95,22 @@
 	d.clear()
 }
 
-// SetCapacity bounds the bytes of all files together. 0 stands for no bound.
+// SetCapacity limits the total size of all files in bytes. 0 stands for no limit.
 func (d *Disk) SetCapacity(bytes int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.capacity = bytes
 }
 
-// FailSyncs makes the given number of syncs to come fail. Of the writes that a failed sync was to cover each is present,
-// torn or missing afterwards.
+// FailSyncs makes the given number of next syncs fail. After a failed sync of a file, each of its unsynced writes is
+// present, torn or missing.
 func (d *Disk) FailSyncs(count int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.failingSyncs = count
 }
 
-// StallSyncs makes syncs wait until the returned function is called.
+// StallSyncs makes syncs block until the returned function is called.
 func (d *Disk) StallSyncs() (resume func()) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -124,22 +124,22 @@
 	})
 }
 
-// Used returns the number of bytes of all files.
+// Used returns the total size of all files in bytes.
 func (d *Disk) Used() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.used()
 }
 
-// Operations returns the number of writes, syncs and changes of names so far.
+// Operations returns the number of changes so far: writes, truncations, syncs and changes of names.
 func (d *Disk) Operations() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.operations
 }
 
-// FlipBit changes one bit somewhere in a file, on the disk as well. It does nothing if there is no such file or if it is
-// empty.
+// FlipBit flips a random bit of a file, and makes the whole file count as synced. It does nothing if the file does not
+// exist or is empty.
 func (d *Disk) FlipBit(name string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/simnet/disk_power.go
+++ b/internal/simnet/disk_power.go
@@ -10,8 +10,8 @@
 	return total
 }
 
-// settleNames decides which of the unsynced changes of names last.
-func (d *Disk) settleNames() {
+// loseUnsyncedNames decides at random which of the unsynced changes of names survive a loss of power.
+func (d *Disk) loseUnsyncedNames() {
 	all := make(map[string]bool)
 	for name := range d.names {
 		all[name] = true
@@ -33,11 +33,11 @@
 	d.syncedNames = cloneNames(kept)
 }
 
-func (d *Disk) losePowerOfFiles() {
+func (d *Disk) loseUnsyncedWrites() {
 	outcome := drawLossOutcome(d.random)
 	for _, name := range sortedKeys(d.names) {
 		node := d.names[name]
-		node.losePower(d.random, outcome)
+		node.loseUnsyncedChanges(d.random, outcome)
 		node.named = false
 	}
 }
--- a/internal/simnet/disk_test.go
+++ b/internal/simnet/disk_test.go
@@ -47,18 +47,18 @@
 		mustSucceed(t, err)
 		disk.LosePower()
 		if _, err := fileSystem.ReadFile("data/a"); !errors.Is(err, ErrPowerLost) {
-			t.Fatalf("a process without power reads: %v", err)
+			t.Fatalf("ReadFile after the loss of power: got error %v, want ErrPowerLost", err)
 		}
 		data, err := disk.Mount().ReadFile("data/a")
 		mustSucceed(t, err)
 		if !bytes.HasPrefix(data, []byte("synced")) || len(data) > len("synced, unsynced") {
-			t.Fatalf("seed %d: the file holds %q", seed, data)
+			t.Fatalf("seed %d: got contents %q, want the synced ones and at most the unsynced ones", seed, data)
 		}
 	}
 }
 
-// TestFatesOfUnsyncedWrites checks that all of them occur.
-func TestFatesOfUnsyncedWrites(t *testing.T) {
+// TestOutcomesOfUnsyncedWrites checks that an unsynced write can be present, missing or torn after a loss of power.
+func TestOutcomesOfUnsyncedWrites(t *testing.T) {
 	var whole, none, other int
 	for seed := range uint64(diskSeeds) {
 		disk := newDisk(seed)
@@ -79,13 +79,13 @@
 		}
 	}
 	if whole == 0 || none == 0 || other == 0 {
-		t.Fatalf("whole %d, missing %d, torn %d", whole, none, other)
+		t.Fatalf("got %d whole, %d missing and %d torn writes, want some of each", whole, none, other)
 	}
 }
 
-// TestUnsyncedNamesSettleApart checks that a rename leaves each of its names as it was or as it is, and that the file
-// behind the new name is one of the two.
-func TestUnsyncedNamesSettleApart(t *testing.T) {
+// TestOutcomesOfUnsyncedRename checks that after a loss of power each of the two names of an unsynced rename is either
+// as before or as after the rename, independently of the other, and that the new name refers to one of the two files.
+func TestOutcomesOfUnsyncedRename(t *testing.T) {
 	type result struct{ from, to string }
 	seen := make(map[result]int)
 	for seed := range uint64(diskSeeds) {
@@ -107,12 +107,12 @@
 	}
 	for _, want := range []result{{"new", "old"}, {"new", "new"}, {"", "old"}, {"", "new"}} {
 		if seen[want] == 0 {
-			t.Errorf("%v does not occur", want)
+			t.Errorf("outcome %v: got none, want some", want)
 		}
 		delete(seen, want)
 	}
 	if len(seen) > 0 {
-		t.Errorf("unexpected: %v", seen)
+		t.Errorf("got unexpected outcomes %v, want none", seen)
 	}
 }
 
@@ -123,7 +123,7 @@
 	data, err := disk.Mount().ReadFile("a")
 	mustSucceed(t, err)
 	if string(data) != "unsynced" {
-		t.Fatalf("the file holds %q", data)
+		t.Fatalf("contents: got %q, want the unsynced ones", data)
 	}
 }
 
@@ -136,7 +136,7 @@
 	names, err := disk.Mount().List(".")
 	mustSucceed(t, err)
 	if len(names) > 0 {
-		t.Fatalf("left: %v", names)
+		t.Fatalf("files: got %v, want none", names)
 	}
 }
 
@@ -147,11 +147,11 @@
 	mustSucceed(t, err)
 	written, err := file.Write([]byte("too much"))
 	if written != 5 || !errors.Is(err, syscall.ENOSPC) {
-		t.Fatalf("wrote %d: %v", written, err)
+		t.Fatalf("Write: got %d bytes and error %v, want 5 and ENOSPC", written, err)
 	}
 	mustSucceed(t, file.Truncate(0))
 	if used := disk.Used(); used != 0 {
-		t.Fatalf("%d bytes are used", used)
+		t.Fatalf("Used: got %d bytes, want 0", used)
 	}
 }
 
@@ -164,7 +164,7 @@
 	go func() { done <- file.Sync() }()
 	select {
 	case <-done:
-		t.Fatal("the sync did not wait")
+		t.Fatal("stalled Sync: got a return before resume, want it to wait")
 	default:
 	}
 	resume()
@@ -180,9 +180,9 @@
 	_, err = file.Write([]byte("a"))
 	mustSucceed(t, err)
 	if err := file.Sync(); !errors.Is(err, ErrPowerLost) {
-		t.Fatalf("third operation: got error %v", err)
+		t.Fatalf("third operation: got error %v, want ErrPowerLost", err)
 	}
 	if _, err := fileSystem.List("."); !errors.Is(err, ErrPowerLost) {
-		t.Fatalf("later operation: got error %v", err)
+		t.Fatalf("later operation: got error %v, want ErrPowerLost", err)
 	}
 }
--- a/internal/simnet/handle.go
+++ b/internal/simnet/handle.go
@@ -13,15 +13,15 @@
 
 // Write implements segment.File.
 func (h *handle) Write(data []byte) (int, error) {
-	happens, lost := h.mount.beginChange()
-	if !happens {
-		return 0, lost
+	applied, powerErr := h.mount.beginChange()
+	if !applied {
+		return 0, powerErr
 	}
 	defer h.mount.end()
-	written := h.mount.disk.room(len(data))
+	written := h.mount.disk.writableBytes(len(data))
 	h.node.write(data[:written])
-	if lost != nil {
-		return written, lost
+	if powerErr != nil {
+		return written, powerErr
 	}
 	if written < len(data) {
 		return written, &fs.PathError{Op: "write", Path: "file", Err: syscall.ENOSPC}
@@ -32,28 +32,28 @@
 // Sync implements segment.File.
 func (h *handle) Sync() error {
 	h.mount.disk.waitForSync()
-	happens, lost := h.mount.beginChange()
-	if !happens {
-		return lost
+	applied, powerErr := h.mount.beginChange()
+	if !applied {
+		return powerErr
 	}
 	defer h.mount.end()
 	if h.mount.disk.syncFails() {
-		h.node.losePower(h.mount.disk.random, drawLossOutcome(h.mount.disk.random))
+		h.node.loseUnsyncedChanges(h.mount.disk.random, drawLossOutcome(h.mount.disk.random))
 		return ErrSyncFailed
 	}
 	h.node.markSynced()
-	return lost
+	return powerErr
 }
 
 // Truncate implements segment.File.
 func (h *handle) Truncate(size int64) error {
-	happens, lost := h.mount.beginChange()
-	if !happens {
-		return lost
+	applied, powerErr := h.mount.beginChange()
+	if !applied {
+		return powerErr
 	}
 	defer h.mount.end()
 	h.node.truncate(int(size))
-	return lost
+	return powerErr
 }
 
 // Close implements segment.File.
--- a/internal/simnet/inode.go
+++ b/internal/simnet/inode.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// inode is a file of a simulated disk, whatever its name.
+// inode is a file of a simulated disk, independent of its names.
 type inode struct {
-	// data is what a process reads, and synced what surely lasts.
+	// data is what a process reads, and synced what survives any loss of power.
 	data   []byte
 	synced []byte
-	// changes were made since the file was synced.
+	// changes are those made since the file was last synced, in order.
 	changes []change
-	// named is set when a name for it has been found while power is lost.
+	// named is set during a loss of power when the first name of the file has been found.
 	named bool
 }
 
-// change is a write, or a truncation if data is nil, at an offset.
+// change is a write at an offset, or a truncation to it if data is nil.
 type change struct {
 	offset int
 	data   []byte
@@ -32,7 +32,7 @@
 
 func (n *inode) truncate(size int) {
 	n.changes = append(n.changes, change{offset: size})
-	n.data = resized(n.data, size)
+	n.data = resize(n.data, size)
 }
 
 func (n *inode) markSynced() {
@@ -40,8 +40,8 @@
 	n.changes = nil
 }
 
-// copyIfNamed returns the inode at the first call and a copy of it later, as the names that last after a loss of power do
-// not share a file.
+// copyIfNamed returns the inode at the first call and a copy of it at later ones, because no two names share a file
+// after a loss of power.
 func (n *inode) copyIfNamed() *inode {
 	if !n.named {
 		n.named = true
@@ -50,22 +50,22 @@
 	return &inode{data: slices.Clone(n.data), synced: slices.Clone(n.synced), changes: slices.Clone(n.changes)}
 }
 
-// lossOutcome is what happens to unsynced writes at a loss of power.
+// lossOutcome is what happens to the unsynced changes of a file at a loss of power.
 type lossOutcome int
 
 const (
-	eachDrawn lossOutcome = iota
+	drawnPerChange lossOutcome = iota
 	allMissing
 	allPresent
-	lossOutcomes
+	lossOutcomeCount
 )
 
 func drawLossOutcome(random *rand.Rand) lossOutcome {
-	return lossOutcome(random.IntN(int(lossOutcomes)))
+	return lossOutcome(random.IntN(int(lossOutcomeCount)))
 }
 
-// losePower decides which of the unsynced changes remain after a loss of power.
-func (n *inode) losePower(random *rand.Rand, o lossOutcome) {
+// loseUnsyncedChanges decides which of the unsynced changes remain after a loss of power or a failed sync.
+func (n *inode) loseUnsyncedChanges(random *rand.Rand, o lossOutcome) {
 	data := slices.Clone(n.synced)
 	for _, c := range n.changes {
 		data = c.afterLoss(random, o, data)
@@ -74,17 +74,17 @@
 	n.markSynced()
 }
 
-// Outcomes of a single change where each is drawn.
+// Outcomes of a single change with drawnPerChange.
 const (
 	present = iota
 	missing
 	torn
-	outcomes
+	changeOutcomeCount
 )
 
-// afterLoss returns the data of a file with what remains of the change.
+// afterLoss applies what remains of the change to the data of a file, and returns the new data.
 func (c change) afterLoss(random *rand.Rand, o lossOutcome, data []byte) []byte {
-	outcome := random.IntN(outcomes)
+	outcome := random.IntN(changeOutcomeCount)
 	if o == allPresent {
 		outcome = present
 	}
@@ -95,15 +95,15 @@
 	case outcome == missing:
 		return data
 	case c.data == nil:
-		return resized(data, c.offset)
+		return resize(data, c.offset)
 	case outcome == torn:
 		first, last := tornRange(random, len(c.data))
-		return overwritten(data, c.offset+first, c.data[first:last])
+		return overwrite(data, c.offset+first, c.data[first:last])
 	}
-	return overwritten(data, c.offset, c.data)
+	return overwrite(data, c.offset, c.data)
 }
 
-// tornRange returns the part of a torn write that is present: mostly its beginning.
+// tornRange returns the range of a torn write that is present. In most cases it is the beginning of the write.
 func tornRange(random *rand.Rand, length int) (first, last int) {
 	last = random.IntN(length + 1)
 	if random.IntN(4) == 0 {
@@ -112,19 +112,19 @@
 	return first, last
 }
 
-func overwritten(data []byte, offset int, with []byte) []byte {
+func overwrite(data []byte, offset int, with []byte) []byte {
 	if len(with) == 0 {
 		return data
 	}
 	if end := offset + len(with); end > len(data) {
-		data = resized(data, end)
+		data = resize(data, end)
 	}
 	copy(data[offset:], with)
 	return data
 }
 
-// resized cuts the data or lengthens it by zeros.
-func resized(data []byte, size int) []byte {
+// resize truncates the data or extends it with zeros.
+func resize(data []byte, size int) []byte {
 	if size <= len(data) {
 		return data[:size]
 	}
--- a/internal/simnet/mount.go
+++ b/internal/simnet/mount.go
@@ -8,13 +8,13 @@
 	"nickelline/internal/segment"
 )
 
-// mount is the file system as a process sees it.
+// mount is the file system of a disk for one process.
 type mount struct {
 	disk       *Disk
 	generation int
 }
 
-// begin takes the disk for an operation. If it succeeds the caller has to call end.
+// begin locks the disk for an operation. If it returns no error, the caller has to call end.
 func (m *mount) begin() error {
 	m.disk.mutex.Lock()
 	if m.generation != m.disk.generation {
@@ -24,15 +24,17 @@
 	return nil
 }
 
-// beginChange takes the disk for an operation that changes it. If power is lost at this operation it happens or not.
-func (m *mount) beginChange() (happens bool, err error) {
+// beginChange locks the disk for an operation that changes it, and reports whether the change is to be applied. If so,
+// the caller has to call end. If power is lost at this operation, err is ErrPowerLost and the change is applied or not
+// at random.
+func (m *mount) beginChange() (applied bool, err error) {
 	if err := m.begin(); err != nil {
 		return false, err
 	}
 	d := m.disk
 	d.operations++
-	if d.remaining != 0 {
-		d.remaining--
+	if d.remainingOperations != 0 {
+		d.remainingOperations--
 		return true, nil
 	}
 	d.generation++
@@ -47,22 +49,22 @@
 
 // Create implements segment.FileSystem.
 func (m *mount) Create(name string) (segment.File, error) {
-	happens, lost := m.beginChange()
-	if !happens {
-		return nil, lost
+	applied, powerErr := m.beginChange()
+	if !applied {
+		return nil, powerErr
 	}
 	defer m.end()
 	name = path.Clean(name)
-	if err := m.disk.needDirectory(name); err != nil {
+	if err := m.disk.checkDirectory(name); err != nil {
 		return nil, err
 	}
 	if node := m.disk.names[name]; node != nil {
 		node.truncate(0)
-		return &handle{mount: m, node: node}, lost
+		return &handle{mount: m, node: node}, powerErr
 	}
 	node := &inode{}
 	m.disk.names[name] = node
-	return &handle{mount: m, node: node}, lost
+	return &handle{mount: m, node: node}, powerErr
 }
 
 // OpenAppend implements segment.FileSystem.
@@ -93,9 +95,9 @@
 
 // Rename implements segment.FileSystem.
 func (m *mount) Rename(from, to string) error {
-	happens, lost := m.beginChange()
-	if !happens {
-		return lost
+	applied, powerErr := m.beginChange()
+	if !applied {
+		return powerErr
 	}
 	defer m.end()
 	from, to = path.Clean(from), path.Clean(to)
@@ -103,19 +105,19 @@
 	if node == nil {
 		return notExist("rename", from)
 	}
-	if err := m.disk.needDirectory(to); err != nil {
+	if err := m.disk.checkDirectory(to); err != nil {
 		return err
 	}
 	delete(m.disk.names, from)
 	m.disk.names[to] = node
-	return lost
+	return powerErr
 }
 
 // Remove implements segment.FileSystem.
 func (m *mount) Remove(name string) error {
-	happens, lost := m.beginChange()
-	if !happens {
-		return lost
+	applied, powerErr := m.beginChange()
+	if !applied {
+		return powerErr
 	}
 	defer m.end()
 	name = path.Clean(name)
@@ -123,7 +125,7 @@
 		return notExist("remove", name)
 	}
 	delete(m.disk.names, name)
-	return lost
+	return powerErr
 }
 
 // List implements segment.FileSystem.
@@ -146,7 +148,7 @@
 	return names, nil
 }
 
-// MakeDirectory implements segment.FileSystem. Directories last at once.
+// MakeDirectory implements segment.FileSystem. Directories are durable without a sync.
 func (m *mount) MakeDirectory(directory string) error {
 	if err := m.begin(); err != nil {
 		return err
@@ -161,9 +163,9 @@
 // SyncDirectory implements segment.FileSystem.
 func (m *mount) SyncDirectory(directory string) error {
 	m.disk.waitForSync()
-	happens, lost := m.beginChange()
-	if !happens {
-		return lost
+	applied, powerErr := m.beginChange()
+	if !applied {
+		return powerErr
 	}
 	defer m.end()
 	directory = path.Clean(directory)
@@ -174,7 +176,7 @@
 		return ErrSyncFailed
 	}
 	m.disk.syncNames(directory)
-	return lost
+	return powerErr
 }
 
 func (d *Disk) syncNames(directory string) {
@@ -190,7 +192,7 @@
 	}
 }
 
-func (d *Disk) needDirectory(name string) error {
+func (d *Disk) checkDirectory(name string) error {
 	if directory := path.Dir(name); !d.directories[directory] {
 		return notExist("open", directory)
 	}
@@ -214,8 +216,8 @@
 	}
 }
 
-// room returns how many of the bytes fit on the disk.
-func (d *Disk) room(bytes int) int {
+// writableBytes returns how many of the given number of bytes fit on the disk.
+func (d *Disk) writableBytes(bytes int) int {
 	if d.capacity == 0 {
 		return bytes
 	}
--- a/internal/simnet/network.go
+++ b/internal/simnet/network.go
@@ -6,80 +6,80 @@
 	"time"
 )
 
-// Conditions describe the links of a network. The zero value delivers everything at once.
+// Conditions describes the links of a network. With the zero value every message is delivered without delay.
 type Conditions struct {
 	MinimumDelay time.Duration
 	MaximumDelay time.Duration
-	// Loss is the probability with which a message is lost.
+	// Loss is the probability that a message is lost.
 	Loss float64
-	// Reordering is the probability with which a message may overtake, or be overtaken by, others of its link.
+	// Reordering is the probability that a message may overtake, or be overtaken by, others of its link.
 	Reordering float64
 }
 
-// Network is a simulated network with a clock. All that happens in it is a function of its seed: events are carried out
-// one at a time, by Step.
+// Network is a simulated network with a clock. Its seed determines everything that happens in it. Events run one at a
+// time, by Step.
 type Network struct {
 	Random     *rand.Rand
 	Conditions Conditions
 
-	clock      Clock
-	processes  map[netip.AddrPort]*process
-	partitions map[link]bool
-	latest     map[link]time.Duration
+	clock        Clock
+	processes    map[netip.AddrPort]*process
+	partitions   map[link]bool
+	lastDelivery map[link]time.Duration
 }
 
 // link is a pair of addresses in one direction.
 type link struct{ from, to netip.AddrPort }
 
-// process is what runs at an address.
+// process is the simulated process at an address.
 type process struct {
 	Process
-	generation int // counts its starts and stops
+	generation int // counts the starts and stops at the address
 }
 
-// New makes a network without processes.
+// New returns a network without processes.
 func New(seed uint64, conditions Conditions) *Network {
 	return &Network{
-		Random:     rand.New(rand.NewPCG(seed, 0)),
-		Conditions: conditions,
-		clock:      Clock{now: time.Second},
-		processes:  make(map[netip.AddrPort]*process),
-		partitions: make(map[link]bool),
-		latest:     make(map[link]time.Duration),
+		Random:       rand.New(rand.NewPCG(seed, 0)),
+		Conditions:   conditions,
+		clock:        Clock{now: time.Second},
+		processes:    make(map[netip.AddrPort]*process),
+		partitions:   make(map[link]bool),
+		lastDelivery: make(map[link]time.Duration),
 	}
 }
 
 // Now returns the time of the network's clock.
 func (n *Network) Now() time.Duration { return n.clock.Now() }
 
-// Start starts a process at an address. What was meant for an earlier process there is lost.
+// Start starts a process at an address. Messages and timers of an earlier process there are dropped.
 func (n *Network) Start(address netip.AddrPort) {
 	p := n.process(address)
 	p.Process.Start()
 	p.generation++
 }
 
-// Stop ends the process at an address. What was on its way to it, and its timers, are lost.
+// Stop ends the process at an address. Messages in transit to it and its timers are dropped.
 func (n *Network) Stop(address netip.AddrPort) {
 	p := n.process(address)
 	p.Process.Stop()
 	p.generation++
 }
 
-// Up reports whether there is a process at an address.
+// Up reports whether there is a process at an address, running or frozen.
 func (n *Network) Up(address netip.AddrPort) bool { return !n.process(address).Stopped() }
 
 // Frozen reports whether the process at an address is frozen.
 func (n *Network) Frozen(address netip.AddrPort) bool { return n.process(address).Frozen() }
 
-// Freeze puts off all that the process at an address would do.
+// Freeze defers all work of the process at an address until Thaw.
 func (n *Network) Freeze(address netip.AddrPort) { n.process(address).Freeze() }
 
-// Thaw has a frozen process do at once what was put off.
+// Thaw ends the freeze of a process, which does its deferred work at the current time.
 func (n *Network) Thaw(address netip.AddrPort) {
 	p := n.process(address)
 	for _, f := range p.release() {
-		n.clock.After(0, n.ofGeneration(address, p.generation, f))
+		n.clock.After(0, n.forGeneration(address, p.generation, f))
 	}
 }
 
@@ -98,7 +98,7 @@
 // Heal ends all partitions.
 func (n *Network) Heal() { clear(n.partitions) }
 
-// Send delivers a message to the process at an address, or loses it.
+// Send schedules the delivery of a message to the process at an address, or loses the message.
 func (n *Network) Send(from, to netip.AddrPort, deliver func()) {
 	if n.partitions[link{from, to}] || n.Random.Float64() < n.Conditions.Loss {
 		return
@@ -106,25 +106,25 @@
 	l := link{from, to}
 	at := n.Now() + n.delay()
 	if n.Random.Float64() >= n.Conditions.Reordering {
-		at = max(at, n.latest[l])
-		n.latest[l] = at
+		at = max(at, n.lastDelivery[l])
+		n.lastDelivery[l] = at
 	}
 	p := n.process(to)
 	if p.Stopped() {
 		return
 	}
-	n.At(at, n.ofGeneration(to, p.generation, deliver))
+	n.At(at, n.forGeneration(to, p.generation, deliver))
 }
 
-// After has the process at an address do something later, unless it ends before.
+// After has the process at an address call f after the given wait, unless the process ends before.
 func (n *Network) After(address netip.AddrPort, wait time.Duration, f func()) {
-	n.clock.After(wait, n.ofGeneration(address, n.process(address).generation, f))
+	n.clock.After(wait, n.forGeneration(address, n.process(address).generation, f))
 }
 
-// At has something done at a time, whatever happens to processes.
+// At schedules a call of f at the given time, independently of any process.
 func (n *Network) At(at time.Duration, f func()) { n.clock.At(at, f) }
 
-// Step carries out the next event. It reports whether there was one.
+// Step advances the clock to the next event and runs it. It reports whether there was one.
 func (n *Network) Step() bool { return n.clock.Step() }
 
 func (n *Network) delay() time.Duration {
@@ -145,8 +145,8 @@
 	return p
 }
 
-// ofGeneration returns a function that has a process do f, unless another one runs at its address by then.
-func (n *Network) ofGeneration(address netip.AddrPort, generation int, f func()) func() {
+// forGeneration returns a function that has the process at an address do f, if it is still of the given generation.
+func (n *Network) forGeneration(address netip.AddrPort, generation int, f func()) func() {
 	return func() {
 		if p := n.process(address); p.generation == generation {
 			p.Do(f)
--- a/internal/simnet/network_test.go
+++ b/internal/simnet/network_test.go
@@ -31,24 +31,24 @@
 	}
 	run(n)
 	if len(got) != 100 {
-		t.Fatalf("%d messages arrived, want 100", len(got))
+		t.Fatalf("messages: got %d, want 100", len(got))
 	}
 	for i, v := range got {
 		if i != v {
-			t.Fatalf("message %d arrived in place %d", v, i)
+			t.Fatalf("got message %d at position %d, want them in order", v, i)
 		}
 	}
 }
 
-func TestPartitionIsOfOneDirection(t *testing.T) {
+func TestPartitionIsUnidirectional(t *testing.T) {
 	n := testNetwork()
 	n.Partition(first, second, true)
-	var there, back bool
-	n.Send(first, second, func() { there = true })
-	n.Send(second, first, func() { back = true })
+	var forward, backward bool
+	n.Send(first, second, func() { forward = true })
+	n.Send(second, first, func() { backward = true })
 	run(n)
-	if there || !back {
-		t.Fatalf("there %v, back %v; want only back", there, back)
+	if forward || !backward {
+		t.Fatalf("delivered forward, backward: got %v, %v; want false, true", forward, backward)
 	}
 }
 
@@ -61,7 +61,7 @@
 	n.Start(second)
 	run(n)
 	if got {
-		t.Fatal("a message or a timer reached a later generation")
+		t.Fatal("message or timer of a stopped process: got it in the next process, want it dropped")
 	}
 }
 
--- a/internal/simnet/process.go
+++ b/internal/simnet/process.go
@@ -1,30 +1,30 @@
 package simnet
 
-// Process says what happens to the work of a simulated process: it is done if the process runs, put off while the process
-// is frozen, and lost if the process has stopped. The zero value runs.
+// Process is the execution state of a simulated process. Its work is done at once while it runs, deferred while it is
+// frozen, and dropped when it has stopped. The zero value is a running process.
 type Process struct {
 	stopped  bool
 	frozen   bool
-	deferred []func() // what it would have done since it was frozen
+	deferred []func() // work since the process was frozen, in order
 }
 
-// Start has the process run, without the work that was put off before.
+// Start starts the process anew. Deferred work is dropped.
 func (p *Process) Start() { *p = Process{} }
 
-// Stop ends the process. What was put off is lost.
+// Stop ends the process. Deferred work is dropped.
 func (p *Process) Stop() { *p = Process{stopped: true} }
 
-// Freeze puts off all work of the process until Thaw, unless it has stopped.
+// Freeze defers all work of the process until Thaw. It has no effect on a stopped process.
 func (p *Process) Freeze() { p.frozen = !p.stopped }
 
-// Thaw ends Freeze, and does the work that was put off.
+// Thaw ends the freeze and does the deferred work.
 func (p *Process) Thaw() {
 	for _, f := range p.release() {
 		p.Do(f)
 	}
 }
 
-// Do calls f if the process runs, and after Thaw if it is frozen.
+// Do calls f if the process runs, defers the call until Thaw if it is frozen, and drops it if it has stopped.
 func (p *Process) Do(f func()) {
 	switch {
 	case p.stopped:
@@ -44,7 +44,7 @@
 // Running reports whether the process is neither stopped nor frozen.
 func (p *Process) Running() bool { return !p.stopped && !p.frozen }
 
-// release ends Freeze and returns the work that was put off.
+// release ends the freeze and returns the deferred work.
 func (p *Process) release() []func() {
 	deferred := p.deferred
 	p.frozen = false
