--- a/cmd/nickelline/metrics.go
+++ b/cmd/nickelline/metrics.go
@@ -46,7 +46,7 @@
 
 // writeNode writes the figures that the processes of all roles have.
 func (n *node) writeNode(w *metrics.Writer) {
-	w.Gauge("nickelline_members_alive", float64(len(n.members.Table().Alive())))
+	w.Gauge("nickelline_members_alive", float64(len(n.members.Table().Running())))
 	writeTraffic(w, n.transport.SentByPackage())
 }
 
--- a/cmd/nickelline/node.go
+++ b/cmd/nickelline/node.go
@@ -163,10 +163,10 @@
 	table := r.members.Table()
 	for rank, m := range table.ByRole(roleControl) {
 		if m.Address == r.self {
-			return rank, true, len(table.Alive())
+			return rank, true, len(table.Running())
 		}
 	}
-	return 0, false, len(table.Alive())
+	return 0, false, len(table.Running())
 }
 
 func (r ranks) Peers() []netip.AddrPort {
--- a/internal/control/system_test.go
+++ b/internal/control/system_test.go
@@ -142,10 +142,10 @@
 	ctx, cancel := context.WithTimeout(s.t.Context(), testTimeout)
 	defer cancel()
 	p := s.nodes[node]
-	for len(p.members.Table().Alive()) < testNodeCount {
+	for len(p.members.Table().Running()) < testNodeCount {
 		select {
 		case <-ctx.Done():
-			s.t.Fatalf("got %d alive members, want %d", len(p.members.Table().Alive()), testNodeCount)
+			s.t.Fatalf("got %d alive members, want %d", len(p.members.Table().Running()), testNodeCount)
 		case <-p.membersChanged:
 		}
 	}
--- a/internal/gossip/announce.go
+++ b/internal/gossip/announce.go
@@ -66,7 +66,7 @@
 	if d.self.Role == ControlRole {
 		count = controlFanout
 	}
-	return d.pick(d.members().Alive(), count, d.inOwnZone)
+	return d.pick(d.members().Running(), count, d.inOwnZone)
 }
 
 // otherZoneTargets returns one member of each other zone, a control process if the zone has one.
@@ -77,7 +77,7 @@
 		inZone := func(m *member.Member) bool { return m.Zone == zone }
 		target, found := d.pickOne(table.ByRole(ControlRole), inZone)
 		if !found {
-			target, found = d.pickOne(table.Alive(), inZone)
+			target, found = d.pickOne(table.Running(), inZone)
 		}
 		if found {
 			targets = append(targets, target)
@@ -88,7 +88,7 @@
 
 func (d *disseminator) otherZones() []string {
 	var zones []string
-	alive := d.members().Alive()
+	alive := d.members().Running()
 	for i := range alive {
 		zone := alive[i].Zone
 		if zone != d.self.Zone && !slices.Contains(zones, zone) {
--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -84,7 +84,7 @@
 			return partner, true
 		}
 	}
-	return d.pickOne(table.Alive(), anyMember)
+	return d.pickOne(table.Running(), anyMember)
 }
 
 func (d *disseminator) isNotLastPartner(m *member.Member) bool {
--- a/internal/load/candidates.go
+++ b/internal/load/candidates.go
@@ -58,7 +58,7 @@
 	}
 	c.table, c.byZone = table, map[string][]netip.AddrPort{}
 	for _, preferred := range []bool{true, false} {
-		for _, m := range table.Alive() {
+		for _, m := range table.Running() {
 			if (m.Role == c.preferredRole) == preferred && !m.Leaving && len(c.byZone[m.Zone]) < maxCandidates {
 				c.byZone[m.Zone] = append(c.byZone[m.Zone], m.Address)
 			}
--- a/internal/member/membership_test.go
+++ b/internal/member/membership_test.go
@@ -272,7 +272,7 @@
 	s.run(20*time.Second, nil)
 	for _, address := range s.order {
 		n := s.nodes[address]
-		if got := len(n.table.Alive()); got != 16 {
+		if got := len(n.table.Running()); got != 16 {
 			t.Errorf("members alive in the table of %v: got %d, want 16", address, got)
 		}
 		if m, found := n.table.Get(address); !found || m.Address != address {
--- a/internal/member/service_test.go
+++ b/internal/member/service_test.go
@@ -73,7 +73,7 @@
 		processes = append(processes, startProcess(t, netip.MustParseAddrPort("127.0.0.1:0"), seeds))
 	}
 	for _, p := range processes {
-		p.waitForTable(t, "all members known", func(table *Table) bool { return len(table.Alive()) == count })
+		p.waitForTable(t, "all members known", func(table *Table) bool { return len(table.Running()) == count })
 	}
 
 	processes[1].service.UpdateSelf(func(m *Member) { m.Replica = 77 })
@@ -91,7 +91,7 @@
 	processes[2].stop()
 	processes[3].waitForTable(t, "leave known", func(table *Table) bool {
 		m, _ := table.Get(processes[2].transport.Address())
-		return m.State == Left && len(table.Alive()) == count-1
+		return m.State == Left && len(table.Running()) == count-1
 	})
 
 	address := processes[4].transport.Address()
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -51,8 +51,8 @@
 // All returns the members in all states. Those that died or left long ago are not among them.
 func (t *Table) All() []Member { return t.all }
 
-// Alive returns the members that are alive or suspect.
-func (t *Table) Alive() []Member { return t.running }
+// Running returns the members that are alive or suspect.
+func (t *Table) Running() []Member { return t.running }
 
 // ByRole returns the members with the role that are alive or suspect.
 func (t *Table) ByRole(role string) []Member { return t.byRole[role] }
--- a/internal/segment/crash_operations_test.go
+++ b/internal/segment/crash_operations_test.go
@@ -74,7 +74,7 @@
 		h.states = []state{fresh}
 		h.allowed = []state{fresh}
 		h.snapshotAt = fresh.sequence
-	case !errors.Is(err, segment.ErrClosed) && !errors.Is(err, simnet.ErrPowerLost):
+	case !errors.Is(err, segment.ErrClosed) && !errors.Is(err, simnet.ErrProcessEnded):
 		h.allowed = allowed
 	}
 }
--- a/internal/segment/crash_test.go
+++ b/internal/segment/crash_test.go
@@ -92,7 +92,7 @@
 			h.disk.LosePowerAfter(h.random.IntN(6))
 		}
 		log, recovered, err := segment.Open(fileSystem, logDirectory, segment.Options{SegmentSize: historySegmentSize, BufferSize: historyBufferSize})
-		if errors.Is(err, simnet.ErrPowerLost) {
+		if errors.Is(err, simnet.ErrProcessEnded) {
 			h.disk.LosePower()
 			continue
 		}
@@ -188,7 +188,7 @@
 	switch {
 	case err == nil:
 		return true
-	case errors.Is(err, simnet.ErrPowerLost):
+	case errors.Is(err, simnet.ErrProcessEnded):
 		h.disk.LosePower()
 		h.open()
 	case errors.Is(err, segment.ErrClosed):
--- a/internal/simnet/disk.go
+++ b/internal/simnet/disk.go
@@ -9,8 +9,8 @@
 	"nickelline/internal/segment"
 )
 
-// ErrPowerLost is returned by all operations of a process that was killed or whose machine lost power.
-var ErrPowerLost = errors.New("the simulated process has ended")
+// ErrProcessEnded is returned by all operations of a process that was killed or whose machine lost power.
+var ErrProcessEnded = errors.New("the simulated process has ended")
 
 // ErrSyncFailed is returned by a sync that FailSyncs made fail.
 var ErrSyncFailed = errors.New("the simulated disk failed to sync")
--- a/internal/simnet/disk_test.go
+++ b/internal/simnet/disk_test.go
@@ -46,8 +46,8 @@
 		_, err = file.Write([]byte(", unsynced"))
 		mustSucceed(t, err)
 		disk.LosePower()
-		if _, err := fileSystem.ReadFile("data/a"); !errors.Is(err, ErrPowerLost) {
-			t.Fatalf("ReadFile after the loss of power: got error %v, want ErrPowerLost", err)
+		if _, err := fileSystem.ReadFile("data/a"); !errors.Is(err, ErrProcessEnded) {
+			t.Fatalf("ReadFile after the loss of power: got error %v, want ErrProcessEnded", err)
 		}
 		data, err := disk.Mount().ReadFile("data/a")
 		mustSucceed(t, err)
@@ -179,10 +179,10 @@
 	mustSucceed(t, err)
 	_, err = file.Write([]byte("a"))
 	mustSucceed(t, err)
-	if err := file.Sync(); !errors.Is(err, ErrPowerLost) {
-		t.Fatalf("third operation: got error %v, want ErrPowerLost", err)
+	if err := file.Sync(); !errors.Is(err, ErrProcessEnded) {
+		t.Fatalf("third operation: got error %v, want ErrProcessEnded", err)
 	}
-	if _, err := fileSystem.List("."); !errors.Is(err, ErrPowerLost) {
-		t.Fatalf("later operation: got error %v, want ErrPowerLost", err)
+	if _, err := fileSystem.List("."); !errors.Is(err, ErrProcessEnded) {
+		t.Fatalf("later operation: got error %v, want ErrProcessEnded", err)
 	}
 }
--- a/internal/simnet/mount.go
+++ b/internal/simnet/mount.go
@@ -19,13 +19,13 @@
 	m.disk.mutex.Lock()
 	if m.generation != m.disk.generation {
 		m.disk.mutex.Unlock()
-		return ErrPowerLost
+		return ErrProcessEnded
 	}
 	return nil
 }
 
 // beginChange locks the disk for an operation that changes it, and reports whether the change is to be applied. If so,
-// the caller has to call end. If power is lost at this operation, err is ErrPowerLost and the change is applied or not
+// the caller has to call end. If power is lost at this operation, err is ErrProcessEnded and the change is applied or not
 // at random.
 func (m *mount) beginChange() (applied bool, err error) {
 	if err := m.begin(); err != nil {
@@ -39,10 +39,10 @@
 	}
 	d.generation++
 	if d.random.IntN(2) == 0 {
-		return true, ErrPowerLost
+		return true, ErrProcessEnded
 	}
 	d.mutex.Unlock()
-	return false, ErrPowerLost
+	return false, ErrProcessEnded
 }
 
 func (m *mount) end() { m.disk.mutex.Unlock() }
