--- a/internal/peer/accept.go
+++ b/internal/peer/accept.go
@@ -11,21 +11,21 @@
 	"go.uber.org/zap"
 )
 
-const acceptBackoff = 50 * time.Millisecond
+const acceptBackoff = 50 * time.Millisecond // after an error of accept
 
-// register makes an accepted connection the one to use for its peer, unless this side has dialled one at the same time.
-// A connection that it replaces is retired. One of an earlier process at the address is returned, to be closed by the
-// caller. ok is false after Close.
+// register makes an accepted connection the one to use for its peer, unless this side has dialled or is dialling the
+// same process. An accepted connection that it replaces is retired. A connection to an earlier process at the same
+// address is returned as earlier, and the caller must close it. ok is false after Close.
 func (t *Transport) register(c *connection) (earlier *connection, ok bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.closed {
 		return nil, false
 	}
-	t.open[c] = struct{}{}
-	current := t.connections[c.to]
+	t.openConnections[c] = struct{}{}
+	current := t.connectionByPeer[c.peerAddress]
 	if current == nil {
-		t.connections[c.to] = c
+		t.connectionByPeer[c.peerAddress] = c
 		return nil, true
 	}
 	current.mutex.Lock()
@@ -34,7 +34,7 @@
 	if sameProcess && !current.accepted {
 		return nil, true
 	}
-	t.connections[c.to] = c
+	t.connectionByPeer[c.peerAddress] = c
 	if sameProcess {
 		current.retired = true
 		return nil, true
@@ -42,7 +42,7 @@
 	return current, true
 }
 
-// accept accepts connections until Close.
+// accept accepts connections until Close and serves each in its own goroutine.
 func (t *Transport) accept() {
 	for {
 		socket, err := t.listener.AcceptTCP()
@@ -58,7 +58,7 @@
 	}
 }
 
-// backOff waits after a failure of accept, for example until descriptors are free again, or until Close.
+// backOff waits for d after an error of accept, such as a lack of file descriptors, or until Close.
 func (t *Transport) backOff(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -68,7 +68,7 @@
 	}
 }
 
-// serve reads the frames of an accepted connection.
+// serve reads the hello of an accepted connection, registers the connection and reads its frames.
 func (t *Transport) serve(socket *net.TCPConn) {
 	stop := context.AfterFunc(t.context, func() { _ = socket.Close() })
 	r := bufio.NewReaderSize(socket, readBufferSize)
@@ -79,7 +79,7 @@
 		_ = socket.Close()
 		return
 	}
-	t.notePeerUp(hello.address)
+	t.signalPeerUp(hello.address)
 	c := newConnection(t, hello.address)
 	c.accepted = true
 	c.generation = hello.generation
@@ -97,7 +97,7 @@
 	c.read(r)
 }
 
-// readHello reads the first frame of an accepted connection.
+// readHello reads the first frame of an accepted connection within helloTimeout. It fails if that is not a hello.
 func (t *Transport) readHello(socket *net.TCPConn, r *bufio.Reader) (*frame, error) {
 	raw, err := socket.SyscallConn()
 	if err == nil {
@@ -114,7 +114,7 @@
 		return nil, err
 	}
 	if hello.frameType != helloFrame {
-		return nil, merry.Errorf("first frame of type %d", hello.frameType)
+		return nil, merry.Errorf("first frame has type %d, want a hello", hello.frameType)
 	}
 	return hello, socket.SetReadDeadline(time.Time{})
 }
--- a/internal/peer/call.go
+++ b/internal/peer/call.go
@@ -7,9 +7,9 @@
 	"nickelline/internal/fault"
 )
 
-// pendingCall is a call without a response yet.
+// pendingCall is a call that waits for its response.
 type pendingCall struct {
-	sent   bool // the writer has taken the frame: all or some of it may have arrived
+	sent   bool // the writer has taken the frame, so all or part of it may have arrived
 	result chan callResult
 }
 
@@ -19,7 +19,7 @@
 	err     error
 }
 
-// await waits for the response to a request until ctx ends.
+// await returns the result of a call, or that of abandon if ctx ends first.
 func (c *connection) await(ctx context.Context, id uint64, call *pendingCall) (Message, error) {
 	select {
 	case result := <-call.result:
@@ -29,7 +29,8 @@
 	}
 }
 
-// abandon gives up a call. Its error says whether the request may have been sent.
+// abandon gives up a call whose ctx has ended. It returns the result if there is one already, and otherwise an error
+// whose kind tells whether the request may have been sent.
 func (c *connection) abandon(ctx context.Context, id uint64, call *pendingCall) (Message, error) {
 	c.mutex.Lock()
 	_, waiting := c.pending[id]
@@ -40,10 +41,11 @@
 		result := <-call.result
 		return result.message, result.err
 	}
-	return Message{}, callError(sent, c.to, ctx.Err())
+	return Message{}, callError(sent, c.peerAddress, ctx.Err())
 }
 
-// callError returns the error of a call without a response.
+// callError returns the error of a call without a response: of kind fault.Unclear if the request may have been sent,
+// and fault.NotReady otherwise.
 func callError(sent bool, to netip.AddrPort, cause error) error {
 	if sent {
 		return fault.New(fault.Unclear, "no answer from %v: %w", to, cause)
@@ -51,7 +53,7 @@
 	return fault.New(fault.NotReady, "not sent to %v: %w", to, cause)
 }
 
-// complete passes the result to the pending call, unless that was abandoned.
+// complete passes the result to the pending call. It does nothing if the call was abandoned.
 func (c *connection) complete(id uint64, result callResult) {
 	c.mutex.Lock()
 	call := c.pending[id]
--- a/internal/peer/call_test.go
+++ b/internal/peer/call_test.go
@@ -19,17 +19,17 @@
 	b.Handle(testKind, echo)
 	a.Start()
 	b.Start()
-	for _, size := range []int{0, 1, 100, writeBufferSize, writeBufferSize + 1, 1 << 20, MaxBody} {
+	for _, size := range []int{0, 1, 100, writeBufferSize, writeBufferSize + 1, 1 << 20, MaxBodyBytes} {
 		body := bytes.Repeat([]byte{'x'}, size)
-		answer, err := a.Call(testContext(t), b.Address(), Message{Kind: testKind, Body: body})
+		response, err := a.Call(testContext(t), b.Address(), Message{Kind: testKind, Body: body})
 		if err != nil {
 			t.Fatalf("Call with %d bytes: got error %v", size, err)
 		}
-		if answer.Kind != testKind || !bytes.Equal(answer.Body, body) {
-			t.Fatalf("size of the response: want %d, got %d", size, len(answer.Body))
+		if response.Kind != testKind || !bytes.Equal(response.Body, body) {
+			t.Fatalf("size of the response: want %d, got %d", size, len(response.Body))
 		}
 	}
-	_, err := a.Call(testContext(t), b.Address(), Message{Kind: testKind, Body: make([]byte, MaxBody+1)})
+	_, err := a.Call(testContext(t), b.Address(), Message{Kind: testKind, Body: make([]byte, MaxBodyBytes+1)})
 	wantKind(t, err, fault.BodyTooLarge)
 }
 
@@ -60,7 +60,7 @@
 			t.Errorf("connections: got %d, want 1", count)
 		}
 		if _, known := origins.Load(transport.Address()); !known {
-			t.Errorf("sender of messages: want the listening address %v", transport.Address())
+			t.Errorf("senders of messages: got none with the listening address %v, want one", transport.Address())
 		}
 	}
 }
@@ -68,7 +68,7 @@
 func connectionCount(t *Transport) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return len(t.open)
+	return len(t.openConnections)
 }
 
 func TestCallsAtTheSameTimeFromBothSides(t *testing.T) {
@@ -103,7 +103,7 @@
 	_, err := a.Call(testContext(t), b.Address(), Message{Kind: testKind})
 	wantKind(t, err, fault.VersionConflict)
 	if !strings.Contains(err.Error(), "version 7 is current") {
-		t.Errorf("text of the error: got %q", err)
+		t.Errorf("text of the error: got %q, want the text of the handler's error", err)
 	}
 	_, err = a.Call(testContext(t), b.Address(), Message{Kind: otherKind})
 	wantKind(t, err, fault.NotReady)
@@ -167,7 +167,7 @@
 	_, err := a.Call(ctx, b.Address(), Message{Kind: testKind})
 	wantKind(t, err, fault.Unclear)
 	if left := <-remaining; left > 200*time.Millisecond {
-		t.Errorf("time of the handler: got %v, want 200 ms at most", left)
+		t.Errorf("remaining time of the handler: got %v, want 200 ms at most", left)
 	}
 	_, err = a.Call(ctx, b.Address(), Message{Kind: testKind})
 	wantKind(t, err, fault.NotReady)
@@ -179,7 +179,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	call := &pendingCall{result: make(chan callResult, 1)}
-	if err := c.enqueue(queuedFrame{data: []byte("request"), call: 1}, call); err != nil {
+	if err := c.enqueue(queuedFrame{data: []byte("request"), callID: 1}, call); err != nil {
 		t.Fatal(err)
 	}
 	_, err := c.await(ctx, 1, call)
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -13,10 +13,11 @@
 	"nickelline/internal/peer/peerwire"
 )
 
-// encode returns the frame as a Cap'n Proto stream of one segment.
+// encode returns the frame as a Cap'n Proto stream of one segment. It encodes in place; Marshal copies the message only
+// if it has outgrown the buffer.
 func (f *frame) encode() ([]byte, error) {
-	buffer := make([]byte, streamHeader, streamHeader+frameFields+len(f.body)+wordSize)
-	message, segment, err := capnp.NewMessage(capnp.SingleSegment(buffer[streamHeader:]))
+	buffer := make([]byte, streamHeaderBytes, streamHeaderBytes+frameOverheadBytes+len(f.body)+wordBytes)
+	message, segment, err := capnp.NewMessage(capnp.SingleSegment(buffer[streamHeaderBytes:]))
 	if err != nil {
 		return nil, err
 	}
@@ -28,12 +29,12 @@
 		return nil, err
 	}
 	data := segment.Data()
-	if len(data) > cap(buffer)-streamHeader || &data[0] != &buffer[:streamHeader+1][streamHeader] {
+	if len(data) > cap(buffer)-streamHeaderBytes || &data[0] != &buffer[:streamHeaderBytes+1][streamHeaderBytes] {
 		return message.Marshal()
 	}
-	whole := buffer[:streamHeader+len(data)]
-	binary.LittleEndian.PutUint32(whole[4:], uint32(len(data)/wordSize))
-	return whole, nil
+	stream := buffer[:streamHeaderBytes+len(data)]
+	binary.LittleEndian.PutUint32(stream[4:], uint32(len(data)/wordBytes))
+	return stream, nil
 }
 
 // fillRoot sets the fields of the encoded frame.
@@ -48,14 +49,14 @@
 		}
 	case requestFrame:
 		root.SetRequest()
-		root.Request().SetCall(f.call)
+		root.Request().SetCall(f.callID)
 		root.Request().SetRemainingMicros(uint64(f.remaining.Microseconds()))
 	case responseFrame:
 		root.SetAnswer()
-		root.Answer().SetCall(f.call)
+		root.Answer().SetCall(f.callID)
 	case failureFrame:
 		root.SetFailure()
-		root.Failure().SetCall(f.call)
+		root.Failure().SetCall(f.callID)
 		root.Failure().SetErrorKind(uint8(f.errorKind))
 	case oneWayFrame:
 		root.SetOneWay()
@@ -70,7 +71,7 @@
 	return root.SetBody(f.body)
 }
 
-// decodeFrame decodes a frame. Its body shares the memory of data.
+// decodeFrame decodes a frame. The body of the frame shares the memory of data.
 func decodeFrame(data []byte) (*frame, error) {
 	root, err := capnpcodec.Unmarshal(data, peerwire.ReadRootFrame)
 	if err != nil {
@@ -87,14 +88,14 @@
 		return f, f.decodeHelloAddress(root)
 	case peerwire.Frame_Which_request:
 		f.frameType = requestFrame
-		f.call = root.Request().Call()
+		f.callID = root.Request().Call()
 		f.remaining = time.Duration(root.Request().RemainingMicros()) * time.Microsecond
 	case peerwire.Frame_Which_answer:
 		f.frameType = responseFrame
-		f.call = root.Answer().Call()
+		f.callID = root.Answer().Call()
 	case peerwire.Frame_Which_failure:
 		f.frameType = failureFrame
-		f.call = root.Failure().Call()
+		f.callID = root.Failure().Call()
 		f.errorKind = fault.Kind(root.Failure().ErrorKind())
 	case peerwire.Frame_Which_oneWay:
 		f.frameType = oneWayFrame
@@ -118,22 +119,22 @@
 	return err
 }
 
-// readFrame reads the next frame of a connection into memory of its own.
+// readFrame reads the next frame of a connection into newly allocated memory.
 func readFrame(r io.Reader) (*frame, error) {
-	var header [streamHeader]byte
+	var header [streamHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return nil, err
 	}
 	if segments := binary.LittleEndian.Uint32(header[:]); segments != 0 {
 		return nil, merry.Errorf("frame of %d segments", uint64(segments)+1)
 	}
-	size := uint64(binary.LittleEndian.Uint32(header[4:])) * wordSize
-	if size > maxFrame {
+	size := uint64(binary.LittleEndian.Uint32(header[4:])) * wordBytes
+	if size > maxFrameBytes {
 		return nil, merry.Errorf("frame of %d bytes", size)
 	}
-	data := make([]byte, streamHeader+size)
+	data := make([]byte, streamHeaderBytes+size)
 	copy(data, header[:])
-	if _, err := io.ReadFull(r, data[streamHeader:]); err != nil {
+	if _, err := io.ReadFull(r, data[streamHeaderBytes:]); err != nil {
 		return nil, err
 	}
 	return decodeFrame(data)
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -14,7 +14,7 @@
 func TestMalformedFramesEndTheConnection(t *testing.T) {
 	a := listen(t)
 	a.Start()
-	request := &frame{frameType: requestFrame, kind: testKind, call: 1}
+	request := &frame{frameType: requestFrame, kind: testKind, callID: 1}
 	withoutHello, err := request.encode()
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 		}
 		_, err = socket.Read(make([]byte, 1))
 		if err == nil || isTimeout(err) {
-			t.Errorf("%s: got the connection open (%v), want it closed", name, err)
+			t.Errorf("%s: connection: got it open (error %v), want it closed", name, err)
 		}
 		_ = socket.Close()
 	}
@@ -46,9 +46,9 @@
 func TestFrameRoundTrip(t *testing.T) {
 	for _, f := range []*frame{
 		{frameType: helloFrame, address: netip.MustParseAddrPort("10.1.2.3:7660"), generation: 9},
-		{frameType: requestFrame, kind: 3, call: 7, remaining: 1500 * time.Microsecond, body: []byte("abc")},
-		{frameType: responseFrame, kind: 3, call: 7, body: make([]byte, 100_000)},
-		{frameType: failureFrame, call: 7, errorKind: fault.Unclear, body: []byte("text")},
+		{frameType: requestFrame, kind: 3, callID: 7, remaining: 1500 * time.Microsecond, body: []byte("abc")},
+		{frameType: responseFrame, kind: 3, callID: 7, body: make([]byte, 100_000)},
+		{frameType: failureFrame, callID: 7, errorKind: fault.Unclear, body: []byte("text")},
 		{frameType: oneWayFrame, kind: 3},
 		{frameType: datagramFrame, kind: 3, body: []byte("abc")},
 		{frameType: retireFrame},
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -11,11 +11,11 @@
 
 // Limits of a connection.
 const (
-	maxQueuedBytes        = 4 << 20          // a request is queued only while fewer bytes are
-	maxConcurrentRequests = 1024             // requests of one peer
-	writeBufferSize       = 64 << 10         // small frames are joined up to this size for one write
-	writeTimeout          = 10 * time.Second // for one write, to a peer that does not read
-	helloTimeout          = 5 * time.Second  // for the first frame of a connection that was accepted
+	maxQueuedBytes        = 4 << 20          // a request is queued only while fewer bytes are queued
+	maxConcurrentRequests = 1024             // running requests of one connection
+	writeBufferSize       = 64 << 10         // small frames are batched up to this size for one write
+	writeTimeout          = 10 * time.Second // of one batch of frames, in case the peer does not read
+	helloTimeout          = 5 * time.Second  // for the first frame of an accepted connection
 	readBufferSize        = 4 << 10
 )
 
@@ -24,36 +24,36 @@
 	errQueueFull        = errors.New("too many bytes queued for the peer")
 )
 
-// connection carries frames to and from one peer over one TCP connection. It exists as soon as it is needed: frames are
-// queued while it is being dialled.
+// connection sends frames to and receives frames from one peer over one TCP connection. It exists before its socket
+// does: frames are queued while it is being dialled.
 type connection struct {
-	transport  *Transport
-	to         netip.AddrPort // listening address of the peer
-	accepted   bool           // dialled by the peer
-	queueReady chan struct{}  // wakes the writer; closed with the connection
-	peerUp     chan struct{}  // signalled when the peer is heard while it is being dialled
-	handlers   atomic.Int32   // running requests of the peer
+	transport       *Transport
+	peerAddress     netip.AddrPort // listening address of the peer
+	accepted        bool           // dialled by the peer
+	queueReady      chan struct{}  // wakes the writer; closed with the connection
+	peerUp          chan struct{}  // signalled when the peer sends a hello or a datagram while it is being dialled
+	runningRequests atomic.Int32   // requests of the peer whose handlers are running
 
 	mutex       sync.Mutex
 	socket      net.Conn // nil while being dialled
-	generation  uint64   // of the peer, 0 until its hello
+	generation  uint64   // identifies the peer's process; 0 before its hello
 	queue       []queuedFrame
 	queuedBytes int
-	pending     map[uint64]*pendingCall // by call number
+	pending     map[uint64]*pendingCall // by call ID
 	closed      bool
-	active      bool // since the last idle check
-	retired     bool // nothing new starts on it
-	idleChecks  int  // that found it idle, in a row
+	active      bool // used since the last idle check
+	retired     bool // takes no new requests or one-way messages
+	idleChecks  int  // consecutive checks that found it idle
 }
 
 // newConnection returns a connection whose queue starts with the hello frame.
 func newConnection(t *Transport, to netip.AddrPort) *connection {
 	c := &connection{
-		transport:  t,
-		to:         to,
-		queueReady: make(chan struct{}, 1),
-		peerUp:     make(chan struct{}, 1),
-		pending:    make(map[uint64]*pendingCall),
+		transport:   t,
+		peerAddress: to,
+		queueReady:  make(chan struct{}, 1),
+		peerUp:      make(chan struct{}, 1),
+		pending:     make(map[uint64]*pendingCall),
 	}
 	hello := &frame{frameType: helloFrame, address: t.address, generation: t.generation}
 	if data, err := hello.encode(); err == nil {
@@ -62,15 +62,15 @@
 	return c
 }
 
-// isBeingDialled reports whether there is no socket yet.
+// isBeingDialled reports whether the connection has no socket yet and is not closed.
 func (c *connection) isBeingDialled() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.socket == nil && !c.closed
 }
 
-// open sets the socket. It reports whether the connection is still wanted.
-func (c *connection) open(socket net.Conn) bool {
+// setSocket sets the socket of a connection that was dialled. It returns false if the connection has been closed.
+func (c *connection) setSocket(socket net.Conn) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.closed {
@@ -80,7 +80,7 @@
 	return true
 }
 
-// close closes the connection and fails its pending calls.
+// close closes the connection and fails its pending calls, with cause in their errors.
 func (c *connection) close(cause error) {
 	c.transport.remove(c)
 	c.mutex.Lock()
@@ -99,6 +99,6 @@
 		_ = socket.Close()
 	}
 	for _, call := range pending {
-		call.result <- callResult{err: callError(call.sent, c.to, cause)}
+		call.result <- callResult{err: callError(call.sent, c.peerAddress, cause)}
 	}
 }
--- a/internal/peer/datagram.go
+++ b/internal/peer/datagram.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// MaxDatagram is the longest datagram, with its frame, that Datagram sends: it fits into one packet.
-	MaxDatagram = 1400
-	// datagramBufferSize has room for what others may send.
+	// MaxDatagramBytes is the maximum size of an encoded frame that Datagram sends. It fits into one packet.
+	MaxDatagramBytes = 1400
+	// datagramBufferSize is the size of the receive buffer. It exceeds MaxDatagramBytes because other senders may send
+	// longer datagrams.
 	datagramBufferSize = 2 << 10
 )
 
-// Datagram sends a message by UDP. It may be lost; one of more than MaxDatagram bytes is dropped.
+// Datagram sends a message over UDP. The message may be lost. It is dropped if its frame exceeds MaxDatagramBytes.
 func (t *Transport) Datagram(to netip.AddrPort, m Message) {
 	f := &frame{frameType: datagramFrame, kind: m.Kind, body: m.Body}
 	data, err := f.encode()
-	if err == nil && len(data) > MaxDatagram {
-		err = merry.Errorf("datagram of %d bytes", len(data))
+	if err == nil && len(data) > MaxDatagramBytes {
+		err = merry.Errorf("datagram of %d bytes, want %d at most", len(data), MaxDatagramBytes)
 	}
 	if err == nil {
-		_, err = t.packets.WriteToUDPAddrPort(data, to)
+		_, err = t.packetConn.WriteToUDPAddrPort(data, to)
 	}
 	if err != nil {
 		t.log.Debug("send datagram failed", zap.Stringer("to", to), zap.Error(err))
@@ -37,7 +38,7 @@
 func (t *Transport) receiveDatagrams() {
 	buffer := make([]byte, datagramBufferSize)
 	for {
-		size, from, err := t.packets.ReadFromUDPAddrPort(buffer)
+		size, from, err := t.packetConn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -51,7 +52,7 @@
 	}
 }
 
-// receiveDatagram passes a datagram to its handler.
+// receiveDatagram decodes a datagram and passes it to its handler. A datagram of a kind without a handler is dropped.
 func (t *Transport) receiveDatagram(from netip.AddrPort, data []byte) {
 	f, err := decodeFrame(data)
 	if err != nil || f.frameType != datagramFrame {
@@ -59,8 +60,8 @@
 		return
 	}
 	from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-	t.notePeerUp(from)
-	if handler := t.datagrams[f.kind]; handler != nil {
+	t.signalPeerUp(from)
+	if handler := t.datagramHandlers[f.kind]; handler != nil {
 		handler(from, Message{Kind: f.kind, Body: f.body})
 	}
 }
--- a/internal/peer/dial_test.go
+++ b/internal/peer/dial_test.go
@@ -10,89 +10,90 @@
 	"time"
 )
 
-var testAttempts = []time.Duration{time.Millisecond, 2 * time.Millisecond, time.Minute}
+var testDialTimeouts = []time.Duration{time.Millisecond, 2 * time.Millisecond, time.Minute}
 
-// A machine that had no power when the opening packet came is asked again before the kernel would.
+// The SYN is lost if the peer's machine is not up yet. A new attempt sends one before the kernel would repeat it.
 func TestDialRetriesAfterTimeout(t *testing.T) {
-	tries := 0
+	attempts := 0
 	near, far := net.Pipe()
 	defer func() { _ = far.Close() }()
-	socket, err := dialWithRetries(context.Background(), testAttempts, nil, func(ctx context.Context) (net.Conn, error) {
-		tries++
-		if tries < len(testAttempts) {
+	socket, err := dialWithRetries(context.Background(), testDialTimeouts, nil, func(ctx context.Context) (net.Conn, error) {
+		attempts++
+		if attempts < len(testDialTimeouts) {
 			<-ctx.Done()
 			return nil, &net.OpError{Op: "dial", Err: ctx.Err()}
 		}
 		return near, nil
 	})
-	if err != nil || tries != len(testAttempts) {
-		t.Fatalf("got %d attempts, error %v", tries, err)
+	if err != nil || attempts != len(testDialTimeouts) {
+		t.Fatalf("got %d attempts, error %v", attempts, err)
 	}
 	_ = socket.Close()
 }
 
 func TestDialStopsWhenRefused(t *testing.T) {
-	tries := 0
-	_, err := dialWithRetries(context.Background(), testAttempts, nil, func(context.Context) (net.Conn, error) {
-		tries++
+	attempts := 0
+	_, err := dialWithRetries(context.Background(), testDialTimeouts, nil, func(context.Context) (net.Conn, error) {
+		attempts++
 		return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 	})
-	if !errors.Is(err, syscall.ECONNREFUSED) || tries != 1 {
-		t.Fatalf("got %d attempts, error %v", tries, err)
+	if !errors.Is(err, syscall.ECONNREFUSED) || attempts != 1 {
+		t.Fatalf("got %d attempts, error %v", attempts, err)
 	}
 }
 
 func TestDialStopsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	tries := 0
-	_, err := dialWithRetries(ctx, testAttempts, nil, func(attempt context.Context) (net.Conn, error) {
-		tries++
+	attempts := 0
+	_, err := dialWithRetries(ctx, testDialTimeouts, nil, func(attempt context.Context) (net.Conn, error) {
+		attempts++
 		cancel()
 		<-attempt.Done()
 		return nil, &net.OpError{Op: "dial", Err: context.DeadlineExceeded}
 	})
-	if err == nil || tries != 1 {
-		t.Fatalf("got %d attempts, error %v", tries, err)
+	if err == nil || attempts != 1 {
+		t.Fatalf("got %d attempts, error %v", attempts, err)
 	}
 }
 
-// The attempts together take no longer than one connection may.
+// The timeouts of all attempts must not add up to more than dialTimeout.
 func TestDialAttemptsFitTheTimeout(t *testing.T) {
 	var sum time.Duration
-	for _, patience := range dialTimeouts {
-		sum += patience
+	for _, timeout := range dialAttemptTimeouts {
+		sum += timeout
 	}
 	if sum > dialTimeout {
-		t.Fatalf("sum of dialTimeouts: got %v, want %v", sum, dialTimeout)
+		t.Fatalf("sum of dialAttemptTimeouts: got %v, want %v at most", sum, dialTimeout)
 	}
 }
 
-// An attempt that began before the peer was up does not wait for its timeout once the peer is heard.
+// An attempt that began before the peer was up restarts on a signal that the peer is up, instead of waiting for its
+// timeout.
 func TestDialBeginsAnewWhenThePeerIsHeard(t *testing.T) {
-	tries := 0
+	attempts := 0
 	near, far := net.Pipe()
 	defer func() { _ = far.Close() }()
 	peerUp := make(chan struct{}, 1)
 	socket, err := dialWithRetries(t.Context(), []time.Duration{time.Hour}, peerUp, func(ctx context.Context) (net.Conn, error) {
-		if tries++; tries == 1 {
+		if attempts++; attempts == 1 {
 			peerUp <- struct{}{}
 			<-ctx.Done()
 			return nil, &net.OpError{Op: "dial", Err: ctx.Err()}
 		}
 		return near, nil
 	})
-	if err != nil || tries != 2 {
-		t.Fatalf("got %d attempts, error %v; want 2 and none", tries, err)
+	if err != nil || attempts != 2 {
+		t.Fatalf("got %d attempts, error %v; want 2 and no error", attempts, err)
 	}
 	_ = socket.Close()
 }
 
-// A peer that is heard again and again, and cannot be reached, fails.
+// A dial to a peer that sends again and again but cannot be reached must fail, not restart for ever.
 func TestDialToAnUnreachablePeerThatIsHeardEnds(t *testing.T) {
-	tries := 0
+	attempts := 0
 	peerUp := make(chan struct{}, 1)
 	_, err := dialWithRetries(t.Context(), []time.Duration{time.Millisecond}, peerUp, func(ctx context.Context) (net.Conn, error) {
-		tries++
+		attempts++
 		select {
 		case peerUp <- struct{}{}:
 		default:
@@ -100,13 +101,14 @@
 		<-ctx.Done()
 		return nil, &net.OpError{Op: "dial", Err: context.DeadlineExceeded}
 	})
-	if err == nil || tries > maxDialRestarts+1 {
-		t.Fatalf("got %d attempts, error %v; want %d at most and one", tries, err, maxDialRestarts+1)
+	if err == nil || attempts > maxDialRestarts+1 {
+		t.Fatalf("got %d attempts, error %v; want %d at most and an error", attempts, err, maxDialRestarts+1)
 	}
 }
 
-// dialBlockedOnce has a transport's first dial hang, as to a machine without power.
-func dialBlockedOnce(transport *Transport) (hanging <-chan struct{}) {
+// blockFirstDial makes the first dial of a transport block, as if the peer's machine were down. The channel that it
+// returns is closed when that dial has begun.
+func blockFirstDial(transport *Transport) (blocked <-chan struct{}) {
 	began := make(chan struct{})
 	first := true
 	transport.dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
@@ -121,8 +123,8 @@
 	return began
 }
 
-// A message that waits for a dial to a machine without power goes out as soon as that machine is heard, by a connection or
-// by a datagram.
+// A message that waits for a dial to a machine that is down is sent as soon as that machine connects or sends a
+// datagram.
 func TestQueuedMessageGoesOutWhenThePeerIsHeard(t *testing.T) {
 	for name, announce := range map[string]func(from *Transport, to *Transport){
 		"connection": func(from, to *Transport) { from.Send(to.Address(), Message{Kind: otherKind}) },
@@ -132,17 +134,17 @@
 			received := make(chan struct{})
 			waiting, returning := listen(t), listen(t)
 			returning.HandleOneWay(testKind, func(netip.AddrPort, Message) { close(received) })
-			waiting.dialTimeouts = []time.Duration{time.Hour}
-			hanging := dialBlockedOnce(waiting)
+			waiting.dialAttemptTimeouts = []time.Duration{time.Hour}
+			blocked := blockFirstDial(waiting)
 			waiting.Start()
 			returning.Start()
 			waiting.Send(returning.Address(), Message{Kind: testKind})
-			<-hanging
+			<-blocked
 			announce(returning, waiting)
 			select {
 			case <-received:
 			case <-time.After(testTimeout):
-				t.Fatal("the message does not arrive")
+				t.Fatal("queued message: got none in time, want it received")
 			}
 		})
 	}
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -9,15 +9,16 @@
 
 // Sizes of frames.
 const (
-	// MaxBody is the longest body of a message over TCP.
-	MaxBody = 16 << 20
-	// maxFrame leaves room for the other fields of a frame.
-	maxFrame = MaxBody + 1024
-	// frameFields is what a frame needs beside its body: the root pointer, the struct, the address of a hello.
-	frameFields = 128
-
-	wordSize     = 8
-	streamHeader = 8 // number of segments less one, words in the first segment
+	// MaxBodyBytes is the maximum size of the body of a message over TCP.
+	MaxBodyBytes = 16 << 20
+	// maxFrameBytes is the maximum size of a frame over TCP: a body and the other fields.
+	maxFrameBytes = MaxBodyBytes + 1024
+	// frameOverheadBytes is the space that a frame needs in addition to its body: the root pointer, the struct, the
+	// address of a hello.
+	frameOverheadBytes = 128
+
+	wordBytes         = 8
+	streamHeaderBytes = 8 // number of segments minus one, words in the first segment
 )
 
 type frameType uint8
@@ -32,7 +33,7 @@
 	retireFrame
 )
 
-// frame is one frame of a connection, or a whole datagram. Its type says which of the fields are used.
+// frame is a frame of a connection or a whole datagram. Its type determines which fields are used.
 type frame struct {
 	frameType frameType
 	kind      Kind
@@ -40,7 +41,7 @@
 
 	address    netip.AddrPort // hello
 	generation uint64         // hello
-	call       uint64         // request, answer, failure
-	remaining  time.Duration  // request; 0: not limited
+	callID     uint64         // request, response, failure
+	remaining  time.Duration  // request: time until the deadline; 0: no deadline
 	errorKind  fault.Kind     // failure
 }
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// FuzzReadFrame checks that no bytes make the reading of a frame fail otherwise than by an error.
+// FuzzReadFrame checks that reading and decoding any bytes returns a frame or an error and does not panic.
 func FuzzReadFrame(f *testing.F) {
 	for _, sample := range []*frame{
 		{frameType: helloFrame, address: netip.MustParseAddrPort("10.1.2.3:7660"), generation: 9},
-		{frameType: requestFrame, kind: 3, call: 7, body: []byte("abc")},
-		{frameType: failureFrame, call: 7, body: []byte("text")},
+		{frameType: requestFrame, kind: 3, callID: 7, body: []byte("abc")},
+		{frameType: failureFrame, callID: 7, body: []byte("text")},
 	} {
 		data, err := sample.encode()
 		if err != nil {
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -9,8 +9,8 @@
 	"nickelline/internal/golden"
 )
 
-// The golden files record the protocol as it was when they were written. Processes of different releases must understand
-// each other's frames, so a test that fails here has found a change of the protocol.
+// The golden files record the protocol as it was when they were written. Processes of different releases must
+// understand each other's frames, so a failure of this test means that the protocol has changed.
 
 func TestGoldenFrames(t *testing.T) {
 	body := []byte("body of a message")
@@ -19,9 +19,9 @@
 		frame *frame
 	}{
 		{"hello", &frame{frameType: helloFrame, address: netip.MustParseAddrPort("10.20.30.40:5060"), generation: 0x0102030405060708}},
-		{"request", &frame{frameType: requestFrame, kind: 0x301, call: 11, remaining: 12 * time.Microsecond, body: body}},
-		{"answer", &frame{frameType: responseFrame, kind: 0x302, call: 13, body: body}},
-		{"failure", &frame{frameType: failureFrame, kind: 0x303, call: 14, errorKind: fault.Conflict, body: body}},
+		{"request", &frame{frameType: requestFrame, kind: 0x301, callID: 11, remaining: 12 * time.Microsecond, body: body}},
+		{"answer", &frame{frameType: responseFrame, kind: 0x302, callID: 13, body: body}},
+		{"failure", &frame{frameType: failureFrame, kind: 0x303, callID: 14, errorKind: fault.Conflict, body: body}},
 		{"one_way", &frame{frameType: oneWayFrame, kind: 0x304, body: body}},
 		{"datagram", &frame{frameType: datagramFrame, kind: 0x305, body: body}},
 		{"retire", &frame{frameType: retireFrame, kind: 0x306, body: body}},
--- a/internal/peer/idle.go
+++ b/internal/peer/idle.go
@@ -7,9 +7,10 @@
 	"nickelline/internal/pause"
 )
 
-// Idle connections are closed, so that a process does not end up with one to each other process. The side that finds one
-// idle retires it: it starts nothing new on it, and notifies the other side, which does the same. What is pending is
-// finished, and then the connection is closed by the side that first finds it idle for a whole period.
+// Idle connections are closed, so that a process does not keep a connection to every other process. The side that finds
+// a connection idle retires it: it starts nothing new on it and sends a retire frame, after which the peer starts
+// nothing new either. Pending calls finish. Then the side that first finds the connection idle for a whole period
+// closes it.
 const (
 	idleCheckPeriod    = 15 * time.Second
 	idleChecksToRetire = 3
@@ -17,19 +18,19 @@
 
 var (
 	errIdle    = errors.New("connection was idle")
-	errRetired = errors.New("nothing new begins on the connection")
+	errRetired = errors.New("connection retired")
 )
 
-// checkIdle looks for idle connections each idleCheckPeriod until Close.
+// checkIdle checks for idle connections every idleCheckPeriod until Close.
 func (t *Transport) checkIdle() {
 	pause.Every(t.context, idleCheckPeriod, nil, t.checkIdleOnce)
 }
 
-// checkIdleOnce checks all connections.
+// checkIdleOnce checks all open connections.
 func (t *Transport) checkIdleOnce() {
 	t.mutex.Lock()
-	all := make([]*connection, 0, len(t.open))
-	for c := range t.open {
+	all := make([]*connection, 0, len(t.openConnections))
+	for c := range t.openConnections {
 		all = append(all, c)
 	}
 	t.mutex.Unlock()
@@ -38,10 +39,11 @@
 	}
 }
 
-// checkIdle retires the connection after idleChecksToRetire periods without use, and closes it after another.
+// checkIdle retires the connection after idleChecksToRetire consecutive idle periods, and closes a retired connection
+// after one. A period is idle if no frame was queued or received in it and no call or handler is pending at its end.
 func (c *connection) checkIdle() {
 	c.mutex.Lock()
-	busy := c.active || len(c.pending) > 0 || c.handlers.Load() > 0
+	busy := c.active || len(c.pending) > 0 || c.runningRequests.Load() > 0
 	c.active = false
 	if busy {
 		c.idleChecks = 0
@@ -59,7 +61,8 @@
 	}
 }
 
-// retire starts nothing new on the connection and has the peer do the same.
+// retire stops new messages on the connection and notifies the peer, which stops them too. If that fails, it closes the
+// connection.
 func (c *connection) retire() {
 	f := &frame{frameType: retireFrame}
 	data, err := f.encode()
@@ -73,7 +76,7 @@
 	c.transport.stopUsing(c)
 }
 
-// enqueueRetire adds the retire frame. Only responses may follow it.
+// enqueueRetire queues the retire frame and marks the connection as retired. Only responses may follow the frame.
 func (c *connection) enqueueRetire(frame queuedFrame) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -84,7 +87,7 @@
 	return nil
 }
 
-// receiveRetire handles the retirement of the connection by the peer.
+// receiveRetire handles a retire frame: this side starts nothing new on the connection either.
 func (c *connection) receiveRetire() {
 	c.mutex.Lock()
 	c.retired = true
--- a/internal/peer/idle_test.go
+++ b/internal/peer/idle_test.go
@@ -39,7 +39,7 @@
 		b.checkIdleOnce()
 	}
 	if a.connection(b.Address()) != first {
-		t.Fatal("connection with a pending call: got retired, want kept")
+		t.Fatal("connection with a pending call: got it retired, want it kept")
 	}
 	close(release)
 	if err := <-slow; err != nil {
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	if a.connection(b.Address()) == first {
-		t.Error("idle connection: got used again, want another one")
+		t.Error("idle connection: got it used again, want a new connection")
 	}
 }
 
@@ -80,7 +80,8 @@
 	calls.Wait()
 }
 
-// TestCallOutlivesManyRetirements retires each connection as soon as there is one, more often than closed ones are tried.
+// Each connection is retired as soon as it exists. A call must not fail when it meets more than maxSendAttempts retired
+// connections in a row.
 func TestCallOutlivesManyRetirements(t *testing.T) {
 	a, b := listen(t), listen(t)
 	b.Handle(testKind, echo)
--- a/internal/peer/kinds.go
+++ b/internal/peer/kinds.go
@@ -1,9 +1,10 @@
 package peer
 
-// Kind says what a message is, and so which package decodes its body. Zero is used by the transport itself.
+// Kind identifies the type of a message and the package that decodes its body. Zero is used by the transport itself.
 type Kind uint16
 
-// Each package that sends messages numbers its kinds from its own block, in its own file.
+// First kinds of the packages that send messages. Each package has a block of kindsPerPackage kinds and declares its
+// kinds in its own code.
 const (
 	// MemberKinds is the first kind of package member.
 	MemberKinds Kind = 0x100
--- a/internal/peer/listen.go
+++ b/internal/peer/listen.go
@@ -10,33 +10,34 @@
 	"go.uber.org/zap"
 )
 
-// Listen binds the address for TCP and UDP. Nothing is received before Start.
+// Listen binds the address for TCP and UDP, on the same port for both. If the port is 0, it chooses a free one. Nothing
+// is received before Start. The caller must call Close.
 func Listen(address netip.AddrPort, log *zap.Logger) (*Transport, error) {
-	listener, packets, err := bind(address)
+	listener, packetConn, err := bind(address)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Transport{
-		address:      listener.Addr().(*net.TCPAddr).AddrPort(),
-		dialTimeouts: dialTimeouts,
-		generation:   rand.Uint64() | 1,
-		log:          log,
-		listener:     listener,
-		packets:      packets,
-		dialer:       newDialer(log),
-		handlers:     make(map[Kind]Handler),
-		oneWay:       make(map[Kind]func(netip.AddrPort, Message)),
-		datagrams:    make(map[Kind]func(netip.AddrPort, Message)),
-		context:      ctx,
-		cancel:       cancel,
-		connections:  make(map[netip.AddrPort]*connection),
-		open:         make(map[*connection]struct{}),
+		address:             listener.Addr().(*net.TCPAddr).AddrPort(),
+		dialAttemptTimeouts: dialAttemptTimeouts,
+		generation:          rand.Uint64() | 1,
+		log:                 log,
+		listener:            listener,
+		packetConn:          packetConn,
+		dialer:              newDialer(log),
+		handlers:            make(map[Kind]Handler),
+		oneWayHandlers:      make(map[Kind]func(netip.AddrPort, Message)),
+		datagramHandlers:    make(map[Kind]func(netip.AddrPort, Message)),
+		context:             ctx,
+		cancel:              cancel,
+		connectionByPeer:    make(map[netip.AddrPort]*connection),
+		openConnections:     make(map[*connection]struct{}),
 	}, nil
 }
 
-// bind opens both sockets on one port. If any port will do, the one that TCP got may be in use for UDP: then others are
-// tried.
+// bind opens both sockets on one port. If the port of the address is 0, the port chosen for TCP may be in use for UDP;
+// in that case bind tries another, up to maxBindAttempts times in all.
 func bind(address netip.AddrPort) (*net.TCPListener, *net.UDPConn, error) {
 	var failure error
 	for range maxBindAttempts {
@@ -45,9 +46,9 @@
 			return nil, nil, merry.Wrap(err)
 		}
 		bound := listener.Addr().(*net.TCPAddr).AddrPort()
-		packets, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(bound))
+		packetConn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(bound))
 		if err == nil {
-			return listener.(*net.TCPListener), packets, nil
+			return listener.(*net.TCPListener), packetConn, nil
 		}
 		_ = listener.Close()
 		failure = err
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -2,11 +2,12 @@
 
 // queuedFrame is an encoded frame that waits to be written.
 type queuedFrame struct {
-	data []byte
-	call uint64 // number of the call of a request; 0: no request
+	data   []byte
+	callID uint64 // of a request; 0: not a request
 }
 
-// enqueue adds a request with its pending call, or a one-way message with none.
+// enqueue adds a request with its pending call, or a one-way message with a nil call. The error is errConnectionClosed,
+// errRetired or errQueueFull.
 func (c *connection) enqueue(frame queuedFrame, call *pendingCall) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -23,13 +24,13 @@
 		return err
 	}
 	if call != nil {
-		c.pending[frame.call] = call
+		c.pending[frame.callID] = call
 	}
 	return nil
 }
 
-// enqueueResponse adds a response. The bound is higher than for requests, so that what the peer waits for is not held up
-// by what it has to work on.
+// enqueueResponse adds a response. The limit is twice that of requests, so that queued requests to the peer do not
+// block the responses that it waits for.
 func (c *connection) enqueueResponse(frame queuedFrame) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -54,15 +55,15 @@
 	return nil
 }
 
-// takeQueue empties the queue and returns its frames. From here on its requests count as sent; abandoned ones are left
-// out.
+// takeQueue empties the queue and returns its frames without those of abandoned requests. It marks the calls of the
+// other requests as sent.
 func (c *connection) takeQueue() [][]byte {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	frames := make([][]byte, 0, len(c.queue))
 	for _, frame := range c.queue {
-		if frame.call != 0 {
-			call := c.pending[frame.call]
+		if frame.callID != 0 {
+			call := c.pending[frame.callID]
 			if call == nil {
 				continue
 			}
--- a/internal/peer/send.go
+++ b/internal/peer/send.go
@@ -13,9 +13,9 @@
 
 // Call sends a request and waits for the response until ctx ends, or for defaultCallTimeout if ctx has no deadline. If
 // there is no response, the error is of kind fault.NotReady if the request was certainly not sent, and fault.Unclear if
-// it may have arrived.
+// it may have arrived. A body of more than MaxBodyBytes fails with fault.BodyTooLarge.
 func (t *Transport) Call(ctx context.Context, to netip.AddrPort, m Message) (Message, error) {
-	if len(m.Body) > MaxBody {
+	if len(m.Body) > MaxBodyBytes {
 		return Message{}, fault.New(fault.BodyTooLarge, "message of %d bytes", len(m.Body))
 	}
 	if _, limited := ctx.Deadline(); !limited {
@@ -26,13 +26,13 @@
 	if err := ctx.Err(); err != nil {
 		return Message{}, callError(false, to, err)
 	}
-	id := t.lastCall.Add(1)
+	id := t.lastCallID.Add(1)
 	data, err := newRequestFrame(ctx, id, m).encode()
 	if err != nil {
 		return Message{}, fault.Wrap(fault.NotReady, err)
 	}
 	call := &pendingCall{result: make(chan callResult, 1)}
-	c, err := t.enqueue(to, queuedFrame{data: data, call: id}, call)
+	c, err := t.enqueue(to, queuedFrame{data: data, callID: id}, call)
 	if err != nil {
 		return Message{}, callError(false, to, err)
 	}
@@ -40,8 +40,8 @@
 	return c.await(ctx, id, call)
 }
 
-// enqueue adds a frame to the queue of a peer, on another connection if the first was just closed or retired. A
-// retirement is no failure, so only closed connections count as attempts.
+// enqueue queues a frame on the connection to a peer, and on a new connection if that one turns out to be closed or
+// retired. Only closed connections count towards maxSendAttempts, because a retirement is not a failure.
 func (t *Transport) enqueue(to netip.AddrPort, frame queuedFrame, call *pendingCall) (*connection, error) {
 	for closed := 0; closed < maxSendAttempts; {
 		c := t.connection(to)
@@ -57,18 +57,19 @@
 	return nil, errConnectionClosed
 }
 
-// newRequestFrame returns the frame of a request, with the time that is left until the deadline of ctx.
+// newRequestFrame returns the frame of a request, with the remaining time until the deadline of ctx.
 func newRequestFrame(ctx context.Context, id uint64, m Message) *frame {
-	f := &frame{frameType: requestFrame, kind: m.Kind, call: id, body: m.Body}
+	f := &frame{frameType: requestFrame, kind: m.Kind, callID: id, body: m.Body}
 	if deadline, limited := ctx.Deadline(); limited {
 		f.remaining = max(time.Until(deadline), time.Microsecond)
 	}
 	return f
 }
 
-// Send queues a one-way message. Messages to a peer arrive in order or not at all.
+// Send queues a one-way message. Messages to a peer arrive in order or not at all. A message that cannot be queued is
+// logged and dropped.
 func (t *Transport) Send(to netip.AddrPort, m Message) {
-	if len(m.Body) > MaxBody {
+	if len(m.Body) > MaxBodyBytes {
 		t.log.Error("send message failed: too long", zap.Stringer("to", to), zap.Int("bytes", len(m.Body)), zap.Uint16("kind", uint16(m.Kind)))
 		return
 	}
--- a/internal/peer/socket.go
+++ b/internal/peer/socket.go
@@ -9,7 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// A peer without power or behind a network partition does not answer: these bounds end its connections.
+// Timeouts that end connections to a peer that does not respond, because its machine is down or the network is
+// partitioned.
 const (
 	dialTimeout       = time.Second
 	userTimeout       = 3 * time.Second // for data that is not acknowledged
@@ -25,7 +26,7 @@
 	Count:    keepAliveCount,
 }
 
-// setUserTimeout bounds how long sent data may stay without acknowledgement.
+// setUserTimeout sets TCP_USER_TIMEOUT, which limits how long sent data may stay unacknowledged.
 func setUserTimeout(raw syscall.RawConn) error {
 	var result error
 	err := raw.Control(func(descriptor uintptr) {
@@ -37,8 +38,8 @@
 	return result
 }
 
-// newDialer returns a dialer whose sockets have all bounds set. A failure to set one is logged: the deadlines of calls
-// still hold.
+// newDialer returns a dialer that sets all these timeouts on its sockets. A failure to set the user timeout is only
+// logged, because the deadlines of calls still apply.
 func newDialer(log *zap.Logger) *net.Dialer {
 	dialer := &net.Dialer{
 		Timeout:         dialTimeout,
@@ -54,7 +55,7 @@
 	return dialer
 }
 
-// newListenConfig returns the configuration of a listener whose connections are kept alive.
+// newListenConfig returns the configuration of a listener whose connections use keep-alive.
 func newListenConfig() *net.ListenConfig {
 	config := &net.ListenConfig{KeepAliveConfig: keepAlive}
 	config.SetMultipathTCP(false)
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	kindsPerPackage = 0x100 // kinds that each package may use
+	kindsPerPackage = 0x100 // size of the block of kinds of each package
 	packageCount    = int(LoadKinds/kindsPerPackage) + 1
 
 	// datagramHeaderBytes is the size of the headers of IPv4 and UDP.
 	datagramHeaderBytes = 28
 )
 
-// Traffic is what a transport has sent of the messages of one package, in bytes: frames, and datagrams with their
-// headers, but not the headers of TCP connections.
+// Traffic is the number of bytes that a transport has sent in messages of one package: frames, and datagrams with their
+// IPv4 and UDP headers, but not TCP and IP headers of connections.
 type Traffic struct {
-	// SameZone is sent to processes of the same zone, OtherZones to all others.
+	// SameZone counts bytes sent to processes in the zone of this process, OtherZones bytes sent to all other processes.
 	SameZone, OtherZones uint64
 }
 
@@ -29,7 +29,7 @@
 // packageNames are the names of the packages, by packageIndex.
 var packageNames = [packageCount]string{"peer", "member", "gossip", "chain", "quota", "batch", "control", "load"}
 
-// SentByPackage returns what has been sent since the start, without packages that have sent nothing.
+// SentByPackage returns the traffic of each package since the start, without packages that have sent nothing.
 func (t *Transport) SentByPackage() []PackageTraffic {
 	var all []PackageTraffic
 	for i := range t.sent {
@@ -41,20 +41,20 @@
 	return all
 }
 
-// trafficCounter counts what is sent of the messages of one package.
+// trafficCounter counts the bytes sent in messages of one package.
 type trafficCounter struct{ sameZone, otherZones atomic.Uint64 }
 
 // SetSameZone sets the function that reports whether a peer is in the zone of this process, for the counts of sent
-// bytes. It must be called before Start; without it all peers are.
-func (t *Transport) SetSameZone(near func(netip.AddrPort) bool) { t.sameZone = near }
+// bytes. It must be called before Start. Without it, all peers count as being in the same zone.
+func (t *Transport) SetSameZone(isSameZone func(netip.AddrPort) bool) { t.sameZone = isSameZone }
 
-// Sent returns what has been sent since the start of the messages of the package whose first kind this is.
-func (t *Transport) Sent(first Kind) Traffic {
-	counter := &t.sent[packageIndex(first)]
+// Sent returns the traffic since the start of the package whose first kind is firstKind.
+func (t *Transport) Sent(firstKind Kind) Traffic {
+	counter := &t.sent[packageIndex(firstKind)]
 	return Traffic{SameZone: counter.sameZone.Load(), OtherZones: counter.otherZones.Load()}
 }
 
-// countSent adds to the counts of sent bytes.
+// countSent adds the size of a sent frame to the count of the package that owns its kind.
 func (t *Transport) countSent(to netip.AddrPort, kind Kind, bytes int) {
 	counter := &t.sent[packageIndex(kind)]
 	if t.sameZone == nil || t.sameZone(to) {
--- a/internal/peer/traffic_test.go
+++ b/internal/peer/traffic_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// What is sent counts for the package of its kind, by whether the peer is in the own zone; what is not sent does not.
+// Sent bytes are counted for the package that owns the kind, separately for peers in the same zone and in other zones.
+// A datagram that is too large to be sent is not counted.
 func TestTrafficIsCounted(t *testing.T) {
 	a, b := listen(t), listen(t)
 	b.Handle(GossipKinds, echo)
@@ -20,27 +21,27 @@
 		t.Fatal(err)
 	}
 	a.Datagram(b.Address(), Message{Kind: MemberKinds + 1, Body: body})
-	a.Datagram(b.Address(), Message{Kind: MemberKinds + 1, Body: make([]byte, MaxDatagram)})
+	a.Datagram(b.Address(), Message{Kind: MemberKinds + 1, Body: make([]byte, MaxDatagramBytes)})
 	select {
 	case <-received:
 	case <-testContext(t).Done():
 		t.Fatal("no datagram arrived in time")
 	}
-	within := func(sent uint64) bool { return sent >= size && sent < size+2*frameFields }
+	within := func(sent uint64) bool { return sent >= size && sent < size+2*frameOverheadBytes }
 	if sent := a.Sent(GossipKinds); sent.SameZone != 0 || !within(sent.OtherZones) {
-		t.Errorf("sent by the caller: got %+v", sent)
+		t.Errorf("sent by the caller: got %+v, want the request in OtherZones only", sent)
 	}
 	if sent := b.Sent(GossipKinds); sent.OtherZones != 0 || !within(sent.SameZone) {
-		t.Errorf("sent by the responder: got %+v", sent)
+		t.Errorf("sent by the responder: got %+v, want the response in SameZone only", sent)
 	}
 	if sent := a.Sent(MemberKinds); sent.SameZone != 0 || !within(sent.OtherZones) {
-		t.Errorf("datagrams sent: got %+v", sent)
+		t.Errorf("datagrams sent: got %+v, want one datagram in OtherZones only", sent)
 	}
 	if sent := a.Sent(ChainKinds); sent != (Traffic{}) {
 		t.Errorf("sent by a package without messages: got %+v, want nothing", sent)
 	}
 	byPackage := a.SentByPackage()
 	if len(byPackage) != 2 || byPackage[0].Package != "member" || byPackage[1].Package != "gossip" || byPackage[1].Traffic != a.Sent(GossipKinds) {
-		t.Errorf("SentByPackage: got %+v", byPackage)
+		t.Errorf("SentByPackage: got %+v, want member and gossip only", byPackage)
 	}
 }
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -93,10 +93,10 @@
 	a := listen(t)
 	a.Start()
 	address := netip.MustParseAddrPort("127.0.0.1:9")
-	earlier := &connection{transport: a, to: address, generation: 1, pending: make(map[uint64]*pendingCall), queueReady: make(chan struct{}, 1)}
+	earlier := &connection{transport: a, peerAddress: address, generation: 1, pending: make(map[uint64]*pendingCall), queueReady: make(chan struct{}, 1)}
 	call := &pendingCall{sent: true, result: make(chan callResult, 1)}
 	earlier.pending[1] = call
-	a.connections[address] = earlier
+	a.connectionByPeer[address] = earlier
 
 	socket, err := net.Dial("tcp4", a.Address().String())
 	if err != nil {
--- a/internal/peer/unreliable_test.go
+++ b/internal/peer/unreliable_test.go
@@ -15,8 +15,8 @@
 	"nickelline/internal/fault"
 )
 
-// unreliablePeer answers calls in every wrong way that a peer which is slow, partitioned, killed or restarted may: late, twice, in
-// another order, to abandoned calls, truncated, or not at all. It records what it received.
+// unreliablePeer responds to calls in the ways in which a slow, partitioned, killed or restarted peer may fail: late,
+// twice, out of order, to abandoned calls, truncated, or not at all. It counts the requests that it receives.
 type unreliablePeer struct {
 	t        *testing.T
 	listener *net.TCPListener
@@ -24,7 +24,7 @@
 
 	mutex    sync.Mutex
 	random   *rand.Rand
-	received map[uint64]int // requests by number
+	received map[uint64]int // how often each request arrived, by the number in its body
 }
 
 func newUnreliablePeer(t *testing.T, seed uint64) *unreliablePeer {
@@ -54,20 +54,20 @@
 	return p
 }
 
-func (p *unreliablePeer) draw(n int) int {
+func (p *unreliablePeer) randomInt(n int) int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.random.IntN(n)
 }
 
-// serve is one connection. Each has another generation, as if the peer had been restarted at its address.
+// serve serves one connection. Each has another generation, as if the peer had been restarted at its address.
 func (p *unreliablePeer) serve(socket *net.TCPConn) {
 	defer socket.Close()
-	if err := p.write(socket, &frame{frameType: helloFrame, address: p.address, generation: uint64(1 + p.draw(1000))}); err != nil {
+	if err := p.write(socket, &frame{frameType: helloFrame, address: p.address, generation: uint64(1 + p.randomInt(1000))}); err != nil {
 		return
 	}
 	reader := bufio.NewReader(socket)
-	var owed []*frame // requests without an answer yet
+	var unanswered []*frame // requests without a response yet
 	for {
 		f, err := readFrame(reader)
 		if err != nil {
@@ -77,7 +77,7 @@
 			continue
 		}
 		p.record(f)
-		if owed = p.respond(socket, append(owed, f)); owed == nil {
+		if unanswered = p.respond(socket, append(unanswered, f)); unanswered == nil {
 			return
 		}
 	}
@@ -89,33 +89,33 @@
 	p.received[binary.LittleEndian.Uint64(f.body)]++
 }
 
-// respond answers some of the requests that are owed an answer, and returns the rest, nil once the connection is at its end.
-func (p *unreliablePeer) respond(socket *net.TCPConn, owed []*frame) []*frame {
-	last := owed[len(owed)-1]
-	switch p.draw(10) {
+// respond responds to some of the unanswered requests and returns the others, or nil to end the connection.
+func (p *unreliablePeer) respond(socket *net.TCPConn, unanswered []*frame) []*frame {
+	last := unanswered[len(unanswered)-1]
+	switch p.randomInt(10) {
 	case 0: // no response for now
-		return owed
-	case 1: // all that is owed, the newest first
-		for i := len(owed) - 1; i >= 0; i-- {
-			if p.write(socket, responseTo(owed[i])) != nil {
+		return unanswered
+	case 1: // all unanswered requests, the newest first
+		for i := len(unanswered) - 1; i >= 0; i-- {
+			if p.write(socket, responseTo(unanswered[i])) != nil {
 				return nil
 			}
 		}
-		return owed[:0:len(owed)]
+		return unanswered[:0:len(unanswered)]
 	case 2: // twice
 		for range 2 {
 			if p.write(socket, responseTo(last)) != nil {
 				return nil
 			}
 		}
-	case 3: // an answer to a call that was never made
+	case 3: // a response to a call that was never made
 		stray := responseTo(last)
-		stray.call += 1 << 40
+		stray.callID += 1 << 40
 		if p.write(socket, stray) != nil {
 			return nil
 		}
-		return owed
-	case 4: // half an answer, and a reset
+		return unanswered
+	case 4: // half a response, then a reset
 		data, _ := responseTo(last).encode()
 		_, _ = socket.Write(data[:len(data)/2])
 		_ = socket.SetLinger(0)
@@ -128,7 +128,7 @@
 			return nil
 		}
 	}
-	return owed[:len(owed)-1]
+	return unanswered[:len(unanswered)-1]
 }
 
 func (p *unreliablePeer) write(socket *net.TCPConn, f *frame) error {
@@ -140,13 +140,13 @@
 	return err
 }
 
-// responseTo repeats the body of a request behind its number.
+// responseTo returns a response with the body of the request.
 func responseTo(f *frame) *frame {
-	return &frame{frameType: responseFrame, kind: f.kind, call: f.call, body: f.body}
+	return &frame{frameType: responseFrame, kind: f.kind, callID: f.callID, body: f.body}
 }
 
-// Whatever a peer does, an answer reaches the call that it belongs to or nobody, a request is sent at most once, and a call that
-// ends as not sent was not sent.
+// Whatever a peer does, a response reaches its own call or none, a request is sent at most once, and the request of a
+// call that fails with fault.NotReady was not sent.
 func TestResponsesOfAnUnreliablePeer(t *testing.T) {
 	const (
 		seeds       = 12
@@ -160,7 +160,7 @@
 		p := newUnreliablePeer(t, seed)
 		a := listen(t)
 		a.Start()
-		errorsOf := make([]error, callers*callsOfEach)
+		callErrors := make([]error, callers*callsOfEach)
 		var calling sync.WaitGroup
 		for caller := range callers {
 			random := rand.New(rand.NewPCG(seed, uint64(caller)))
@@ -170,19 +170,19 @@
 					body := binary.LittleEndian.AppendUint64(nil, uint64(number))
 					body = append(body, bytes.Repeat([]byte{byte(number)}, random.IntN(longestBody))...)
 					ctx, cancel := context.WithTimeout(context.Background(), callTime)
-					answer, err := a.Call(ctx, p.address, Message{Kind: testKind, Body: body})
+					response, err := a.Call(ctx, p.address, Message{Kind: testKind, Body: body})
 					cancel()
-					if err == nil && !bytes.Equal(answer.Body, body) {
+					if err == nil && !bytes.Equal(response.Body, body) {
 						t.Errorf("seed %d: call %d: got the response of another call", seed, number)
 					}
-					errorsOf[number] = err
+					callErrors[number] = err
 				}
 			})
 		}
 		calling.Wait()
 		a.Close()
 		p.mutex.Lock()
-		for number, err := range errorsOf {
+		for number, err := range callErrors {
 			count := p.received[uint64(number)]
 			switch {
 			case count > 1:
@@ -202,6 +202,6 @@
 	}
 	t.Logf("%d calls answered, %d lost, %d not sent", answered, lost, unsent)
 	if answered == 0 || lost == 0 {
-		t.Error("too few calls were tested")
+		t.Errorf("got %d calls answered and %d lost, want some of each", answered, lost)
 	}
 }
--- a/internal/peer/write.go
+++ b/internal/peer/write.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// writeBuffers holds buffers in which small frames are joined for one write.
+// writeBuffers is a pool of buffers in which small frames are batched for one write.
 var writeBuffers = sync.Pool{New: func() any { return new([writeBufferSize]byte) }}
 
-// write writes queued frames until the connection is closed.
+// write writes queued frames until the connection is closed. A failed write closes it.
 func (c *connection) write(socket net.Conn) {
 	for range c.queueReady {
 		frames := c.takeQueue()
@@ -23,7 +23,7 @@
 	}
 }
 
-// writeFrames writes frames within writeTimeout.
+// writeFrames writes the frames. It fails if that takes longer than writeTimeout.
 func writeFrames(socket net.Conn, frames [][]byte) error {
 	if err := socket.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
@@ -42,18 +42,19 @@
 	return writer.flush()
 }
 
-// frameWriter joins small frames in a buffer, so that they take few system calls.
+// frameWriter batches small frames in a buffer to reduce the number of system calls.
 type frameWriter struct {
 	socket net.Conn
 	buffer *[writeBufferSize]byte
-	size   int // of the joined frames
+	size   int // bytes of the batched frames
 }
 
 func newFrameWriter(socket net.Conn) *frameWriter {
 	return &frameWriter{socket: socket, buffer: writeBuffers.Get().(*[writeBufferSize]byte)}
 }
 
-// write adds a frame to the buffer, or writes it directly if it is larger than the buffer.
+// write adds a frame to the buffer, and writes the buffer first if the frame does not fit. A frame that is larger than
+// the buffer is written directly.
 func (w *frameWriter) write(frame []byte) error {
 	if w.size+len(frame) > writeBufferSize {
 		if err := w.flush(); err != nil {
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// flush writes the joined frames.
+// flush writes the batched frames.
 func (w *frameWriter) flush() error {
 	if w.size == 0 {
 		return nil
