--- a/cmd/nickelline/config.go
+++ b/cmd/nickelline/config.go
@@ -61,39 +61,39 @@
 	return err
 }
 
-// orderFlags describe an order that changes the configuration.
-type orderFlags struct {
+// changeFlags are the flags of the commands that change the configuration.
+type changeFlags struct {
 	nodeFlags
 	File  string  `arg:"" help:"JSON file; - is standard input." type:"existingfile"`
 	Match *uint64 `help:"Version that the order builds on. Without it, the one in force is asked for."`
 	JSON  bool    `help:"Print the answer as JSON."`
 }
 
-// order sends an order and prints the version that it made.
-func (f *orderFlags) order(body []byte, send func(*operator.Client, context.Context, uint64, []byte) (uint64, error)) error {
+// submit sends a change of the configuration and prints the version that it created.
+func (f *changeFlags) submit(body []byte, send func(*operator.Client, context.Context, uint64, []byte) (uint64, error)) error {
 	client, err := f.client()
 	if err != nil {
 		return err
 	}
 	ctx, stop := commandContext()
 	defer stop()
-	match, err := f.match(ctx, client)
+	base, err := f.baseVersion(ctx, client)
 	if err != nil {
 		return err
 	}
-	version, err := send(client, ctx, match, body)
+	version, err := send(client, ctx, base, body)
 	if err != nil {
 		return err
 	}
 	if f.JSON {
 		return printJSON(os.Stdout, map[string]uint64{"version": version})
 	}
-	fmt.Printf("version %d is in force (it was %d)\n", version, match)
+	fmt.Printf("version %d is in force (it was %d)\n", version, base)
 	return nil
 }
 
-// match returns the version that the change builds on: the current one unless the user named one, 0 if there is none.
-func (f *orderFlags) match(ctx context.Context, client *operator.Client) (uint64, error) {
+// baseVersion returns the version that the change builds on: the one in Match, otherwise the current one, or 0 if there is none.
+func (f *changeFlags) baseVersion(ctx context.Context, client *operator.Client) (uint64, error) {
 	if f.Match != nil {
 		return *f.Match, nil
 	}
@@ -113,7 +113,7 @@
 }
 
 // configPut replaces the configuration.
-type configPut struct{ orderFlags }
+type configPut struct{ changeFlags }
 
 // Run carries out the command.
 func (c *configPut) Run() error {
@@ -121,14 +121,14 @@
 	if err != nil {
 		return err
 	}
-	if _, err := checkWhole(body); err != nil {
-		return invalidFile(listed(err))
+	if _, err := compileDocument(body); err != nil {
+		return invalidFile(listProblems(err))
 	}
-	return c.order(body, (*operator.Client).Put)
+	return c.submit(body, (*operator.Client).Put)
 }
 
 // configPatch changes named items.
-type configPatch struct{ orderFlags }
+type configPatch struct{ changeFlags }
 
 // Run carries out the command.
 func (c *configPatch) Run() error {
@@ -139,7 +139,7 @@
 	if _, err := configuration.ParsePatch(body); err != nil {
 		return invalidFile(err)
 	}
-	return c.order(body, (*operator.Client).Patch)
+	return c.submit(body, (*operator.Client).Patch)
 }
 
 // configCheck checks a file.
@@ -163,18 +163,18 @@
 func (c *configCheck) Run() error {
 	snapshot, err := c.check()
 	if c.JSON {
-		return errors.Join(printJSON(os.Stdout, describe(snapshot, err)), invalidFile(err))
+		return errors.Join(printJSON(os.Stdout, newCheckResult(snapshot, err)), invalidFile(err))
 	}
 	if err != nil {
-		return invalidFile(listed(err))
+		return invalidFile(listProblems(err))
 	}
 	fmt.Printf("version %d is valid: %d routes, %d services, %d tenants\n",
 		snapshot.Version, len(snapshot.Routes), len(snapshot.Services), len(snapshot.Tenants))
 	return nil
 }
 
-// listed writes the problems of a document one below the other.
-func listed(err error) error {
+// listProblems returns an error that lists the problems of a document, one a line. It returns err itself if there is only one.
+func listProblems(err error) error {
 	problems := configuration.Problems(err)
 	if len(problems) < 2 {
 		return err
@@ -188,7 +188,7 @@
 		return nil, err
 	}
 	if c.Patch == "" {
-		return checkWhole(body)
+		return compileDocument(body)
 	}
 	patch, err := readInput(c.Patch)
 	if err != nil {
@@ -205,7 +205,7 @@
 	return configuration.Compile(patched)
 }
 
-func checkWhole(body []byte) (*configuration.Snapshot, error) {
+func compileDocument(body []byte) (*configuration.Snapshot, error) {
 	document, err := configuration.Parse(body)
 	if err != nil {
 		return nil, err
@@ -213,7 +213,7 @@
 	return configuration.Compile(document)
 }
 
-func describe(snapshot *configuration.Snapshot, err error) checkResult {
+func newCheckResult(snapshot *configuration.Snapshot, err error) checkResult {
 	if err != nil {
 		return checkResult{Problems: configuration.Problems(err)}
 	}
--- a/cmd/nickelline/control.go
+++ b/cmd/nickelline/control.go
@@ -14,12 +14,12 @@
 	"nickelline/internal/view"
 )
 
-const handOverShare = 0.4 // of the grace period: in which a replica that ends hands over to others
+const handOverFraction = 0.4 // of the grace period, within which a terminating replica hands over to others
 
-// ControlCommand is the role that keeps the control state.
+// ControlCommand runs the control role, which keeps the replicated control state.
 type ControlCommand struct{}
 
-// Run serves until the process is asked to end.
+// Run serves until the process is asked to terminate.
 func (ControlCommand) Run(caught *signals) error {
 	return runRole(caught, newControlNode)
 }
@@ -29,10 +29,10 @@
 	*node
 	control    *control.Control
 	fileSystem segment.OSFileSystem
-	diskFailed chan error // receives the first failure of a disk
+	diskFailed chan error // receives the first failure of the disk
 }
 
-// newControlNode opens the control state. Nothing is received or sent before run.
+// newControlNode opens the control state. Nothing is received or sent before startServices.
 func newControlNode(p *process) (*controlNode, error) {
 	n := &controlNode{diskFailed: make(chan error, 1)}
 	replica, err := controlIdentity(p.settings, n.fileSystem)
@@ -50,7 +50,7 @@
 		Members:       n.members,
 		Configuration: topic{n.gossip, gossip.Configuration},
 		Placement:     topic{n.gossip, gossip.Placement},
-		OnFailure:     diskFailure(n.diskFailed),
+		OnFailure:     reportFirstFailure(n.diskFailed),
 		Log:           p.log,
 	})
 	if err != nil {
@@ -60,33 +60,33 @@
 	return n, nil
 }
 
-// run starts all services of the node, which end with ctx or with end.
-func (n *controlNode) run(ctx context.Context, caught *signals) error {
+// startServices starts all services of the node. They stop when ctx ends or with shutDown.
+func (n *controlNode) startServices(ctx context.Context, caught *signals) error {
 	n.start()
 	n.serveMetrics()
 	n.control.Start()
-	if err := n.pollBackends(ctx); err != nil {
+	if err := n.startBackendPolling(ctx); err != nil {
 		return err
 	}
-	go n.reload(caught)
+	go n.checkSettingsOnReload(caught)
 	return nil
 }
 
-// serve returns when the process is asked to end, or its disk has failed.
+// serve returns when the process is asked to terminate, or when its disk has failed.
 func (n *controlNode) serve(_ context.Context, caught *signals) error {
-	return n.awaitEnd(n.diskFailed, caught, n.fileSystem)
+	return n.awaitTermination(n.diskFailed, caught, n.fileSystem)
 }
 
-// end has another replica take over, within a limited time, and closes the node.
-func (n *controlNode) end(ctx context.Context) {
+// shutDown hands over to another replica, within a limited time, and closes the node.
+func (n *controlNode) shutDown(ctx context.Context) {
 	n.announceLeaving()
-	ctx, cancel := context.WithTimeout(ctx, handOverTime(n.settings))
+	ctx, cancel := context.WithTimeout(ctx, handOverTimeout(n.settings))
 	n.control.Stop(ctx)
 	cancel()
 	n.leave()
 }
 
-// controlIdentity returns the identity of the replica on the disk, 0 where the machine has no disk.
+// controlIdentity returns the identity of the replica on the disk, or 0 if the machine has no disk.
 func controlIdentity(s *settings.Settings, fileSystem segment.FileSystem) (view.ReplicaID, error) {
 	if s.DataDirectory == "" {
 		return 0, nil
@@ -95,12 +95,13 @@
 	return replica, err
 }
 
-// handOverTime is how long a replica that is to end tries to hand over to others.
-func handOverTime(s *settings.Settings) time.Duration {
-	return settings.Seconds(s.Bounds.GracePeriodS * handOverShare)
+// handOverTimeout returns how long a terminating replica tries to hand over to others.
+func handOverTimeout(s *settings.Settings) time.Duration {
+	return settings.Seconds(s.Bounds.GracePeriodS * handOverFraction)
 }
 
-// serveQuotas has this node share out the tenants' limits while it is the head of the control chain.
+// serveQuotas makes this node allocate the tenants' limits while it is the head of the control chain. It does nothing in a
+// process without a replica.
 func serveQuotas(n *node, role *control.Control) {
 	headStatus := role.HeadStatus()
 	if headStatus == nil {
@@ -112,13 +113,13 @@
 	role.OnView(func(v view.View, head bool) { service.ObserveView(v.Epoch, head) })
 }
 
-// isGone reports whether no process is known to run at an address.
+// isGone reports whether no running process is known at an address.
 func (n *node) isGone(address netip.AddrPort) bool {
 	found, known := n.members.Table().Get(address)
 	return !known || !found.Running()
 }
 
-// limitOf returns the limit of a tenant by a configuration, which may be nil. It is zero if the tenant is not known.
+// limitOf returns the limit of a tenant in a configuration, which may be nil. It is zero for an unknown tenant.
 func limitOf(snapshot *configuration.Snapshot, tenant string) quota.Limit {
 	if snapshot == nil {
 		return quota.Limit{}
@@ -130,7 +131,7 @@
 	return quota.Limit{Rate: found.RatePerSecond, Burst: found.Burst}
 }
 
-// leaseholderRegistry keeps the proxies that may hold leases in the control state.
+// leaseholderRegistry keeps the list of proxies that may hold quota leases in the control state.
 type leaseholderRegistry struct{ role *control.Control }
 
 func (r leaseholderRegistry) Current() quota.RegistryState {
@@ -169,7 +170,7 @@
 	return leaseholders
 }
 
-// topic publishes the versions of one topic. A version's number orders it.
+// topic publishes and certifies versions of one gossip topic, which are ordered by their sequence numbers.
 type topic struct {
 	gossip *gossip.Service
 	topic  gossip.Topic
--- a/cmd/nickelline/disk.go
+++ b/cmd/nickelline/disk.go
@@ -12,11 +12,11 @@
 const (
 	diskCheckName   = "check"
 	diskCheckPeriod = 500 * time.Millisecond
-	diskCheckSize   = 64 << 10 // a disk that is all but full is not worth a new start
+	diskCheckSize   = 64 << 10 // bytes; with less free space than this, a restart is not worthwhile
 )
 
-// diskFailure reports the first failure to a channel with room for one.
-func diskFailure(failed chan<- error) func(error) {
+// reportFirstFailure returns a function that sends the first failure to a channel with a buffer of one and drops the others.
+func reportFirstFailure(failed chan<- error) func(error) {
 	return func(err error) {
 		select {
 		case failed <- err:
@@ -25,20 +25,21 @@
 	}
 }
 
-// awaitEnd returns nil once the process is asked to end, and the failure of its disk if that comes first.
-func (p *process) awaitEnd(failed <-chan error, caught *signals, fileSystem segment.FileSystem) error {
+// awaitTermination returns nil once the process is asked to terminate. If its disk fails first, it returns that failure as
+// described at awaitDiskRecovery.
+func (p *process) awaitTermination(failed <-chan error, caught *signals, fileSystem segment.FileSystem) error {
 	select {
 	case failure := <-failed:
-		return p.awaitDisk(failure, caught, fileSystem)
+		return p.awaitDiskRecovery(failure, caught, fileSystem)
 	case <-caught.terminate:
 		return nil
 	}
 }
 
-// awaitDisk returns once the disk takes data again, or the process is to end. A replica whose disk failed takes part in
-// nothing until the process starts anew; to end at once would only make it fail again.
-func (p *process) awaitDisk(failure error, caught *signals, fileSystem segment.FileSystem) error {
-	p.log.Error("the disk failed: waiting until it takes data again", zap.Error(failure))
+// awaitDiskRecovery returns failure once the disk accepts writes again or the process is asked to terminate. A replica whose
+// disk failed does nothing until the process restarts, and a restart before the disk has recovered would only fail again.
+func (p *process) awaitDiskRecovery(failure error, caught *signals, fileSystem segment.FileSystem) error {
+	p.log.Error("disk failed, waiting until it accepts writes again", zap.Error(failure))
 	ticker := time.NewTicker(diskCheckPeriod)
 	defer ticker.Stop()
 	for {
@@ -53,12 +54,12 @@
 	}
 }
 
-// checkDisk writes and removes a file.
+// checkDisk checks that a file of diskCheckSize bytes can be written and removed.
 func checkDisk(fileSystem segment.FileSystem, directory string) error {
 	name := path.Join(directory, diskCheckName)
 	err := segment.SaveRecord(fileSystem, name, make([]byte, diskCheckSize))
-	if removal := fileSystem.Remove(name); err == nil {
-		err = removal
+	if removeErr := fileSystem.Remove(name); err == nil {
+		err = removeErr
 	}
 	return err
 }
--- a/cmd/nickelline/disk_test.go
+++ b/cmd/nickelline/disk_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	if left, err := os.ReadDir(directory); err != nil || len(left) != 0 {
-		t.Errorf("left behind: %v, %v", left, err)
+		t.Errorf("directory after the check: got %v, %v, want it empty", left, err)
 	}
 }
 
@@ -30,10 +30,10 @@
 	}
 	disk.SetCapacity(1 << 10)
 	if checkDisk(mounted, "/data") == nil {
-		t.Error("a full disk passes")
+		t.Error("check of a full disk: got no error, want one")
 	}
 	disk.SetCapacity(1 << 20)
 	if err := checkDisk(mounted, "/data"); err != nil {
-		t.Errorf("with room again: %v", err)
+		t.Errorf("check with free space again: %v", err)
 	}
 }
--- a/cmd/nickelline/golden_test.go
+++ b/cmd/nickelline/golden_test.go
@@ -31,10 +31,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Help ends the program, which the option above stands in for, so parsing goes on and may miss arguments.
+	// Printing help normally exits the program. kong.Exit prevents that here, so parsing continues and may report missing
+	// arguments.
 	_, _ = parser.Parse(append(command, "--help"))
 	if !exited {
-		t.Fatalf("%q --help does not end the program", command)
+		t.Fatalf("%q --help: got no exit, want one", command)
 	}
 	return output.String()
 }
@@ -120,7 +121,7 @@
 	}
 }
 
-// TestMetricsAreUnchanged holds the names and labels of the metrics, which operators build on.
+// TestMetricsAreUnchanged checks the names and labels of the metrics, which operators depend on.
 func TestMetricsAreUnchanged(t *testing.T) {
 	var w metrics.Writer
 	writeTraffic(&w, []peer.PackageTraffic{{Package: "gossip", Traffic: peer.Traffic{SameZone: 100, OtherZones: 200}}})
@@ -137,7 +138,7 @@
 	golden.Text(t, "metrics.txt", w.String())
 }
 
-// TestErrorKindsAreUnchanged holds the names of the error kinds, which stand in metrics, and their answers.
+// TestErrorKindsAreUnchanged checks the names of the error kinds, which are label values of metrics, and their responses.
 func TestErrorKindsAreUnchanged(t *testing.T) {
 	var lines bytes.Buffer
 	for _, kind := range fault.Kinds() {
--- a/cmd/nickelline/main.go
+++ b/cmd/nickelline/main.go
@@ -1,4 +1,4 @@
-// Command nickelline is the serving tier: the roles proxy, control and store, and the operator's commands.
+// Command nickelline runs the serving tier in one of the roles proxy, control and store, and has the operator's commands.
 package main
 
 import (
@@ -20,7 +20,8 @@
 	Settings SettingsCommand `cmd:"" help:"Check a process's settings file."`
 }
 
-// signals are caught before anything else: a SIGHUP or SIGTERM that nothing catches would end the process.
+// signals receives the caught signals. They are caught before anything else, since an uncaught SIGHUP or SIGTERM would kill
+// the process.
 type signals struct {
 	terminate chan os.Signal
 	reload    chan os.Signal
@@ -48,7 +49,7 @@
 	var line commandLine
 	parser, err := newParser(&line)
 	if err != nil {
-		panic(err) // the definition of the command line is wrong, which its tests show
+		panic(err) // the definition of the command line is invalid, which its tests detect
 	}
 	parsed, err := parser.Parse(os.Args[1:])
 	parser.FatalIfErrorf(err)
--- a/cmd/nickelline/metrics.go
+++ b/cmd/nickelline/metrics.go
@@ -17,8 +17,8 @@
 	"nickelline/internal/store"
 )
 
-// serveMetrics serves the metrics of the process where the settings name an endpoint. Without one nothing is opened. A process does
-// its work without metrics, so a failure is only logged.
+// serveMetrics starts serving the metrics of the process if the settings name an endpoint, otherwise it does nothing. A failure
+// is only logged, since the process does its work without metrics too.
 func (n *node) serveMetrics(sources ...metrics.Source) {
 	if n.settings.Metrics == "" {
 		return
@@ -44,7 +44,7 @@
 	}()
 }
 
-// writeNode writes the figures that the processes of all roles have.
+// writeNode writes the metrics that the processes of all roles have.
 func (n *node) writeNode(w *metrics.Writer) {
 	w.Gauge("nickelline_members_alive", float64(len(n.members.Table().Running())))
 	writeTraffic(w, n.transport.SentByPackage())
@@ -58,7 +58,7 @@
 	}
 }
 
-// poolMetrics returns the source of the metrics of the admission pools.
+// poolMetrics returns a source of the metrics of the admission pools.
 func poolMetrics(state *nodestate.State) metrics.Source {
 	return func(w *metrics.Writer) {
 		pools := state.Pools()
@@ -76,7 +76,7 @@
 	w.Gauge("nickelline_first_part_smoothed_seconds", stats.Latency.Seconds(), service)
 	w.Gauge("nickelline_first_part_uncrowded_seconds", stats.UnloadedLatency.Seconds(), service)
 	w.Gauge("nickelline_live_slots_part", stats.LiveFraction, service)
-	w.Gauge("nickelline_loads_shared", gaugeOf(stats.Shared), service)
+	w.Gauge("nickelline_loads_shared", boolGauge(stats.Shared), service)
 	for i := range stats.Classes {
 		writeClass(w, service, &stats.Classes[i])
 	}
@@ -100,7 +100,7 @@
 	}
 }
 
-// writeFirstByteTimes writes a histogram: each bucket counts what is at or below its bound.
+// writeFirstByteTimes writes a histogram, in which each bucket counts the times at or below its bound.
 func writeFirstByteTimes(w *metrics.Writer, times *admission.FirstByteTimes, labels ...metrics.Label) {
 	const name = "nickelline_first_part_seconds"
 	total := uint64(0)
@@ -116,7 +116,7 @@
 	w.Counter(name+"_count", total, labels...)
 }
 
-// proxyMetrics returns the source of the metrics of a proxy and of its quota leases.
+// proxyMetrics returns a source of the metrics of a proxy and of its quota leases.
 func proxyMetrics(p *proxy.Proxy, limiter *quota.Limiter) metrics.Source {
 	return func(w *metrics.Writer) {
 		writeRequests(w, p.Stats())
@@ -139,9 +139,9 @@
 	w.Gauge("nickelline_quota_waiting", float64(leases.Waiting))
 }
 
-// storeMetrics returns the source of the metrics of the batch items that a store runs.
-func storeMetrics(role *store.Service) metrics.Source {
-	return func(w *metrics.Writer) { writeItems(w, role.Stats()) }
+// storeMetrics returns a source of the metrics of a store's partitions and batch items.
+func storeMetrics(s *store.Service) metrics.Source {
+	return func(w *metrics.Writer) { writeItems(w, s.Stats()) }
 }
 
 func writeItems(w *metrics.Writer, stats store.Stats) {
@@ -155,9 +155,9 @@
 	}
 }
 
-// gaugeOf returns 1 for true and 0 for false.
-func gaugeOf(is bool) float64 {
-	if is {
+// boolGauge returns 1 for true and 0 for false.
+func boolGauge(value bool) float64 {
+	if value {
 		return 1
 	}
 	return 0
--- a/cmd/nickelline/node.go
+++ b/cmd/nickelline/node.go
@@ -26,12 +26,12 @@
 )
 
 const (
-	leaveTime           = 300 * time.Millisecond // for announcing the own end to the others
-	maxHeartbeat        = 1200 * time.Millisecond
-	heartbeatApplyShare = 0.5 // of the time in which a configuration has to be in force
+	leaveTimeout           = 300 * time.Millisecond // bounds the announcement that this process terminates
+	maxHeartbeatInterval   = 1200 * time.Millisecond
+	heartbeatApplyFraction = 0.5 // of ConfigApplyMs, within which a new configuration must be in force
 )
 
-// node is what the processes of all roles have in common: the transport, the table of members and gossip.
+// node holds the parts that the processes of all roles share: transport, membership, gossip and shared backend loads.
 type node struct {
 	*process
 	transport *peer.Transport
@@ -41,7 +41,7 @@
 	stop      context.CancelFunc
 }
 
-// newNode binds the internal address. Handlers may be added until start is called.
+// newNode binds the internal address. Handlers may be registered on the transport until start is called.
 func newNode(p *process, role string, address netip.AddrPort, replica uint64) (*node, error) {
 	transport, err := peer.Listen(address, p.log)
 	if err != nil {
@@ -60,7 +60,7 @@
 	n := &node{process: p, transport: transport}
 	transport.SetSameZone(n.isInOwnZone)
 	n.members = member.New(self, p.settings.SeedInternalAddresses(), transport, p.log)
-	n.gossip = gossip.New(self, n.members.Table, transport, n.heartbeat(), p.log)
+	n.gossip = gossip.New(self, n.members.Table, transport, n.heartbeatInterval(), p.log)
 	n.loads = load.New(load.Options{
 		Zone:          self.Zone,
 		Transport:     transport,
@@ -71,17 +71,18 @@
 	return n, nil
 }
 
-// heartbeat is the period of digests: well within the time in which a configuration has to be in force.
-func (n *node) heartbeat() time.Duration {
+// heartbeatInterval returns the interval of gossip digests. It is at most heartbeatApplyFraction of ConfigApplyMs, so
+// that a new configuration is in force everywhere in time.
+func (n *node) heartbeatInterval() time.Duration {
 	period := n.settings.Heartbeat()
-	applying := time.Duration(n.settings.Bounds.ConfigApplyMs * heartbeatApplyShare * float64(time.Millisecond))
+	applying := time.Duration(n.settings.Bounds.ConfigApplyMs * heartbeatApplyFraction * float64(time.Millisecond))
 	if applying > 0 {
 		period = min(period, applying)
 	}
-	return min(period, maxHeartbeat)
+	return min(period, maxHeartbeatInterval)
 }
 
-// newState makes the state that gossip keeps up to date here.
+// newState returns the state of this node, which gossip keeps up to date.
 func (n *node) newState() *nodestate.State {
 	return nodestate.New(nodestate.Options{
 		Node:   n.settings.NodeName,
@@ -93,7 +94,7 @@
 	})
 }
 
-// start begins to send and receive.
+// start starts sending and receiving.
 func (n *node) start() {
 	ctx, stop := context.WithCancel(context.Background())
 	n.stop = stop
@@ -103,26 +104,26 @@
 	go n.reportTraffic(ctx)
 }
 
-// pollBackends polls the platform's listing of backends until ctx ends.
-func (n *node) pollBackends(ctx context.Context) error {
+// startBackendPolling starts polling the platform's listing of backends, until ctx ends.
+func (n *node) startBackendPolling(ctx context.Context) error {
 	platform, err := discovery.NewPlatform(n.settings.CloudAPI.Address, n.settings.CloudAPI.RatePerS)
 	if err != nil {
 		return err
 	}
 	poller := discovery.NewPoller(n.settings, n.transport.Address(), platform,
-		backendsTopic{n.gossip}, ranks{n.members, n.transport.Address()}, n.log)
+		backendsTopic{n.gossip}, memberRanks{n.members, n.transport.Address()}, n.log)
 	go poller.Run(ctx)
 	return nil
 }
 
-// announceLeaving announces to the others that this process is about to end, while it still serves.
+// announceLeaving announces to the other members that this process is about to terminate but still serves.
 func (n *node) announceLeaving() {
 	n.members.UpdateSelf(func(self *member.Member) { self.Leaving = true })
 }
 
-// leave announces to the others that this process ends, and closes its connections.
+// leave announces to the other members that this process terminates, and closes its connections.
 func (n *node) leave() {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveTime)
+	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	n.members.Leave(ctx)
 	n.logTraffic()
@@ -131,7 +132,7 @@
 	_ = n.log.Sync()
 }
 
-// backendsTopic spreads the list of backends by gossip.
+// backendsTopic disseminates the list of backends by gossip. It implements discovery.Distribution.
 type backendsTopic struct{ gossip *gossip.Service }
 
 func (b backendsTopic) Current() (sequence uint64, data []byte, ok bool) {
@@ -153,13 +154,13 @@
 	return b.gossip.Exchange(ctx, node)
 }
 
-// ranks implements what discovery needs of the members: the rank of this node among the control processes, and the others.
-type ranks struct {
+// memberRanks implements discovery.Ranks from the table of members.
+type memberRanks struct {
 	members *member.Service
 	self    netip.AddrPort
 }
 
-func (r ranks) Rank() (rank int, control bool, members int) {
+func (r memberRanks) Rank() (rank int, control bool, members int) {
 	table := r.members.Table()
 	for rank, m := range table.ByRole(roleControl) {
 		if m.Address == r.self {
@@ -169,7 +170,7 @@
 	return 0, false, len(table.Running())
 }
 
-func (r ranks) Peers() []netip.AddrPort {
+func (r memberRanks) Peers() []netip.AddrPort {
 	var peers []netip.AddrPort
 	for _, m := range r.members.Table().ByRole(roleControl) {
 		if m.Address != r.self {
@@ -179,7 +180,7 @@
 	return peers
 }
 
-// controlNodes returns the internal addresses of the control processes that run, those of the own zone first.
+// controlNodes returns the internal addresses of the running control processes, those in this node's zone first.
 func (n *node) controlNodes() []netip.AddrPort {
 	var near, far []netip.AddrPort
 	for _, m := range n.members.Table().ByRole(roleControl) {
@@ -192,14 +193,14 @@
 	return append(near, far...)
 }
 
-// reload checks the settings file at each SIGHUP. What it holds counts from the next start: the seeds, which change most
-// often, are needed only until a process has met another one.
-func (n *node) reload(caught *signals) {
+// checkSettingsOnReload validates the settings file on each SIGHUP. Changes take effect at the next start, which suffices:
+// the seeds, which change most often, are needed only until a process has contacted another one.
+func (n *node) checkSettingsOnReload(caught *signals) {
 	for range caught.reload {
 		if _, err := settings.Load(); err != nil {
-			n.log.Error("check settings file failed, the present settings stay", zap.Error(err))
+			n.log.Error("load settings file failed, keeping the current settings", zap.Error(err))
 			continue
 		}
-		n.log.Info("settings file is valid and counts from the next start")
+		n.log.Info("settings file is valid and takes effect at the next start")
 	}
 }
--- a/cmd/nickelline/operator.go
+++ b/cmd/nickelline/operator.go
@@ -26,7 +26,7 @@
 	Verbose bool          `short:"v" help:"Tell of each attempt that failed."`
 }
 
-// client makes the client that the flags describe.
+// client returns a client for the nodes that the flags or the settings name.
 func (f *nodeFlags) client() (*operator.Client, error) {
 	nodes, err := f.nodes()
 	if err != nil {
@@ -42,12 +42,12 @@
 	if os.Getenv(settings.PathVariable) == "" {
 		return nil, merry.New("no node is named: use --node, NICKELLINE_NODES or " + settings.PathVariable)
 	}
-	read, err := settings.Load()
+	loaded, err := settings.Load()
 	if err != nil {
 		return nil, err
 	}
 	var nodes []string
-	for _, seed := range read.SeedNodes {
+	for _, seed := range loaded.SeedNodes {
 		nodes = append(nodes, seed.String())
 	}
 	return nodes, nil
@@ -84,14 +84,14 @@
 // invalidFileError is the error of a file that was read and is invalid.
 type invalidFileError struct{ error }
 
-// ExitCode is the exit code of a command that ends with the error.
+// ExitCode returns the exit code of a command that fails with the error.
 func (e invalidFileError) ExitCode() int { return exitInvalid }
 
-// Unwrap returns the error in the file.
+// Unwrap returns the error that was found in the file.
 func (e invalidFileError) Unwrap() error { return e.error }
 
-// invalidFile wraps the error of a file that was checked, so that the command ends with exitInvalid. It returns the error of a file
-// that could not be opened as it is.
+// invalidFile wraps the error of a file that was checked, so that the command exits with exitInvalid. The error of a file that
+// could not be opened is returned unchanged.
 func invalidFile(err error) error {
 	var path *os.PathError
 	if err == nil || errors.As(err, &path) {
--- a/cmd/nickelline/operator_test.go
+++ b/cmd/nickelline/operator_test.go
@@ -33,7 +33,7 @@
 	Settings SettingsCommand `cmd:""`
 }
 
-// runCommand runs a command line and gives what it prints.
+// runCommand runs a command line and returns its standard output.
 func runCommand(t *testing.T, arguments ...string) (string, error) {
 	t.Helper()
 	var commands operatorCommands
@@ -48,7 +48,7 @@
 	return captureOutput(t, func() error { return parsed.Run() })
 }
 
-// captureOutput gives what an operation writes to standard output.
+// captureOutput runs an operation and returns what it writes to standard output.
 func captureOutput(t *testing.T, operation func() error) (string, error) {
 	t.Helper()
 	file, err := os.Create(filepath.Join(t.TempDir(), "output"))
@@ -56,15 +56,15 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = file.Close() }()
-	standard := os.Stdout
+	stdout := os.Stdout
 	os.Stdout = file
-	failure := operation()
-	os.Stdout = standard
+	operationErr := operation()
+	os.Stdout = stdout
 	text, err := os.ReadFile(file.Name())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(text), failure
+	return string(text), operationErr
 }
 
 func writeFile(t *testing.T, text string) string {
@@ -80,20 +80,20 @@
 	t.Helper()
 	var coder kong.ExitCoder
 	if !errors.As(err, &coder) || coder.ExitCode() != code {
-		t.Errorf("%v does not end with code %d", err, code)
+		t.Errorf("got error %v, want one with exit code %d", err, code)
 	}
 }
 
-// fakeControlNode is a fake node of the control API.
+// fakeControlNode serves the control API with fixed responses and records the requests.
 type fakeControlNode struct {
-	mutex  sync.Mutex
-	calls  []string
-	answer map[string]string // by method and path
-	status map[string]int
+	mutex    sync.Mutex
+	calls    []string
+	bodies   map[string]string // response bodies by method and path
+	statuses map[string]int    // statuses by method and path, 200 if absent
 }
 
 func newFakeControlNode(t *testing.T) (*fakeControlNode, string) {
-	n := &fakeControlNode{answer: map[string]string{}, status: map[string]int{}}
+	n := &fakeControlNode{bodies: map[string]string{}, statuses: map[string]int{}}
 	server := httptest.NewServer(n)
 	t.Cleanup(server.Close)
 	return n, strings.TrimPrefix(server.URL, "http://")
@@ -105,15 +105,15 @@
 	defer n.mutex.Unlock()
 	key := r.Method + " " + r.URL.Path
 	n.calls = append(n.calls, strings.TrimSpace(key+" "+r.Header.Get(controlapi.MatchHeader)+" "+string(body)))
-	if status := n.status[key]; status != 0 {
+	if status := n.statuses[key]; status != 0 {
 		w.WriteHeader(status)
 	}
-	_, _ = io.WriteString(w, n.answer[key])
+	_, _ = io.WriteString(w, n.bodies[key])
 }
 
 func TestConfigGet(t *testing.T) {
 	n, address := newFakeControlNode(t)
-	n.answer["GET /-/configuration"] = `{"version":9,"text":"<&>"}`
+	n.bodies["GET /-/configuration"] = `{"version":9,"text":"<&>"}`
 	output, err := runCommand(t, "config", "get", "--node", address, "--no-indent")
 	if err != nil || output != "{\"version\":9,\"text\":\"<&>\"}\n" {
 		t.Errorf("%q, %v", output, err)
@@ -130,13 +130,13 @@
 
 func TestConfigPutAndPatch(t *testing.T) {
 	n, address := newFakeControlNode(t)
-	n.answer["GET /-/configuration"] = validDocument
-	n.answer["PATCH /-/configuration"] = `{"version":11}`
+	n.bodies["GET /-/configuration"] = validDocument
+	n.bodies["PATCH /-/configuration"] = `{"version":11}`
 	output, err := runCommand(t, "config", "patch", "--node", address, writeFile(t, validPatch))
 	if err != nil || output != "version 11 is in force (it was 9)\n" {
 		t.Errorf("%q, %v", output, err)
 	}
-	n.answer["PUT /-/configuration"] = `{"version":9}`
+	n.bodies["PUT /-/configuration"] = `{"version":9}`
 	output, err = runCommand(t, "config", "put", "--node", address, "--match", "4", "--json", writeFile(t, validDocument))
 	if err != nil || output != "{\n  \"version\": 9\n}\n" {
 		t.Errorf("%q, %v", output, err)
@@ -145,19 +145,19 @@
 		"GET /-/configuration", "PATCH /-/configuration 9 " + validPatch, "PUT /-/configuration 4 " + validDocument,
 	}
 	if !reflect.DeepEqual(n.calls, want) {
-		t.Errorf("got %q", n.calls)
+		t.Errorf("requests: got %q, want %q", n.calls, want)
 	}
 }
 
-func TestConfigPutOfTheFirst(t *testing.T) {
+func TestConfigPutOfFirstVersion(t *testing.T) {
 	n, address := newFakeControlNode(t)
-	n.status["GET /-/configuration"] = http.StatusNotFound
-	n.answer["PUT /-/configuration"] = `{"version":9}`
+	n.statuses["GET /-/configuration"] = http.StatusNotFound
+	n.bodies["PUT /-/configuration"] = `{"version":9}`
 	if _, err := runCommand(t, "config", "put", "--node", address, writeFile(t, validDocument)); err != nil {
 		t.Fatal(err)
 	}
 	if last := n.calls[len(n.calls)-1]; last != "PUT /-/configuration 0 "+validDocument {
-		t.Errorf("got %q", last)
+		t.Errorf("last request: got %q, want a PUT that matches version 0", last)
 	}
 }
 
@@ -168,14 +168,14 @@
 	_, err = runCommand(t, "config", "patch", "--node", address, writeFile(t, `{"upsert":{}}`))
 	wantExitCode(t, err, exitInvalid)
 	if len(n.calls) != 0 {
-		t.Errorf("got %q", n.calls)
+		t.Errorf("requests: got %q, want none", n.calls)
 	}
 }
 
-func TestRefusedOrder(t *testing.T) {
+func TestConfigPutConflict(t *testing.T) {
 	n, address := newFakeControlNode(t)
-	n.status["PUT /-/configuration"] = http.StatusPreconditionFailed
-	n.answer["PUT /-/configuration"] = `{"error":"version 5 is current"}`
+	n.statuses["PUT /-/configuration"] = http.StatusPreconditionFailed
+	n.bodies["PUT /-/configuration"] = `{"error":"version 5 is current"}`
 	_, err := runCommand(t, "config", "put", "--node", address, "--match", "4", writeFile(t, validDocument))
 	wantExitCode(t, err, operator.ExitConflict)
 	if err == nil || !strings.Contains(err.Error(), "version 5 is current") {
@@ -207,8 +207,8 @@
 
 func TestRetireWaits(t *testing.T) {
 	n, address := newFakeControlNode(t)
-	n.answer["POST /-/retire/s-1"] = `{"state":"in_progress"}`
-	n.answer["GET /-/retire/s-1"] = `{"state":"completed"}`
+	n.bodies["POST /-/retire/s-1"] = `{"state":"in_progress"}`
+	n.bodies["GET /-/retire/s-1"] = `{"state":"completed"}`
 	output, err := runCommand(t, "retire", "s-1", "--node", address, "--duration", "10s")
 	if err != nil || !strings.Contains(output, "s-1 holds nothing any more") {
 		t.Errorf("%q, %v", output, err)
@@ -217,14 +217,14 @@
 	if err != nil || !strings.Contains(output, `"completed": false`) {
 		t.Errorf("%q, %v", output, err)
 	}
-	n.status["POST /-/retire/s-2"] = http.StatusNotFound
+	n.statuses["POST /-/retire/s-2"] = http.StatusNotFound
 	_, err = runCommand(t, "retire", "s-2", "--node", address)
 	wantExitCode(t, err, operator.ExitNotFound)
 }
 
 func TestStatusTable(t *testing.T) {
 	n, address := newFakeControlNode(t)
-	n.answer["GET /-/status"] = `{"node":"f-1","configuration":{"version":7,"routes":2},"chain":{"epoch":3,"replicas":["f-1","f-2"]},
+	n.bodies["GET /-/status"] = `{"node":"f-1","configuration":{"version":7,"routes":2},"chain":{"epoch":3,"replicas":["f-1","f-2"]},
 		"placement":{"version":4,"partitions":[{"partition":0,"epoch":2,"stores":["s-1","s-2"]}]},
 		"retirements":[{"node":"s-3","state":"in_progress"}],
 		"members":[{"node":"f-1","role":"proxy","zone":"z","address":"10.0.0.1:1","state":"alive","leaving":true}]}`
@@ -234,7 +234,7 @@
 	}
 	for _, part := range []string{"version 7: 2 routes", "epoch 3: f-1 > f-2", "s-1 > s-2", "s-3: in_progress", "alive, leaving"} {
 		if !strings.Contains(output, part) {
-			t.Errorf("%q lacks %q", output, part)
+			t.Errorf("got %q, want it to contain %q", output, part)
 		}
 	}
 	if output, err = runCommand(t, "status", "--node", address, "--json"); err != nil || !strings.Contains(output, `"epoch": 3`) {
@@ -242,7 +242,7 @@
 	}
 }
 
-func TestNodesComeFromTheSettings(t *testing.T) {
+func TestNodesDefaultToTheSeeds(t *testing.T) {
 	t.Setenv("NICKELLINE_BOOT", "")
 	_, err := runCommand(t, "status")
 	if err == nil || !strings.Contains(err.Error(), "--node") {
@@ -281,6 +281,6 @@
 	_, err = runCommand(t, "settings", "check", writeFile(t, "nodeName = 5"))
 	wantExitCode(t, err, exitInvalid)
 	if _, err = runCommand(t, "settings", "check", "/nowhere/settings.toml"); err == nil {
-		t.Error("a file that is not there is valid")
+		t.Error("check of a file that does not exist: got no error, want one")
 	}
 }
--- a/cmd/nickelline/process.go
+++ b/cmd/nickelline/process.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	memoryPart = 0.6 // of the limit for Go's heap and stacks; the kernel's buffers and the program have the rest
-	gcPercent  = 200 // the heap is small: fewer collections leave the processor to requests
+	memoryLimitFraction = 0.6 // of MemoryMB, for Go's heap and stacks; the rest is for kernel buffers and the program itself
+	gcPercent           = 200 // the heap is small, so collecting less often leaves more CPU time for requests
 )
 
-// process is what every role starts with.
+// process holds the settings and the logger of a process of any role.
 type process struct {
 	settings *settings.Settings
 	log      *zap.Logger
 }
 
-// newProcess reads the settings and takes the process's limits from them.
+// newProcess loads the settings and applies the limits on memory and CPU cores that they define.
 func newProcess() (*process, error) {
-	read, err := settings.Load()
+	loaded, err := settings.Load()
 	if err != nil {
 		return nil, err
 	}
-	log, err := newLogger(read)
+	log, err := newLogger(loaded)
 	if err != nil {
 		return nil, err
 	}
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(memoryPart * float64(read.Limits.MemoryMB) * (1 << 20)))
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(read.Limits.CPUCores))))
-	return &process{settings: read, log: log}, nil
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(loaded.Limits.MemoryMB) * (1 << 20)))
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(loaded.Limits.CPUCores))))
+	return &process{settings: loaded, log: log}, nil
 }
 
-// newLogger writes JSON lines to standard error, with the node's name on each.
-func newLogger(read *settings.Settings) (*zap.Logger, error) {
+// newLogger returns a logger that writes JSON lines, each with the node's name, to standard error.
+func newLogger(loaded *settings.Settings) (*zap.Logger, error) {
 	configuration := zap.NewProductionConfig()
 	configuration.EncoderConfig.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	configuration.DisableStacktrace = true
@@ -47,5 +47,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return log.With(zap.String("node", read.NodeName)), nil
+	return log.With(zap.String("node", loaded.NodeName)), nil
 }
--- a/cmd/nickelline/proxy.go
+++ b/cmd/nickelline/proxy.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	proofMargin        = 0.3  // of the time after which a key that was taken away must have no effect: kept free
-	clientDescriptors  = 0.45 // of all descriptors: connections of clients
-	backendDescriptors = 0.35 // connections to backends
+	proofAgeMargin            = 0.3  // of RevocationMs, by which the maximum proof age is shorter
+	clientDescriptorFraction  = 0.45 // of all file descriptors, for connections from clients
+	backendDescriptorFraction = 0.35 // of all file descriptors, for connections to backends
 )
 
-// ProxyCommand is the role that carries traffic.
+// ProxyCommand runs the proxy role, which serves clients and forwards their requests to backends.
 type ProxyCommand struct{}
 
-// Run serves until the process is asked to end.
+// Run serves until the process is asked to terminate.
 func (ProxyCommand) Run(caught *signals) error {
 	return runRole(caught, newProxyNode)
 }
@@ -33,14 +33,14 @@
 // proxyNode is a node with the proxy role.
 type proxyNode struct {
 	*node
-	state    *nodestate.State
-	sender   *forward.Client
-	limiter  *quota.Limiter
-	renewing *limiterRun // from run on
-	proxy    *proxy.Proxy
+	state   *nodestate.State
+	sender  *forward.Client
+	limiter *quota.Limiter
+	renewal *leaseRenewal // nil until startServices
+	proxy   *proxy.Proxy
 }
 
-// newProxyNode binds all addresses. Nothing is received or sent before run.
+// newProxyNode binds all addresses. Nothing is received or sent before startServices.
 func newProxyNode(p *process) (*proxyNode, error) {
 	clients, err := listen(p.settings.Listen.Frontend)
 	if err != nil {
@@ -58,7 +58,7 @@
 	n.limiter = quota.NewLimiter(quota.PolicyOf(&p.settings.Bounds), n.transport, n.controlNodes, p.log)
 	n.limiter.HandleAnnouncements(n.transport)
 	n.sender = forward.NewClient(forward.Options{
-		MaxConnections: int(backendDescriptors * float64(p.settings.Limits.FileDescriptors)),
+		MaxConnections: int(backendDescriptorFraction * float64(p.settings.Limits.FileDescriptors)),
 	})
 	n.state.OnBackends(n.sender.SetBackends)
 	n.proxy = proxy.New(clients, readiness, n.proxyOptions())
@@ -77,31 +77,31 @@
 		Quota:          n.limiter,
 		Batch:          newBatchClient(n.node, n.state),
 		GracePeriod:    settings.Seconds(n.settings.Bounds.GracePeriodS),
-		MaxConnections: int(clientDescriptors * float64(n.settings.Limits.FileDescriptors)),
+		MaxConnections: int(clientDescriptorFraction * float64(n.settings.Limits.FileDescriptors)),
 		Log:            n.log,
 	}
 }
 
-// run starts all services of the node but the serving of clients. They end with ctx or with end.
-func (n *proxyNode) run(ctx context.Context, caught *signals) error {
+// startServices starts all services of the node except serving clients. They stop when ctx ends or with shutDown.
+func (n *proxyNode) startServices(ctx context.Context, caught *signals) error {
 	n.start()
 	n.serveMetrics(poolMetrics(n.state), proxyMetrics(n.proxy, n.limiter))
 	go n.sender.Run(ctx)
 	go n.loads.Run(ctx)
-	n.renewing = runLimiter(ctx, n.limiter)
-	if err := n.pollBackends(ctx); err != nil {
+	n.renewal = startLeaseRenewal(ctx, n.limiter)
+	if err := n.startBackendPolling(ctx); err != nil {
 		return err
 	}
-	go n.reload(caught)
+	go n.checkSettingsOnReload(caught)
 	return nil
 }
 
-// serve serves clients until that fails, or until the process is asked to end: then it drains the requests under way and gives up the
-// quota leases.
+// serve serves clients until that fails or the process is asked to terminate. In the latter case, it drains the requests in
+// progress and returns the quota leases.
 func (n *proxyNode) serve(ctx context.Context, caught *signals) error {
 	served := make(chan error, 1)
 	go func() { served <- n.proxy.Serve() }()
-	n.log.Info("proxy serves", zap.Stringer("clients", n.settings.Listen.Frontend))
+	n.log.Info("proxy is serving clients", zap.Stringer("clients", n.settings.Listen.Frontend))
 	select {
 	case err := <-served:
 		return err
@@ -109,56 +109,56 @@
 	}
 	n.announceLeaving()
 	n.drain(ctx)
-	n.renewing.leave(ctx)
+	n.renewal.leave(ctx)
 	return nil
 }
 
-// end closes the node, whose requests and leases serve has ended.
-func (n *proxyNode) end(context.Context) { n.leave() }
+// shutDown closes the node. serve has already drained the requests and returned the leases.
+func (n *proxyNode) shutDown(context.Context) { n.leave() }
 
-// drain waits for the requests under way, for the grace period at most.
+// drain waits until the requests in progress have completed, for the grace period at most.
 func (n *proxyNode) drain(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, settings.Seconds(n.settings.Bounds.GracePeriodS))
 	defer cancel()
 	n.proxy.Drain(ctx)
 }
 
-// limiterRun is a limiter whose leases are being renewed.
-type limiterRun struct {
+// leaseRenewal is the renewal of a limiter's leases in a goroutine.
+type leaseRenewal struct {
 	limiter *quota.Limiter
 	stop    context.CancelFunc
-	ended   chan struct{}
+	done    chan struct{}
 }
 
-func runLimiter(ctx context.Context, limiter *quota.Limiter) *limiterRun {
+func startLeaseRenewal(ctx context.Context, limiter *quota.Limiter) *leaseRenewal {
 	ctx, stop := context.WithCancel(ctx)
-	run := &limiterRun{limiter: limiter, stop: stop, ended: make(chan struct{})}
+	run := &leaseRenewal{limiter: limiter, stop: stop, done: make(chan struct{})}
 	go func() {
-		defer close(run.ended)
+		defer close(run.done)
 		limiter.Run(ctx)
 	}()
 	return run
 }
 
-// quotaLeaveTime bounds how long a proxy that ends tries to give up its quota leases.
-const quotaLeaveTime = 300 * time.Millisecond
+// quotaLeaveTimeout bounds how long a terminating proxy tries to return its quota leases.
+const quotaLeaveTimeout = 300 * time.Millisecond
 
-// leave gives up the leases once no request is sent any more.
-func (r *limiterRun) leave(ctx context.Context) {
+// leave stops the renewal and returns the leases. It is called once no more requests are sent.
+func (r *leaseRenewal) leave(ctx context.Context) {
 	r.stop()
-	<-r.ended
-	ctx, cancel := context.WithTimeout(ctx, quotaLeaveTime)
+	<-r.done
+	ctx, cancel := context.WithTimeout(ctx, quotaLeaveTimeout)
 	defer cancel()
 	r.limiter.Leave(ctx)
 }
 
-// maxProofAge is how old the proof may be that the configuration is current: a key that was taken away must have no
-// effect after a time, also where the node has not heard of it.
+// maxProofAge returns the maximum age of the proof that the configuration is current, 0 for no maximum. A revoked API key
+// must be rejected after RevocationMs, also by a node that has not received the configuration without the key.
 func maxProofAge(s *settings.Settings) time.Duration {
 	if !s.Bounds.RevocationClosed || s.Bounds.RevocationMs <= 0 {
 		return 0
 	}
-	return settings.Milliseconds(s.Bounds.RevocationMs * (1 - proofMargin))
+	return settings.Milliseconds(s.Bounds.RevocationMs * (1 - proofAgeMargin))
 }
 
 func newBatchClient(n *node, state *nodestate.State) *batchapi.Client {
--- a/cmd/nickelline/retire.go
+++ b/cmd/nickelline/retire.go
@@ -11,7 +11,7 @@
 	"nickelline/internal/operator"
 )
 
-// pollInterval lies between two questions how far a retirement is.
+// pollInterval is the time between two requests for the state of a retirement.
 const pollInterval = time.Second
 
 // RetireCommand empties a store and waits until it holds nothing.
@@ -42,45 +42,45 @@
 	if err := client.Retire(ctx, c.Store, c.Duration); err != nil {
 		return err
 	}
-	c.progress("%s is being emptied", c.Store)
+	c.printProgress("%s is being emptied", c.Store)
 	completed := false
 	if c.Wait {
 		if completed, err = c.wait(ctx, client); err != nil {
 			return err
 		}
 	}
-	return c.report(completed, time.Since(begin))
+	return c.printResult(completed, time.Since(begin))
 }
 
-// wait asks until the store is empty or its time is over.
+// wait polls until the store is empty, and returns an error if it is not empty after Duration.
 func (c *RetireCommand) wait(ctx context.Context, client *operator.Client) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Duration)
 	defer cancel()
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	begin := time.Now()
+	began := time.Now()
 	for {
 		completed, err := client.IsRetired(ctx, c.Store)
 		if completed || err != nil {
 			return completed, err
 		}
-		c.progress("in progress for %v", time.Since(begin).Round(time.Second))
+		c.printProgress("in progress for %v", time.Since(began).Round(time.Second))
 		select {
 		case <-ctx.Done():
-			return false, merry.Errorf("%s is not empty after %v; it goes on being emptied", c.Store, c.Duration)
+			return false, merry.Errorf("%s is not empty after %v; the retirement continues", c.Store, c.Duration)
 		case <-ticker.C:
 		}
 	}
 }
 
-// progress prints what goes on to standard error, unless the result is wanted as JSON.
-func (c *RetireCommand) progress(format string, arguments ...any) {
+// printProgress prints a message to standard error, unless the result is printed as JSON.
+func (c *RetireCommand) printProgress(format string, arguments ...any) {
 	if !c.JSON {
 		fmt.Fprintf(os.Stderr, format+"\n", arguments...)
 	}
 }
 
-func (c *RetireCommand) report(completed bool, taken time.Duration) error {
+func (c *RetireCommand) printResult(completed bool, taken time.Duration) error {
 	if c.JSON {
 		return printJSON(os.Stdout, retireResult{Node: c.Store, Completed: completed, Seconds: taken.Seconds()})
 	}
--- a/cmd/nickelline/role.go
+++ b/cmd/nickelline/role.go
@@ -2,17 +2,17 @@
 
 import "context"
 
-// roleNode is a node in one of the roles.
+// roleNode is a node with one of the roles.
 type roleNode interface {
-	// run starts all services of the node but the serving of clients. They end with ctx or with end.
-	run(ctx context.Context, caught *signals) error
-	// serve returns when the process is asked to end, or cannot go on.
+	// startServices starts all services of the node except serving clients. They stop when ctx ends or with shutDown.
+	startServices(ctx context.Context, caught *signals) error
+	// serve returns when the process is asked to terminate, or with an error when it cannot continue.
 	serve(ctx context.Context, caught *signals) error
-	// end hands over to others what they can go on with, and closes the node.
-	end(ctx context.Context)
+	// shutDown hands over this node's work to other nodes where they can continue it, and closes the node.
+	shutDown(ctx context.Context)
 }
 
-// runRole opens the node of a role, and serves until the process is asked to end.
+// runRole opens the node of a role, serves until the process is asked to terminate, and shuts the node down.
 func runRole[N roleNode](caught *signals, open func(*process) (N, error)) error {
 	p, err := newProcess()
 	if err != nil {
@@ -24,10 +24,10 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	if err := n.run(ctx, caught); err != nil {
+	if err := n.startServices(ctx, caught); err != nil {
 		return err
 	}
 	err = n.serve(ctx, caught)
-	n.end(ctx)
+	n.shutDown(ctx)
 	return err
 }
--- a/cmd/nickelline/settings.go
+++ b/cmd/nickelline/settings.go
@@ -8,7 +8,7 @@
 	"nickelline/internal/settings"
 )
 
-// SettingsCommand is about the settings file of a process.
+// SettingsCommand groups the commands for the settings file of a process.
 type SettingsCommand struct {
 	Check settingsCheck `cmd:"" help:"Check a settings file."`
 }
@@ -21,15 +21,15 @@
 
 // Run carries out the command.
 func (c *settingsCheck) Run() error {
-	read, err := c.read()
+	loaded, err := c.read()
 	if err != nil {
 		return invalidFile(err)
 	}
 	if c.JSON {
-		return printJSON(os.Stdout, read)
+		return printJSON(os.Stdout, loaded)
 	}
-	fmt.Printf("%s is valid for role %s in zone %s: serves %s, %d seeds, data in %s\n", read.NodeName, read.Role, read.Zone,
-		orNothing(strings.Join(read.Serves, ", ")), len(read.SeedNodes), orNothing(read.DataDirectory))
+	fmt.Printf("%s is valid for role %s in zone %s: serves %s, %d seeds, data in %s\n", loaded.NodeName, loaded.Role, loaded.Zone,
+		orNothing(strings.Join(loaded.Serves, ", ")), len(loaded.SeedNodes), orNothing(loaded.DataDirectory))
 	return nil
 }
 
--- a/cmd/nickelline/status.go
+++ b/cmd/nickelline/status.go
@@ -10,7 +10,7 @@
 	"nickelline/internal/control/controlapi"
 )
 
-// StatusCommand shows what a control node sees of the system.
+// StatusCommand shows the status of the system as seen by a control node.
 type StatusCommand struct {
 	nodeFlags
 	JSON bool `help:"Print the status as JSON."`
--- a/cmd/nickelline/store.go
+++ b/cmd/nickelline/store.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	storeDescriptors = 0.7                    // of all descriptors: connections to backends
-	reportInterval   = 500 * time.Millisecond // of reports to the head of the control chain, besides all changes
+	storeDescriptorFraction = 0.7                    // of all file descriptors, for connections to backends
+	reportInterval          = 500 * time.Millisecond // of reports to the head of the control chain, in addition to those after changes
 )
 
-// StoreCommand is the role that keeps and runs batch jobs.
+// StoreCommand runs the store role, which keeps and runs batch jobs.
 type StoreCommand struct{}
 
-// Run serves until the process is asked to end.
+// Run serves until the process is asked to terminate.
 func (StoreCommand) Run(caught *signals) error {
 	return runRole(caught, newStoreNode)
 }
@@ -37,10 +37,10 @@
 	store      *store.Service
 	replica    view.ReplicaID
 	fileSystem segment.OSFileSystem
-	diskFailed chan error // receives the first failure of a disk
+	diskFailed chan error // receives the first failure of the disk
 }
 
-// newStoreNode opens the store's partitions. Nothing is received or sent before run.
+// newStoreNode opens the store's partitions. Nothing is received or sent before startServices.
 func newStoreNode(p *process) (*storeNode, error) {
 	n := &storeNode{diskFailed: make(chan error, 1)}
 	var err error
@@ -52,7 +52,7 @@
 	}
 	n.state = n.newState()
 	n.sender = forward.NewClient(forward.Options{
-		MaxConnections: int(storeDescriptors * float64(p.settings.Limits.FileDescriptors)),
+		MaxConnections: int(storeDescriptorFraction * float64(p.settings.Limits.FileDescriptors)),
 	})
 	n.state.OnBackends(n.sender.SetBackends)
 	if n.store, err = store.New(n.storeOptions()); err != nil {
@@ -81,62 +81,64 @@
 		Configuration:   provenConfiguration(n.state, maxProofAge(n.settings)),
 		ControlNodes:    n.controlNodes,
 		ReportInterval:  reportInterval,
-		OnFailure:       diskFailure(n.diskFailed),
+		OnFailure:       reportFirstFailure(n.diskFailed),
 		Log:             n.log,
 	}
 }
 
-// run starts all services of the node, which end with ctx or with end.
-func (n *storeNode) run(ctx context.Context, caught *signals) error {
+// startServices starts all services of the node. They stop when ctx ends or with shutDown.
+func (n *storeNode) startServices(ctx context.Context, caught *signals) error {
 	n.state.OnPlacement(n.store.SetPlacement)
 	n.start()
 	n.serveMetrics(poolMetrics(n.state), storeMetrics(n.store))
 	go n.sender.Run(ctx)
 	go n.loads.Run(ctx)
 	go n.store.Run(ctx)
-	if err := n.pollBackends(ctx); err != nil {
+	if err := n.startBackendPolling(ctx); err != nil {
 		return err
 	}
-	go n.reload(caught)
+	go n.checkSettingsOnReload(caught)
 	return nil
 }
 
-// serve returns when the process is asked to end, or its disk has failed.
+// serve returns when the process is asked to terminate, or when its disk has failed.
 func (n *storeNode) serve(_ context.Context, caught *signals) error {
-	return n.awaitEnd(n.diskFailed, caught, n.fileSystem)
+	return n.awaitTermination(n.diskFailed, caught, n.fileSystem)
 }
 
-// end waits until other stores have taken over the partitions, or for a limited time, and closes the node.
-func (n *storeNode) end(context.Context) {
+// shutDown waits until other stores have taken over the partitions, for a limited time, and closes the node.
+func (n *storeNode) shutDown(context.Context) {
 	n.announceLeaving()
-	awaitUnplaced(n.state, n.replica, handOverTime(n.settings))
+	awaitRemovalFromViews(n.state, n.replica, handOverTimeout(n.settings))
 	n.store.Close()
 	n.leave()
 }
 
-// awaitUnplaced returns once no view names a replica any longer, or after a limit: then its chains have to detect that it is gone.
-func awaitUnplaced(state *nodestate.State, replica view.ReplicaID, limit time.Duration) {
-	unplaced := make(chan struct{})
+// awaitRemovalFromViews returns once no view contains the replica any longer, or after limit. In the latter case, the chains
+// that still contain the replica have to detect its failure.
+func awaitRemovalFromViews(state *nodestate.State, replica view.ReplicaID, limit time.Duration) {
+	removed := make(chan struct{})
 	var once sync.Once
 	state.OnPlacement(func(table *placement.Table) {
 		if !isMember(table, replica) {
-			once.Do(func() { close(unplaced) })
+			once.Do(func() { close(removed) })
 		}
 	})
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
-	case <-unplaced:
+	case <-removed:
 	case <-timer.C:
 	}
 }
 
-// isMember reports whether the view of any partition names a replica.
+// isMember reports whether the view of any partition contains the replica.
 func isMember(table *placement.Table, replica view.ReplicaID) bool {
 	return slices.ContainsFunc(table.Partitions, func(p placement.Partition) bool { return p.View.Has(replica) })
 }
 
-// provenConfiguration returns the configuration, and whether it is proven to be current.
+// provenConfiguration returns a function that returns the configuration and whether it is proven to be current: the proof is
+// at most maxAge old, or maxAge is 0.
 func provenConfiguration(state *nodestate.State, maxAge time.Duration) func() (*configuration.Snapshot, bool) {
 	return func() (*configuration.Snapshot, bool) {
 		proven := maxAge == 0 || state.ConfigurationAge() <= maxAge
--- a/cmd/nickelline/store_test.go
+++ b/cmd/nickelline/store_test.go
@@ -14,7 +14,7 @@
 	"nickelline/internal/view"
 )
 
-// fakeSource hands versions to whoever subscribed.
+// fakeSource is a source of gossip whose values come from the test.
 type fakeSource struct {
 	subscribers map[gossip.Topic]func(gossip.Value)
 }
@@ -44,8 +44,8 @@
 	return source, nodestate.New(nodestate.Options{Source: source, Log: zap.NewNop()})
 }
 
-// A store that ends waits until its partitions go on without it.
-func TestEndingStoreWaitsForItsPlaces(t *testing.T) {
+// A terminating store waits until no partition's view contains it any longer.
+func TestStoppingStoreWaitsForRemovalFromViews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source, state := newFakeState()
 		source.place(t, 1, 7, 8)
@@ -53,30 +53,30 @@
 		began := time.Now()
 		go func() {
 			defer close(done)
-			awaitUnplaced(state, 7, time.Minute)
+			awaitRemovalFromViews(state, 7, time.Minute)
 		}()
 		synctest.Wait()
 		select {
 		case <-done:
-			t.Fatal("ended while a view names it")
+			t.Fatal("got an end of the wait while a view contains the replica, want none")
 		default:
 		}
 		source.place(t, 2, 8)
 		<-done
 		if time.Since(began) >= time.Minute {
-			t.Error("waited for the whole time")
+			t.Error("waited for the whole limit after the replica had left the views")
 		}
 	})
 }
 
-func TestEndingStoreWaitsForALimitedTime(t *testing.T) {
+func TestStoppingStoreWaitsForALimitedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source, state := newFakeState()
 		source.place(t, 1, 7, 8)
 		began := time.Now()
-		awaitUnplaced(state, 7, time.Minute)
+		awaitRemovalFromViews(state, 7, time.Minute)
 		if waited := time.Since(began); waited != time.Minute {
-			t.Errorf("waited %v", waited)
+			t.Errorf("waited for %v, want %v", waited, time.Minute)
 		}
 	})
 }
--- a/cmd/nickelline/traffic.go
+++ b/cmd/nickelline/traffic.go
@@ -10,20 +10,20 @@
 	"nickelline/internal/pause"
 )
 
-// trafficInterval is the time between two log lines on the bytes that were sent.
+// trafficInterval is the time between two log lines with the number of bytes sent.
 const trafficInterval = time.Minute
 
-// isInOwnZone reports whether a process is in the zone of this one.
+// isInOwnZone reports whether the process at an address is in this node's zone.
 func (n *node) isInOwnZone(address netip.AddrPort) bool {
 	return n.members.Table().InZone(address, n.settings.Zone)
 }
 
-// reportTraffic logs at intervals what this process has sent to others of the system, until ctx ends.
+// reportTraffic periodically logs how much this process has sent to other processes of the system, until ctx ends.
 func (n *node) reportTraffic(ctx context.Context) {
 	pause.Every(ctx, trafficInterval, nil, n.logTraffic)
 }
 
-// logTraffic writes one line with the bytes since the start, by package and by whether they left the zone.
+// logTraffic logs the number of bytes sent since the start, by package and by whether they left the zone.
 func (n *node) logTraffic() {
 	var fields []zap.Field
 	for _, sent := range n.transport.SentByPackage() {
