--- a/internal/tools/runtests/list.go
+++ b/internal/tools/runtests/list.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// knownFailure is one line of the list.
+// knownFailure is an entry of the list of known failures.
 type knownFailure struct {
 	test  string // folder of the package, a slash and the name of the test function
 	cause string
 	issue string
 }
 
-// parseList reads the list. Empty lines and those that begin with # are ignored.
+// parseList parses the list of known failures. Empty lines and lines that begin with # are ignored.
 func parseList(text string) ([]knownFailure, error) {
 	var known []knownFailure
 	seen := map[string]bool{}
@@ -36,7 +36,7 @@
 	return known, nil
 }
 
-// parseLine reads a test, a cause and an issue. The cause may hold commas.
+// parseLine parses a test, a cause and an issue, separated by commas. The cause may contain commas.
 func parseLine(line string) (knownFailure, error) {
 	test, rest, _ := strings.Cut(line, ",")
 	last := strings.LastIndex(rest, ",")
@@ -58,6 +58,7 @@
 	return k, nil
 }
 
+// cutLast is like strings.Cut, but cuts around the last separator.
 func cutLast(text, separator string) (before, after string, found bool) {
 	i := strings.LastIndex(text, separator)
 	if i < 0 {
--- a/internal/tools/runtests/main.go
+++ b/internal/tools/runtests/main.go
@@ -1,13 +1,13 @@
-// Command runtests runs the tests of the module and passes over those that are known to fail.
+// Command runtests runs the tests of the module and tolerates the failure of those that are known to fail.
 //
 // It is called with the arguments of go test, from the root of the module. The list of known failures is the file
-// KNOWN-RED.txt there; it may be absent. Each of its lines names one test, the cause of its failure and the issue that
-// it is written up in, separated by commas:
+// KNOWN-RED.txt there, which may be absent. Each of its lines names one test, the cause of its failure and the issue that
+// describes it, separated by commas:
 //
 //	internal/peer/TestReconnect, the old connection is read once more, docs/incidents/open.md
 //
-// A listed test covers its subtests. The command succeeds if nothing failed but listed tests. A listed test that was not
-// run at all makes it fail, as does a panic, also within a listed test: the tests behind it have not been run.
+// A listed test includes its subtests. The command succeeds if only listed tests failed. It fails if a listed test was not
+// run at all, or if a test panicked, even a listed one, because the tests after a panic have not been run.
 package main
 
 import (
@@ -31,7 +31,7 @@
 	}
 }
 
-// run calls go test with the arguments and reports whether the tests passed.
+// run runs go test with the arguments and reports whether all tests passed or are known failures.
 func run(ctx context.Context, arguments []string, out io.Writer) (bool, error) {
 	known, err := readList(listPath)
 	if err != nil {
@@ -52,20 +52,20 @@
 	}
 	results := newResults(module, out)
 	readErr := results.read(events)
-	endErr := command.Wait()
+	waitErr := command.Wait()
 	if readErr != nil {
 		return false, readErr
 	}
 	var exit *exec.ExitError
-	if endErr != nil && !errors.As(endErr, &exit) {
-		return false, endErr
+	if waitErr != nil && !errors.As(waitErr, &exit) {
+		return false, waitErr
 	}
-	summary := results.summarize(known, endErr == nil)
+	summary := results.summarize(known, waitErr == nil)
 	summary.print(out)
 	return summary.passed(), nil
 }
 
-// readList reads the list of known failures; a file that does not exist is an empty one.
+// readList reads the list of known failures. The list is empty if the file does not exist.
 func readList(path string) ([]knownFailure, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/tools/runtests/results.go
+++ b/internal/tools/runtests/results.go
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// Actions of test events, as in cmd/test2json.
+// Actions of test events, as defined by cmd/test2json.
 const (
 	actionOutput      = "output"
 	actionBuildOutput = "build-output"
@@ -20,13 +20,13 @@
 	actionSkip        = "skip"
 )
 
-// failedTests is how go test ends a package in which tests failed and nothing worse happened.
+// failedTests is the exit line in the output of a package in which tests failed but the test binary did not crash.
 const failedTests = "exit status 1"
 
-// stillRunning is a line in which a test binary that timed out names a test that has not ended, and since when it runs.
+// stillRunning matches a line in which a test binary that timed out names a running test and how long it has been running.
 var stillRunning = regexp.MustCompile(`^\t\tTest\S+ \(\S+\)\n$`)
 
-// event is a line of go test -json.
+// event is a line of the output of go test -json.
 type event struct {
 	Action  string
 	Package string
@@ -34,21 +34,21 @@
 	Output  string
 }
 
-// results gathers what became of the tests.
+// results collects the outcomes of the tests.
 type results struct {
 	module  string
 	out     io.Writer
 	tests   map[string]string           // outcome of each test function, by folder/TestName
-	output  map[string]*strings.Builder // of the tests that run, by package and test
+	output  map[string]*strings.Builder // buffered output of the running tests, by package and test
 	failed  []string                    // packages that failed
-	aborted map[string]string           // packages that did not run all of their tests, and what tells it
+	aborted map[string]string           // packages that did not run all of their tests, with the output that shows it
 }
 
 func newResults(module string, out io.Writer) *results {
 	return &results{module: module, out: out, tests: map[string]string{}, output: map[string]*strings.Builder{}, aborted: map[string]string{}}
 }
 
-// read takes the events of go test until its output ends. The output of what fails is printed as it ends.
+// read processes the events of go test until its output ends. The output of a failed test is printed when the test ends.
 func (r *results) read(events io.Reader) error {
 	lines := bufio.NewReader(events)
 	for {
@@ -65,7 +65,7 @@
 	}
 }
 
-// handle handles one line of the output of go test -json.
+// handle processes one line of the output of go test -json. A line that is not an event is printed.
 func (r *results) handle(line []byte) {
 	var e event
 	if json.Unmarshal(line, &e) != nil {
@@ -76,14 +76,14 @@
 	case actionBuildOutput:
 		fmt.Fprint(r.out, e.Output)
 	case actionOutput:
-		r.keep(e)
+		r.buffer(e)
 	case actionPass, actionFail, actionSkip:
-		r.end(e)
+		r.finish(e)
 	}
 }
 
-// keep holds output back until it is known whether it is of interest.
-func (r *results) keep(e event) {
+// buffer keeps the output of a test until its outcome is known, and detects that a test binary ended early.
+func (r *results) buffer(e event) {
 	key := e.Package + " " + e.Test
 	if r.output[key] == nil {
 		r.output[key] = &strings.Builder{}
@@ -99,10 +99,11 @@
 	}
 }
 
-func (r *results) end(e event) {
+// finish records the outcome of a test or a package. It prints the output of a failed test and of every package.
+func (r *results) finish(e event) {
 	key := e.Package + " " + e.Test
-	if kept := r.output[key]; kept != nil && (e.Action == actionFail || e.Test == "") {
-		fmt.Fprint(r.out, kept.String())
+	if buffered := r.output[key]; buffered != nil && (e.Action == actionFail || e.Test == "") {
+		fmt.Fprint(r.out, buffered.String())
 	}
 	delete(r.output, key)
 	if e.Test == "" {
@@ -117,32 +118,32 @@
 	}
 }
 
-// printUnfinished prints the output of the tests of a failed package that never ended: a panic or a time-out stands there.
+// printUnfinished prints the output of the tests of a failed package that never ended. It contains the panic or the timeout.
 func (r *results) printUnfinished(path string) {
-	for key, kept := range r.output {
+	for key, buffered := range r.output {
 		if strings.HasPrefix(key, path+" ") {
-			fmt.Fprint(r.out, kept.String())
+			fmt.Fprint(r.out, buffered.String())
 			delete(r.output, key)
 		}
 	}
 }
 
-// folder is a package's path within the module.
+// folder returns a package's path relative to the module.
 func (r *results) folder(path string) string {
 	return strings.TrimPrefix(strings.TrimPrefix(path, r.module), "/")
 }
 
-// summary is what the results amount to, given the list of known failures.
+// summary holds the results that matter for CI, sorted by the list of known failures.
 type summary struct {
 	unexpected []string       // failures that are not listed, and listed tests that were not run
-	passedOver []knownFailure // listed tests that failed
-	mended     []knownFailure // listed tests that passed
+	tolerated  []knownFailure // listed tests that failed
+	nowPassing []knownFailure // listed tests that passed
 	skipped    []knownFailure
 }
 
 func (s summary) passed() bool { return len(s.unexpected) == 0 }
 
-// summarize compares the results with the list. succeeded reports whether go test itself did.
+// summarize compares the results with the list. succeeded tells whether go test exited with status 0.
 func (r *results) summarize(known []knownFailure, succeeded bool) summary {
 	var s summary
 	listed := map[string]bool{}
@@ -150,9 +151,9 @@
 		listed[k.test] = true
 		switch r.tests[k.test] {
 		case actionFail:
-			s.passedOver = append(s.passedOver, k)
+			s.tolerated = append(s.tolerated, k)
 		case actionPass:
-			s.mended = append(s.mended, k)
+			s.nowPassing = append(s.nowPassing, k)
 		case actionSkip:
 			s.skipped = append(s.skipped, k)
 		default:
@@ -178,7 +179,7 @@
 			s.unexpected = append(s.unexpected, folder+" failed outside of its tests")
 		}
 	}
-	if !succeeded && len(s.unexpected) == 0 && len(s.passedOver) == 0 {
+	if !succeeded && len(s.unexpected) == 0 && len(s.tolerated) == 0 {
 		s.unexpected = append(s.unexpected, "go test failed")
 	}
 	if len(r.tests) == 0 {
@@ -189,10 +190,10 @@
 }
 
 func (s summary) print(out io.Writer) {
-	for _, k := range s.passedOver {
-		fmt.Fprintf(out, "known failure, passed over: %s (%s; %s)\n", k.test, k.cause, k.issue)
+	for _, k := range s.tolerated {
+		fmt.Fprintf(out, "known failure, tolerated: %s (%s; %s)\n", k.test, k.cause, k.issue)
 	}
-	for _, k := range s.mended {
+	for _, k := range s.nowPassing {
 		fmt.Fprintf(out, "listed as a known failure, but passed: %s (%s; %s)\n", k.test, k.cause, k.issue)
 	}
 	for _, k := range s.skipped {
--- a/internal/tools/runtests/results_test.go
+++ b/internal/tools/runtests/results_test.go
@@ -18,7 +18,7 @@
 	return event{Action: actionOutput, Package: module + "/" + pkg, Test: test, Output: text}
 }
 
-func gather(t *testing.T, out io.Writer, events ...event) *results {
+func resultsOf(t *testing.T, out io.Writer, events ...event) *results {
 	t.Helper()
 	var text strings.Builder
 	for _, e := range events {
@@ -36,7 +36,7 @@
 	return r
 }
 
-func TestJudge(t *testing.T) {
+func TestSummarize(t *testing.T) {
 	listed := []knownFailure{{"a/TestOld", "cause", "issue"}}
 	good := []event{outcome(actionPass, "a", "TestGood"), outcome(actionPass, "a", "TestOld"), outcome(actionPass, "a", "")}
 	bad := []event{outcome(actionPass, "a", "TestGood"), outcome(actionFail, "a", "TestOld/sub"), outcome(actionFail, "a", "TestOld"),
@@ -46,8 +46,8 @@
 		known      []knownFailure
 		succeeded  bool
 		unexpected []string
-		passedOver int
-		mended     int
+		tolerated  int
+		nowPassing int
 	}{
 		"all pass":                    {good, nil, true, nil, 0, 0},
 		"a listed test passes":        {good, listed, true, nil, 0, 1},
@@ -64,36 +64,36 @@
 		"a listed and another one": {append([]event{outcome(actionFail, "a", "TestNew")}, bad...), listed, false,
 			[]string{"a/TestNew"}, 1, 0},
 	} {
-		v := gather(t, io.Discard, c.events...).summarize(c.known, c.succeeded)
-		if !slices.Equal(v.unexpected, c.unexpected) || len(v.passedOver) != c.passedOver || len(v.mended) != c.mended {
-			t.Errorf("%s: %+v", name, v)
+		v := resultsOf(t, io.Discard, c.events...).summarize(c.known, c.succeeded)
+		if !slices.Equal(v.unexpected, c.unexpected) || len(v.tolerated) != c.tolerated || len(v.nowPassing) != c.nowPassing {
+			t.Errorf("%s: got %+v, want unexpected %q, %d tolerated, %d now passing", name, v, c.unexpected, c.tolerated, c.nowPassing)
 		}
 		if v.passed() != (len(c.unexpected) == 0) {
-			t.Errorf("%s: passed %v", name, v.passed())
+			t.Errorf("%s: passed: got %v, want %v", name, v.passed(), len(c.unexpected) == 0)
 		}
 	}
 }
 
 func TestOutputOfFailuresIsPrinted(t *testing.T) {
 	var out strings.Builder
-	gather(t, &out,
+	resultsOf(t, &out,
 		output("a", "TestGood", "quiet\n"), outcome(actionPass, "a", "TestGood"),
 		output("a", "TestBad", "loud\n"), outcome(actionFail, "a", "TestBad"),
 		output("a", "", "FAIL a\n"), outcome(actionFail, "a", ""))
 	if out.String() != "loud\nFAIL a\n" {
-		t.Errorf("%q", out.String())
+		t.Errorf("printed %q, want only the output of the failed test and package", out.String())
 	}
 }
 
-// A test that a time-out cuts off has no event of its own end: what it wrote, and the stacks, are printed all the same.
+// A test that is cut off by a timeout has no event for its end. Its output and the stack traces must be printed nevertheless.
 func TestOutputOfUnendedTestsIsPrinted(t *testing.T) {
 	var out strings.Builder
-	gather(t, &out,
+	resultsOf(t, &out,
 		output("b", "TestOther", "still running\n"),
 		output("a", "TestStuck", "panic: test timed out\n"), output("a", "TestStuck", "goroutine 1\n"),
 		output("a", "", "FAIL a\n"), outcome(actionFail, "a", ""))
 	if got := out.String(); got != "FAIL a\npanic: test timed out\ngoroutine 1\n" {
-		t.Errorf("printed %q", got)
+		t.Errorf("printed %q, want the output of the failed package and of its unfinished test", got)
 	}
 }
 
@@ -101,12 +101,12 @@
 	known, err := parseList("# comment\n\ninternal/a/TestOne, slow, on some days, docs/x.md\ndecide/TestTwo,c,i\n")
 	want := []knownFailure{{"internal/a/TestOne", "slow, on some days", "docs/x.md"}, {"decide/TestTwo", "c", "i"}}
 	if err != nil || !slices.Equal(known, want) {
-		t.Errorf("%+v, %v", known, err)
+		t.Errorf("got %+v, %v, want %+v", known, err, want)
 	}
 	for _, text := range []string{"a/TestOne", "a/TestOne, cause", "TestOne, cause, issue", "a/One, cause, issue", "a/TestOne, , issue",
 		"a/TestOne, cause, ", "a/Test One, cause, issue", "a/TestOne, c, i\na/TestOne, c, i"} {
 		if known, err := parseList(text); err == nil {
-			t.Errorf("%q: %+v", text, known)
+			t.Errorf("%q: got %+v, want an error", text, known)
 		}
 	}
 }
