--- a/internal/tools/buildpackages/buildpackages_test.go
+++ b/internal/tools/buildpackages/buildpackages_test.go
@@ -1,4 +1,5 @@
-// Package buildpackages checks that the system packages which the deploy files ask for bring all that a build uses besides Go.
+// Package buildpackages checks that the Debian packages listed in the deploy files provide everything that a build uses
+// besides Go.
 package buildpackages
 
 import (
@@ -19,16 +20,17 @@
 	fileFlag    = "-print-file-name="
 )
 
-// used is what the C compiler uses when Go builds with cgo and links externally: its own programs, and files of the C library.
-var used = []string{
+// toolchainFlags make the C compiler print the programs and the files of the C library that it uses when Go builds with cgo
+// and links externally.
+var toolchainFlags = []string{
 	programFlag + "cc1", programFlag + "collect2", programFlag + "as", programFlag + "ld",
 	fileFlag + "crt1.o", fileFlag + "libc.so.6", fileFlag + "libgcc.a", fileFlag + "libc.so",
 }
 
-// header is a file of the C library that each package with cgo includes.
+// header is a file of the C library that every package with cgo includes.
 const header = "/usr/include/stdlib.h"
 
-// packagesOf returns the packages that a deploy file asks for.
+// packagesOf returns the packages that a deploy file lists.
 func packagesOf(t *testing.T, name string) []string {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join(root, "deploy", name))
@@ -44,7 +46,7 @@
 	return deploy.Packages
 }
 
-// output runs a program and returns what it prints, without the end of the line.
+// output runs a program and returns its standard output without surrounding white space.
 func output(t *testing.T, name string, arguments ...string) string {
 	t.Helper()
 	text, err := exec.CommandContext(t.Context(), name, arguments...).Output()
@@ -54,7 +56,7 @@
 	return strings.TrimSpace(string(text))
 }
 
-// ownerOf returns the package that a file belongs to. A bare name is that of a program.
+// ownerOf returns the package that a file belongs to. A name that is not an absolute path is looked up as a program in PATH.
 func ownerOf(t *testing.T, file string) string {
 	t.Helper()
 	found, err := exec.LookPath(file)
@@ -68,18 +70,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Where /lib is a link to /usr/lib, dpkg knows some files by the shorter name.
+	// Where /lib is a link to /usr/lib, dpkg records some files under the path without /usr.
 	for _, name := range []string{resolved, strings.TrimPrefix(resolved, "/usr")} {
 		if text, err := exec.CommandContext(t.Context(), "dpkg", "-S", name).Output(); err == nil {
 			owner, _, _ := strings.Cut(string(text), ":")
 			return owner
 		}
 	}
-	t.Fatalf("no package has %s", resolved)
+	t.Fatalf("no package owns %s", resolved)
 	return ""
 }
 
-// dependenciesOf returns packages and all that they depend on, by the system's list of installed packages.
+// dependenciesOf returns the packages and their installed transitive dependencies, as recorded by dpkg.
 func dependenciesOf(t *testing.T, packages []string) map[string]bool {
 	t.Helper()
 	all := make(map[string]bool)
@@ -101,27 +103,28 @@
 	return all
 }
 
-// isInstalled reports whether a package is installed: of alternatives only some are, and virtual packages are not.
+// isInstalled reports whether a package is installed. Alternative dependencies may not be, and virtual packages
+// never are.
 func isInstalled(t *testing.T, name string) bool {
 	t.Helper()
 	return exec.CommandContext(t.Context(), "dpkg-query", "-W", name).Run() == nil
 }
 
-func TestDeployFilesListWhatABuildUses(t *testing.T) {
+func TestDeployFilesListBuildPackages(t *testing.T) {
 	for _, program := range []string{"dpkg", "dpkg-query", compiler} {
 		if _, err := exec.LookPath(program); err != nil {
-			t.Skipf("cannot be tested here: %v", err)
+			t.Skipf("needs dpkg and %s: %v", compiler, err)
 		}
 	}
 	files := []string{header, compiler}
-	for _, flag := range used {
+	for _, flag := range toolchainFlags {
 		files = append(files, output(t, compiler, flag))
 	}
 	for _, deploy := range []string{"system.toml", "balancer.toml"} {
 		listed := dependenciesOf(t, packagesOf(t, deploy))
 		for _, file := range files {
 			if owner := ownerOf(t, file); !listed[owner] {
-				t.Errorf("deploy/%s: got no package that brings %s, want %s or one that depends on it", deploy, file, owner)
+				t.Errorf("deploy/%s: got no package that provides %s, want %s or one that depends on it", deploy, file, owner)
 			}
 		}
 	}
