--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -1,9 +1,9 @@
 // Package admission selects, on each node, the backend of a service that receives a request, or refuses the request.
 //
 // It implements overload control with hysteresis: each backend is normal, overloaded or blocking, depending on its load
-// and three thresholds (L, H and R). A request goes to the better of two random normal backends. If no backend is normal,
-// a fraction of the requests is shed, batch work first, and the others go to overloaded backends. Blocking backends
-// receive no requests.
+// and three thresholds: low (L), high (H) and block (R). A request goes to the better of two random normal backends. If
+// no backend is normal, a fraction of the requests is shed, batch work first, and the others go to overloaded backends.
+// Blocking backends receive no requests.
 //
 // # Invariants
 //
@@ -30,7 +30,7 @@
 //   - thresholds.go: L, H and R of a backend
 //   - health.go: ejection of backends that fail or do not respond
 //   - shedding.go: the fraction of requests that is dropped
-//   - selection.go, affinity.go: the better of two candidates, the local zone, and affinity for prompt prefixes
+//   - selection.go, affinity.go, hash.go: the better of two candidates, the local zone, and affinity for prompt prefixes
 //   - ticket.go: the request while it is at the backend
 //   - stats.go: counters for metrics
 package admission
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -78,7 +78,7 @@
 		(h.failureRate >= maxFailureRate && h.samples >= minFailureSamples)
 }
 
-// eject ejects the backend, for a time that grows with each ejection. Jitter is a random number in [0, 1).
+// eject ejects the backend, for a time that grows with each ejection. jitter is a random number in [0, 1).
 func (h *health) eject(now time.Time, jitter float64) {
 	wait := min(firstEjection<<min(h.ejections, maxEjectionDoublings), longestEjection)
 	h.ejections++
--- a/internal/admission/health_test.go
+++ b/internal/admission/health_test.go
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestBackendThatFailsNowAndThenIsEjected(t *testing.T) {
+func TestIntermittentlyFailingBackendIsEjected(t *testing.T) {
 	p := newTestPool(backendsOf(9, 6, "a"))
 	reportIdleLoads(t, p, at(0), 20*time.Millisecond)
 	b := p.backends[0]
--- a/internal/admission/load.go
+++ b/internal/admission/load.go
@@ -46,12 +46,12 @@
 	}
 }
 
-// recordLoad records a report that the backend made at a time when this node had own requests in flight there.
-func (b *backend) recordLoad(at time.Time, own int, load *Load) {
+// recordLoad records a report that the backend made at the given time, when this node had ownInFlight requests there.
+func (b *backend) recordLoad(at time.Time, ownInFlight int, load *Load) {
 	if load.Slots > 0 {
 		b.slots = float64(load.Slots)
 	}
-	b.othersInFlight = float64(max(0, load.Running+load.Waiting-own))
+	b.othersInFlight = float64(max(0, load.Running+load.Waiting-ownInFlight))
 	b.waiting = load.Waiting
 	b.othersWaiting = float64(max(0, load.Waiting-b.unanswered))
 	b.reportedAt = at
--- a/internal/admission/sharedload_test.go
+++ b/internal/admission/sharedload_test.go
@@ -126,7 +126,7 @@
 		}
 	}
 	if sentWith[0]-sentWith[6] < 6*backends-backends {
-		t.Errorf("items sent by live requests per backend: got %v, want at least %d fewer for 6 than for 0", sentWith, 6*backends-backends)
+		t.Errorf("items sent, by the number of live requests per backend: got %v, want at least %d fewer for 6 than for 0", sentWith, 6*backends-backends)
 	}
 }
 
@@ -167,7 +167,7 @@
 	}
 }
 
-func TestNodesThatShareDoNotHerd(t *testing.T) {
+func TestNodesThatShareLoadsSpreadTheirRequests(t *testing.T) {
 	const nodes, backends = 12, 10
 	listed := backendsOf(backends, 8, "a")
 	var pools []*Pool
--- a/internal/admission/stats.go
+++ b/internal/admission/stats.go
@@ -21,7 +21,7 @@
 type refusalReason int
 
 const (
-	shedByFraction refusalReason = iota // dropped by q1 or q2, since no backend was normal
+	shedByFraction refusalReason = iota // dropped at random by a drop fraction, since no backend was normal
 	waitsForZone                        // batch work that waits for a backend of the local zone
 	allBlocked                          // no backend is a candidate
 	refusalReasons
--- a/internal/admission/subset.go
+++ b/internal/admission/subset.go
@@ -12,7 +12,8 @@
 const (
 	// subsetSize is the maximum number of backends of a pool.
 	subsetSize = 64
-	// subsetSameZone is the number of backends in a subset that are from the node's zone, if the zone has as many.
+	// subsetSameZone is the number of backends in a subset that are from the node's zone, if the zone has as many. The subset
+	// has more of them if the other zones have too few.
 	subsetSameZone = 48
 )
 
@@ -22,7 +23,7 @@
 	rank    uint64
 }
 
-// subset returns the backends that a node in a zone uses. Node is the hash of the node's name.
+// subset returns the backends that a node in a zone uses. node is the hash of the node's name.
 func subset(all []discovery.Backend, zone string, node uint64) []discovery.Backend {
 	if len(all) <= subsetSize {
 		return all
--- a/internal/admission/thresholds.go
+++ b/internal/admission/thresholds.go
@@ -5,7 +5,7 @@
 const (
 	// lowFraction is L as a fraction of H.
 	lowFraction = 0.85
-	// R of live requests is at most 1 + queueFraction times the slots. Backends themselves queue three to four times their
+	// R of live requests is at most (1 + queueFraction) times the slots. Backends themselves queue three to four times their
 	// slots.
 	queueFraction = 1.5
 	// blockFactor is the least R of live requests as a multiple of H.
@@ -33,9 +33,9 @@
 	// slots.
 	batchUnreportedHighFraction  = 0.25
 	batchUnreportedBlockFraction = 0.375
-	// maxBatchUnanswered is the number of unanswered requests of all nodes from which a backend without load receives no more
-	// batch work: prompts of batch work come by the dozen and would delay those of live requests. The limit is lower if the
-	// slowdown is higher.
+	// maxBatchUnanswered is the number of unanswered requests of all nodes from which a backend without load receives no
+	// more batch work: batch work sends dozens of prompts at a time, which would delay those of live requests. The limit
+	// is lower if the slowdown is higher.
 	maxBatchUnanswered = 1.5
 	// H and R of cold backends are multiplied by coldFraction.
 	coldFraction = 0.5
--- a/internal/admission/ticket.go
+++ b/internal/admission/ticket.go
@@ -77,13 +77,13 @@
 	}
 }
 
-// recordLoad records a report that the backend made at a time when this node had own requests in flight there, unless a
-// newer report is known.
-func (t *Ticket) recordLoad(at time.Time, own int, load *Load) {
+// recordLoad records a report that the backend made at the given time, when this node had ownInFlight requests there. It
+// ignores the report if a newer one is known.
+func (t *Ticket) recordLoad(at time.Time, ownInFlight int, load *Load) {
 	if at.Before(t.backend.reportedAt) {
 		return
 	}
-	t.backend.recordLoad(at, own, load)
+	t.backend.recordLoad(at, ownInFlight, load)
 	t.pool.recordOthers(at, t.backend)
 }
 
