--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -131,7 +131,7 @@
 	return min(time.Duration(wait*float64(time.Second)), maxRetryAfter)
 }
 
-// endLease returns the share of a lease to its tenant.
+// endLease gives the share of a lease back to its tenant.
 func (a *Allocator) endLease(now time.Time, leaseholder *leaseholderRecord, tenant string, lease *leaseRecord) {
 	account := a.accountOf(now, tenant, a.limits(tenant))
 	a.setOutstanding(now, account, lease, Share{})
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -87,7 +87,7 @@
 	return true
 }
 
-// refund puts back the token of a request that was not sent.
+// refund puts back the token of a request that was not executed.
 func (b *leasedBuckets) refund(now time.Time, tenant string) {
 	bucket := b.bucket(now, tenant)
 	bucket.tokens = min(bucket.tokens+1, bucket.lease.Depth)
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -28,7 +28,7 @@
 // A Service answers as the allocator only while its HeadStatus is fresh. A new allocator begins with a change of the
 // Registry, which lists the processes that may hold leases: this change, committed by the control chain, makes all later
 // changes of former allocators fail (RegistryChange). Nothing is granted to a process that is not registered, so a former
-// allocator cannot grant anything to processes that started meanwhile. A Limiter rejects answers of an older epoch than
+// allocator cannot grant anything to processes that have started since. A Limiter rejects answers of an older epoch than
 // the newest it knows (Limiter.checkAnswer), so no former allocator adds to the leases that it has presented to a newer one.
 //
 // # Start of a new allocator
@@ -63,5 +63,6 @@
 //   - reserves.go: the tokens that are kept for the next allocator
 //   - registry.go, activation.go, service.go: the allocator at a control node
 //   - bucket.go: the token buckets of a proxy
-//   - limiter.go, take.go, waiting.go, renewal.go: the limiter of a proxy
+//   - limiter.go, take.go, refusal.go, waiting.go, renewal.go: the limiter of a proxy
+//   - stats.go: metrics of the limiter
 package quota
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// Refund returns the token of an admitted request that certainly was not sent to any backend.
+// Refund puts back the token of an admitted request that certainly was not executed by any backend.
 func (l *Limiter) Refund(tenant *configuration.Tenant) {
 	if tenant == nil || !tenant.IsRateLimited() {
 		return
--- a/internal/quota/refusal.go
+++ b/internal/quota/refusal.go
@@ -12,7 +12,7 @@
 
 // newRefusal returns the error for a request that gets no token. The error carries the time after which to retry.
 func newRefusal(kind fault.Kind, tenant string, wait time.Duration) error {
-	err := fault.New(kind, "tenant %s has no request left", tenant)
+	err := fault.New(kind, "no quota token for tenant %s", tenant)
 	return merry.Wrap(err, merry.WithValue(retryAfterKey{}, wait), merry.NoCaptureStack())
 }
 
--- a/internal/quota/renewal.go
+++ b/internal/quota/renewal.go
@@ -122,15 +122,15 @@
 	defer l.mutex.Unlock()
 	switch {
 	case answer.moved && l.allocator.IsValid() && l.allocator != from:
-		// A new allocator has announced itself meanwhile.
+		// A new allocator has announced itself during the call.
 	case answer.moved && answer.allocator == from:
 		l.allocator = netip.AddrPort{}
 	case answer.moved:
 		l.allocator = answer.allocator
 	case answer.epoch < l.epoch:
-		return fault.New(fault.NotReady, "allocator of epoch %d, but %d has begun", answer.epoch, l.epoch)
+		return fault.New(fault.NotReady, "quota answer is of epoch %d, want %d at least", answer.epoch, l.epoch)
 	case len(answer.grants) != entries:
-		return fault.New(fault.Internal, "%d grants for %d entries", len(answer.grants), entries)
+		return fault.New(fault.Internal, "quota answer has %d grants, want %d", len(answer.grants), entries)
 	default:
 		l.epoch = answer.epoch
 		l.allocator = from
--- a/internal/quota/reserves.go
+++ b/internal/quota/reserves.go
@@ -30,7 +30,7 @@
 type reserveState struct {
 	inherited map[string]bool      // kept by the former allocator, for tenants that have no account yet
 	kept      map[string]bool      // recorded as kept, or about to be
-	spentAt   map[string]time.Time // when it was last requested to record a reserve as spent
+	spentAt   map[string]time.Time // when recording a reserve as spent was last requested
 	spend     map[string]bool      // to be recorded as spent
 	keep      map[string]bool      // to be recorded as kept
 }
--- a/internal/quota/scenarios_test.go
+++ b/internal/quota/scenarios_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestSimulatedHerdRestart restarts half of the proxies, whose tenants stay under their limits.
-func TestSimulatedHerdRestart(t *testing.T) {
+// TestSimulatedRestartOfHalfTheProxies restarts half of the proxies, whose tenants stay under their limits.
+func TestSimulatedRestartOfHalfTheProxies(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newSimulation(t, seed, 10, eightTenants(0.62))
 		for _, tenant := range s.tenants {
@@ -135,7 +135,7 @@
 }
 
 // TestSimulatedDeposedHeads checks that the policy's bound holds while former heads, which are partitioned from the other
-// control nodes but not from the proxies, still act as heads, and proxies restart, freeze and thaw meanwhile.
+// control nodes but not from the proxies, still act as heads, while proxies restart, freeze and thaw.
 func TestSimulatedDeposedHeads(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newSimulation(t, seed, 10, eightTenants(3))
@@ -202,7 +202,7 @@
 	}
 }
 
-// TestSimulatedDownProxies kills some proxies for good together with the head. The new allocator waits for their leases no
+// TestSimulatedDownProxies kills some proxies, which do not restart, together with the head. The new allocator waits for their leases no
 // longer than leases last, and later allocators do not wait for these proxies.
 func TestSimulatedDownProxies(t *testing.T) {
 	for seed := range uint64(6) {
--- a/internal/quota/simulation_proxy_test.go
+++ b/internal/quota/simulation_proxy_test.go
@@ -65,8 +65,8 @@
 	})
 }
 
-func (p *simulatedProxy) periodic() {
-	p.s.clock.After(renewPeriod, p.periodic)
+func (p *simulatedProxy) renewPeriodically() {
+	p.s.clock.After(renewPeriod, p.renewPeriodically)
 	p.whileRunning(p.generation, func() { p.call(true) })
 }
 
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -73,7 +73,7 @@
 		p := &simulatedProxy{s: s, address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7661)}
 		p.reset()
 		s.proxies = append(s.proxies, p)
-		s.clock.After(time.Duration(s.random.Int64N(int64(renewPeriod))), p.periodic)
+		s.clock.After(time.Duration(s.random.Int64N(int64(renewPeriod))), p.renewPeriodically)
 	}
 	s.epoch = 1
 	s.startHead(s.epoch)
--- a/internal/quota/take.go
+++ b/internal/quota/take.go
@@ -26,7 +26,7 @@
 
 // Take admits one request of a tenant. It may wait for a token for a short time. It refuses a request with
 // fault.QuotaExceeded if the tenant's rate is used up, and with fault.NotReady if the lease gives no token and the
-// allocator does not answer or cannot tell yet. RetryAfter of the error returns the time after which to retry.
+// allocator does not answer or cannot decide yet. RetryAfter of the error returns the time after which to retry.
 func (l *Limiter) Take(ctx context.Context, tenant *configuration.Tenant) error {
 	if tenant == nil || !tenant.IsRateLimited() {
 		return nil
--- a/internal/quota/waiting.go
+++ b/internal/quota/waiting.go
@@ -18,7 +18,7 @@
 const (
 	granted     outcome = iota
 	exhausted           // the tenant's rate is used up
-	unsettled           // the allocator cannot tell yet whether the tenant's rate is used up
+	unsettled           // the allocator cannot decide yet whether the tenant's rate is used up
 	unreachable         // the lease gives no token, and the allocator does not answer
 )
 
