--- a/internal/proxy/batch.go
+++ b/internal/proxy/batch.go
@@ -103,8 +103,8 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, r.startedAt.Add(r.clientTimeout(defaultBatchTimeout)+maxResultsWait))
 	defer cancel()
-	if item, found := strings.CutPrefix(r.path, itemPrefix); found {
-		p.serveItemBody(ctx, r, w, tenant, item, query)
+	if jobOfItem, found := strings.CutPrefix(r.path, itemPrefix); found {
+		p.serveItemBody(ctx, r, w, tenant, jobOfItem, query)
 		return
 	}
 	job := strings.TrimPrefix(r.path, jobPrefix)
@@ -142,7 +142,7 @@
 	w.writeJSON(http.StatusOK, body)
 }
 
-// serveItemBody serves a request for the body of an item.
+// serveItemBody serves a request for the body of an item of a job; the query names the item.
 func (p *Proxy) serveItemBody(ctx context.Context, r *request, w *responseWriter, tenant, job string, query url.Values) {
 	if r.method != http.MethodGet {
 		w.writeError(fault.New(fault.BadRequest, "method is not supported for batch items"))
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -3,7 +3,7 @@
 //
 // # Invariants
 //
-//   - A request is answered 408, 429 or 503 only if it has not been executed and will not be: clients rely on it.
+//   - A request is answered 408, 429 or 503 only if it has not been executed and will not be: clients rely on this.
 //   - A request is retried only if it has not been executed, or if its route allows more than one execution. It is
 //     executed by no more backends than the route allows.
 //   - The connection of an incomplete response is closed, so that the response does not look complete.
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestDrainWaitsForOpenAnswersAndClosesIdleConnections(t *testing.T) {
+func TestDrainWaitsForResponsesAndClosesIdleConnections(t *testing.T) {
 	release := make(chan struct{})
 	b := startBackend(t, func(b *backend, r received, conn net.Conn) bool {
 		<-release
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -22,7 +22,7 @@
 // QuotaLimiter counts requests against the quotas of tenants. *quota.Limiter implements it.
 type QuotaLimiter interface {
 	Take(ctx context.Context, tenant *configuration.Tenant) error
-	// Refund returns what Take has taken for a request that was not executed.
+	// Refund puts back what Take has taken for a request that was not executed.
 	Refund(tenant *configuration.Tenant)
 }
 
@@ -46,7 +46,7 @@
 	Quota QuotaLimiter
 	// Batch serves the batch API; nil: its requests are answered 503.
 	Batch BatchAPI
-	// GracePeriod is the grace period: how long the process may run after a drain has begun.
+	// GracePeriod is how long the process may run after a drain has begun.
 	GracePeriod time.Duration
 	// MaxConnections is the maximum number of concurrent client connections.
 	MaxConnections int
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -93,7 +93,7 @@
 	wait(t, b.closed, "end of the backend's connection")
 }
 
-func TestBodyCutShortIsNotSent(t *testing.T) {
+func TestTruncatedBodyIsNotSent(t *testing.T) {
 	b := startBackend(t, okReply(""))
 	s := startTestProxy(t, nil, b)
 	for _, text := range []string{
@@ -165,7 +165,7 @@
 	}
 }
 
-func TestIdleConnectionIsClosedWithoutAnAnswer(t *testing.T) {
+func TestIdleConnectionIsClosedWithoutAResponse(t *testing.T) {
 	s := startTestProxy(t, nil, startBackend(t, replyAndKeepOpen(responseText(200, sealField, ""))))
 	s.setLimits(func(l *configuration.Limits) { l.IdleTimeout = 50 * time.Millisecond })
 	fresh, used := s.connect(t), s.connect(t)
@@ -175,7 +175,7 @@
 	used.expectClosed(t)
 }
 
-func TestRequestThatDoesNotComeWholeIsTimedOut(t *testing.T) {
+func TestIncompleteRequestIsTimedOut(t *testing.T) {
 	s := startTestProxy(t, nil, startBackend(t, okReply("")))
 	s.setLimits(func(l *configuration.Limits) { l.HeaderTimeout = 50 * time.Millisecond })
 	if a := s.roundTrip(t, "POST /many/x HTT"); a.StatusCode != http.StatusRequestTimeout {
--- a/internal/proxy/streaming_test.go
+++ b/internal/proxy/streaming_test.go
@@ -10,7 +10,7 @@
 	"nickelline/internal/forward"
 )
 
-func TestEventsAreDeliveredAsTheyCome(t *testing.T) {
+func TestEventsAreDeliveredAsTheyArrive(t *testing.T) {
 	next := make(chan string)
 	b := startBackend(t, func(b *backend, r received, conn net.Conn) bool {
 		replyAndKeepOpen(streamHead)(b, r, conn)
