--- a/internal/load/totals.go
+++ b/internal/load/totals.go
@@ -51,11 +51,11 @@
 }
 
 // add adds a load, or subtracts it if sign is -1.
-func (c *loadSum) add(l *admission.BackendLoad, sign int) {
-	c.inFlight += sign * l.InFlight
-	c.batch += sign * l.Batch
-	c.unanswered += sign * l.Unanswered
-	c.pending += float64(sign) * l.Pending
+func (s *loadSum) add(l *admission.BackendLoad, sign int) {
+	s.inFlight += sign * l.InFlight
+	s.batch += sign * l.Batch
+	s.unanswered += sign * l.Unanswered
+	s.pending += float64(sign) * l.Pending
 }
 
 // replaceLocal replaces the loads of a node, in its state and in the totals.
