--- a/internal/discovery/poller_test.go
+++ b/internal/discovery/poller_test.go
@@ -204,9 +204,9 @@
 	return age
 }
 
-// A version that is published during a poll inherits the proof of the previous version. It got a younger one when the
-// age of the proof was read before the clock and the process was delayed between the two. The poll then took the version
-// for one of another node and did not publish its own list.
+// A version that is published during a poll inherits the proof of the previous version. If the age of that proof were
+// read before the clock, and the process were delayed between the two, the version would get a younger proof. The poll
+// would then take the version for one of another node, and would not publish its own list.
 func TestDrainingIsPublishedWithTheProofOfTheVersionBefore(t *testing.T) {
 	backends := manyBackends(3)
 	for i := range backends {
--- a/internal/discovery/scenarios_test.go
+++ b/internal/discovery/scenarios_test.go
@@ -12,7 +12,7 @@
 
 func testSimulatedPolls(t *testing.T, cluster simulatedCluster) {
 	for name, fault := range map[string]func(*simulation){
-		"calm": func(*simulation) {},
+		"without faults": func(*simulation) {},
 		"primary frozen": func(s *simulation) {
 			s.clock.At(10*time.Second, func() { s.nodes[0].frozen = true })
 		},
@@ -72,7 +72,7 @@
 		fault func(*simulation)
 		worst time.Duration
 	}{
-		"calm": {func(*simulation) {}, cycle},
+		"without faults": {func(*simulation) {}, cycle},
 		"node partitioned": {func(s *simulation) {
 			s.clock.At(faultAt, func() { s.nodes[17].partitioned = true })
 		}, cycle},
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -7,27 +7,27 @@
 )
 
 // Parameters of the schedule. Those whose names end in PerDrain are fractions of the drain timeout, within which a
-// change of the listing has to be in force on all nodes.
+// change of the listing has to be in force on all nodes. Other nodes are those that are not control nodes.
 const (
-	periodPerHeartbeat  = 0.7                     // the primary's polling period: this fraction of the heartbeat interval,
-	periodPerDrain      = 0.25                    // and at most this fraction of the drain timeout
-	rankStepPerDrain    = 0.1                     // additional age of the proof at which each further rank polls,
-	maxRankAgePerDrain  = 0.55                    // up to this age
-	fallbackAgePerDrain = 0.75                    // age of the proof at which nodes that are not control nodes poll,
-	fallbackJitter      = 0.15                    // reduced by a random part of up to this fraction
+	periodPerHeartbeat  = 0.7                     // the primary's polling period, as a fraction of the heartbeat interval
+	periodPerDrain      = 0.25                    // limit on the polling period, unless the rate limit requires more
+	rankStepPerDrain    = 0.1                     // additional age of the proof at which each further rank polls
+	maxRankAgePerDrain  = 0.55                    // upper bound of that age, unless maxRankSteps gives a greater one
+	fallbackAgePerDrain = 0.75                    // least age of the proof at which other nodes poll, before jitter
+	fallbackJitter      = 0.15                    // greatest reduction of that age, as a fraction of the drain timeout
 	pullMarginPerDrain  = 0.05                    // a control node pulls when the proof is older than expected by this
 	pullLeadPerDrain    = 0.1                     // a node that is not a control node pulls this long before it polls
 	pullGapPerDrain     = 0.05                    // least time between two pulls of a node
 	steadyRateFraction  = 0.8                     // part of the platform's rate limit that steady polling uses
 	burstSeconds        = 0.5                     // the primary's polls start with a burst of this many seconds' calls
-	maxRankSteps        = 3                       // limit on the rank steps by which a poll is delayed
-	fallbackSteps       = 4                       // rank steps by which nodes that are not control nodes poll later
+	maxRankSteps        = 3                       // limit on the rank steps from nextExpectedAge at which a rank polls
+	fallbackSteps       = 4                       // least rank steps from nextExpectedAge at which other nodes poll
 	slowPollFactor      = 1.5                     // duration of a poll with some refused calls, relative to one without
 	joinTime            = 600 * time.Millisecond  // time for a started control node to join the others and get its rank
-	startStep           = 500 * time.Millisecond  // additional delay of each further rank while it has no list,
-	maxStartSteps       = 8                       // for at most this many ranks
+	startStep           = 500 * time.Millisecond  // additional delay of each further rank while it has no list
+	maxStartSteps       = 8                       // limit on the number of these delays
 	assumedPages        = 10                      // number of pages of the listing until its first poll
-	startWait           = 1500 * time.Millisecond // least wait before other nodes poll while they have no list
+	startWait           = 1500 * time.Millisecond // least wait of other nodes while they have no list
 	minRetryDelay       = 120 * time.Millisecond  // before the poll after a failed one; doubles with each failure
 	maxRetryDelay       = 1500 * time.Millisecond
 )
@@ -122,8 +122,8 @@
 // pollAge returns the age of the proof at which the node polls.
 func (s *schedule) pollAge(role nodeRole) time.Duration {
 	if !role.Control {
-		early := max(fraction(s.drainTimeout, fallbackAgePerDrain), s.nextExpectedAge()+fallbackSteps*fraction(s.drainTimeout, rankStepPerDrain))
-		return early - fraction(s.drainTimeout, fallbackJitter*s.jitter)
+		latest := max(fraction(s.drainTimeout, fallbackAgePerDrain), s.nextExpectedAge()+fallbackSteps*fraction(s.drainTimeout, rankStepPerDrain))
+		return latest - fraction(s.drainTimeout, fallbackJitter*s.jitter)
 	}
 	if role.Rank == 0 {
 		return s.period()
