--- a/internal/store/discard.go
+++ b/internal/store/discard.go
@@ -11,7 +11,7 @@
 )
 
 // discardAll removes the replica's identity, and then all of its data: the next start creates a new replica, which is in no view. The
-// identity is removed first, so that a replica which has lost data never passes for one that has everything it has acknowledged.
+// identity is removed first, so that a replica that has lost data is never mistaken for one that has all that it has acknowledged.
 func (s *Service) discardAll() error {
 	if err := segment.RemoveFiles(s.options.FileSystem, s.options.Directory); err != nil {
 		return fmt.Errorf("remove identity of the replica: %w", err)
--- a/internal/store/dispatch_test.go
+++ b/internal/store/dispatch_test.go
@@ -30,7 +30,7 @@
 	job := testJob(testKey(1), 40, 2)
 	f.submit(job)
 	f.results(job.Key, 40)
-	if got := f.admission.maxTickets; got > 4 {
+	if got := f.admission.maxPermits; got > 4 {
 		t.Errorf("items that ran concurrently: got %d, want at most 4", got)
 	}
 }
--- a/internal/store/fakes_test.go
+++ b/internal/store/fakes_test.go
@@ -152,8 +152,8 @@
 	next       int
 	refuse     bool
 	refused    int
-	tickets    int // permits that have not been given back
-	maxTickets int // greatest value of tickets
+	permits    int // permits that have not been given back
+	maxPermits int // greatest value of permits
 	outcomes   []admission.Outcome
 	started    int
 }
@@ -165,8 +165,8 @@
 		f.refused++
 		return discovery.Backend{}, nil, &admission.Refusal{RetryAfter: time.Millisecond}
 	}
-	f.tickets++
-	f.maxTickets = max(f.maxTickets, f.tickets)
+	f.permits++
+	f.maxPermits = max(f.maxPermits, f.permits)
 	f.next++
 	return f.backends[f.next%len(f.backends)], &fakePermit{admission: f}, nil
 }
@@ -185,7 +185,7 @@
 
 func (p *fakePermit) Done(_ time.Time, outcome admission.Outcome, _ *admission.Load) {
 	p.admission.set(func(f *fakeAdmission) {
-		f.tickets--
+		f.permits--
 		f.outcomes = append(f.outcomes, outcome)
 	})
 }
--- a/internal/store/handlers.go
+++ b/internal/store/handlers.go
@@ -40,9 +40,9 @@
 		if err != nil {
 			return peer.Message{}, fault.Wrap(fault.NotReady, err)
 		}
-		found, hostedElsewhere := s.find(partitionOf(request))
+		found, placedView := s.find(partitionOf(request))
 		if found == nil {
-			return redirectTo(hostedElsewhere, m.Kind)
+			return redirectTo(placedView, m.Kind)
 		}
 		reply, err := call(found, ctx, request)
 		return encodeReply(reply, m.Kind, err)
--- a/internal/store/job_review.go
+++ b/internal/store/job_review.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// dropClosedJobs drops the jobs that have been closed for so long that they need not be kept any longer.
+// dropClosedJobs drops the closed jobs that were submitted at least the status interval ago, by the partition's clock.
 func (r *runner) dropClosedJobs(ctx context.Context, now time.Time) {
 	if !r.isDropDue(now) {
 		return
--- a/internal/store/reads.go
+++ b/internal/store/reads.go
@@ -24,7 +24,7 @@
 	}
 	page, known, _ = p.state.results(r.Key, r.StartAfter, r.MaxBytes)
 	if !known {
-		return nil, fault.New(fault.NotReady, "the partition was replaced while the answer was held")
+		return nil, fault.New(fault.NotReady, "the state of the partition was replaced while the read waited for a result")
 	}
 	return &batchcall.Reply{Page: &page}, nil
 }
@@ -52,7 +52,7 @@
 			return &batchcall.Reply{Body: body}, nil
 		}
 	}
-	return nil, fault.New(fault.NotFound, "no such item whose body is kept")
+	return nil, fault.New(fault.NotFound, "no item with that identifier whose body is kept")
 }
 
 // confirmRead is confirm, bounded by barrierTimeout.
--- a/internal/store/retry_queue_test.go
+++ b/internal/store/retry_queue_test.go
@@ -47,7 +47,7 @@
 }
 
 func (n singleItemAdmission) Pick(service string, now time.Time, r admission.Request) (discovery.Backend, Permit, *admission.Refusal) {
-	n.set(func(f *fakeAdmission) { f.refuse = f.tickets > 0 })
+	n.set(func(f *fakeAdmission) { f.refuse = f.permits > 0 })
 	b, permit, refusal := n.fakeAdmission.Pick(service, now, r)
 	if refusal != nil {
 		refusal.RetryAfter = time.Minute
--- a/internal/store/runner_config.go
+++ b/internal/store/runner_config.go
@@ -21,7 +21,7 @@
 	streamReadInterval = 100 * time.Millisecond
 	// checkpointInterval is how much generation time of a text may be lost with the loss of a head.
 	checkpointInterval = 1500 * time.Millisecond
-	// statusMargin is added to the time for which closed jobs are kept.
+	// statusMargin is added to the status interval before closed jobs are dropped.
 	statusMargin = 5 * time.Second
 	// Concurrently running items may use the memory divided by itemMemoryDivisor, at itemMemoryBytes each.
 	itemMemoryBytes   = 128 << 10
@@ -40,7 +40,8 @@
 	sendConfirmationAge time.Duration
 	// stepDownAfter is the age of the confirmation at which running items are cancelled, because another store may be the head.
 	stepDownAfter time.Duration
-	// statusInterval is how long closed jobs are kept.
+	// statusInterval is how long a job is kept after its submission. A job that is closed later is dropped
+	// soon after that.
 	statusInterval time.Duration
 	// checkpointInterval is how often the text of a running item is replicated. No more than that is lost with a head.
 	checkpointInterval time.Duration
--- a/internal/store/service_test.go
+++ b/internal/store/service_test.go
@@ -82,7 +82,7 @@
 	c.checkCompleted(c.results(job), 4)
 	c.fixture.eventually("no attempt is left", func() bool {
 		left := 0
-		c.fixture.admission.set(func(a *fakeAdmission) { left = a.tickets })
+		c.fixture.admission.set(func(a *fakeAdmission) { left = a.permits })
 		return left == 0
 	})
 }
--- a/internal/store/writes.go
+++ b/internal/store/writes.go
@@ -8,7 +8,7 @@
 	"nickelline/internal/fault"
 )
 
-var errQueueFull = fault.New(fault.QuotaExceeded, "the job does not fit the tokens that may wait")
+var errQueueFull = fault.New(fault.QuotaExceeded, "the job exceeds the tokens that its tenant may have queued on the route")
 
 // submit accepts a job once it is committed. An error of a kind other than Unclear promises that the job is not and will not be
 // committed.
@@ -32,7 +32,7 @@
 	case outcome == batch.QuotaExceeded:
 		return nil, errQueueFull
 	case outcome != batch.Done:
-		return nil, fault.New(fault.Internal, "the job could not be read")
+		return nil, fault.New(fault.Internal, "the submission could not be decoded when it was applied")
 	}
 	return &batchcall.Reply{}, nil
 }
