--- a/internal/batch/history_check_test.go
+++ b/internal/batch/history_check_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// checkAcknowledged compares the results of a job with those that clients were answered before, and records the new ones.
+// checkAcknowledged compares the results of a job with those that clients have received before, and records the new ones.
 func (h *history) checkAcknowledged(key Key) {
 	page, ok := h.replicas[0].machine.Results(key, 0, 1<<30)
 	known := h.acknowledged[key]
--- a/internal/batch/history_test.go
+++ b/internal/batch/history_test.go
@@ -11,7 +11,7 @@
 )
 
 // history applies random commands through a log to replicas that crash and restart from a snapshot and the log after it. It
-// records what clients were answered.
+// records the answers that clients received.
 type history struct {
 	t            *testing.T
 	random       *rand.Rand
@@ -30,7 +30,7 @@
 	snapshotApplied int // number of commands in the snapshot
 }
 
-// acknowledgedJob is what clients were answered about a job: it must never be revoked.
+// acknowledgedJob is the state of a job that clients received in answers. It must never be revoked.
 type acknowledgedJob struct {
 	submitted   bool
 	ended       bool
--- a/internal/batch/read.go
+++ b/internal/batch/read.go
@@ -129,7 +129,8 @@
 // time between them.
 func (m *Machine) Now(r ClockReading) time.Duration { return m.clock.at(r) }
 
-// Expired returns the closed jobs whose age by the partition's clock at a reading is at least the retention time.
+// Expired returns the closed jobs whose age since their submission, by the partition's clock at a reading, is at least the
+// retention time.
 func (m *Machine) Expired(r ClockReading, retention time.Duration) []Key {
 	var keys []Key
 	now := m.clock.at(r)
