--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -101,7 +101,7 @@
 	NotExecuted bool
 }
 
-var answers = [kindCount]Response{
+var responses = [kindCount]Response{
 	Internal:             {Status: http.StatusInternalServerError},
 	BadRequest:           {Status: http.StatusBadRequest},
 	InvalidConfiguration: {Status: http.StatusBadRequest},
@@ -126,7 +126,7 @@
 	if kind >= kindCount {
 		kind = Internal
 	}
-	return answers[kind]
+	return responses[kind]
 }
 
 // kindKey is the key of the kind among the values of an error.
