--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestWaitsForTheWholeTime(t *testing.T) {
+func TestForWaitsForTheWholeTime(t *testing.T) {
 	const wanted = 20 * time.Millisecond
 	start := time.Now()
 	if !For(t.Context(), wanted) {
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestDoesNotWaitForNoTime(t *testing.T) {
+func TestForDoesNotWaitForNonPositiveDurations(t *testing.T) {
 	for _, d := range []time.Duration{0, -time.Hour} {
 		if !For(t.Context(), d) {
 			t.Errorf("For %v with a live context: got false, want true", d)
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestEndsWithTheContext(t *testing.T) {
+func TestForEndsWithTheContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(time.Millisecond, cancel)
 	if For(ctx, time.Hour) {
