--- a/internal/delta/delta_test.go
+++ b/internal/delta/delta_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestPack(t *testing.T) {
+func TestCompress(t *testing.T) {
 	for _, value := range [][]byte{nil, []byte("short"), testValue(2000, 1)} {
 		frame, err := Compress(value)
 		if err != nil {
