--- a/internal/quota/simulation_head_test.go
+++ b/internal/quota/simulation_head_test.go
@@ -112,9 +112,9 @@
 	if h.changing || h.stopped {
 		return
 	}
-	starts := h.allocator == nil
+	startsAllocator := h.allocator == nil
 	change := RegistryChange{Epoch: h.epoch, ExpectedRevision: h.s.registry.current.Revision}
-	if starts {
+	if startsAllocator {
 		change.SpendAll = true
 		h.inherited = inheritedReservesOf(h.inherited, h.epoch, h.s.registry.current)
 	} else {
@@ -129,7 +129,7 @@
 		committed := !h.partitioned && h.s.registry.commit(change)
 		after := h.s.registry.current
 		confirmed := committed && h.s.random.IntN(20) > 0
-		h.s.clock.After(2*h.s.messageDelay(), func() { h.finish(starts, confirmed, after) })
+		h.s.clock.After(2*h.s.messageDelay(), func() { h.finish(startsAllocator, confirmed, after) })
 	})
 }
 
@@ -145,15 +145,15 @@
 }
 
 // finish applies the registry after a confirmed change, or schedules a retry.
-func (h *simulatedHead) finish(starts, done bool, after RegistryState) {
+func (h *simulatedHead) finish(startsAllocator, confirmed bool, after RegistryState) {
 	h.changing = false
 	switch {
 	case h.stopped:
 		return
-	case !done:
+	case !confirmed:
 		h.s.clock.After(changePause, h.retry)
 		return
-	case starts:
+	case startsAllocator:
 		h.allocator = NewAllocator(h.s.policy, h.s.limitOf, after, h.inherited.reserves, h.s.now())
 		h.announce()
 	default:
