--- a/internal/proxy/batch_test.go
+++ b/internal/proxy/batch_test.go
@@ -51,18 +51,18 @@
 		body             string
 	}{
 		{"submit", requestText("/batch/7c", "", "{}"), "submit t1 r-batch " + testID + " {}", nil, 202, "{}"},
-		{"no room", requestText("/batch/7c", "", "{}"), "submit t1 r-batch " + testID + " {}", fault.New(fault.QuotaExceeded, "x"), 429, ""},
-		{"unclear whether taken", requestText("/batch/7c", "", "{}"), "submit t1 r-batch " + testID + " {}", fault.New(fault.Unclear, "x"), 504, ""},
+		{"over the quota", requestText("/batch/7c", "", "{}"), "submit t1 r-batch " + testID + " {}", fault.New(fault.QuotaExceeded, "x"), 429, ""},
+		{"unclear whether stored", requestText("/batch/7c", "", "{}"), "submit t1 r-batch " + testID + " {}", fault.New(fault.Unclear, "x"), 504, ""},
 		{"submit by GET", get("/batch/7c", ""), "", nil, 400, ""},
 		{"results", get("/-/lots/7c?startAfter=12", "Nickelline-Wait-Timeout-Ms: 1000\r\n"), "results t1 7c 12 1s", nil, 200,
 			`{"total":40,"nextToken":14,"results":[{"identifier":"e5","state":"completed","content":"a\n\u003cb\u003e"},{"identifier":"e6","state":"abandoned","content":""}]}`},
 		{"results from the start", get("/-/lots/7c", ""), "results t1 7c 0 0s", nil, 200, ""},
 		{"results from an invalid position", get("/-/lots/7c?startAfter=-1", ""), "", nil, 400, ""},
 		{"no such job", get("/-/lots/7c", ""), "results t1 7c 0 0s", fault.New(fault.NotFound, "x"), 404, ""},
-		{"not sure", get("/-/lots/7c", ""), "results t1 7c 0 0s", fault.New(fault.NotReady, "x"), 503, ""},
+		{"not ready", get("/-/lots/7c", ""), "results t1 7c 0 0s", fault.New(fault.NotReady, "x"), 503, ""},
 		{"body", get("/-/items/7c?identifier=e5", ""), "body t1 7c e5", nil, 200, "\x00\xff"},
 		{"end", strings.Replace(requestText("/-/lots/7c", "", ""), "POST", "DELETE", 1), "end t1 7c", nil, 200, "{}"},
-		{"another call", requestText("/-/lots/7c", "", ""), "", nil, 400, ""},
+		{"unsupported method", requestText("/-/lots/7c", "", ""), "", nil, 400, ""},
 		{"another key", strings.Replace(get("/-/lots/7c", ""), testKey, "k2", 1), "results t1 7c 0 0s", nil, 200, ""},
 		{"unknown key", strings.Replace(get("/-/lots/7c", ""), testKey, "k9", 1), "", nil, 401, ""},
 	} {
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -35,11 +35,11 @@
 		change func()
 		want   int
 	}{
-		{"all there", func() {}, 200},
+		{"ready", func() {}, 200},
 		{"no list of backends", func() { s.backendsUnknown = true }, 503},
 		{"no proof", func() { s.backendsUnknown, s.proofAge = false, time.Minute }, 503},
 		{"no configuration", func() { s.proofAge, s.snapshot = 0, nil }, 503},
-		{"all there again", func() { s.snapshot = configured }, 200},
+		{"ready again", func() { s.snapshot = configured }, 200},
 	} {
 		set(c.change)
 		if got := s.readinessStatus(t); got != c.want {
--- a/internal/proxy/streaming_test.go
+++ b/internal/proxy/streaming_test.go
@@ -81,7 +81,7 @@
 	incomplete bool
 	counts     []int
 }{
-	{"whole", "/stream/x", func(*testing.T) []reply {
+	{"complete", "/stream/x", func(*testing.T) []reply {
 		return []reply{replyAndClose(streamHead + chunk(firstEvent+secondEvent) + lastChunk)}
 	}, 200, firstEvent + secondEvent, false, []int{1}},
 	{"without events", "/stream/x", func(*testing.T) []reply { return []reply{replyAndClose(streamHead + lastChunk)} }, 200, "", false, []int{1}},
@@ -94,7 +94,7 @@
 	{"broken, resumed", "/resume/x", func(t *testing.T) []reply {
 		return []reply{replyAndClose(streamHead + chunk(firstEvent) + chunk(partialEvent)), resumedReply(t, "1", otherHead+chunk(secondEvent)+lastChunk)}
 	}, 200, firstEvent + secondEvent, false, []int{1, 1}},
-	{"resumed with an event that was passed on", "/resume/x", func(t *testing.T) []reply {
+	{"resumed with an event that was already delivered", "/resume/x", func(t *testing.T) []reply {
 		return []reply{replyAndClose(streamHead + chunk(firstEvent)), resumedReply(t, "1", otherHead+chunk(firstEvent+secondEvent)+lastChunk)}
 	}, 200, firstEvent + secondEvent, false, []int{1, 1}},
 	{"broken before an event, resumable", "/resume/x", func(t *testing.T) []reply {
@@ -109,16 +109,16 @@
 	{"broken, then a failure", "/resume/x", func(*testing.T) []reply {
 		return []reply{replyAndClose(streamHead + chunk(firstEvent)), replyAndClose(responseText(500, sealField, "failed"))}
 	}, 200, firstEvent, true, []int{1, 1}},
-	{"broken, then nobody", "/resume/x", func(*testing.T) []reply {
+	{"broken, then no backend", "/resume/x", func(*testing.T) []reply {
 		return []reply{replyAndClose(streamHead + chunk(firstEvent))}
 	}, 200, firstEvent, true, []int{1}},
 	{"events without ids cannot be continued", "/resume/x", func(*testing.T) []reply {
 		return []reply{replyAndClose(streamHead + chunk("data: a\n\n")), okReply("")}
 	}, 200, "data: a\n\n", true, []int{1, 0}},
-	{"data without an id behind an event", "/resume/x", func(*testing.T) []reply {
+	{"data without an id after an event", "/resume/x", func(*testing.T) []reply {
 		return []reply{replyAndClose(streamHead + chunk(firstEvent) + chunk("data: a\n\n")), okReply("")}
 	}, 200, firstEvent + "data: a\n\n", true, []int{1, 0}},
-	{"a comment behind an event", "/resume/x", func(t *testing.T) []reply {
+	{"a comment after an event", "/resume/x", func(t *testing.T) []reply {
 		return []reply{replyAndClose(streamHead + chunk(firstEvent) + chunk(": b\n\n")), resumedReply(t, "1", otherHead+chunk(secondEvent)+lastChunk)}
 	}, 200, firstEvent + ": b\n\n" + secondEvent, false, []int{1, 1}},
 	{"without a seal", "/stream/x", func(*testing.T) []reply {
