--- a/internal/batchapi/client_test.go
+++ b/internal/batchapi/client_test.go
@@ -129,7 +129,7 @@
 	}{
 		{"redirect", map[netip.AddrPort][]answer{first: {redirect(4, second)}, second: {done()}}, true, 0},
 		{"old redirect", map[netip.AddrPort][]answer{first: {redirect(2, second)}, second: {done()}}, false, fault.NotReady},
-		{"redirect to nobody", map[netip.AddrPort][]answer{first: {redirect(4, netip.AddrPort{})}}, false, fault.NotReady},
+		{"redirect without a head", map[netip.AddrPort][]answer{first: {redirect(4, netip.AddrPort{})}}, false, fault.NotReady},
 		{"not ready, then done", map[netip.AddrPort][]answer{first: {fails(fault.NotReady), done()}}, true, 0},
 		{"not ready", map[netip.AddrPort][]answer{first: {fails(fault.NotReady)}}, false, fault.NotReady},
 		{"over the quota", map[netip.AddrPort][]answer{first: {fails(fault.QuotaExceeded)}}, false, fault.QuotaExceeded},
