--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -93,7 +93,7 @@
 	wait(t, b.closed, "end of the backend's connection")
 }
 
-func TestBodyCutShortIsNotSent(t *testing.T) {
+func TestTruncatedBodyIsNotSent(t *testing.T) {
 	b := startBackend(t, okReply(""))
 	s := startTestProxy(t, nil, b)
 	for _, text := range []string{
@@ -123,8 +123,8 @@
 		"a length and chunks":         line + usual + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 		"a signed length":             line + usual + "Content-Length: +4\r\n\r\nbody",
 		"a list of lengths":           line + usual + "Content-Length: 4, 4\r\n\r\nbody",
-		"another coding":              line + usual + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
-		"chunked that is not":         line + usual + "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n",
+		"a second coding":             line + usual + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
+		"an unknown coding":           line + usual + "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n",
 		"chunked twice":               line + usual + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 		"identity":                    line + usual + "Transfer-Encoding: identity\r\n\r\n",
 		"a blank before the colon":    line + usual + "Content-Length : 4\r\n\r\nbody",
@@ -132,7 +132,7 @@
 		"no host":                     line + "Nickelline-Attempt-Id: 1\r\nContent-Length: 0\r\n\r\n",
 		"two hosts":                   line + usual + "Host: other\r\nContent-Length: 0\r\n\r\n",
 		"an older version":            "POST /many/x HTTP/1.0\r\n" + usual + "Content-Length: 0\r\n\r\n",
-		"a whole address as a target": "POST http://h.example/many/x HTTP/1.1\r\n" + usual + "Content-Length: 0\r\n\r\n",
+		"an absolute URL as a target": "POST http://h.example/many/x HTTP/1.1\r\n" + usual + "Content-Length: 0\r\n\r\n",
 		"no id":                       line + "Host: h.example\r\nAuthorization: Bearer k1\r\nContent-Length: 0\r\n\r\n",
 		"no request":                  "hello\r\n\r\n",
 	} {
@@ -165,7 +165,7 @@
 	}
 }
 
-func TestIdleConnectionIsClosedWithoutAnAnswer(t *testing.T) {
+func TestIdleConnectionIsClosedWithoutAResponse(t *testing.T) {
 	s := startTestProxy(t, nil, startBackend(t, replyAndKeepOpen(responseText(200, sealField, ""))))
 	s.setLimits(func(l *configuration.Limits) { l.IdleTimeout = 50 * time.Millisecond })
 	fresh, used := s.connect(t), s.connect(t)
@@ -175,7 +175,7 @@
 	used.expectClosed(t)
 }
 
-func TestRequestThatDoesNotComeWholeIsTimedOut(t *testing.T) {
+func TestIncompleteRequestIsTimedOut(t *testing.T) {
 	s := startTestProxy(t, nil, startBackend(t, okReply("")))
 	s.setLimits(func(l *configuration.Limits) { l.HeaderTimeout = 50 * time.Millisecond })
 	if a := s.roundTrip(t, "POST /many/x HTT"); a.StatusCode != http.StatusRequestTimeout {
