--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -120,7 +120,7 @@
 	case res.code == decide.OK:
 		r.response <- response{status: http.StatusOK, header: res.header, body: res.body}
 		r.answered = true
-	case res.clientStatus > 0: // the request is invalid, as for any other backend; the backend is not at fault
+	case res.clientStatus > 0: // the request is invalid for any backend, so this one is not at fault
 		r.response <- response{status: res.clientStatus}
 		r.answered = true
 	}
--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -72,7 +72,7 @@
 		eventually(t, "a list queued after the move", func() bool { return len(p.loop.events) >= 2 })
 		releaseLoop()
 		p.runInLoop(func() {})
-		if h := p.loop.transport.Find(1); h != nil {
+		if b := p.loop.transport.Find(1); b != nil {
 			t.Errorf("pushed %v: the draining backend is still in use", pushed)
 		}
 	}
@@ -127,8 +127,8 @@
 	}
 }
 
-// If lists are pushed, a list counts as delivered as soon as a recovered agent has it. The node must then not pause
-// for longer than it may still send to a draining backend, nor wait for a call that the agent never accepted.
+// If lists are pushed, a list counts as delivered as soon as discovery has recovered and has it. The node must then not
+// pause for longer than it may still send to a draining backend, nor wait for a call that discovery never accepted.
 func TestPushedListIsAskedForWithinTheGrace(t *testing.T) {
 	t.Parallel()
 	const failing = 10
@@ -196,16 +196,16 @@
 		{newList(true, "x-00000002", "ready", "web-00000001", "ready", "db-00000001", "ready"), "db web x"},
 		{newList(false, "x-00000002", "ready", "x-00000002", "draining", "db-00000001", "draining", "db-00000001", "ready"), "db web"},
 	} {
-		var hosts []*upstream.Backend
+		var backends []*upstream.Backend
 		p.runInLoop(func() {
 			p.loop.receiveList(c.update)
 			for id := range p.loop.ready {
-				hosts = append(hosts, p.loop.transport.Find(id))
+				backends = append(backends, p.loop.transport.Find(id))
 			}
 		})
 		var got []string
-		for _, h := range hosts {
-			r := p.loop.transport.do(t.Context(), h, getExchange(testTimeout))
+		for _, b := range backends {
+			r := p.loop.transport.do(t.Context(), b, getExchange(testTimeout))
 			got = append(got, string(r.body))
 		}
 		slices.Sort(got)
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -28,7 +28,7 @@
 	pollSlack = time.Second
 	// dialTimeout is the timeout for connecting.
 	dialTimeout = time.Second
-	// minPollInterval is the pause after the discovery agent has responded at once without a change.
+	// minPollInterval is the pause after discovery has responded at once without a change.
 	minPollInterval = 50 * time.Millisecond
 	// minRetryWait is the first pause after a watch has failed. It doubles with each failure, up to maxRetryWait.
 	minRetryWait = 200 * time.Millisecond
@@ -113,7 +113,7 @@
 		if first || l.full || len(l.entries) > 0 || l.version != version {
 			handle(l)
 		}
-		// If the agent always responds at once, this must not become a busy loop. A pause does not end the watch, which
+		// If discovery always responds at once, this must not become a busy loop. A pause does not end the watch, which
 		// continues across gaps of up to 200 ms between calls.
 		if !first && l.version == version && time.Since(askedAt) < minPollInterval {
 			select {
@@ -126,7 +126,7 @@
 }
 
 // follow keeps a watch open until ctx ends. It is used if lists are pushed, so that the module does not request them.
-// A list then counts as delivered once the agent has it, even while there is no watch. After the agent recovers, the
+// A list then counts as delivered once discovery has it, even while there is no watch. After discovery recovers, the
 // node has the drain grace to learn of a change, which covers one call that hangs, one pause and the call that
 // succeeds.
 func (d *discovery) follow(ctx context.Context, since *uint64, grace time.Duration, handle func(backendList)) {
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -13,7 +13,8 @@
 	killMargin = 200 * time.Millisecond
 	// requestCutoff is how long before the end of draining the node stops accepting requests.
 	requestCutoff = 300 * time.Millisecond
-	// drainResponseTime is the time after that end for the module's own responses, and again for responses by the node.
+	// drainResponseTime is the time after the end of draining for responses by the module, and then again for responses
+	// by the node itself.
 	drainResponseTime = 50 * time.Millisecond
 	// drainPollInterval is the time between two checks whether clients are still connected.
 	drainPollInterval = 20 * time.Millisecond
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -68,7 +68,7 @@
 		return "HTTP/1.1 422 Unprocessable Entity\r\nContent-Length: 3\r\n\r\nbad"
 	}))
 	const host, id, left, key, none, end = "Host: h\r\n", "X-Correlation-Id: q\r\n", "X-Time-Left: 9\r\n", "Idempotency-Key: k\r\n", "Content-Length: 0\r\n", "\r\n"
-	const getExchange, post, head = "GET /read HTTP/1.1\r\n", "POST /order HTTP/1.1\r\n", host + id + left
+	const get, post, head = "GET /read HTTP/1.1\r\n", "POST /order HTTP/1.1\r\n", host + id + left
 	empty := startNode(t, &Config{Settings: testSettings(), KnownBackends: readyBackends()})
 	serving := startNode(t, &Config{Settings: testSettings(), KnownBackends: readyBackends(addr)})
 	serving.waitReady(t, http.StatusOK)
@@ -81,19 +81,19 @@
 		{"HTTP/1.0", "GET /read HTTP/1.0\r\n" + head + end, false},
 		{"chunked", post + head + "Transfer-Encoding: chunked\r\n" + end, false},
 		{"wrong method", "GET /order HTTP/1.1\r\n" + head + end, false},
-		{"GET with a body", getExchange + head + "Content-Length: 1\r\n" + end + "x", false},
+		{"GET with a body", get + head + "Content-Length: 1\r\n" + end + "x", false},
 		{"large body", post + head + "Content-Length: 70000\r\n" + end, false},
-		{"no id", getExchange + host + left + end, false},
+		{"no id", get + host + left + end, false},
 		{"no key", "POST /tag HTTP/1.1\r\n" + head + none + end, false},
 		{"key not wanted", post + head + key + none + end, false},
-		{"no time", getExchange + host + id + end, false},
-		{"time in words", getExchange + host + id + "X-Time-Left: soon\r\n" + end, false},
+		{"no time", get + host + id + end, false},
+		{"time in words", get + host + id + "X-Time-Left: soon\r\n" + end, false},
 		{"body not complete", post + head + "Content-Length: 3\r\n" + end + "a", false},
 		{"alive", "GET /health/live HTTP/1.1\r\n" + host + end, false},
 		{"not ready", "GET /health/ready HTTP/1.1\r\n" + host + end, false},
 		{"ready", "GET /health/ready HTTP/1.1\r\n" + host + end, true},
-		{"no backend", getExchange + head + end, false},
-		{"backend blames the client", getExchange + head + end, true},
+		{"no backend", get + head + end, false},
+		{"backend blames the client", get + head + end, true},
 		{"backend fails an unsafe request", post + host + "X-Correlation-Id: fails\r\n" + left + none + end, true},
 	} {
 		n := empty
--- a/internal/node/left_test.go
+++ b/internal/node/left_test.go
@@ -194,22 +194,22 @@
 	var idle []*upstream.Backend
 	eventually(t, "idle connections to the backends", func() bool {
 		idle = nil
-		for _, h := range []*upstream.Backend{tr.Find(1), tr.Find(2)} {
-			if kept := tr.Idle(h); len(kept) > 0 && time.Since(kept[0].IdleSince()) >= minIdleBeforeReuse {
-				idle = append(idle, h)
+		for _, b := range []*upstream.Backend{tr.Find(1), tr.Find(2)} {
+			if kept := tr.Idle(b); len(kept) > 0 && time.Since(kept[0].IdleSince()) >= minIdleBeforeReuse {
+				idle = append(idle, b)
 			}
 		}
 		return len(idle) == want
 	})
-	for _, h := range idle {
+	for _, b := range idle {
 		x := getExchange(testTimeout)
 		x.header = http.Header{"X-Correlation-Id": {"other"}}
-		if r := tr.do(t.Context(), h, x); r.code != decide.OK {
+		if r := tr.do(t.Context(), b, x); r.code != decide.OK {
 			t.Errorf("on a kept connection: got outcome %v (%v), want OK", r.code, r.err)
 		}
 	}
-	if dialled := tr.stats.Dialed.Load(); dialled != int64(want) {
-		t.Errorf("got %d dialed connections, want %d", dialled, want)
+	if dialed := tr.stats.Dialed.Load(); dialed != int64(want) {
+		t.Errorf("got %d dialed connections, want %d", dialed, want)
 	}
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -46,13 +46,13 @@
 }
 
 // readSilently counts the request of a connection and never answers it.
-func (l *requestCounter) readSilently(c net.Conn) {
+func (rc *requestCounter) readSilently(c net.Conn) {
 	r := bufio.NewReader(c)
 	if line, _ := r.ReadString('\n'); line != "" {
 		class, _, _ := strings.Cut(strings.TrimPrefix(strings.Fields(line)[1], "/"), "?")
-		l.mutex.Lock()
-		l.count[class]++
-		l.mutex.Unlock()
+		rc.mutex.Lock()
+		rc.count[class]++
+		rc.mutex.Unlock()
 	}
 	io.Copy(io.Discard, r)
 }
--- a/internal/node/requestheader_test.go
+++ b/internal/node/requestheader_test.go
@@ -18,24 +18,24 @@
 // behind one of them; and a valid request whose optional headers are invalid.
 func badRequests() (requests map[string]int, hidden, odd string) {
 	const host, id, left, key, none = "Host: h\r\n", "X-Correlation-Id: q\r\n", "X-Time-Left: 9\r\n", "Idempotency-Key: k\r\n", "Content-Length: 0\r\n"
-	const getExchange, post, head, end = "GET /read HTTP/1.1\r\n", "POST /order HTTP/1.1\r\n", host + id + left, "\r\n"
+	const get, post, head, end = "GET /read HTTP/1.1\r\n", "POST /order HTTP/1.1\r\n", host + id + left, "\r\n"
 	hidden = post + "Host: h\r\nX-Correlation-Id: hidden\r\n" + left + none + end
 	odd = post + head + "X-Weight-Hint: -1e400\r\nX-Facts: ,=,write\r\n" + none + end
 	return map[string]int{
 		"\x16\x03\x01\r\n\r\n":                                                                                        400,
-		getExchange + host + left + end:                                                                               400,
-		getExchange + host + id + id + left + end:                                                                     400,
-		getExchange + host + "X-Correlation-Id: \r\n" + left + end:                                                    400,
-		getExchange + host + id + end:                                                                                 400,
-		getExchange + head + left + end:                                                                               400,
-		getExchange + host + id + "X-Time-Left: NaN\r\n" + end:                                                        400,
-		getExchange + host + id + "X-Time-Left: soon\r\n" + end:                                                       400,
-		getExchange + host + id + "X-Time-Left: -5\r\n" + end:                                                         400,
-		getExchange + host + id + "X-Time-Left: 0x10\r\n" + end:                                                       400,
-		getExchange + host + id + "X-Time-Left: 1e3\r\n" + end:                                                        400,
-		getExchange + host + id + "X-Time-Left: .\r\n" + end:                                                          400,
-		getExchange + head + "Content-Length: 1\r\n" + end + "x":                                                      400,
-		getExchange + head + key + end:                                                                                400,
+		get + host + left + end:                                                                                       400,
+		get + host + id + id + left + end:                                                                             400,
+		get + host + "X-Correlation-Id: \r\n" + left + end:                                                            400,
+		get + host + id + end:                                                                                         400,
+		get + head + left + end:                                                                                       400,
+		get + host + id + "X-Time-Left: NaN\r\n" + end:                                                                400,
+		get + host + id + "X-Time-Left: soon\r\n" + end:                                                               400,
+		get + host + id + "X-Time-Left: -5\r\n" + end:                                                                 400,
+		get + host + id + "X-Time-Left: 0x10\r\n" + end:                                                               400,
+		get + host + id + "X-Time-Left: 1e3\r\n" + end:                                                                400,
+		get + host + id + "X-Time-Left: .\r\n" + end:                                                                  400,
+		get + head + "Content-Length: 1\r\n" + end + "x":                                                              400,
+		get + head + key + end:                                                                                        400,
 		"POST /tag HTTP/1.1\r\n" + head + none + end:                                                                  400,
 		"POST /tag HTTP/1.1\r\n" + head + key + key + none + end:                                                      400,
 		"POST /tag HTTP/1.1\r\n" + head + "Idempotency-Key:\r\n" + none + end:                                         400,
@@ -59,7 +59,7 @@
 		"OPTIONS * HTTP/1.1\r\n" + host + end:                                                                         404,
 		"GET /favicon.ico HTTP/1.1\r\n" + host + end:                                                                  404,
 		"GET /health/other HTTP/1.1\r\n" + host + end:                                                                 404,
-		getExchange + host + strings.Repeat("X-Pad: p\r\n", 1<<12) + end:                                              431,
+		get + host + strings.Repeat("X-Pad: p\r\n", 1<<12) + end:                                                      431,
 	}, hidden, odd
 }
 
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -9,7 +9,7 @@
 	"nickelline/decide"
 )
 
-// request is a client's request as the front end read it, with the loop's state for it.
+// request is a client's request as the frontend read it, with the loop's state for it.
 type request struct {
 	arrived  decide.RequestArrived // acceptRequest sets Patience
 	deadline time.Time             // by which the client has its response
@@ -35,7 +35,7 @@
 	retryAfter time.Duration
 }
 
-// acceptRequest registers a request from the front end and passes it to the module. It rejects an ID that is still
+// acceptRequest registers a request from the frontend and passes it to the module. It rejects an ID that is still
 // open: the module would not answer the second request, and its effect could happen twice.
 func (l *loop) acceptRequest(r *request) {
 	if r.client.Err() != nil { // the client disconnected while this was queued
--- a/internal/node/transport_test.go
+++ b/internal/node/transport_test.go
@@ -154,15 +154,15 @@
 	addr := startBackend(t, respondWith(func(*http.Request, []byte) string { return okResponse("x") }))
 	tr := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, discardLog)
 	tr.update(readyBackends(addr))
-	h := tr.Find(1)
+	backend := tr.Find(1)
 	opened := 0
 	for _, rested := range []time.Duration{0, 0, minIdleBeforeReuse} {
 		eventually(t, "an idle connection past minIdleBeforeReuse", func() bool {
-			idle := tr.Idle(h)
+			idle := tr.Idle(backend)
 			return len(idle) == 0 || time.Since(idle[len(idle)-1].IdleSince()) >= rested
 		})
 		open := tr.Open()
-		r := tr.do(t.Context(), h, getExchange(testTimeout))
+		r := tr.do(t.Context(), backend, getExchange(testTimeout))
 		if r.code != decide.OK || r.opened && rested > 0 {
 			t.Errorf("idle for %v: got outcome %v, opened %v, want OK on an existing connection if it was idle", rested, r.code, r.opened)
 		}
@@ -235,7 +235,7 @@
 	t.Parallel()
 	tr := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 16, discardLog)
 	tr.update(readyBackends("127.0.0.1:1"))
-	h := tr.Find(1)
+	backend := tr.Find(1)
 	const maxDials = 2
 	dials, proceed := make(chan struct{}, maxDials), make(chan struct{})
 	wrapDial(tr, func(dial upstream.DialFunc) upstream.DialFunc {
@@ -247,10 +247,10 @@
 	})
 	var attempts sync.WaitGroup
 	for range maxDials {
-		attempts.Go(func() { tr.do(t.Context(), h, getExchange(testTimeout)) })
+		attempts.Go(func() { tr.do(t.Context(), backend, getExchange(testTimeout)) })
 		receive(t, "a dial", dials)
 	}
-	if r := tr.do(t.Context(), h, getExchange(testTimeout)); r.code != decide.NotSent || tr.Open() != maxDials {
+	if r := tr.do(t.Context(), backend, getExchange(testTimeout)); r.code != decide.NotSent || tr.Open() != maxDials {
 		t.Errorf("beyond the bound: got outcome %v (%v) and %d open connections, want NotSent and 2", r.code, r.err, tr.Open())
 	}
 	close(proceed)
@@ -285,7 +285,7 @@
 	t.Parallel()
 	var got atomic.Int64
 	addr := startBackend(t, respondWith(func(*http.Request, []byte) string { got.Add(1); return okResponse("x") }))
-	newPool := func() (*transport, *upstream.Backend) {
+	newTestTransport := func() (*transport, *upstream.Backend) {
 		tr := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, discardLog)
 		tr.update(readyBackends(addr))
 		return tr, tr.Find(1)
@@ -309,9 +309,9 @@
 		"too late":    {func(_ *transport, x *exchange, _ context.CancelFunc) { x.deadline = time.Now() }, decide.ConnectFailed},
 		"called off":  {func(_ *transport, _ *exchange, cancel context.CancelFunc) { cancel() }, decide.Cancelled},
 	} {
-		tr, h := newPool()
+		tr, backend := newTestTransport()
 		// An idle connection, so that acquiring one succeeds whatever the deadline.
-		c1, err := tr.Acquire(t.Context(), h, time.Now().Add(testTimeout))
+		c1, err := tr.Acquire(t.Context(), backend, time.Now().Add(testTimeout))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -319,7 +319,7 @@
 		x := getExchange(testTimeout)
 		tr.Release(c1, true)
 		c.change(tr, x, cancel)
-		if r := tr.do(ctx, h, x); r.code != c.want {
+		if r := tr.do(ctx, backend, x); r.code != c.want {
 			t.Errorf("%s: got outcome %v (%v), want %v", name, r.code, r.err, c.want)
 		}
 		cancel()
@@ -373,11 +373,11 @@
 	for responded, want := range map[bool]int{false: 0, true: 1} {
 		tr := newTransport(&Config{Settings: testSettings(), Limits: Limits{MemoryMB: 192}}, 10, discardLog)
 		tr.update(readyBackends(addr))
-		h := tr.Find(1)
+		backend := tr.Find(1)
 		var conns [2]*upstream.Conn
 		for i := range conns {
 			var err error
-			if conns[i], err = tr.Acquire(t.Context(), h, time.Now().Add(testTimeout)); err != nil {
+			if conns[i], err = tr.Acquire(t.Context(), backend, time.Now().Add(testTimeout)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -386,12 +386,12 @@
 		}
 		time.Sleep(2 * minIdleBeforeReuse)
 		if responded {
-			tr.RecordResponse(h, time.Now().Add(testTimeout))
+			tr.RecordResponse(backend, time.Now().Add(testTimeout))
 		}
-		if r := tr.do(t.Context(), h, getExchange(time.Second)); r.code != decide.TimedOut {
+		if r := tr.do(t.Context(), backend, getExchange(time.Second)); r.code != decide.TimedOut {
 			t.Errorf("got outcome %v (%v), want TimedOut", r.code, r.err)
 		}
-		if kept := len(tr.Idle(h)); kept != want {
+		if kept := len(tr.Idle(backend)); kept != want {
 			t.Errorf("responded %v: got %d idle connections, want %d", responded, kept, want)
 		}
 		tr.update(backendList{full: true})
