--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -10,9 +10,9 @@
 
 // The bits of the flags field of a submit event.
 const (
-	flagHint   = 1 // cost_guess_ns is set
-	flagRepeat = 2 // the client has tried before
-	flagWrite  = 4 // the request is a write
+	flagHint  = 1 // cost_guess_ns is set
+	flagRetry = 2 // the client has tried before
+	flagWrite = 4 // the request is a write
 )
 
 // decodeEvent decodes an event of the given name from its value.
@@ -80,7 +80,7 @@
 		Patience: time.Duration(*in.Patience),
 		WorkHint: time.Duration(in.WorkHint),
 		HasHint:  in.Flags&flagHint != 0,
-		Retry:    in.Flags&flagRepeat != 0,
+		Retry:    in.Flags&flagRetry != 0,
 		Write:    in.Flags&flagWrite != 0,
 	}, nil
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -46,13 +46,13 @@
 	Capabilities   capabilityJSON `json:"caps"`
 	Rules          rulesJSON      `json:"invariants"`
 	Goal           goalJSON       `json:"goal"`
-	Prices         pricesJSON     `json:"charges"`
+	Penalties      penaltiesJSON  `json:"charges"`
 	Report         struct {
 		Fields []string `json:"fields"`
 		Via    string   `json:"how"`
 	} `json:"report"`
 	Clients struct {
-		MarkRepeats bool `json:"marks_retry"`
+		MarksRetries bool `json:"marks_retry"`
 	} `json:"client_habits"`
 	Specifics struct {
 		PassesDeadline bool `json:"passes_deadline"`
@@ -98,8 +98,8 @@
 type rulesJSON struct {
 	AnswerSlack    int64   `json:"answer_slack_ns"`
 	MaxListAge     int64   `json:"ask_within_ns"`
-	ColdFrom       float64 `json:"cold_from"`
-	ColdTime       int64   `json:"cold_ns"`
+	ColdStartShare float64 `json:"cold_from"`
+	WarmUpTime     int64   `json:"cold_ns"`
 	DrainGrace     int64   `json:"drain_grace_ns"`
 	OverloadFactor float64 `json:"overload_factor"`
 	OverloadTime   int64   `json:"tip_after_ns"`
@@ -112,7 +112,7 @@
 	WorstWindow float64 `json:"worst_window"`
 }
 
-type pricesJSON struct {
+type penaltiesJSON struct {
 	Connection float64 `json:"connection"`
 	CrossZone  float64 `json:"cross_zone"`
 	Fleet      float64 `json:"fleet"`
@@ -163,7 +163,7 @@
 		Tier:           s.Tier,
 		Tiers:          s.Tiers,
 		MinTick:        time.Duration(s.MinTick),
-		MarksRetries:   s.Clients.MarkRepeats,
+		MarksRetries:   s.Clients.MarksRetries,
 		ListOnRequest:  s.Membership == "on_request",
 		SizeKnown:      s.SizeKind != "none",
 		SizeLive:       s.SizeKind == "live",
@@ -174,7 +174,7 @@
 		WarmKeys:       s.Specifics.WarmKeys,
 		PassesDeadline: s.Specifics.PassesDeadline,
 		Goal:           s.Goal.goal(),
-		Penalties:      s.Prices.prices(),
+		Penalties:      s.Penalties.penalties(),
 	}
 }
 
@@ -198,8 +198,8 @@
 	settings.AnswerSlack = time.Duration(r.AnswerSlack)
 	settings.MaxListAge = time.Duration(r.MaxListAge)
 	settings.DrainGrace = time.Duration(r.DrainGrace)
-	settings.ColdStartShare = r.ColdFrom
-	settings.WarmUpTime = time.Duration(r.ColdTime)
+	settings.ColdStartShare = r.ColdStartShare
+	settings.WarmUpTime = time.Duration(r.WarmUpTime)
 	settings.OverloadFactor = r.OverloadFactor
 	settings.OverloadTime = time.Duration(r.OverloadTime)
 }
@@ -208,7 +208,7 @@
 	return decide.Goal{Whole: g.Whole, WorstWindow: g.WorstWindow, WorstClass: g.WorstClass, WorstTenant: g.WorstTenant}
 }
 
-func (p *pricesJSON) prices() decide.Penalties {
+func (p *penaltiesJSON) penalties() decide.Penalties {
 	return decide.Penalties{
 		Connection: p.Connection,
 		Handshake:  p.Handshake,
