--- a/internal/upstream/idlehistory.go
+++ b/internal/upstream/idlehistory.go
@@ -11,7 +11,7 @@
 	idleBuckets = 34
 	// shortestIdle is the idle time below which connections count as busy ones.
 	shortestIdle = time.Millisecond
-	// decayTimeConstant is how fast recorded outcomes decay, so that longer idle times are tried again.
+	// decayTimeConstant is the time constant with which recorded outcomes decay, so that longer idle times are tried again.
 	decayTimeConstant = 5 * time.Second
 	// minBroken is the number of broken connections from which on the idle time is limited: fewer may be chance.
 	minBroken = 3.0
@@ -34,20 +34,20 @@
 }
 
 // decay reduces the weight of the recorded outcomes by their age.
-func (r *idleHistory) decay(now time.Time) {
-	factor := math.Exp(-now.Sub(r.decayedAt).Seconds() / decayTimeConstant.Seconds())
-	for i := range r.buckets {
-		r.buckets[i].used *= factor
-		r.buckets[i].broken *= factor
+func (h *idleHistory) decay(now time.Time) {
+	factor := math.Exp(-now.Sub(h.decayedAt).Seconds() / decayTimeConstant.Seconds())
+	for i := range h.buckets {
+		h.buckets[i].used *= factor
+		h.buckets[i].broken *= factor
 	}
-	r.decayedAt = now
+	h.decayedAt = now
 }
 
 // record adds the outcome of a request on a connection that had been idle. broken means that the connection was reset
 // before any byte of a response.
-func (r *idleHistory) record(now time.Time, idle time.Duration, broken bool) {
-	r.decay(now)
-	bucket := &r.buckets[idleBucket(idle)]
+func (h *idleHistory) record(now time.Time, idle time.Duration, broken bool) {
+	h.decay(now)
+	bucket := &h.buckets[idleBucket(idle)]
 	bucket.used++
 	if broken {
 		bucket.broken++
@@ -55,11 +55,11 @@
 }
 
 // limit returns the shortest idle time from which on too many connections have broken lately, but at most longest.
-func (r *idleHistory) limit(now time.Time, longest time.Duration) time.Duration {
-	r.decay(now)
+func (h *idleHistory) limit(now time.Time, longest time.Duration) time.Duration {
+	h.decay(now)
 	used, broken := 0.0, 0.0
 	for i := idleBuckets - 1; i > 0; i-- {
-		bucket := r.buckets[i]
+		bucket := h.buckets[i]
 		used += bucket.used
 		broken += bucket.broken
 		// The bucket itself must also have too many: otherwise only longer idle times break connections.
--- a/internal/upstream/idlehistory_test.go
+++ b/internal/upstream/idlehistory_test.go
@@ -25,22 +25,22 @@
 		}, 90 * time.Millisecond, 182 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var r idleHistory
+			var h idleHistory
 			random := rand.New(rand.NewPCG(1, 2))
 			now := time.Unix(1000, 0)
-			r.decayedAt = now
+			h.decayedAt = now
 			for i := range 1000 { // most are idle for a short time only
 				idle := time.Duration(1+i%100) * time.Millisecond
 				if i/100%2 == 0 {
 					idle *= 5
 				}
 				now = now.Add(3 * time.Millisecond)
-				r.record(now, idle, c.broken(random.Float64(), idle))
+				h.record(now, idle, c.broken(random.Float64(), idle))
 			}
-			if got := r.limit(now, longest); got < c.atLeast || got > c.atMost {
+			if got := h.limit(now, longest); got < c.atLeast || got > c.atMost {
 				t.Errorf("limit: got %v, want %v to %v", got, c.atLeast, c.atMost)
 			}
-			if got := r.limit(now.Add(time.Minute), longest); got != longest {
+			if got := h.limit(now.Add(time.Minute), longest); got != longest {
 				t.Errorf("limit a minute later: got %v, want %v", got, longest)
 			}
 		})
