--- a/decide/capacity.go
+++ b/decide/capacity.go
@@ -30,8 +30,8 @@
 	rate := m.rateOf(b)
 	if b.utilisation > 0 && m.now-b.utilisationAt <= 2*validityPeriod {
 		// Cores are busy with the requests of all nodes. A node that has just started causes little of
-		// that, and if it went by its own rate alone it would stay at that little. So its share of the
-		// capacity counts as at least an even one.
+		// that load, and would never get more if it went by its own rate alone. So it counts at least an
+		// even share of the capacity as its own.
 		relativeShare := math.Min(1, math.Max(m.trafficShare*float64(m.settings.Nodes), minEvenShare))
 		rate /= math.Max(m.utilisationOf(b), minUtilisation) * relativeShare
 	}
--- a/decide/coldstart.go
+++ b/decide/coldstart.go
@@ -19,7 +19,7 @@
 	b.answerRate, b.utilisation, b.answerRateAt, b.utilisationAt, b.firstSeen = 0, 0, m.now, m.now, m.now
 }
 
-// warmth returns the share of its full capacity that a backend has reached, at least. It ends the cold
+// warmth returns the share of its full capacity that a backend has at least reached. It ends the cold
 // state of a backend that is warm.
 func (m *Module) warmth(b *backend) float64 {
 	warm := (m.now - b.coldSince).Seconds() / math.Max(m.settings.WarmUpTime.Seconds(), 1e-9)
@@ -35,8 +35,8 @@
 // can do. The rate at which warm backends currently answer would be too low a basis: a release that
 // makes most backends cold cuts it, and the budgets with it. Nodes that do not have the backend in
 // their subsets send it nothing. The settings give the least that a cold backend can do. Most can do
-// more, and the load that it reports shows if it cannot: so budgets allow half the load that would make
-// it fall over.
+// more, and the load that a backend reports shows if it cannot. So budgets allow half the load that
+// would make it fall over.
 func (m *Module) overColdBudget(b *backend) bool {
 	part := m.warmth(b)
 	if !b.cold {
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -6,9 +6,10 @@
 // always hold are in rules.go: no attempt breaks the limits of Settings, no request that may have run runs again unless
 // its class allows that, and each request gets one final answer.
 //
-// The overload control follows a published scheme: each backend has one of three modes, delimited by the thresholds
-// L < H < R on its load. A node that sends its backends most of their requests compares its own attempts in flight with
-// H. A node with only a partial view of their load goes by the backends' reports or, without reports, by latency.
+// The overload control follows a published scheme of load control with hysteresis: each backend has one of three modes,
+// delimited by the thresholds L < H < R on its load. A node that sends its backends most of their requests compares its
+// own attempts in flight with H. A node with only a partial view of their load goes by the backends' reports or, without
+// reports, by latency.
 //
 // The interface is in settings.go, events.go and actions.go. The decisions, in reading order:
 //
--- a/decide/events.go
+++ b/decide/events.go
@@ -27,8 +27,8 @@
 type Backend struct {
 	ID        BackendID
 	Zone      string
-	Kind      string
-	Cell      int
+	Kind      string // machine kind
+	Cell      int    // group of backends that may share idempotency keys (ScopeCell)
 	State     BackendState
 	Size      float64 // no unit; meaningful only relative to other backends
 	StartedAt Time    // 0: long ago
--- a/decide/golden_test.go
+++ b/decide/golden_test.go
@@ -77,7 +77,7 @@
 	random   *rand.Rand
 	now      time.Duration
 	modules  []*decide.Module
-	held     []int // by backend
+	held     []int // requests in flight, by backend
 	attempts map[string]int
 	due      []goldenEvent
 	next     int
--- a/decide/health.go
+++ b/decide/health.go
@@ -11,11 +11,12 @@
 	classFailureGain = 0.15
 	// avoidAbove is the failure rate for a class above which a backend is avoided for that class.
 	avoidAbove = 0.55
-	// avoidUntil is the failure rate at which it is no longer avoided; it lies above the chance
-	// failures of a poor network.
+	// avoidUntil is the failure rate at which a backend is no longer avoided. It is higher than the
+	// rate of chance failures on a poor network.
 	avoidUntil = 0.25
-	// classFailureTauSeconds is the time constant with which a failure rate without new attempts is
-	// forgotten. It is the only way back for unsafe classes, whose trials may do harm and are not made.
+	// classFailureTauSeconds is the time constant with which a failure rate decays without new
+	// attempts. Only this decay ends the avoidance for unsafe classes: their trials may do harm and are
+	// not made.
 	classFailureTauSeconds = 6.0
 	// suspectAfter is the number of consecutive failures, or of sends without any answer, after which a
 	// backend may become a suspect; fewer may be chance.
@@ -31,7 +32,8 @@
 	unresponsiveFactor = 4.0
 	// firstTrialWait is the time until a suspect's first trial request. It doubles with each trial.
 	firstTrialWait = 500 * time.Millisecond
-	// maxTrialWait is the longest such time: about as long as faults last.
+	// maxTrialWait is the longest wait for a trial, and the longest backoff after rejections: about as
+	// long as faults last.
 	maxTrialWait = 16 * time.Second
 )
 
@@ -63,8 +65,8 @@
 	m.failureRate += fleetGain * (failed - m.failureRate)
 }
 
-// recordFull blocks a backend that rejects requests. Consecutive rejections back off: many nodes that
-// each come back after one validity period would keep an overload going.
+// recordFull blocks a backend that rejects requests. The block grows with consecutive rejections: many
+// nodes that each come back after one validity period would keep an overload going.
 func (m *Module) recordFull(b *backend) {
 	m.imposeMode(b, Blocking)
 	b.imposedUntil += m.jitter(b.backoff)
--- a/decide/list.go
+++ b/decide/list.go
@@ -7,7 +7,8 @@
 )
 
 const (
-	// firstSubscribeWait is the time until the list is requested again. It doubles with each failure.
+	// firstSubscribeWait is the wait before the first attempt to subscribe and after its failure. The
+	// wait doubles with each further failure.
 	firstSubscribeWait = 200 * time.Millisecond
 )
 
--- a/decide/many_test.go
+++ b/decide/many_test.go
@@ -98,7 +98,7 @@
 }
 
 // A node of a large fleet sheds nothing under light load. Under high load it sheds the cheap class, then part of the
-// valuable one, although its own attempts in flight are nearly always 0. Its estimates lapse, so that it does not
+// valuable one, although its own attempts in flight are nearly always 0. Its estimates decay, so that it does not
 // refuse for ever.
 func TestPartialViewShedsByLatencyAndRecovers(t *testing.T) {
 	m := New(largeFleetSettings(600), 3)
@@ -186,7 +186,7 @@
 }
 
 // An attempt that times out brings no report, but shows load all the same: a backend that does not answer in time must
-// not look empty, even if its last report is old. The estimate lapses.
+// not look empty, even if its last report is old. The estimate decays.
 func TestTimeOutsShowOverload(t *testing.T) {
 	m := New(largeFleetSettings(600), 3)
 	m.Handle(time.Hour, readyList(8))
@@ -204,7 +204,7 @@
 	now += 500 * time.Millisecond
 	m.Handle(now, AttemptEnded{ID: "late", Backend: b.ID, Code: TimedOut, Elapsed: 500 * time.Millisecond})
 	if mode := m.modeOf(b); mode != Blocking {
-		t.Errorf("got mode %v after a time-out of eight times the usual latency, want blocking", mode)
+		t.Errorf("got mode %v after a timeout of eight times the usual latency, want blocking", mode)
 	}
 	m.now += 10 * time.Second
 	if mode := m.modeOf(b); mode == Blocking {
@@ -231,7 +231,7 @@
 		for _, a := range m.Handle(now, RequestArrived{ID: id, Class: "cheap", Patience: time.Second}) {
 			if a, ok := a.(Send); ok {
 				if sent++; a.Timeout < took*5/4 {
-					t.Fatalf("trial time-out %v is too short for an ordinary answer, which takes %v", a.Timeout, took)
+					t.Fatalf("got trial timeout %v, want at least 5/4 of the %v that an ordinary answer takes", a.Timeout, took)
 				}
 				m.Handle(now, AttemptEnded{ID: id, Backend: a.Backend, Code: TimedOut, Elapsed: a.Timeout})
 			}
--- a/decide/modes.go
+++ b/decide/modes.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Mode is the overload state of a backend as this node sees it: the states s = 0, 1, 2 of the overload
-// control paper.
+// Mode is the overload state of a backend as this node sees it: the states s = 0, 1, 2 of the scheme
+// that the package follows.
 type Mode int
 
 const (
@@ -16,7 +16,7 @@
 )
 
 const (
-	// validityPeriod is how long an imposed mode lasts (oc-validity of the paper).
+	// validityPeriod is how long an imposed mode lasts (oc-validity in the scheme).
 	validityPeriod = time.Second
 	// lowFactor gives the low threshold L as a multiple of H. It lies above ordinary load: otherwise a
 	// backend that chance made overloaded would stay so.
--- a/decide/peers.go
+++ b/decide/peers.go
@@ -19,8 +19,8 @@
 	maxEstimateRequests = 4
 	// estimateRequestInterval is the time between two rounds, jittered: longer than a message takes.
 	estimateRequestInterval = 500 * time.Millisecond
-	// minEstimatesAge: younger estimates are not sent, as they may be of an overload, like those of the
-	// asking node.
+	// minEstimatesAge is the age from which a node sends its estimates; younger ones may be of an
+	// overload, like those of the asking node.
 	minEstimatesAge = 10 * time.Second
 	// maxAgeMillis bounds the age of the estimates in a message, in milliseconds.
 	maxAgeMillis = 1 << 31
--- a/decide/reports.go
+++ b/decide/reports.go
@@ -90,7 +90,7 @@
 	return math.Max(0, inFlight*(1+m.loadIncrease*decay(m.now-m.loadIncreaseAt, reportLagTauSeconds)))
 }
 
-// recordTimeout treats a time-out as a report: by Little's law the backend holds as many requests as it
+// recordTimeout treats a timeout as a report: by Little's law the backend holds as many requests as it
 // can answer in that time.
 func (m *Module) recordTimeout(b *backend, took time.Duration) {
 	if saturation := m.saturationInFlight(); saturation > 0 && m.baselineLatency > 0 && m.hasPartialView() {
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -99,19 +99,19 @@
 
 	AnswerSlack    time.Duration // a final answer this long past the deadline still counts
 	MaxListAge     time.Duration // without a subscription, the list is fetched at least this often
-	DrainGrace     time.Duration // sends to a draining backend must have stopped by then
+	DrainGrace     time.Duration // sends to a backend must have stopped this long after it starts draining
 	ColdStartShare float64       // share of its full capacity that a backend has when it starts, at least
 	WarmUpTime     time.Duration // a backend is warm this long after its start
 	OverloadFactor float64       // a cold backend falls over beyond this multiple of its current capacity
 	OverloadTime   time.Duration // if the overload lasts this long
 }
 
-// Goal holds the weights of the parts of the result.
+// Goal holds the weights of the parts of the overall score.
 type Goal struct {
 	Whole, WorstWindow, WorstClass, WorstTenant float64
 }
 
-// Penalties are the points deducted from the result per unit of what each field names.
+// Penalties are the points deducted from the overall score per unit of what each field names.
 type Penalties struct {
 	Connection, Handshake, CrossZone, Waste, LateFail, Probe, Message, Moves, Origin, ListLines, Fleet float64
 }
--- a/decide/subset.go
+++ b/decide/subset.go
@@ -9,7 +9,7 @@
 	// minSubset is the smallest size of a subset; fewer backends leave no choice once some of them
 	// fail.
 	minSubset = 8.0
-	// minSubsetBound is the same where the connection tables of the backends have no room for more.
+	// minSubsetBound replaces minSubset where the backends' connection tables have no room for more.
 	minSubsetBound = 4.0
 	// rejectRateGain is the weight of an attempt in the smoothed rejection rates.
 	rejectRateGain = 0.1
@@ -36,7 +36,7 @@
 	if want > m.subsetSize || want < m.subsetSize/2 {
 		m.subsetSize = math.Max(want, minSubset) // else unchanged, as a new backend costs a connection
 	}
-	if m.subsetSize < float64(len(m.ready)) { // one of few nodes uses all backends, and finds room at some
+	if m.subsetSize < float64(len(m.ready)) { // else it is one of few nodes, and some backends have room
 		m.subsetSize = math.Min(m.subsetSize, m.updateSubsetBound())
 	}
 	start := int(math.Mod((float64(m.settings.Self)+0.5)*math.Phi, 1) * float64(len(m.ready)))
--- a/decide/surge_test.go
+++ b/decide/surge_test.go
@@ -6,7 +6,7 @@
 )
 
 // When the list says that most backends have gone, the remaining ones will take over their load, whatever they last
-// reported: by the time that reports show it, all nodes have overloaded them. The estimate lapses, as later reports do
+// reported: by the time that reports show it, all nodes have overloaded them. The estimate decays, as later reports do
 // show the load.
 func TestRemainingBackendsTakeOverLoad(t *testing.T) {
 	for _, how := range []BackendState{Draining, Gone} {
--- a/decide/threshold_test.go
+++ b/decide/threshold_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// Cold backends get at least about what they can do, also when most are cold and the warm ones refuse, and not much
-// more, whatever the demand.
+// Cold backends get roughly what they can do, whatever the demand, also when most backends are cold and the warm ones
+// refuse.
 func TestColdBackendsAreUsed(t *testing.T) {
 	f := newFlow(6)
 	f.run(30 * time.Second)
--- a/decide/thresholds.go
+++ b/decide/thresholds.go
@@ -9,8 +9,8 @@
 	// partialViewTargetShare replaces targetShare at nodes with a partial view, whose latencies are
 	// means over the fleet.
 	partialViewTargetShare = 0.6
-	// maxPartialViewQueue bounds the number of requests ahead of a new one that such a node accepts at
-	// a backend; with more, backends become slow.
+	// maxPartialViewQueue bounds the number of requests ahead of a new one that a node with a partial
+	// view accepts at a backend; with more, backends become slow.
 	maxPartialViewQueue = 2.0
 	// queuedLatencyFactor is the desired latency, with queueing, as a multiple of the baseline latency:
 	// long queues do harm where many concurrent requests slow a backend down.
@@ -18,10 +18,11 @@
 	// looseTargetShare is the share of targetLatency that queueing may take where the targets are far
 	// above the baseline latency.
 	looseTargetShare = 0.6
-	// looseLatencyFactor bounds the latency in that case, as a multiple of the baseline latency.
+	// looseLatencyFactor bounds the desired latency, as a multiple of the baseline latency, where the
+	// targets are far above that.
 	looseLatencyFactor = 4.0
 	// maxHeadroomFactor bounds the factor by which H grows while the mean latency is below the desired
-	// one.
+	// latency.
 	maxHeadroomFactor = 3.0
 	// minWindow is the least number of requests that all nodes together may have in flight at a
 	// backend, whether or not its capacity is known.
--- a/decide/trials.go
+++ b/decide/trials.go
@@ -22,21 +22,22 @@
 }
 
 // sendTrial sends a request to a backend whose trial is due, and reports whether it did. The trial of a
-// suspect may take one and a half times as long as an ordinary answer; with less time, a healthy
-// suspect would never be cleared. It leaves time for a second attempt. Trials spend retry tokens as
-// further attempts do: when the whole fleet is slow, each of many nodes has many suspects.
+// suspect may take one and a half times the expected latency or, if longer, a third of the target, but
+// no longer than until a missing answer is conclusive. With less time, a healthy suspect would never be
+// cleared; with more, none would be left for a second attempt. Trials spend retry tokens as further
+// attempts do: when the whole fleet is slow, each of many nodes has many suspects.
 func (m *Module) sendTrial(r *request) bool {
 	b, c := m.dueTrialBackend(r), r.class
 	if b == nil || m.retryTokens < 2 {
 		return false
 	}
 	expected := time.Duration(m.meanLatency * c.relativeCost * float64(time.Second))
-	conclusive := max(m.settings.ConnectTimeout, unresponsiveFactor*expected)
-	ordinary := max(c.Target/3, expected*3/2)
+	unresponsiveAfter := max(m.settings.ConnectTimeout, unresponsiveFactor*expected)
+	timeout := max(c.Target/3, expected*3/2)
 	switch {
 	case !b.suspect && m.send(r, b, c.Target/2):
 		b.healthOf(c).trialAt = m.now + m.jitter(firstTrialWait)
-	case b.suspect && m.send(r, b, min(conclusive, ordinary)):
+	case b.suspect && m.send(r, b, min(unresponsiveAfter, timeout)):
 		b.trialWait = min(2*b.trialWait, maxTrialWait)
 		r.trial, b.trialAt = true, m.now+m.jitter(b.trialWait)
 	default:
