--- a/decide/backend.go
+++ b/decide/backend.go
@@ -19,7 +19,7 @@
 
 	// Reports (reports.go).
 	reportedInFlight float64 // requests in flight that it last reported, at reportAt
-	inFlightExcess   float64 // these minus Module.meanInFlight, or the excess that a timeout implies
+	inFlightExcess   float64 // reportedInFlight minus Module.meanInFlight, or the excess that a timeout implies
 	reportAt         Time
 	utilisation      float64 // share of its cores that is busy, smoothed from 0; 0: never reported
 	utilisationAt    Time
--- a/decide/events.go
+++ b/decide/events.go
@@ -69,7 +69,7 @@
 	Reset
 	// Cancelled means that the node cancelled the attempt; the request may have run.
 	Cancelled
-	// NotSent means that the request was not sent, because it was over or because the node had no room.
+	// NotSent means that the request was not sent: it was already over, or the node had no room.
 	NotSent
 )
 
--- a/decide/reports.go
+++ b/decide/reports.go
@@ -16,7 +16,7 @@
 	// little about the capacity.
 	minUtilisation = 0.1
 	// minUtilisationSum is the number of busy backends that must have reported lately; with fewer, the
-	// quotient is chance.
+	// estimate of saturation is chance.
 	minUtilisationSum = 5.0
 	// reportLagTauSeconds is the time constant with which reports catch up with a change of the list of
 	// backends.
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -74,7 +74,8 @@
 }
 
 // candidates returns the backends that may get a request, by mode: normal ones first, then overloaded
-// ones. Backends that are avoided for the class count only while no backend is trusted with it.
+// ones. Backends that are avoided for the class are included only while every backend of the list is
+// a suspect or avoided.
 func (m *Module) candidates(list []*backend, r *request) (pools [Blocking][]*backend) {
 	trusted := false
 	for _, b := range list {
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -72,7 +72,7 @@
 	MayProbe       bool          // Probe is allowed
 	MayMessage     bool          // SendMessage is allowed
 	MayRetryAfter  bool          // clients follow Refuse.RetryAfter
-	MaxRetryAfter  time.Duration // the longest such wait that clients follow
+	MaxRetryAfter  time.Duration // the longest RetryAfter that clients follow
 	MarksRetries   bool          // clients mark their retries
 	ConnectTimeout time.Duration
 	MinTick        time.Duration // minimum time between events
@@ -100,7 +100,7 @@
 	AnswerSlack    time.Duration // a final answer this long past the deadline still counts
 	MaxListAge     time.Duration // without a subscription, the list is fetched at least this often
 	DrainGrace     time.Duration // sends to a backend must have stopped this long after it starts draining
-	ColdStartShare float64       // share of its full capacity that a backend has when it starts, at least
+	ColdStartShare float64       // least share of its full capacity that a backend has when it starts
 	WarmUpTime     time.Duration // a backend is warm this long after its start
 	OverloadFactor float64       // a cold backend falls over beyond this multiple of its current capacity
 	OverloadTime   time.Duration // if the overload lasts this long
--- a/decide/threshold_test.go
+++ b/decide/threshold_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// Cold backends get roughly what they can do, whatever the demand, also when most backends are cold and the warm ones
-// refuse.
+// Cold backends get roughly what they can do (half of it to 1.3 times), whatever the demand, also when most backends are
+// cold and the warm ones refuse.
 func TestColdBackendsAreUsed(t *testing.T) {
 	f := newFlow(6)
 	f.run(30 * time.Second)
--- a/decide/thresholds.go
+++ b/decide/thresholds.go
@@ -93,7 +93,7 @@
 // come.
 func (m *Module) loadByLatency(b *backend) (n, h float64) {
 	target := m.targetLatency * partialViewTargetShare / targetShare
-	unit := math.Min(m.minMeanLatency, target) // a node that starts in an overload takes that for its minimum
+	unit := math.Min(m.minMeanLatency, target) // in an overload, a new node has too high a minimum
 	latency := m.recentLatency + b.latencyExcess*decay(m.now-b.latencyAt, staleLatencyTauSeconds)
 	n = (latency/unit - 1) * decay(m.now-m.lastAnswerAt, staleLatencyTauSeconds)
 	if b.unanswered > 0 && b.inFlight > 0 { // the latency of an attempt in flight is at least its age
