--- a/decide/events.go
+++ b/decide/events.go
@@ -27,8 +27,8 @@
 type Backend struct {
 	ID        BackendID
 	Zone      string
-	Kind      string
-	Cell      int
+	Kind      string // machine kind
+	Cell      int    // group of backends that may share idempotency keys (ScopeCell)
 	State     BackendState
 	Size      float64 // no unit; meaningful only relative to other backends
 	StartedAt Time    // 0: long ago
@@ -69,7 +69,7 @@
 	Reset
 	// Cancelled means that the node cancelled the attempt; the request may have run.
 	Cancelled
-	// NotSent means that the request was not sent, because it was over or because the node had no room.
+	// NotSent means that the request was not sent: it was already over, or the node had no room.
 	NotSent
 )
 
--- a/decide/reports.go
+++ b/decide/reports.go
@@ -16,7 +16,7 @@
 	// little about the capacity.
 	minUtilisation = 0.1
 	// minUtilisationSum is the number of busy backends that must have reported lately; with fewer, the
-	// quotient is chance.
+	// estimate of saturation is chance.
 	minUtilisationSum = 5.0
 	// reportLagTauSeconds is the time constant with which reports catch up with a change of the list of
 	// backends.
@@ -90,7 +90,7 @@
 	return math.Max(0, inFlight*(1+m.loadIncrease*decay(m.now-m.loadIncreaseAt, reportLagTauSeconds)))
 }
 
-// recordTimeout treats a time-out as a report: by Little's law the backend holds as many requests as it
+// recordTimeout treats a timeout as a report: by Little's law the backend holds as many requests as it
 // can answer in that time.
 func (m *Module) recordTimeout(b *backend, took time.Duration) {
 	if saturation := m.saturationInFlight(); saturation > 0 && m.baselineLatency > 0 && m.hasPartialView() {
--- a/decide/thresholds.go
+++ b/decide/thresholds.go
@@ -9,8 +9,8 @@
 	// partialViewTargetShare replaces targetShare at nodes with a partial view, whose latencies are
 	// means over the fleet.
 	partialViewTargetShare = 0.6
-	// maxPartialViewQueue bounds the number of requests ahead of a new one that such a node accepts at
-	// a backend; with more, backends become slow.
+	// maxPartialViewQueue bounds the number of requests ahead of a new one that a node with a partial
+	// view accepts at a backend; with more, backends become slow.
 	maxPartialViewQueue = 2.0
 	// queuedLatencyFactor is the desired latency, with queueing, as a multiple of the baseline latency:
 	// long queues do harm where many concurrent requests slow a backend down.
@@ -18,10 +18,11 @@
 	// looseTargetShare is the share of targetLatency that queueing may take where the targets are far
 	// above the baseline latency.
 	looseTargetShare = 0.6
-	// looseLatencyFactor bounds the latency in that case, as a multiple of the baseline latency.
+	// looseLatencyFactor bounds the desired latency, as a multiple of the baseline latency, where the
+	// targets are far above that.
 	looseLatencyFactor = 4.0
 	// maxHeadroomFactor bounds the factor by which H grows while the mean latency is below the desired
-	// one.
+	// latency.
 	maxHeadroomFactor = 3.0
 	// minWindow is the least number of requests that all nodes together may have in flight at a
 	// backend, whether or not its capacity is known.
@@ -92,7 +93,7 @@
 // come.
 func (m *Module) loadByLatency(b *backend) (n, h float64) {
 	target := m.targetLatency * partialViewTargetShare / targetShare
-	unit := math.Min(m.minMeanLatency, target) // a node that starts in an overload takes that for its minimum
+	unit := math.Min(m.minMeanLatency, target) // in an overload, a new node has too high a minimum
 	latency := m.recentLatency + b.latencyExcess*decay(m.now-b.latencyAt, staleLatencyTauSeconds)
 	n = (latency/unit - 1) * decay(m.now-m.lastAnswerAt, staleLatencyTauSeconds)
 	if b.unanswered > 0 && b.inFlight > 0 { // the latency of an attempt in flight is at least its age
