--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -60,16 +60,17 @@
 		server.WithRedirectTrailingSlash(false),
 	)
 	a.server.GET(controlapi.StatusPath, a.getStatus)
-	a.server.PUT(controlapi.ConfigurationPath, a.atReplica(a.putConfiguration))
-	a.server.PATCH(controlapi.ConfigurationPath, a.atReplica(a.patchConfiguration))
-	a.server.GET(controlapi.ConfigurationPath, a.atReplica(a.getConfiguration))
-	a.server.POST(controlapi.RetirePath+":"+nodeParameter, a.atReplica(a.postRetire))
-	a.server.GET(controlapi.RetirePath+":"+nodeParameter, a.atReplica(a.getRetire))
+	a.server.PUT(controlapi.ConfigurationPath, a.requireReplica(a.putConfiguration))
+	a.server.PATCH(controlapi.ConfigurationPath, a.requireReplica(a.patchConfiguration))
+	a.server.GET(controlapi.ConfigurationPath, a.requireReplica(a.getConfiguration))
+	a.server.POST(controlapi.RetirePath+":"+nodeParameter, a.requireReplica(a.postRetire))
+	a.server.GET(controlapi.RetirePath+":"+nodeParameter, a.requireReplica(a.getRetire))
 	return a
 }
 
-// atReplica returns the handler itself if this node has a replica, and otherwise a handler that redirects to a node with one.
-func (a *api) atReplica(handler app.HandlerFunc) app.HandlerFunc {
+// requireReplica returns the handler itself if this node has a replica, and otherwise a handler that redirects to a node with
+// one.
+func (a *api) requireReplica(handler app.HandlerFunc) app.HandlerFunc {
 	if a.service != nil {
 		return handler
 	}
--- a/internal/control/api_body_test.go
+++ b/internal/control/api_body_test.go
@@ -41,7 +41,7 @@
 	}
 	response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 	if err == nil && response.StatusCode == 200 {
-		t.Error("truncated body: got status 200")
+		t.Error("truncated body: got status 200, want a refusal")
 	}
 	if a.replica.machine.State().Version() != 0 {
 		t.Errorf("truncated body: got version %d, want 0", a.replica.machine.State().Version())
--- a/internal/control/apply_configure_test.go
+++ b/internal/control/apply_configure_test.go
@@ -21,10 +21,10 @@
 	}
 	state := m.State()
 	if state.Version() != 9 || state.Configuration.Version != 9 || state.Configuration.Routes[0].Timeout != 30*time.Millisecond {
-		t.Errorf("got version %d, %+v", state.Version(), state.Configuration.Routes[0])
+		t.Errorf("got version %d and route %+v, want version 9 with a timeout of 30 ms", state.Version(), state.Configuration.Routes[0])
 	}
 	if !strings.Contains(string(state.EncodedDocument()), `"timeoutMs":30`) {
-		t.Errorf("got %s", state.EncodedDocument())
+		t.Errorf("got document %s, want a timeout of 30 ms", state.EncodedDocument())
 	}
 }
 
--- a/internal/control/apply_retirement_test.go
+++ b/internal/control/apply_retirement_test.go
@@ -16,7 +16,7 @@
 		t.Errorf("got revision %d, want 2", m.State().RetirementRevision)
 	}
 	if !m.State().Retired(Store{"a", 1}) || !m.State().Retired(Store{"a", 9}) || m.State().Retired(Store{"c", 3}) {
-		t.Error("while retirements are in progress: got the wrong stores retired")
+		t.Error("while retirements are in progress: got the wrong stores retired, want every replica of a and none of c")
 	}
 	applyAndCheck(t, m, complete("c", 3, 0), Refused)
 	applyAndCheck(t, m, complete("a", 9, 0), Refused)
@@ -25,15 +25,15 @@
 	applyAndCheck(t, m, complete("a", 1, 0), Repeated)
 	retirement, found := m.State().Retirement("a")
 	if !found || !retirement.Completed || retirement.Duration != 10*time.Second {
-		t.Errorf("got %+v", retirement)
+		t.Errorf("got %+v, want a completed retirement with a duration of 10 s", retirement)
 	}
 	if !m.State().Retired(Store{"a", 1}) || m.State().Retired(Store{"a", 9}) {
-		t.Error("after a completed retirement: got the wrong replicas retired")
+		t.Error("after a completed retirement: got the wrong replicas retired, want replica 1 and not replica 9")
 	}
 	applyAndCheck(t, m, retire("a", 1), Repeated)
 	applyAndCheck(t, m, retire("a", 0), Repeated)
 	if _, found := m.State().Retirement("d"); found {
-		t.Error("got a retirement that was not requested")
+		t.Error("got a retirement of d, which was not requested, want none")
 	}
 }
 
@@ -43,6 +43,6 @@
 	applyAndCheck(t, m, complete("a", 1, 0), Accepted)
 	applyAndCheck(t, m, retire("a", 9), Accepted)
 	if retirement, _ := m.State().Retirement("a"); retirement.Completed || len(m.State().Retirements) != 1 {
-		t.Errorf("got %+v", m.State().Retirements)
+		t.Errorf("got %+v, want one retirement in progress", m.State().Retirements)
 	}
 }
--- a/internal/control/concurrent_writers_test.go
+++ b/internal/control/concurrent_writers_test.go
@@ -144,6 +144,6 @@
 		}
 		c.refused[digest] = true
 	default:
-		c.t.Fatalf("got outcome %d: %s", result.Outcome, result.Text)
+		c.t.Fatalf("got outcome %d (%s), want Accepted, Repeated, VersionMismatch or Invalid", result.Outcome, result.Text)
 	}
 }
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -9,7 +9,7 @@
 //
 // The operator may send a PUT or PATCH to any control node:
 //
-//  1. api.configure reads the request. A node without a replica redirects it (api.atReplica).
+//  1. api.configure reads the request. A node without a replica redirects it (api.requireReplica).
 //  2. service.Configure acknowledges a duplicate of a change that was accepted before, and refuses a change that is invalid
 //     whatever the current configuration is (validateRequest).
 //  3. service.propose has a Command committed by chain.Node.Propose, which returns only once the command is on the disks of
--- a/internal/control/headstatus.go
+++ b/internal/control/headstatus.go
@@ -80,10 +80,10 @@
 	return !provenAt.IsZero() && provenEpoch == h.Epoch() && time.Since(provenAt) < h.proofLifetime
 }
 
-// Epoch returns the epoch of the control chain's view that is installed here.
+// Epoch returns the epoch of the control chain's view that is in force here.
 func (h *HeadStatus) Epoch() uint64 { return h.node.View().Epoch }
 
-// Head returns the address of the head in that view, and whether there is one.
+// Head returns the address of the head in the view that is in force here, and whether there is one.
 func (h *HeadStatus) Head() (netip.AddrPort, bool) {
 	head, ok := h.node.View().Head()
 	return head.Address, ok
--- a/internal/control/placement_controller.go
+++ b/internal/control/placement_controller.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// isEmptied reports whether a retired store is no longer needed: no partition has a member on its machine, and its replica can
-// be removed.
+// isEmptied reports whether a store that is being retired is no longer needed: no partition has a member on its machine, and
+// its replica can be removed.
 func (c *placementController) isEmptied(store Store, table placement.Table, stores []placement.Store) bool {
 	for _, partition := range table.Partitions {
 		if slices.ContainsFunc(partition.View.Members, func(m view.Member) bool { return m.Name == store.Name }) {
--- a/internal/control/placement_retirement_test.go
+++ b/internal/control/placement_retirement_test.go
@@ -56,7 +56,7 @@
 		t.Error("got a store that is being retired in the placement")
 	}
 	if retirement, _ := f.machine.State().Retirement("s-1"); !retirement.Completed || retirement.Store.Replica != 999 {
-		t.Errorf("got %+v", retirement)
+		t.Errorf("got %+v, want a completed retirement of replica 999", retirement)
 	}
 	f.members.find("s-1").Replica = 1000
 	f.run(20 * time.Second)
--- a/internal/control/publisher_test.go
+++ b/internal/control/publisher_test.go
@@ -101,11 +101,11 @@
 		t.Errorf("newer version: got %+v, want it certified as of the latest proof", f.configuration)
 	}
 	if len(f.placement.published) != 1 || f.placement.certified != 1 || string(f.placement.data) != "table" {
-		t.Errorf("got %+v", f.placement)
+		t.Errorf("placement: got %+v, want version 1 published once and certified", f.placement)
 	}
 	f.publisher.prove(t.Context())
 	if !f.configuration.asOf.After(proven) || len(f.configuration.published) != 2 {
-		t.Errorf("got %+v", f.configuration)
+		t.Errorf("after another proof: got %+v, want it certified as of a later time and no further version published", f.configuration)
 	}
 }
 
@@ -116,7 +116,7 @@
 	f.node.err = errNotReady
 	f.publisher.prove(t.Context())
 	if f.configuration.certified != 0 {
-		t.Errorf("got %+v", f.configuration)
+		t.Errorf("after a failed barrier: got %+v, want nothing certified", f.configuration)
 	}
 }
 
@@ -125,7 +125,7 @@
 	f.node.during = func() { applyAndCheck(t, f.machine, put(0, documentText(3, 10)), Accepted) }
 	f.publisher.prove(t.Context())
 	if len(f.configuration.published) != 1 || f.configuration.certified != 3 {
-		t.Errorf("got %+v", f.configuration)
+		t.Errorf("got %+v, want version 3 published once and certified", f.configuration)
 	}
 }
 
--- a/internal/control/report_test.go
+++ b/internal/control/report_test.go
@@ -46,7 +46,7 @@
 	}
 	decoded, _, err := decodeReport(encoded)
 	if err != nil || !decoded.Impaired {
-		t.Fatalf("decode an impaired report: got %+v, %v", decoded, err)
+		t.Fatalf("decode an impaired report: got %+v, error %v, want Impaired set", decoded, err)
 	}
 	if !r.put(decoded, begin) || r.put(decoded, begin) {
 		t.Error("put two equal reports of an impaired store: got other than true, then false")
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -25,9 +25,9 @@
 
 // storeLister lists the stores of the system.
 type storeLister interface {
-	// Stores returns all known stores, those of them that can be relied on to hold data, and whether the list of known stores
-	// is complete, so that a store that is not in it does not exist.
-	Stores() (known, remaining []Store, complete bool)
+	// Stores returns all known stores, the usable ones among them, which can be relied on to hold data, and whether the list of
+	// known stores is complete, so that a store that is not in it does not exist.
+	Stores() (known, usable []Store, complete bool)
 }
 
 // service implements the operator's calls, independently of HTTP. Its methods may be called concurrently.
@@ -77,11 +77,11 @@
 // Retire requests that the store with a name be emptied. fault.NotFound means that neither such a store nor a retirement of it
 // exists.
 func (s *service) Retire(ctx context.Context, name string, duration time.Duration) (Result, error) {
-	known, remaining, complete := s.stores.Stores()
+	known, usable, complete := s.stores.Stores()
 	store, found := findStore(known, name)
 	if found {
 		return s.propose(ctx, &Command{Retire: &Retire{
-			Store: store, Duration: duration, Stores: remaining, Minimum: s.minimumStores,
+			Store: store, Duration: duration, Stores: usable, Minimum: s.minimumStores,
 		}})
 	}
 	if !complete {
--- a/internal/control/service_fixture_test.go
+++ b/internal/control/service_fixture_test.go
@@ -63,7 +63,7 @@
 	complete bool
 }
 
-func (f fakeStores) Stores() (known, remaining []Store, isComplete bool) {
+func (f fakeStores) Stores() (known, usable []Store, isComplete bool) {
 	return f.list, f.list, f.complete
 }
 
--- a/internal/control/stores.go
+++ b/internal/control/stores.go
@@ -30,7 +30,7 @@
 }
 
 // Stores implements storeLister.
-func (d *storeDirectory) Stores() (known, remaining []Store, complete bool) {
+func (d *storeDirectory) Stores() (known, usable []Store, complete bool) {
 	table := decodePlacement(d.machine.State())
 	for _, m := range d.members.Table().All() {
 		if m.Role != storeRole {
@@ -39,11 +39,11 @@
 		store := Store{Name: m.Name, Replica: m.Replica}
 		known = append(known, store)
 		if canHoldData(&m, table) {
-			remaining = append(remaining, store)
+			usable = append(usable, store)
 		}
 	}
 	known = appendPlacedStores(known, table)
-	return known, remaining, !d.now().Before(d.completeFrom)
+	return known, usable, !d.now().Before(d.completeFrom)
 }
 
 // canHoldData reports whether a store can be relied on to hold data later: it is running, or the placement names it, so that it
--- a/internal/control/stores_test.go
+++ b/internal/control/stores_test.go
@@ -21,17 +21,17 @@
 	f.members.find("s-4").State = member.Dead
 	directory := f.newStoreDirectory()
 	directory.completeFrom = f.now
-	known, remaining, complete := directory.Stores()
+	known, usable, complete := directory.Stores()
 	if len(known) != 5 || !complete {
 		t.Errorf("got known stores %v, complete %v; want 5, true", known, complete)
 	}
-	if got := fmt.Sprint(remaining); got != "[{s-1 101} {s-3 103} {s-5 105}]" {
-		t.Errorf("got remaining stores %v", got)
+	if got := fmt.Sprint(usable); got != "[{s-1 101} {s-3 103} {s-5 105}]" {
+		t.Errorf("got usable stores %v, want s-1, s-3 and s-5", got)
 	}
 	f.members.members = nil
 	f.now = f.now.Add(-time.Second)
-	known, remaining, complete = directory.Stores()
-	if len(known) != 3 || len(remaining) != 0 || complete {
-		t.Errorf("got known stores %v, remaining %v, complete %v; want 3, 0, false", known, remaining, complete)
+	known, usable, complete = directory.Stores()
+	if len(known) != 3 || len(usable) != 0 || complete {
+		t.Errorf("got known stores %v, usable %v, complete %v; want 3, 0, false", known, usable, complete)
 	}
 }
--- a/internal/control/system_test.go
+++ b/internal/control/system_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// waitForAllMembers returns once a node knows all nodes as alive. The chain may work before that.
+// waitForAllMembers returns once a node lists all nodes as running. The chain may work before that.
 func (s *controlSystem) waitForAllMembers(node int) {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), testTimeout)
@@ -145,7 +145,7 @@
 	for len(p.members.Table().Running()) < testNodeCount {
 		select {
 		case <-ctx.Done():
-			s.t.Fatalf("got %d alive members, want %d", len(p.members.Table().Running()), testNodeCount)
+			s.t.Fatalf("got %d running members, want %d", len(p.members.Table().Running()), testNodeCount)
 		case <-p.membersChanged:
 		}
 	}
