--- a/internal/view/policy.go
+++ b/internal/view/policy.go
@@ -70,10 +70,10 @@
 	return first, len(first.Members) >= policy.MinimumMembers
 }
 
-// UpdateCandidates returns the candidates, updated with the answers to a Prepare. A candidate stays reachable only if it answered, and
-// is complete only if its answer says so. It is also leaving if its answer says so, and its disk is also lost if another
-// replica answered at its address. A view thus never relies on a replica whose failure has not been detected yet, and never
-// names two replicas with one address.
+// UpdateCandidates returns the candidates, updated with the answers to a Prepare. A candidate stays reachable only if it
+// answered, and is complete only if its answer says so. It is also leaving if its answer says so, and its disk is also lost if
+// another replica answered at its address. A view thus never relies on a replica whose failure has not been detected yet, and
+// never names two replicas with one address.
 func UpdateCandidates(candidates []Candidate, answers []Promise) []Candidate {
 	confirmed := slices.Clone(candidates)
 	for i := range confirmed {
