--- a/internal/placement/create.go
+++ b/internal/placement/create.go
@@ -18,9 +18,9 @@
 	firstEpoch = 1
 )
 
-// Create returns the first table, and false while there are fewer eligible stores than MinimumReplicas. It derives the number
-// of partitions from the number of eligible stores, and that number never changes afterwards: the caller should wait until
-// all stores of the deployment have started.
+// Create returns the first table and its changes. It reports false while there are fewer eligible stores than MinimumReplicas.
+// It derives the number of partitions from the number of eligible stores, and the number of partitions never changes
+// afterwards: the caller should wait until all stores of the deployment have started.
 func Create(stores []Store, policy Policy) (Table, []Change, bool) {
 	eligible := 0
 	for i := range stores {
--- a/internal/placement/create_test.go
+++ b/internal/placement/create_test.go
@@ -21,7 +21,7 @@
 			for i, partition := range table.Partitions {
 				v := partition.View
 				if v.Chain != ChainOf(i) || v.Epoch != 1 || len(v.Members) != test.replicas || len(partition.Learners) > 0 {
-					t.Fatalf("partition %d: got %+v", i, partition)
+					t.Fatalf("partition %d: got %+v, want epoch 1 with %d members and no learners", i, partition, test.replicas)
 				}
 			}
 			checkZones(t, table, test.zones)
--- a/internal/placement/fixture_test.go
+++ b/internal/placement/fixture_test.go
@@ -63,7 +63,7 @@
 		}
 		table = next
 	}
-	t.Fatal("the table does not become stable")
+	t.Fatal("got changes in each of 10000 steps, want a stable table")
 	return table
 }
 
--- a/internal/placement/repair.go
+++ b/internal/placement/repair.go
@@ -54,8 +54,8 @@
 	return slices.ContainsFunc(p.stores, func(s Store) bool { return s.Alive && s.Replica != 0 && s.Address == member.Address })
 }
 
-// dropRetiring drops the members on stores that are being retired, once as many other members as the replication factor are
-// complete and the first of them can be the head.
+// dropRetiring drops the members on stores that are being retired, once at least replicationFactor other members are complete
+// and the first of the others can be the head.
 func (p *plan) dropRetiring(partition int) {
 	v := p.table.Partitions[partition].View
 	if p.changed[partition] {
--- a/internal/placement/repair_test.go
+++ b/internal/placement/repair_test.go
@@ -57,14 +57,14 @@
 		v := partition.View
 		tail, _ := v.Tail()
 		if v.Epoch != 2 || len(v.Members) != 3 || v.Index(stores[2].Replica) != 1 || tail.Replica != stores[0].Replica {
-			t.Fatalf("got view %+v", v)
+			t.Fatalf("got view %+v, want epoch 2 with the new store second and the dead store at the tail", v)
 		}
 	}
 	reportAll(next, stores)
 	next, _ = Next(next, stores, policy)
 	for _, partition := range next.Partitions {
 		if v := partition.View; v.Epoch != 3 || len(v.Members) != 2 || v.Has(stores[0].Replica) || !v.Has(stores[2].Replica) {
-			t.Fatalf("got view %+v", v)
+			t.Fatalf("got view %+v, want epoch 3 with the new store and without the dead one", v)
 		}
 	}
 }
@@ -80,13 +80,13 @@
 	next, _ := Next(table, stores, policy)
 	for _, partition := range next.Partitions {
 		if partition.View.Has(old) || partition.View.Has(77) {
-			t.Fatalf("got view %+v", partition.View)
+			t.Fatalf("got view %+v, want neither the lost replica nor the new one", partition.View)
 		}
 	}
 	next = runUntilStable(t, next, stores, policy)
 	for _, partition := range next.Partitions {
 		if !partition.View.Has(77) || len(partition.View.Members) != 3 {
-			t.Fatalf("got view %+v", partition.View)
+			t.Fatalf("got view %+v, want three members with the new replica", partition.View)
 		}
 	}
 	if difference := countDifference(next, stores, isHead); difference > 1 {
@@ -102,7 +102,7 @@
 	next, _ := Next(table, stores, PolicyFor(1))
 	for _, partition := range next.Partitions {
 		if partition.View.Has(stores[0].Replica) || len(partition.View.Members) != 2 {
-			t.Fatalf("got view %+v", partition.View)
+			t.Fatalf("got view %+v, want two members without the leaving store", partition.View)
 		}
 	}
 }
@@ -123,11 +123,11 @@
 	stores[3].Progress[0].CaughtUp = false
 	next, changes := Next(table, stores, Policy{MinimumReplicas: 2, ReplicationFactor: 2})
 	if len(changes) > 0 {
-		t.Fatalf("got changes %v: %+v", changes, next.Partitions[0])
+		t.Fatalf("got changes %v and partition %+v, want no changes", changes, next.Partitions[0])
 	}
 	stores[3].Progress[0].CaughtUp = true
 	next = runUntilStable(t, table, stores, Policy{MinimumReplicas: 2, ReplicationFactor: 2})
 	if v := next.Partitions[0].View; len(v.Members) != 2 || !v.Has(stores[3].Replica) {
-		t.Fatalf("got view %+v", v)
+		t.Fatalf("got view %+v, want two members with the former learner", v)
 	}
 }
