--- a/internal/member/antientropy.go
+++ b/internal/member/antientropy.go
@@ -90,7 +90,8 @@
 	m.output.exchange = &exchangeCall{to: exchanges.partner}
 }
 
-// exchangePartner returns the member whose digest differs if there is one that runs, else a random running member.
+// exchangePartner returns the member whose digest differs from the local one, if it runs, and otherwise a random running
+// member.
 func (m *membership) exchangePartner() netip.AddrPort {
 	if m.antiEntropy.mismatch.IsValid() && m.isRunning(m.antiEntropy.mismatch) {
 		return m.antiEntropy.mismatch
@@ -171,8 +172,8 @@
 }
 
 // reviveAfterPartition is called when the exchange partner considers a member running that is dead according to the
-// local list. A partner from the other side of a healed partition knows better and is believed. Any other partner may
-// have missed the update about the death.
+// local list. A partner from the other side of a healed partition could reach the member during the partition, so its
+// record is adopted. Any other partner may have missed the update about the death.
 func (m *membership) reviveAfterPartition(now time.Duration, known *entry) {
 	if !m.antiEntropy.rejoin {
 		return
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -42,7 +42,7 @@
 		self.Generation = rand.Uint64() | 1
 	}
 	if self.Incarnation == 0 {
-		// The time is mostly above the incarnation of an earlier process at the address. If it is not, this process
+		// The time is usually above the incarnation of an earlier process at the address. If it is not, this process
 		// learns so from an assertion about the earlier one, and raises its incarnation.
 		self.Incarnation = uint64(time.Now().UnixMilli())
 	}
