--- a/internal/gossip/announce.go
+++ b/internal/gossip/announce.go
@@ -88,9 +88,9 @@
 
 func (d *disseminator) otherZones() []string {
 	var zones []string
-	alive := d.members().Running()
-	for i := range alive {
-		zone := alive[i].Zone
+	running := d.members().Running()
+	for i := range running {
+		zone := running[i].Zone
 		if zone != d.self.Zone && !slices.Contains(zones, zone) {
 			zones = append(zones, zone)
 		}
--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -64,9 +64,9 @@
 	d.output.digest = &digestCall{to: partner, summaries: d.summaries(now)}
 }
 
-// choosePartner returns a control process of the same zone, in one exchange of each round any member, and after an
-// unsuccessful exchange another control process. If there is no such member, it returns any control process or any
-// member.
+// choosePartner returns the partner of the next exchange, and whether there is one. In one exchange of each round this is
+// any member, in the others a control process, preferably of the same zone. After an unsuccessful exchange it is another
+// control process than before. If there is no control process to choose, it is any member.
 func (d *disseminator) choosePartner() (netip.AddrPort, bool) {
 	table := d.members()
 	controls := table.ByRole(ControlRole)
--- a/internal/gossip/service_test.go
+++ b/internal/gossip/service_test.go
@@ -175,20 +175,20 @@
 		t.Fatal(err)
 	}
 	if got, err := decodeAnnouncement(data); err != nil || !reflect.DeepEqual(got, summaries) {
-		t.Errorf("got %+v (%v)", got, err)
+		t.Errorf("announcement: got %+v (%v), want %+v", got, err, summaries)
 	}
 	if data, err = encodeDigestRequest(summaries); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := decodeDigestRequest(data); err != nil || !reflect.DeepEqual(got, summaries) {
-		t.Errorf("got %+v (%v)", got, err)
+		t.Errorf("digest request: got %+v (%v), want %+v", got, err, summaries)
 	}
 	answer := digestAnswer{summaries: summaries, updates: updates}
 	if data, err = answer.encode(p); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := decodeDigestAnswer(data); err != nil || !reflect.DeepEqual(got, answer) {
-		t.Errorf("got %+v (%v)", got, err)
+		t.Errorf("digest answer: got %+v (%v), want %+v", got, err, answer)
 	}
 	for _, u := range updates {
 		fetch := fetchAnswer{update: u, age: time.Microsecond}
@@ -196,7 +196,7 @@
 			t.Fatal(err)
 		}
 		if got, err := decodeFetchAnswer(data); err != nil || !reflect.DeepEqual(got, fetch) {
-			t.Errorf("got %+v (%v)", got, err)
+			t.Errorf("fetch answer: got %+v (%v), want %+v", got, err, fetch)
 		}
 	}
 	for _, request := range []fetchRequest{{topic: Placement}, {topic: Backends, base: &Version{Epoch: 3, Sequence: 9}}} {
@@ -204,7 +204,7 @@
 			t.Fatal(err)
 		}
 		if got, err := decodeFetchRequest(data); err != nil || !reflect.DeepEqual(got, request) {
-			t.Errorf("got %+v (%v)", got, err)
+			t.Errorf("fetch request: got %+v (%v), want %+v", got, err, request)
 		}
 	}
 	if data, err = encodeFetchRequest(fetchRequest{topic: topicCount}); err != nil {
