--- a/internal/simnet/inode.go
+++ b/internal/simnet/inode.go
@@ -54,7 +54,7 @@
 type lossOutcome int
 
 const (
-	drawnPerChange lossOutcome = iota
+	drawnPerChange lossOutcome = iota // each change is present, missing or torn
 	allMissing
 	allPresent
 	lossOutcomeCount
@@ -74,7 +74,7 @@
 	n.markSynced()
 }
 
-// Outcomes of a single change with drawnPerChange.
+// What happens to a single change if the outcome is drawnPerChange.
 const (
 	present = iota
 	missing
