--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -37,7 +37,7 @@
 
 const (
 	reportPath         = "/-/report"
-	slotsPerQueuePlace = 8        // one request may wait for each 8 slots, at least one for a backend
+	slotsPerQueuePlace = 8        // slots for each place in the queue, which has at least one place
 	maxBodyBytes       = 16 << 20 // longer request bodies are truncated
 	pipelineStage      = "both"
 	modelName          = "m"
