--- a/internal/chain/acknowledge.go
+++ b/internal/chain/acknowledge.go
@@ -39,7 +39,7 @@
 	return min(r.synced, r.successor.acked), r.successor.ready
 }
 
-// returnedBarrier returns the newest barrier that has reached the tail and come back to this replica.
+// returnedBarrier returns the newest barrier round that has been at the tail and come back to this replica.
 func (r *Replica) returnedBarrier() uint64 {
 	if !r.view.Has(r.self.Replica) {
 		return 0
--- a/internal/chain/confirm_majority.go
+++ b/internal/chain/confirm_majority.go
@@ -12,7 +12,7 @@
 const confirmTimeout = 500 * time.Millisecond
 
 // confirmByMajority asks the given voters to confirm that a view is on their disks and that they have accepted no later
-// one. It returns nil once as many have confirmed as are a majority of all voters of the view.
+// one. It returns nil once the voters that have confirmed are a majority of all voters of the view.
 func (r *Reconfigurer) confirmByMajority(ctx context.Context, v view.View, voters []view.Member) error {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
--- a/internal/chain/dispatcher.go
+++ b/internal/chain/dispatcher.go
@@ -80,7 +80,7 @@
 	if reconfigurer := d.reconfigurers[chain]; reconfigurer != nil {
 		return reconfigurer, nil
 	}
-	return nil, fault.New(fault.NotReady, "chain %d does not agree on its views here", chain)
+	return nil, fault.New(fault.NotReady, "chain %d has no reconfigurer in this process", chain)
 }
 
 // receive handles a one-way message between replicas. A message for a chain that is not open here is dropped.
--- a/internal/chain/doc.go
+++ b/internal/chain/doc.go
@@ -1,5 +1,5 @@
 // Package chain replicates a state machine over an ordered group of replicas by chain replication (van Renesse and
-// Schneider, OSDI 2004). Views, the memberships of the group, are agreed by the replicas with single-decree Paxos, which
+// Schneider, OSDI 2004). The replicas agree on views, the memberships of the group, with single-decree Paxos, which
 // package view implements.
 //
 // # Terms
@@ -8,7 +8,8 @@
 // voters that agree on the next view; its number is the epoch. A learner is a replica that no view names and that
 // receives the log from a member, its source. A sequence numbers an entry of the log; a position is a sequence with the
 // epoch in which its entry was appended. A session is one connection from a replica to its successor or to a learner. A
-// replica is complete if it has every entry that was ever committed.
+// replica is complete if it has every entry that was ever committed. A barrier proves that the head is still the head; a
+// round is a number that travels to the tail and back, and answers all barriers that the head has collected for it.
 //
 // # Protocol
 //
@@ -37,8 +38,8 @@
 //     only once it is on its disk: a replica that has left an epoch never acts in it again, even after a restart. Every
 //     view keeps a member of the one before, so that the old epoch cannot commit once the new one has begun.
 //
-// Within an epoch the log on a replica's disk always contains the log on its successor's disk. The proofs rest on this
-// and on the order of Output: an acknowledgement is sent only after DiskDone for what it covers.
+// Within an epoch the log on a replica's disk always contains the log on its successor's disk. The guarantees rest on this
+// and on the order of events: an acknowledgement is sent only after DiskDone has been called for what it covers.
 //
 // # Where it is implemented
 //
@@ -54,8 +55,8 @@
 //
 //   - The protocol as a state machine: replica.go, limits.go, message.go, output.go, receive.go, install_view.go,
 //     completeness.go, durable_log.go, commit.go, history.go, outline.go.
-//   - The roles of a replica in it: head.go, head_proposals.go, head_barriers.go; link.go and the files downstream_*.go
-//     (sending); the files upstream_*.go and acknowledge.go (receiving).
+//   - The roles of a replica in it: head.go, head_term.go, head_proposals.go, head_barriers.go; link.go and the files
+//     downstream_*.go (sending); the files upstream_*.go and acknowledge.go (receiving).
 //   - The driver: options.go, node.go, node_views.go, status.go, notifications.go, record_file.go, disk_writer.go,
 //     state_machine.go, applier.go, dispatcher.go.
 //   - Calls at a node: propose.go, forward.go, barrier.go, barrier_rounds.go, wait.go, retry.go.
--- a/internal/chain/downstream_entries.go
+++ b/internal/chain/downstream_entries.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// sendAppend sends entries, possibly none, with the newest commit and barrier.
+// sendAppend sends entries, possibly none, with the newest committed sequence and barrier round.
 func (r *Replica) sendAppend(now time.Duration, l *link, entries []segment.Entry) {
 	previous, _ := r.history.position(l.next - 1)
 	idle := !l.outstanding()
@@ -46,7 +46,7 @@
 	}
 }
 
-// barrierFor returns the newest barrier to send on a link, 0 on the link to a learner.
+// barrierFor returns the newest barrier round to send on a link, 0 on the link to a learner.
 func (r *Replica) barrierFor(l *link) uint64 {
 	if l.learner {
 		return 0
--- a/internal/chain/downstream_retry.go
+++ b/internal/chain/downstream_retry.go
@@ -13,8 +13,8 @@
 	r.setRetryDeadline(now, l)
 }
 
-// setRetryDeadline sets when a session without progress is replaced. It allows time for the bytes in flight at the rate
-// of slowestLink, and backs off exponentially with the attempts without progress.
+// setRetryDeadline sets when a session without progress is replaced. It allows time for the bytes in flight at
+// minLinkBytesPerSecond, and backs off exponentially with the attempts without progress.
 func (r *Replica) setRetryDeadline(now time.Duration, l *link) {
 	var bytes uint64
 	switch l.state {
@@ -24,8 +24,8 @@
 		bytes = l.snapshotSent - l.snapshotAcked
 	case linkConnecting, linkAwaitingSnapshot: // nothing is in flight
 	}
-	transfer := time.Duration(bytes) * time.Second / slowestLink
-	l.deadline = now + retryInterval<<min(l.attempts, retryDoublings) + transfer
+	transfer := time.Duration(bytes) * time.Second / minLinkBytesPerSecond
+	l.deadline = now + retryInterval<<min(l.attempts, maxRetryDoublings) + transfer
 }
 
 // retry begins a new session on a link that has made no progress before its deadline, or asks the driver again for a
--- a/internal/chain/downstream_session.go
+++ b/internal/chain/downstream_session.go
@@ -29,7 +29,7 @@
 	l.committedSent = 0
 	l.barrierSent = 0
 	r.send(l.to.Address, Connect{Session: l.session})
-	l.deadline = now + retryInterval<<min(l.attempts, retryDoublings)
+	l.deadline = now + retryInterval<<min(l.attempts, maxRetryDoublings)
 }
 
 // rewindLinks begins new sessions on the links on which entries after a sequence, now truncated, may have been sent.
--- a/internal/chain/handover.go
+++ b/internal/chain/handover.go
@@ -27,7 +27,7 @@
 	if err := r.node.wait(ctx, func() bool { return !r.node.replica.view.Has(r.self().Replica) }); err != nil {
 		return err
 	}
-	return r.awaitSuccessors(ctx)
+	return r.awaitMajorityOfOthers(ctx)
 }
 
 // awaitMembership reports whether this replica is a member, or becomes one before the given time.
@@ -38,9 +38,9 @@
 	return r.node.View().Has(r.self().Replica)
 }
 
-// awaitSuccessors returns nil once the newest view is on the disks of a majority of its voters, not counting this
+// awaitMajorityOfOthers returns nil once the newest view is on the disks of a majority of its voters, not counting this
 // replica.
-func (r *Reconfigurer) awaitSuccessors(ctx context.Context) error {
+func (r *Reconfigurer) awaitMajorityOfOthers(ctx context.Context) error {
 	for {
 		v := r.node.View()
 		others := slices.DeleteFunc(slices.Clone(v.Electorate()), func(m view.Member) bool { return m.Replica == r.self().Replica })
--- a/internal/chain/head_proposals.go
+++ b/internal/chain/head_proposals.go
@@ -19,7 +19,7 @@
 	r.advance(now)
 }
 
-// Cancel withdraws a proposal. It reports false if the proposal is not waiting, as after it was appended.
+// Cancel withdraws a proposal. It reports false if the proposal is not waiting, for example because it was appended.
 func (r *Replica) Cancel(id uint64) bool {
 	i := slices.IndexFunc(r.head.waiting, func(p proposal) bool { return p.id == id })
 	if i < 0 {
--- a/internal/chain/history.go
+++ b/internal/chain/history.go
@@ -92,7 +92,7 @@
 func (h *history) batch(after, limit uint64, bytes uint64) []segment.Entry {
 	start := h.bytesUpTo(after)
 	offset := int(after - h.base.Sequence)
-	count := sort.Search(int(min(limit-after, batchEntries)), func(i int) bool { return h.ends[offset+i]-start > bytes })
+	count := sort.Search(int(min(limit-after, maxBatchEntries)), func(i int) bool { return h.ends[offset+i]-start > bytes })
 	return h.between(after, after+uint64(max(count, 1)))
 }
 
--- a/internal/chain/limits.go
+++ b/internal/chain/limits.go
@@ -4,15 +4,15 @@
 
 // Timing and sizes of the protocol between replicas.
 const (
-	retryInterval   = 250 * time.Millisecond // until a session without progress is replaced, doubled with each attempt
-	retryDoublings  = 2                      // at most
-	slowestLink     = 500 << 10              // bytes per second; on slower links sessions are replaced too early
-	attachInterval  = 500 * time.Millisecond // between requests for a session
-	learnerInterval = time.Second            // between a learner's requests, also while it has a session
-	learnerAttempts = 8                      // sessions without progress until a learner is dropped
-	snapshotWindow  = 2                      // chunks of a snapshot that may be sent and not acknowledged
-	batchEntries    = 4096                   // entries in one message, at most
-	generationShift = 32                     // barrier numbers are ordered by the generation of the head, then by its rounds
+	retryInterval         = 250 * time.Millisecond // until a session without progress is replaced, doubled with each attempt
+	maxRetryDoublings     = 2                      // how often retryInterval is doubled at most
+	minLinkBytesPerSecond = 500 << 10              // on slower links, sessions are replaced before the bytes in flight arrive
+	attachInterval        = 500 * time.Millisecond // between requests for a session
+	learnerInterval       = time.Second            // between a learner's requests, which go on while it has a session
+	learnerAttempts       = 8                      // sessions without progress until a learner is dropped
+	snapshotWindow        = 2                      // chunks of a snapshot that may be sent and not acknowledged
+	maxBatchEntries       = 4096                   // in one message
+	generationShift       = 32                     // barrier rounds are ordered by the generation of the head, then by its count in these low bits
 )
 
 // limits bound the memory used and the data in flight, in bytes.
--- a/internal/chain/link.go
+++ b/internal/chain/link.go
@@ -32,9 +32,9 @@
 	acked      uint64 // sequence up to which it is on the disks of the receiver and of all after it
 	ready      bool   // the chain is connected from the receiver to the tail
 
-	committedSent uint64 // newest commit that was sent
-	barrierSent   uint64 // newest barrier that was sent
-	barrierAcked  uint64 // newest barrier that came back from the tail
+	committedSent uint64 // committed sequence that was sent last
+	barrierSent   uint64 // newest barrier round that was sent
+	barrierAcked  uint64 // newest barrier round that came back from the tail
 
 	snapshot      *segment.Snapshot // being sent, nil if none is
 	snapshotSent  uint64            // bytes
--- a/internal/chain/long_outage_test.go
+++ b/internal/chain/long_outage_test.go
@@ -79,13 +79,13 @@
 		if a.random.IntN(3) == 0 {
 			a.damageNewestSnapshot()
 		}
-		a.comeBack(a.random.IntN(maxRestarts))
+		a.restartRepeatedly(a.random.IntN(maxRestarts))
 	})
 }
 
-// comeBack starts the site, and kills and restarts it a number of times while it catches up. A member, which may be
-// another one, may lose power at the same time.
-func (a *outage) comeBack(restarts int) {
+// restartRepeatedly starts the site, and kills and restarts it a number of times while it catches up. A member, which may
+// be another one, may lose power at the same time.
+func (a *outage) restartRepeatedly(restarts int) {
 	if a.network.Up(a.away.address) {
 		return
 	}
@@ -102,7 +102,7 @@
 		if a.random.IntN(3) == 0 {
 			a.restart(a.memberSite(), true, time.Second/2)
 		}
-		a.after(time.Duration(a.random.IntN(maxRestartPauseMs))*time.Millisecond, func() { a.comeBack(restarts - 1) })
+		a.after(time.Duration(a.random.IntN(maxRestartPauseMs))*time.Millisecond, func() { a.restartRepeatedly(restarts - 1) })
 	})
 }
 
--- a/internal/chain/message.go
+++ b/internal/chain/message.go
@@ -77,7 +77,7 @@
 }
 
 // Append carries entries that follow Previous, the sequence up to which the sender knows entries to be committed, and
-// the newest barrier. Entries may be empty.
+// the newest barrier round. Entries may be empty.
 type Append struct {
 	Session   Session
 	Previous  Position
@@ -91,7 +91,7 @@
 	Session       Session
 	Synced        uint64 // sequence up to which the log is on the disks of the receiver and of all after it
 	Stored        uint64 // sequence up to which the log is on the receiver's disk
-	Barrier       uint64 // newest barrier that came back from the tail
+	Barrier       uint64 // newest barrier round that came back from the tail
 	SnapshotBytes uint64 // bytes of a snapshot that were received
 	Ready         bool   // the chain is connected from the receiver to the tail
 }
--- a/internal/chain/message_kinds.go
+++ b/internal/chain/message_kinds.go
@@ -7,5 +7,5 @@
 	kindEnvelope  = peer.ChainKinds + iota // one-way, between replicas of a chain
 	kindPropose                            // to the head
 	kindBarrier                            // to the head
-	kindAgreement                          // to a voter, non-voter or member
+	kindAgreement                          // of the agreement on views, to any replica
 )
--- a/internal/chain/second_disk_loss_test.go
+++ b/internal/chain/second_disk_loss_test.go
@@ -10,10 +10,10 @@
 // afterwards disks are lost, mostly while all other machines lose power. Whatever the step, the chain has to recover all
 // that was acknowledged and commit a new command. NICKELLINE_CHAIN_HISTORIES and NICKELLINE_CHAIN_SEED apply.
 const (
-	firstLossAt        = 3 * time.Second
-	secondLossSteps    = 1500 // steps after the first loss within which the second one comes
-	secondLossNearView = 80   // the same, counted from a later view that comes into force somewhere
-	viewsBeforeLoss    = 5    // views after the first loss from which that view is drawn
+	firstLossAt              = 3 * time.Second
+	secondLossSteps          = 1500 // steps after the first loss within which the second one comes
+	secondLossStepsAfterView = 80   // the same, counted from a later view that comes into force somewhere
+	viewsBeforeLoss          = 5    // views after the first loss from which that view is drawn
 )
 
 func TestSecondLossAtAnyStep(t *testing.T) {
@@ -90,7 +90,7 @@
 	steps := s.random.IntN(secondLossSteps)
 	views := 0
 	if s.random.IntN(2) == 0 {
-		steps, views = s.random.IntN(secondLossNearView), 1+s.random.IntN(viewsBeforeLoss)
+		steps, views = s.random.IntN(secondLossStepsAfterView), 1+s.random.IntN(viewsBeforeLoss)
 	}
 	epoch := s.newest.Epoch
 	s.afterStep = func() {
--- a/internal/chain/simulation_authority_test.go
+++ b/internal/chain/simulation_authority_test.go
@@ -20,7 +20,7 @@
 }
 
 // decide has the authority decide a view at random intervals. While faults are injected, an authority that is not careful
-// decides views whose head reported to be complete, with random other members.
+// decides views whose heads have reported that they are complete, with random other members.
 func (s *simulation) decide() {
 	wait := authorityPeriod/2 + time.Duration(s.random.Int64N(int64(4*authorityPeriod)))
 	s.network.At(s.network.Now()+wait, s.decide)
--- a/internal/chain/simulation_clients_test.go
+++ b/internal/chain/simulation_clients_test.go
@@ -24,7 +24,7 @@
 func (s *simulation) inFlight() int {
 	count := 0
 	for _, o := range s.operations {
-		if !o.done && !o.dropped && s.network.Now()-o.begin < operationTime {
+		if !o.done && !o.dropped && s.network.Now()-o.begin < operationTimeout {
 			count++
 		}
 	}
--- a/internal/chain/simulation_disk_losses_test.go
+++ b/internal/chain/simulation_disk_losses_test.go
@@ -14,9 +14,9 @@
 }
 
 const (
-	stepsPerCheck = 20 // steps of the network between two checks whether losses are repaired
-	leavingPoll   = 20 * time.Millisecond
-	leavingTime   = 4 * time.Second // until a site that cannot hand over gives up
+	stepsPerCheck        = 20 // steps of the network between two checks whether losses are repaired
+	handOverPollInterval = 20 * time.Millisecond
+	handOverTimeout      = 4 * time.Second // until a site that cannot hand over gives up
 )
 
 // toleratedLosses returns the number of disks that may be lost at once.
@@ -114,7 +114,7 @@
 	}
 	s.logf("to be replaced: %d", site.index)
 	site.leaving = true
-	replica, deadline := site.self.Replica, s.network.Now()+leavingTime
+	replica, deadline := site.self.Replica, s.network.Now()+handOverTimeout
 	var poll func()
 	poll = func() {
 		if s.healed || site.self.Replica != replica || s.network.Now() > deadline {
@@ -122,7 +122,7 @@
 			return
 		}
 		if !site.handedOver() || (s.mayVote(site) && !s.mayLoseDisk()) {
-			s.after(leavingPoll, poll)
+			s.after(handOverPollInterval, poll)
 			return
 		}
 		s.remove(site, downtime)
@@ -157,7 +157,7 @@
 	if !s.simulation.network.Up(s.address) || v.Epoch == 0 || v.Has(s.self.Replica) {
 		return false
 	}
-	if s.simulation.network.Now() < s.lastAnsweredStaying+attemptTimeout {
+	if s.simulation.network.Now() < s.lastAnsweredNotLeaving+attemptTimeout {
 		return false // a view that names it may still be decided
 	}
 	holders := 0
--- a/internal/chain/simulation_linearizability_test.go
+++ b/internal/chain/simulation_linearizability_test.go
@@ -8,8 +8,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// checkTime bounds the check of one history by porcupine.
-const checkTime = time.Second
+// checkTimeout bounds the time that porcupine takes to check one history.
+const checkTimeout = time.Second
 
 // checkLinearizable checks that the operations of the clients are linearizable.
 func (s *simulation) checkLinearizable() {
@@ -28,7 +28,7 @@
 		}
 		history = append(history, porcupine.Operation{ClientId: i, Input: o, Output: o, Call: int64(o.begin), Return: int64(o.end)})
 	}
-	if porcupine.CheckOperationsTimeout(registerModel, history, checkTime) == porcupine.Illegal {
+	if porcupine.CheckOperationsTimeout(registerModel, history, checkTimeout) == porcupine.Illegal {
 		for _, o := range s.operations {
 			s.logf("%+v", *o)
 		}
--- a/internal/chain/simulation_site_calls_test.go
+++ b/internal/chain/simulation_site_calls_test.go
@@ -33,13 +33,13 @@
 }
 
 // proposeBy proposes a client's command by the given event. It cancels the proposal if it is not appended within
-// operationTime.
+// operationTimeout.
 func (s *site) proposeBy(event func(now time.Duration, id uint64), reply func(writeResult)) {
 	s.simulation.lastID++
 	id := s.simulation.lastID
 	s.proposals[id] = reply
 	s.step(func(now time.Duration) { event(now, id) })
-	s.after(operationTime, func() {
+	s.after(operationTimeout, func() {
 		if s.proposals[id] != nil && s.replica.Cancel(id) {
 			delete(s.proposals, id)
 			reply(writeResult{refused: true})
--- a/internal/chain/simulation_site_test.go
+++ b/internal/chain/simulation_site_test.go
@@ -22,13 +22,13 @@
 
 // site is a machine of a simulation: a disk, and the replica that runs on it.
 type site struct {
-	simulation          *simulation
-	index               int
-	address             netip.AddrPort
-	diskDelay           time.Duration
-	leaving             bool
-	lastAnsweredStaying time.Duration                    // when this replica last answered a proposer that it is not leaving
-	unreachableSince    map[netip.AddrPort]time.Duration // when other sites became unreachable from this one, by address
+	simulation             *simulation
+	index                  int
+	address                netip.AddrPort
+	diskDelay              time.Duration
+	leaving                bool
+	lastAnsweredNotLeaving time.Duration                    // when this replica last answered a proposer that it is not leaving
+	unreachableSince       map[netip.AddrPort]time.Duration // when other sites became unreachable from this one, by address
 
 	disk *simnet.Disk
 	// What is known to be durable on the disk.
--- a/internal/chain/simulation_test.go
+++ b/internal/chain/simulation_test.go
@@ -16,7 +16,7 @@
 const (
 	faultTime              = 15 * time.Second       // during which faults are injected
 	convergenceTime        = 30 * time.Second       // after the last fault, within which the chain has to converge
-	operationTime          = 3 * time.Second        // until a client gives up
+	operationTimeout       = 3 * time.Second        // until a client gives up
 	detectionTime          = 500 * time.Millisecond // until a site that cannot be reached counts as unreachable
 	maximumSteps           = 400_000                // steps of the network in one call of runUntil
 	defaultOperationGroups = 60                     // groups of client operations
@@ -189,7 +189,7 @@
 // all committed entries. It fails after convergenceTime.
 func (s *simulation) awaitConvergence() {
 	end := s.network.Now() + convergenceTime
-	for at := s.network.Now(); at < end; at += operationTime {
+	for at := s.network.Now(); at < end; at += operationTimeout {
 		s.network.At(at, s.propose)
 	}
 	s.runUntil(func() bool { return s.network.Now() >= end || s.converged() })
--- a/internal/chain/simulation_views_test.go
+++ b/internal/chain/simulation_views_test.go
@@ -263,7 +263,7 @@
 	answer.Sender = s.self
 	answer.Leaving = s.leaving
 	if !s.leaving {
-		s.lastAnsweredStaying = s.simulation.network.Now()
+		s.lastAnsweredNotLeaving = s.simulation.network.Now()
 	}
 	answer.Complete = s.replica.complete() && s.replica.View().Epoch+1 == m.Epoch
 	return answer
--- a/internal/chain/upstream_entries.go
+++ b/internal/chain/upstream_entries.go
@@ -6,8 +6,8 @@
 	"nickelline/internal/view"
 )
 
-// receiveStart truncates the log to what it shares with the log of the sender, and records a violation instead if that
-// would truncate committed entries.
+// receiveStart truncates the log to what it shares with the log of the sender. It records a violation instead if the log
+// does not have the position that the sender names, or if committed entries would be truncated.
 func (r *Replica) receiveStart(now time.Duration, sender view.ReplicaID, m Start) {
 	u := &r.upstream
 	if !r.checkSession(sender, m.Session) || m.Generation != r.generation || u.started {
--- a/internal/chain/upstream_session.go
+++ b/internal/chain/upstream_session.go
@@ -15,7 +15,7 @@
 	started   bool   // the position from which entries follow is known
 	target    uint64 // a member is complete once its log is on disk up to this sequence
 	committed uint64 // sequence up to which the sender knows entries to be committed
-	barrier   uint64 // newest barrier that came from the head
+	barrier   uint64 // newest barrier round that came from the head
 
 	snapshot *incomingSnapshot
 
--- a/internal/chain/voter.go
+++ b/internal/chain/voter.go
@@ -29,9 +29,9 @@
 	mutex    sync.Mutex // guards what follows
 	acceptor *view.Acceptor
 	leaving  bool
-	// lastAnsweredStaying is when this replica last answered a proposer that it is not leaving. Until attemptTimeout later
-	// that proposer may have a view decided that names this replica.
-	lastAnsweredStaying time.Time
+	// lastAnsweredNotLeaving is when this replica last answered a proposer that it is not leaving. Until attemptTimeout
+	// later that proposer may have a view decided that names this replica.
+	lastAnsweredNotLeaving time.Time
 }
 
 // openVoter reads the state of a voter from disk. If there is none, the voter is new, and votes on the first view if it
@@ -90,7 +90,7 @@
 	answer.Sender = vt.node.options.Self
 	answer.Leaving = vt.leaving
 	if !vt.leaving {
-		vt.lastAnsweredStaying = time.Now()
+		vt.lastAnsweredNotLeaving = time.Now()
 	}
 	status := vt.node.Status()
 	answer.Complete = status.Complete && status.Epoch+1 == m.Epoch
@@ -102,7 +102,7 @@
 	vt.mutex.Lock()
 	defer vt.mutex.Unlock()
 	if v := vt.node.View(); m.Epoch != v.Epoch+1 || !vt.votes(v) {
-		return view.Accepted{}, fault.New(fault.NotReady, "no vote on epoch %d", m.Epoch)
+		return view.Accepted{}, fault.New(fault.NotReady, "this replica has no vote on the view of epoch %d", m.Epoch)
 	}
 	before := vt.acceptor.State()
 	answer := vt.acceptor.Accept(m)
@@ -157,7 +157,7 @@
 	vt.mutex.Lock()
 	defer vt.mutex.Unlock()
 	vt.leaving = true
-	return vt.lastAnsweredStaying.Add(attemptTimeout)
+	return vt.lastAnsweredNotLeaving.Add(attemptTimeout)
 }
 
 // nextRound returns a round for a proposal of this replica that is higher than any that its acceptor has promised.
--- a/internal/chain/wait.go
+++ b/internal/chain/wait.go
@@ -14,7 +14,7 @@
 }
 
 // wait returns nil once ready returns true. It returns an error of kind fault.NotReady if ctx ends first, and the failure
-// of the node if it fails first. Ready is called with the mutex held.
+// of the node if it fails first. The mutex is held while ready is called.
 func (n *Node) wait(ctx context.Context, ready func() bool) error {
 	n.mutex.Lock()
 	if n.failure != nil || ready() {
