--- a/internal/chain/limits.go
+++ b/internal/chain/limits.go
@@ -12,7 +12,7 @@
 	learnerAttempts       = 8                      // sessions without progress until a learner is dropped
 	snapshotWindow        = 2                      // chunks of a snapshot that may be sent and not acknowledged
 	maxBatchEntries       = 4096                   // in one message
-	generationShift       = 32                     // barrier rounds are ordered by the generation of the head, then by its count in these low bits
+	generationShift       = 32                     // barrier rounds are ordered by the head's generation, then by the count in these low bits
 )
 
 // limits bound the memory used and the data in flight, in bytes.
