--- a/internal/gossip/service.go
+++ b/internal/gossip/service.go
@@ -131,7 +131,7 @@
 		return
 	}
 	for _, to := range a.to {
-		s.transport.Datagram(to, peer.Message{Kind: announcementKind, Body: body})
+		s.transport.SendDatagram(to, peer.Message{Kind: announcementKind, Body: body})
 	}
 }
 
--- a/internal/load/service.go
+++ b/internal/load/service.go
@@ -77,5 +77,5 @@
 		s.options.Log.Error("encode load message failed", zap.Uint16("kind", uint16(kind)), zap.Error(err))
 		return
 	}
-	s.options.Transport.Datagram(to, peer.Message{Kind: kind, Body: body})
+	s.options.Transport.SendDatagram(to, peer.Message{Kind: kind, Body: body})
 }
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -108,7 +108,7 @@
 		s.log.Error("encode membership datagram failed", zap.Stringer("to", d.to), zap.Error(err))
 		return
 	}
-	s.transport.Datagram(d.to, peer.Message{Kind: datagramKind, Body: body})
+	s.transport.SendDatagram(d.to, peer.Message{Kind: datagramKind, Body: body})
 }
 
 func (s *Service) receive(from netip.AddrPort, m peer.Message) {
--- a/internal/peer/datagram.go
+++ b/internal/peer/datagram.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// MaxDatagramBytes is the maximum size of an encoded frame that Datagram sends. It fits into one packet.
+	// MaxDatagramBytes is the maximum size of an encoded frame that SendDatagram sends. It fits into one packet.
 	MaxDatagramBytes = 1400
 	// datagramBufferSize is the size of the receive buffer. It exceeds MaxDatagramBytes because other senders may send
 	// longer datagrams.
 	datagramBufferSize = 2 << 10
 )
 
-// Datagram sends a message over UDP. The message may be lost. It is dropped if its frame exceeds MaxDatagramBytes.
-func (t *Transport) Datagram(to netip.AddrPort, m Message) {
+// SendDatagram sends a message over UDP. The message may be lost. It is dropped if its frame exceeds MaxDatagramBytes.
+func (t *Transport) SendDatagram(to netip.AddrPort, m Message) {
 	f := &frame{frameType: datagramFrame, kind: m.Kind, body: m.Body}
 	data, err := f.encode()
 	if err == nil && len(data) > MaxDatagramBytes {
--- a/internal/peer/dial_test.go
+++ b/internal/peer/dial_test.go
@@ -128,7 +128,7 @@
 func TestQueuedMessageGoesOutWhenThePeerIsHeard(t *testing.T) {
 	for name, announce := range map[string]func(from *Transport, to *Transport){
 		"connection": func(from, to *Transport) { from.Send(to.Address(), Message{Kind: otherKind}) },
-		"datagram":   func(from, to *Transport) { from.Datagram(to.Address(), Message{Kind: otherKind}) },
+		"datagram":   func(from, to *Transport) { from.SendDatagram(to.Address(), Message{Kind: otherKind}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			received := make(chan struct{})
--- a/internal/peer/traffic_test.go
+++ b/internal/peer/traffic_test.go
@@ -20,8 +20,8 @@
 	if _, err := a.Call(testContext(t), b.Address(), Message{Kind: GossipKinds, Body: body}); err != nil {
 		t.Fatal(err)
 	}
-	a.Datagram(b.Address(), Message{Kind: MemberKinds + 1, Body: body})
-	a.Datagram(b.Address(), Message{Kind: MemberKinds + 1, Body: make([]byte, MaxDatagramBytes)})
+	a.SendDatagram(b.Address(), Message{Kind: MemberKinds + 1, Body: body})
+	a.SendDatagram(b.Address(), Message{Kind: MemberKinds + 1, Body: make([]byte, MaxDatagramBytes)})
 	select {
 	case <-received:
 	case <-testContext(t).Done():
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -83,7 +83,7 @@
 	})
 	a.Start()
 	b.Start()
-	a.Datagram(b.Address(), Message{Kind: testKind, Body: []byte("hello")})
+	a.SendDatagram(b.Address(), Message{Kind: testKind, Body: []byte("hello")})
 	if from := <-received; from != a.Address() {
 		t.Errorf("sender: got %v, want %v", from, a.Address())
 	}
--- a/internal/quota/activation.go
+++ b/internal/quota/activation.go
@@ -99,7 +99,7 @@
 		return
 	}
 	for _, address := range addresses {
-		s.transport.Datagram(address, peer.Message{Kind: kindAnnounce, Body: body})
+		s.transport.SendDatagram(address, peer.Message{Kind: kindAnnounce, Body: body})
 	}
 	time.AfterFunc(announceInterval, func() {
 		s.mutex.Lock()
