--- a/decide/actions.go
+++ b/decide/actions.go
@@ -15,14 +15,14 @@
 		Backend BackendID
 		Timeout time.Duration // 0: until the client stops waiting
 	}
-	// Refuse is a final answer; it promises that a new try does no harm.
+	// Refuse is a final answer; it promises the client that a retry does no harm.
 	Refuse struct {
 		ID         RequestID
 		RetryAfter time.Duration // how long the client should wait; 0: no advice
 	}
 	// Fail is a final answer; the request may have run.
 	Fail struct{ ID RequestID }
-	// CancelAttempt stops waiting for an attempt.
+	// CancelAttempt ends an attempt without waiting for its answer.
 	CancelAttempt struct {
 		ID      RequestID
 		Attempt int
--- a/decide/attempts.go
+++ b/decide/attempts.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// retryTokensPerArrival is the number of further attempts that each arrival pays for. The limit
-	// keeps the node from causing a retry storm.
+	// retryTokensPerArrival is the number of retry tokens that each new request adds to the budget of
+	// further attempts. The budget keeps the node from causing a retry storm.
 	retryTokensPerArrival = 0.1
-	// maxRetryTokens is the largest budget of further attempts that can accumulate.
+	// maxRetryTokens is the largest number of retry tokens that can accumulate.
 	maxRetryTokens = 10.0
-	// retryAfterShare is the share of its class's latency target that a refused client is asked to
-	// wait, before jitter.
+	// retryAfterShare is the time that a refused client is asked to wait, before jitter, as a share of
+	// the latency target of the request's class.
 	retryAfterShare = 0.15
 )
 
@@ -58,8 +58,8 @@
 }
 
 // retry makes a further attempt if the rules, the budget and the backends allow one, and otherwise
-// answers the request. With spendsToken, the ended attempt may have run, and a further one spends a
-// retry token.
+// answers the request. spendsToken is set if the attempt that has ended may have run; a further one
+// then spends a retry token.
 func (m *Module) retry(r *request, spendsToken bool) {
 	worthless := r.class.LateValue == 0 && r.class.Target > 0 && m.now-r.arrived >= r.class.Target
 	if !worthless && (m.retryTokens >= 1 || !spendsToken) {
@@ -77,9 +77,9 @@
 	m.answerFinally(r)
 }
 
-// answerFinally gives the final answer where no backend did: a refusal if the rules allow one, else a
-// failure. A refused client is asked to wait for a fraction of its class's target, so that it comes
-// back while an answer still has value, but never longer than MaxRetryAfter.
+// answerFinally gives the final answer to a request that no backend has answered: a refusal if the
+// rules allow one, else a failure. A refused client is asked to wait for a fraction of the class's
+// target, so that it retries while an answer still has value, but never longer than MaxRetryAfter.
 func (m *Module) answerFinally(r *request) {
 	wait := m.jitter(time.Duration(retryAfterShare * float64(r.class.Target)))
 	wait = min(wait, m.settings.MaxRetryAfter)
--- a/decide/backend.go
+++ b/decide/backend.go
@@ -5,7 +5,7 @@
 // backend is the state that this node keeps of one backend.
 type backend struct {
 	Backend
-	ringPosition     uint64 // order of the backends on the ring that all nodes share
+	ringPosition     uint64 // position on the ring of backends that all nodes share
 	firstSeen        Time   // when it was first listed or last started
 	subsetGeneration int    // the last subset that it was in
 
@@ -35,8 +35,8 @@
 	consecutiveFailures int           // since the last success
 	unanswered          int           // sends since the last answer
 	unansweredSince     Time          // time of the first of those sends
-	suspect             bool
-	trialAt             Time // of the next trial while it is a suspect
+	suspect             bool          // it gets only trial requests
+	trialAt             Time          // of the next trial while it is a suspect
 	trialWait           time.Duration
 	backoff             time.Duration // added to a block after consecutive rejections
 
@@ -75,7 +75,7 @@
 func (b *backend) healthOf(c *class) *classHealth { return &b.healthByClass[c.index] }
 
 // forget drops a backend that is gone once its last attempt has ended: new backends keep coming under
-// new ids, and the map would grow without bound.
+// new ids, so the map would otherwise grow without bound.
 func (m *Module) forget(b *backend) {
 	if b.State == Gone && b.inFlight <= 0 && m.backends[b.ID] == b {
 		delete(m.backends, b.ID)
--- a/decide/behaviour_test.go
+++ b/decide/behaviour_test.go
@@ -108,7 +108,7 @@
 		t.Errorf("%d backends were made suspects", r.backendLines)
 	}
 	for id := decide.BackendID(1); id <= 4; id++ {
-		if r.sent[id] < 25 { // one in flight, as before, is 33 in 5 s
+		if r.sent[id] < 25 { // with one request in flight, as before, 33 are sent in 5 s
 			t.Errorf("backend %d got only %d requests", id, r.sent[id])
 		}
 	}
@@ -190,7 +190,7 @@
 	r.reset()
 	r.run(time.Second, 120, "cheap")
 	for id, n := range r.sent {
-		if budget := 2.5 * 0.3 * 30; lost(id) && float64(n) > budget/2+2 { // warm ones do 30/s for this node; two nodes
+		if budget := 2.5 * 0.3 * 30; lost(id) && float64(n) > budget/2+2 { // OverloadFactor x ColdStartShare x the 30/s that a warm one answers to this node, one of two
 			t.Errorf("cold backend %d got %d in its first second", id, n)
 		}
 	}
--- a/decide/capacity.go
+++ b/decide/capacity.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// minEvenShare is the least share of the traffic, as a multiple of an even share among the nodes,
-	// that capacityOf extrapolates from; a smaller one is noise.
+	// minEvenShare is the least share of the traffic from which capacityOf extrapolates, as a multiple
+	// of an even share among the nodes; a smaller share is noise.
 	minEvenShare = 0.25
 	// minHistory is the time after a backend's start from which its measurements count: reports lag,
 	// and averages take a while to settle.
@@ -30,7 +30,7 @@
 	rate := m.rateOf(b)
 	if b.utilisation > 0 && m.now-b.utilisationAt <= 2*validityPeriod {
 		// Cores are busy with the requests of all nodes. A node that has just started causes little of
-		// that load, and would never get more if it went by its own rate alone. So it counts at least an
+		// that load, and would never send more if it went by its own rate alone. So it counts at least an
 		// even share of the capacity as its own.
 		relativeShare := math.Min(1, math.Max(m.trafficShare*float64(m.settings.Nodes), minEvenShare))
 		rate /= math.Max(m.utilisationOf(b), minUtilisation) * relativeShare
@@ -43,7 +43,7 @@
 
 // hasHistory reports whether a backend's reports can reflect the load that it has now. Reports lag, so
 // the first ones are of a process without load, and a capacity computed from them would be ten times
-// its rate.
+// the backend's rate (1/minUtilisation).
 func (m *Module) hasHistory(b *backend) bool { return m.now-b.firstSeen > minHistory }
 
 // utilisationOf returns the share of a backend's cores that is busy, with the time constant and the
--- a/decide/coldstart.go
+++ b/decide/coldstart.go
@@ -19,8 +19,8 @@
 	b.answerRate, b.utilisation, b.answerRateAt, b.utilisationAt, b.firstSeen = 0, 0, m.now, m.now, m.now
 }
 
-// warmth returns the share of its full capacity that a backend has at least reached. It ends the cold
-// state of a backend that is warm.
+// warmth returns the least share of its full capacity that a backend must have reached. It ends the
+// cold state of a backend that is warm.
 func (m *Module) warmth(b *backend) float64 {
 	warm := (m.now - b.coldSince).Seconds() / math.Max(m.settings.WarmUpTime.Seconds(), 1e-9)
 	if b.cold = b.cold && warm < 1; !b.cold {
@@ -29,14 +29,14 @@
 	return m.settings.ColdStartShare + (1-m.settings.ColdStartShare)*math.Max(0, warm)
 }
 
-// overColdBudget reports whether a cold backend's budget of sends is spent. The budget is a token
-// bucket that refills at this node's share of a warm backend's capacity, times the share of its
-// capacity that the cold backend has reached. The budgets of all nodes then add up to what the backend
-// can do. The rate at which warm backends currently answer would be too low a basis: a release that
-// makes most backends cold cuts it, and the budgets with it. Nodes that do not have the backend in
-// their subsets send it nothing. The settings give the least that a cold backend can do. Most can do
-// more, and the load that a backend reports shows if it cannot. So budgets allow half the load that
-// would make it fall over.
+// overColdBudget reports whether a cold backend's budget of sends is spent, or the backend is outside
+// the subset of this node, which then sends it nothing. The budget is a token bucket that refills at
+// this node's share of a warm backend's capacity, times the share of its capacity that the cold backend
+// has reached. The budgets of all nodes then add up to what the backend can do. The rate at which warm
+// backends currently answer would be too low a basis: a release that makes most backends cold cuts that
+// rate, and would cut the budgets with it. The settings give the least that a cold backend can do. Most
+// can do more, and the load that a backend reports shows if it cannot. So the budgets allow half the
+// load that would make it fall over.
 func (m *Module) overColdBudget(b *backend) bool {
 	part := m.warmth(b)
 	if !b.cold {
--- a/decide/estimates.go
+++ b/decide/estimates.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// updateSaturation tracks the lowest number of unqueued requests in flight per busy backend, by
-// reports.
+// updateSaturation tracks the lowest number of unqueued requests in flight per busy backend, according
+// to reports.
 func (m *Module) updateSaturation(growth float64) {
 	saturation := m.unqueuedSum / math.Max(m.utilisationSum, minUtilisationSum)
 	m.minSaturationInFlight *= growth
@@ -70,8 +70,9 @@
 	}
 }
 
-// updatePeakCapacity tracks the highest capacity of the mean backend. Where backends report how busy
-// they are, which shows as a capacity above the rate, past capacity says less and no peak is kept.
+// updatePeakCapacity tracks the highest capacity of the mean backend. Where backends report their
+// utilisation, the computed capacity exceeds their rate. A past peak then says less than the reports,
+// so none is kept.
 func (m *Module) updatePeakCapacity(growth, rate, capacity float64) {
 	m.peakCapacity /= growth
 	if capacity > rate {
--- a/decide/health.go
+++ b/decide/health.go
@@ -15,8 +15,8 @@
 	// rate of chance failures on a poor network.
 	avoidUntil = 0.25
 	// classFailureTauSeconds is the time constant with which a failure rate decays without new
-	// attempts. Only this decay ends the avoidance for unsafe classes: their trials may do harm and are
-	// not made.
+	// attempts. Only this decay ends the avoidance for unsafe classes: a trial of theirs could do harm,
+	// so none is made.
 	classFailureTauSeconds = 6.0
 	// suspectAfter is the number of consecutive failures, or of sends without any answer, after which a
 	// backend may become a suspect; fewer may be chance.
@@ -27,10 +27,10 @@
 	// maxRunProbability is the probability, at the fleet's failure rate, below which a run of
 	// consecutive failures makes a backend a suspect.
 	maxRunProbability = 1e-5
-	// unresponsiveFactor is the multiple of the expected latency after which a missing answer is
-	// conclusive.
+	// unresponsiveFactor is the multiple of the expected latency after which a backend that has not
+	// answered counts as unresponsive.
 	unresponsiveFactor = 4.0
-	// firstTrialWait is the time until a suspect's first trial request. It doubles with each trial.
+	// firstTrialWait is the wait before a suspect's first trial request. The wait doubles with each trial.
 	firstTrialWait = 500 * time.Millisecond
 	// maxTrialWait is the longest wait for a trial, and the longest backoff after rejections: about as
 	// long as faults last.
@@ -53,7 +53,8 @@
 }
 
 // recordFailureRate updates the fleet's failure rate. It leaves out attempts at a backend whose last
-// attempt failed: one dead backend must not raise the rate and so excuse itself.
+// attempt failed: one dead backend must not raise the rate so far that its own failures look like
+// chance (failuresConclusive).
 func (m *Module) recordFailureRate(b *backend, code OutcomeCode) {
 	if code == Cancelled || code == NotSent || code == Full || b.consecutiveFailures != 0 {
 		return
@@ -73,8 +74,8 @@
 	b.unanswered, b.backoff = 0, min(max(2*b.backoff, validityPeriod), maxTrialWait)
 }
 
-// recordSuccess handles an answer. A suspect that answers a trial may have restarted unannounced, so it
-// is treated as cold.
+// recordSuccess handles an answer. A suspect that answers a trial may have restarted without a list
+// update, so it is treated as cold.
 func (m *Module) recordSuccess(b *backend, r *request, e AttemptEnded) {
 	b.answerRate = b.answerRate*decay(m.now-b.answerRateAt, rateTauSeconds) + 1/rateTauSeconds
 	b.answerRateAt, b.unanswered = m.now, 0
@@ -110,7 +111,7 @@
 }
 
 // failuresConclusive reports whether a number of consecutive failures makes a backend a suspect. Where
-// the network breaks a tenth of all attempts, every backend has three in a row now and then.
+// the network breaks a tenth of all attempts, every backend has three failures in a row now and then.
 func (m *Module) failuresConclusive(failures int) bool {
 	return failures >= suspectAfter && math.Pow(m.failureRate, float64(failures)) < maxRunProbability ||
 		failures >= suspectAlwaysAfter
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -38,8 +38,8 @@
 	m.lastAnswerAt = m.now
 	c.latency += math.Max(fleetGain, 1/c.answers) * (t - c.latency)
 	c.meanLatencyAtAnswers += math.Max(fleetGain, 1/c.answers) * (m.meanLatency - c.meanLatencyAtAnswers)
-	// The divisor is not the current meanLatency: a rare class must not keep the latency of a past
-	// overload.
+	// The divisor is the mean latency at the times of the class's answers, not the current one: the
+	// latency of a rare class may be from a past overload, which must not look like a high cost.
 	c.relativeCost = c.latency / c.meanLatencyAtAnswers
 	m.recordLatency(b, c, took)
 }
--- a/decide/many_test.go
+++ b/decide/many_test.go
@@ -170,8 +170,8 @@
 	}
 }
 
-// In an overload only fast answers arrive, from backends with long queues. Their requests in flight must not raise the
-// estimate of how many keep a backend's cores just busy.
+// In an overload only fast answers arrive, from backends with long queues. The requests in flight that these backends
+// report must not raise the estimate of how many keep a backend's cores just busy.
 func TestOverloadDoesNotRaiseSaturation(t *testing.T) {
 	m := New(largeFleetSettings(600), 3)
 	m.Handle(time.Hour, readyList(8))
--- a/decide/module.go
+++ b/decide/module.go
@@ -38,7 +38,7 @@
 	arrivalRate          float64 // smoothedArrivals, corrected for its start at 0
 	lastArrivalAt        Time
 	subsetSize           float64 // number of backends that the subset is to have
-	subsetBound          float64 // upper bound on it, from the room in backends' connection tables
+	subsetBound          float64 // upper bound on subsetSize, from the room in backends' connection tables
 	newConnRejectRate    float64 // share of the attempts on new connections that is rejected, smoothed
 	reusedConnRejectRate float64 // the same on reused connections
 	newConnShare         float64 // share of the attempts that opens a connection, smoothed
@@ -68,7 +68,7 @@
 	minSaturationInFlight float64 // the lowest quotient of these sums seen
 	meanInFlight          float64 // requests in flight that backends report, smoothed
 	meanInFlightAt        Time
-	loadIncrease          float64 // load taken over from backends that have gone, relative to reports
+	loadIncrease          float64 // load taken over from backends that have gone, relative to the reported load
 	loadIncreaseAt        Time
 
 	// Shedding (shedding.go).
--- a/decide/peers.go
+++ b/decide/peers.go
@@ -19,7 +19,7 @@
 	maxEstimateRequests = 4
 	// estimateRequestInterval is the time between two rounds, jittered: longer than a message takes.
 	estimateRequestInterval = 500 * time.Millisecond
-	// minEstimatesAge is the age from which a node sends its estimates; younger ones may be of an
+	// minEstimatesAge is the age from which a node sends its estimates; younger ones may stem from an
 	// overload, like those of the asking node.
 	minEstimatesAge = 10 * time.Second
 	// maxAgeMillis bounds the age of the estimates in a message, in milliseconds.
@@ -32,7 +32,7 @@
 	estimateBytes = 4
 	// estimatesHeaderLength is the length of what precedes the estimates of the classes.
 	estimatesHeaderLength = len(estimatesAnswer) + 3*estimateBytes
-	// maxMessage is the length in bytes of the longest message that nodes carry.
+	// maxMessage is the length in bytes of the longest message between nodes.
 	maxMessage = 256
 	// maxEstimate is more than any estimate can be, in requests or seconds.
 	maxEstimate = 1e6
@@ -85,8 +85,9 @@
 	m.emit(SendMessage{To: to, Data: data})
 }
 
-// adoptEstimates takes over the estimates of another node if that has known them for longer. On its
-// own, a node soon finds a lower minimum, but hardly ever a higher one.
+// adoptEstimates takes over the estimates of another node if that node has known them for longer than
+// this one has known its own. The estimates are minima: on its own, a node soon corrects one that is
+// too high, but hardly ever one that is too low.
 func (m *Module) adoptEstimates(data []byte) {
 	age := time.Duration(binary.LittleEndian.Uint32(data)) * time.Millisecond
 	if m.estimateRequests == 0 || age <= m.now-m.estimatesKnownSince {
--- a/decide/reports.go
+++ b/decide/reports.go
@@ -16,7 +16,7 @@
 	// little about the capacity.
 	minUtilisation = 0.1
 	// minUtilisationSum is the number of busy backends that must have reported lately; with fewer, the
-	// estimate of saturation is chance.
+	// estimate of saturation is noise.
 	minUtilisationSum = 5.0
 	// reportLagTauSeconds is the time constant with which reports catch up with a change of the list of
 	// backends.
@@ -31,7 +31,7 @@
 // divided by its share of all requests.
 func (m *Module) recordReport(b *backend, r *Report) {
 	if r != nil && r.Utilisation > 0 {
-		kept := decay(m.now-b.utilisationAt, rateTauSeconds) // as for the answer rate, which is divided by it
+		kept := decay(m.now-b.utilisationAt, rateTauSeconds) // decays like the answer rate, which it divides
 		b.utilisation, b.utilisationAt = b.utilisation*kept+(1-kept)*math.Min(r.Utilisation, 1), m.now
 	}
 	if r == nil || !r.HasInFlight || !(r.InFlight >= 0) { // rejects NaN too
@@ -80,8 +80,8 @@
 // estimatedInFlight returns the requests in flight at a backend, estimated from its last report. As
 // that ages, the estimate drifts to the mean of all backends' reports and, without any reports, to 0.
 // If it drifted directly to 0, a backend would look empty once its report is old, and in an overload
-// all nodes would always find such backends. A cold backend that has not reported counts as empty,
-// since its budget limits it.
+// every node would send its requests to such backends. A cold backend that has not reported counts as
+// empty, since its budget limits its load.
 func (m *Module) estimatedInFlight(b *backend) float64 {
 	if b.cold && b.reportAt <= b.firstSeen {
 		return 0
--- a/decide/request.go
+++ b/decide/request.go
@@ -37,8 +37,8 @@
 	tokensAt        Time
 }
 
-// classOf returns the class with a name. All names that the settings lack share one class, unsafe and
-// without value, since clients may invent any name.
+// classOf returns the class with a name. All names that the settings lack share one class, which is
+// Unsafe and without value: clients may invent any name, so the module keeps no state for each.
 func (m *Module) classOf(name string) *class {
 	if c := m.classes[name]; c != nil {
 		return c
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -93,7 +93,7 @@
 	ConnIdle       time.Duration
 	MaxOpen        int           // requests that this node can have open
 	CPUPerSecond   time.Duration // CPU time per second that this node may spend on decisions
-	CPUPerRequest  time.Duration // the same for a request with its outcomes; 0: no limit
+	CPUPerRequest  time.Duration // CPU time for one request, outcomes included; 0: no limit
 	Goal           Goal
 	Penalties      Penalties
 
--- a/decide/shedding.go
+++ b/decide/shedding.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// shedPeriod is the period of the drop probabilities: it has many arrivals, yet is far shorter than
-	// an overload.
+	// shedPeriod is the time between two computations of the drop probabilities: many requests arrive
+	// in it, yet it is far shorter than an overload.
 	shedPeriod = 500 * time.Millisecond
 	// arrivalsCarriedOver is the share of the arrival counts that carries over to the next period,
 	// since a period may see no arrival.
@@ -27,9 +27,9 @@
 	return q1, q2
 }
 
-// recomputeShedding sets the drop probabilities and ends the period. They apply only where no backend
-// is normal: then all other requests are dropped, and priority requests the more, the nearer the
-// fleet's load is to R.
+// recomputeShedding sets the drop probabilities, which apply only where no backend is normal: then all
+// requests without priority are dropped, and the more of the priority requests, the nearer the fleet's
+// load is to R. It also starts a new period, with a new subset.
 func (m *Module) recomputeShedding() {
 	q := 0.0
 	if n := m.priorityArrivals + m.otherArrivals; n > 0 {
--- a/decide/subset.go
+++ b/decide/subset.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// requestIntervalSeconds is the mean time between two requests at a backend of the subset: what its
-	// answer says about its load holds for one validity period.
+	// requestIntervalSeconds is the mean time between two requests of this node to a backend of its
+	// subset: what an answer says about the backend's load holds for one validity period.
 	requestIntervalSeconds = 1.0
 	// minSubset is the smallest size of a subset; fewer backends leave no choice once some of them
 	// fail.
@@ -16,8 +16,8 @@
 	// maxTableRejectRate is the share of attempts rejected for full connection tables above which the
 	// subset shrinks.
 	maxTableRejectRate = 0.05
-	// subsetBoundGrowth raises the bound in each period without such rejections: more room is tried
-	// again within half a minute.
+	// subsetBoundGrowth is the factor by which the bound grows in each period without such rejections:
+	// a larger subset is tried again within half a minute.
 	subsetBoundGrowth = 1.01
 	// arrivalTauSeconds is the time constant of this node's smoothed arrivals, long enough to keep its
 	// subset stable.
@@ -36,7 +36,7 @@
 	if want > m.subsetSize || want < m.subsetSize/2 {
 		m.subsetSize = math.Max(want, minSubset) // else unchanged, as a new backend costs a connection
 	}
-	if m.subsetSize < float64(len(m.ready)) { // else it is one of few nodes, and some backends have room
+	if m.subsetSize < float64(len(m.ready)) { // else this is one of few nodes, and some backends have room
 		m.subsetSize = math.Min(m.subsetSize, m.updateSubsetBound())
 	}
 	start := int(math.Mod((float64(m.settings.Self)+0.5)*math.Phi, 1) * float64(len(m.ready)))
--- a/decide/thresholds.go
+++ b/decide/thresholds.go
@@ -57,9 +57,9 @@
 }
 
 // load returns the load n of a backend and its threshold H. If this node has a full view, n is its own
-// attempts in flight, and H is rounded up or down at random, so that its mean over all nodes is kept. A
-// node with a partial view sends a backend less than one request per validity period, so its own count
-// says nothing: n is estimated from reports or, without those, from latency.
+// attempts in flight, and H is rounded up or down at random, so that the mean of H over all nodes stays
+// the same. A node with a partial view sends a backend less than one request per validity period, so
+// its own count says nothing: n is estimated from reports or, without those, from latency.
 func (m *Module) load(b *backend) (n, h float64) {
 	if !m.hasPartialView() {
 		return b.inFlight, math.Floor(m.highThreshold(b) + b.dither)
@@ -75,11 +75,11 @@
 
 // loadByReports returns the requests in flight at a backend by its reports, and as H the number that
 // keeps its cores just busy, raised by the queueing that the targets allow. While the backend is
-// unresponsive, n grows with the time.
+// unresponsive, n grows with the time since the first unanswered send.
 func (m *Module) loadByReports(b *backend, saturation float64) (n, h float64) {
 	h = saturation * math.Max(1, math.Min(queuedLatencyFactor, m.desiredLatency()/m.baselineLatency))
-	// The node's share scales its own requests up to those of all nodes. As for H, dither rounds at
-	// random: one request more or less is chance.
+	// Division by the node's share scales its own requests up to those of all nodes. As for H, dither
+	// rounds at random: one request more or less is chance.
 	n = math.Max((b.inFlight-b.dither)/math.Max(m.trafficShare, 1/float64(m.settings.Nodes)),
 		m.estimatedInFlight(b))
 	if waited := (m.now - b.unansweredSince).Seconds(); b.inFlight > 0 && m.unresponsive(b) {
@@ -89,7 +89,7 @@
 }
 
 // loadByLatency returns the load of a backend by its latency: n is the number of requests ahead of a
-// new one, which is the latency in units of the lowest mean latency, less 1. It decays while no answers
+// new one, which is the latency in units of the lowest mean latency, less 1. n decays while no answers
 // come.
 func (m *Module) loadByLatency(b *backend) (n, h float64) {
 	target := m.targetLatency * partialViewTargetShare / targetShare
--- a/decide/trials.go
+++ b/decide/trials.go
@@ -23,9 +23,10 @@
 
 // sendTrial sends a request to a backend whose trial is due, and reports whether it did. The trial of a
 // suspect may take one and a half times the expected latency or, if longer, a third of the target, but
-// no longer than until a missing answer is conclusive. With less time, a healthy suspect would never be
-// cleared; with more, none would be left for a second attempt. Trials spend retry tokens as further
-// attempts do: when the whole fleet is slow, each of many nodes has many suspects.
+// no longer than the time after which a backend counts as unresponsive. With less time, a healthy
+// suspect would never be cleared; with more, none would be left for a second attempt. Trials spend
+// retry tokens as further attempts do: when the whole fleet is slow, each of many nodes has many
+// suspects, and trials of them all would keep the overload going.
 func (m *Module) sendTrial(r *request) bool {
 	b, c := m.dueTrialBackend(r), r.class
 	if b == nil || m.retryTokens < 2 {
--- a/decide/world_test.go
+++ b/decide/world_test.go
@@ -29,7 +29,7 @@
 
 type listed struct {
 	decide.Backend
-	drainNotified time.Duration // when the node was told that it drains or is gone; 0: it is ready
+	drainNotified time.Duration // when the node was notified that the backend drains or is gone; 0: the backend is ready
 	startNotified bool
 }
 
