--- a/internal/admission/backend.go
+++ b/internal/admission/backend.go
@@ -110,7 +110,7 @@
 	return latency
 }
 
-// recordFirstByte records the time to first byte of a request with some weight, which is no longer unanswered.
+// recordFirstByte records the time to first byte of a request with the given weight. The request is no longer unanswered.
 func (b *backend) recordFirstByte(now time.Time, latency time.Duration, weight float64) {
 	b.removeUnanswered(weight)
 	b.unansweredSince = now
--- a/internal/admission/estimates.go
+++ b/internal/admission/estimates.go
@@ -103,7 +103,8 @@
 	}
 }
 
-// slowdown returns a latency as a multiple of the unloaded latency, at least 1. It is 1 while that is not known.
+// slowdown returns a latency as a multiple of the unloaded latency, at least 1. It returns 1 while the unloaded latency is
+// not known.
 func (e *estimates) slowdown(latency float64) float64 {
 	if e.unloadedLatency == 0 {
 		return 1
@@ -111,8 +112,8 @@
 	return max(1, latency/e.unloadedLatency)
 }
 
-// weightOf returns the weight of a request of some size, 1 if its size is not known, and includes the size in the mean. The
-// weight is the size as a multiple of the mean.
+// weightOf returns the weight of a request: its size as a multiple of the mean size, within minWeight and maxWeight, or 1 if
+// its size is not known. It includes the size in the mean.
 func (e *estimates) weightOf(tokens int) float64 {
 	if tokens <= 0 {
 		return 1
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -28,7 +28,7 @@
 	unresponsiveAttempts  = 3
 	unresponsiveLatencies = 4.0
 	minUnresponsive       = 250 * time.Millisecond
-	// minAvailableFraction is the fraction of the backends of a pool that are never ejected.
+	// minAvailableFraction is the fraction of a pool's backends that must not be ejected at any time.
 	minAvailableFraction = 1.0 / 3
 )
 
--- a/internal/admission/load.go
+++ b/internal/admission/load.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// reportDecayTime is the time in which a backend's report loses its weight to the typical load of the pool.
+	// reportDecayTime is the time in which the typical load of the pool replaces a backend's report.
 	reportDecayTime = time.Second
 	// waitingWeight is the weight in queueAhead of a waiting request at a backend whose responses are streams.
 	waitingWeight = 2.0
@@ -94,7 +94,7 @@
 	return b.pending + waitingWeight*waiting + runningWeight*running
 }
 
-// minLiveHigh returns the lower bound of H of live requests, a load that does the backend no harm at any latency.
+// minLiveHigh returns the lower bound of H of live requests: a load that is harmless whatever the backend's latency is.
 func (b *backend) minLiveHigh() float64 {
 	return max(minLiveHighFraction*b.slots, min(b.slots, minLiveHighSlots))
 }
--- a/internal/admission/sharedload.go
+++ b/internal/admission/sharedload.go
@@ -7,7 +7,8 @@
 	sharedValidity = 400 * time.Millisecond
 	// reportIdleTime is how long after its last request a pool still needs to report its loads.
 	reportIdleTime = 2 * time.Second
-	// liveFractionDecayTime is the time in which the expected fraction of slots of live requests falls to the current one.
+	// liveFractionDecayTime is the time in which the expected fraction of slots that live requests take falls to the current
+	// one.
 	liveFractionDecayTime = 2 * time.Second
 )
 
--- a/internal/admission/thresholds.go
+++ b/internal/admission/thresholds.go
@@ -29,8 +29,8 @@
 	// With shared loads, batch work uses the slots that live requests leave free: H and R as fractions of the slots.
 	batchSharedHighFraction  = 1.0
 	batchSharedBlockFraction = 1.3
-	// Without any reports of loads, other nodes may send as much to the backend: H and R of batch work as fractions of the
-	// slots.
+	// Without any reports of loads, H and R of batch work as fractions of the slots. They are low, since other nodes may send
+	// the backend as much as this node does.
 	batchUnreportedHighFraction  = 0.25
 	batchUnreportedBlockFraction = 0.375
 	// maxBatchUnanswered is the number of unanswered requests of all nodes from which a backend without load receives no
@@ -53,7 +53,7 @@
 }
 
 // thresholdsOf returns the thresholds of a backend with a load and an expected latency. By Little's law, latency grows in
-// proportion to the load, so it is k times the unloaded latency at a load of load x k / slowdown.
+// proportion to the load, so the latency is k times the unloaded latency at a load of load x k / slowdown.
 func (p *Pool) thresholdsOf(now time.Time, b *backend, c class, load, latency float64) thresholds {
 	var limits thresholds
 	if c == batch {
