--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -11,7 +11,7 @@
 	demandFactor             = 1.4                    // ratio of leased rate to demand, which leaves room for growth
 	demandDepthSpan          = time.Second / 2        // a bucket may save up the demand of this time
 	minDepth                 = 1.0                    // requests that a bucket may save up in addition
-	depthFraction            = 0.15                   // of the capacity, for the depths of all leases: a proxy cannot use the tokens that others save
+	depthFraction            = 0.15                   // of the capacity, for the depths of all leases; small, since a proxy cannot use the tokens that others save
 	evenFraction             = 0.1                    // of the rate, divided evenly among all leases whatever their demand
 	maxEvenLeases            = 32                     // with more leases of a tenant than this, no rate is divided evenly
 	maxRetryAfter            = time.Second            // upper bound of Grant.RetryAfter
--- a/internal/quota/leaseholders.go
+++ b/internal/quota/leaseholders.go
@@ -141,10 +141,9 @@
 }
 
 // isRemovable reports whether a registered leaseholder may be removed from the registry, so that a new allocator does not
-// wait for it. The leaseholder must have no leases. In addition it must have left, or the grace period must have ended and
-// the leaseholder be either down since its leases expired or without a renewal for unresponsiveLeasePeriods. A running
-// process stays registered for longer than its leases last, since it would have to be registered again before it is granted
-// anything.
+// wait for it. The leaseholder must have no leases. In addition it must have left or, after the grace period, be known to be
+// down once its leases must have expired, or have sent no renewal for unresponsiveLeasePeriods. A running process stays
+// registered for longer than its leases last, since it would have to be registered again before it is granted anything.
 func (a *Allocator) isRemovable(now time.Time, address netip.AddrPort, leaseholder *leaseholderRecord) bool {
 	if !leaseholder.registered || len(leaseholder.leases) > 0 {
 		return false
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -18,7 +18,7 @@
 	renewPeriod     = 500 * time.Millisecond
 	callTimeout     = 250 * time.Millisecond
 	callPause       = 4 * time.Millisecond   // between two calls, so that more waiting requests share a call
-	failurePause    = 150 * time.Millisecond // between a failed call and the next complete one
+	failurePause    = 150 * time.Millisecond // between a failed call and the next renewal of all leases
 	unreachableSpan = 200 * time.Millisecond // time after a failed call in which requests do not wait for a grant
 	maxWait         = 60 * time.Millisecond  // upper bound of the time that a request waits for a token
 	leaveAttempts   = 3
--- a/internal/quota/registry.go
+++ b/internal/quota/registry.go
@@ -59,7 +59,7 @@
 	running   bool
 	waiting   map[netip.AddrPort]uint64 // processes to register, by address
 	finished  chan struct{}             // closed after the next change, and replaced
-	inherited *inheritedReserves        // for the allocator that the latest first change was to start
+	inherited *inheritedReserves        // reserves for the allocator that the latest change with startsAllocator was to start
 }
 
 // register adds a process to the next change. The returned channel is closed after that change. The caller holds the
--- a/internal/quota/scenarios_test.go
+++ b/internal/quota/scenarios_test.go
@@ -202,8 +202,8 @@
 	}
 }
 
-// TestSimulatedDownProxies kills some proxies, which do not restart, together with the head. The new allocator waits for their leases no
-// longer than leases last, and later allocators do not wait for these proxies.
+// TestSimulatedDownProxies kills some proxies, which do not restart, together with the head. The new allocator waits for
+// their leases no longer than leases last, and later allocators do not wait for these proxies.
 func TestSimulatedDownProxies(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newSimulation(t, seed, 10, eightTenants(0.62))
