--- a/internal/load/codec.go
+++ b/internal/load/codec.go
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// saturateUint16 limits a number to the range of 16 bits without sign.
+// saturateUint16 limits a number to the range of an unsigned 16-bit integer.
 func saturateUint16(number int) uint16 { return uint16(min(max(number, 0), math.MaxUint16)) }
 
 func decodeLoads(list loadwire.Load_List, err error) ([]admission.BackendLoad, error) {
--- a/internal/load/totals.go
+++ b/internal/load/totals.go
@@ -32,7 +32,7 @@
 	chunk uint16
 }
 
-// summaryState is the last summary with a key.
+// summaryState is the last summary received for a summaryKey.
 type summaryState struct {
 	at    time.Time
 	loads []admission.BackendLoad
