--- a/decide/behaviour_test.go
+++ b/decide/behaviour_test.go
@@ -190,7 +190,8 @@
 	r.reset()
 	r.run(time.Second, 120, "cheap")
 	for id, n := range r.sent {
-		if budget := 2.5 * 0.3 * 30; lost(id) && float64(n) > budget/2+2 { // OverloadFactor x ColdStartShare x the 30/s that a warm one answers to this node, one of two
+		// The budget is OverloadFactor x ColdStartShare x the 30/s that a warm backend answers to this node, one of two nodes.
+		if budget := 2.5 * 0.3 * 30; lost(id) && float64(n) > budget/2+2 {
 			t.Errorf("cold backend %d got %d in its first second", id, n)
 		}
 	}
--- a/decide/events.go
+++ b/decide/events.go
@@ -105,7 +105,7 @@
 		Elapsed         time.Duration
 		Code            OutcomeCode
 		Report          *Report // nil if none came
-		NewConnection   bool    // the attempt was the first on its connection; a full connection table rejects such attempts
+		NewConnection   bool    // first on its connection; a full connection table rejects such attempts
 	}
 	// StreamStarted reports that a streamed answer has begun.
 	StreamStarted struct {
--- a/decide/overload_test.go
+++ b/decide/overload_test.go
@@ -39,7 +39,7 @@
 			r := newRig(t, rigSettings(), 4)
 			r.delay = func(decide.BackendID) (time.Duration, decide.OutcomeCode) { return c.took, decide.OK }
 			r.report = func(decide.BackendID) *decide.Report { return &decide.Report{Utilisation: c.busy} }
-			r.run(5*time.Second, 20, "valuable") // it learns the latency
+			r.run(5*time.Second, 20, "valuable") // the module learns the latency
 			for rate := 40.0; rate < 200; rate *= 1.5 {
 				r.run(2*time.Second, rate, "valuable")
 			}
--- a/decide/reports.go
+++ b/decide/reports.go
@@ -31,7 +31,7 @@
 // divided by its share of all requests.
 func (m *Module) recordReport(b *backend, r *Report) {
 	if r != nil && r.Utilisation > 0 {
-		kept := decay(m.now-b.utilisationAt, rateTauSeconds) // decays like the answer rate, which it divides
+		kept := decay(m.now-b.utilisationAt, rateTauSeconds) // as for answerRate, which capacityOf divides by it
 		b.utilisation, b.utilisationAt = b.utilisation*kept+(1-kept)*math.Min(r.Utilisation, 1), m.now
 	}
 	if r == nil || !r.HasInFlight || !(r.InFlight >= 0) { // rejects NaN too
--- a/decide/threshold_test.go
+++ b/decide/threshold_test.go
@@ -132,7 +132,7 @@
 	cold := ListUpdate{Kind: ListChanges, Version: 1}
 	for id := BackendID(1); id <= 4; id++ {
 		cold.Entries = append(cold.Entries, Backend{ID: id, StartedAt: f.now})
-		f.started[id] = f.now - 5*time.Second // it starts with 0.4 of its capacity, and 0.2 is what the list says
+		f.started[id] = f.now - 5*time.Second // it starts with 0.4 of its capacity, while its list entry implies 0.2
 	}
 	f.m.Handle(f.now, cold)
 	clear(f.sent)
