--- a/internal/admission/sharedload_test.go
+++ b/internal/admission/sharedload_test.go
@@ -22,7 +22,7 @@
 	return p
 }
 
-// shareLoads sets the loads of all nodes in a pool: all for each backend, except those in other.
+// shareLoads sets the loads of all nodes in a pool. The load of a backend is its entry in other, or all if it has none.
 func shareLoads(p *Pool, now time.Time, all BackendLoad, other map[*backend]BackendLoad) {
 	p.lastRequestAt = now
 	loads, _ := p.LocalLoads(now, true)
