--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -94,7 +94,7 @@
 	a, now := allocatorAfterGrace(Limit{Rate: 50, Burst: 50})
 	mustRenew(t, a, now, Leaseholder{proxyAddress, 1}, 1, Entry{Tenant: "t", Demand: 100})
 	other := Leaseholder{netip.MustParseAddrPort("10.2.0.7:7661"), 2}
-	late := now.Add(testPolicy.Lease + HeadProofLifetime/2) // a successor may have renewed the lease
+	late := now.Add(testPolicy.Lease + HeadProofLifetime/2) // a successor of this allocator may have renewed the lease
 	grant := mustRenew(t, a, late, other, 1, Entry{Tenant: "t", Demand: 100})[0]
 	if grant.Lease.Rate > 10 {
 		t.Errorf("grant while the other lease may be in force: got %+v, want a rate of 10 at most", grant)
--- a/internal/quota/policy.go
+++ b/internal/quota/policy.go
@@ -29,7 +29,7 @@
 	defaultWindow  = 5 * time.Second
 	slackFraction  = 0.7         // of the policy's tolerance; the rest is for requests that are sent late and for clock drift
 	leasedFraction = 0.9         // of the rate, for all leases together; the rest fills the allocator's bucket
-	surplusSpan    = renewPeriod // a bucket keeps at most the surplus that its lease gives in this time
+	surplusSpan    = renewPeriod // until the surplus is returned, a bucket keeps at most what its lease gives in this time
 )
 
 // PolicyOf returns the policy that the bounds in the settings define.
--- a/internal/quota/reserves_test.go
+++ b/internal/quota/reserves_test.go
@@ -9,7 +9,7 @@
 
 const testTenant = "tenant"
 
-// reserveFixture is an allocator with one registered proxy. The test takes the part of the registry for its reserves.
+// reserveFixture is an allocator with one registered proxy. For its reserves, the test stands in for the registry.
 type reserveFixture struct {
 	*Allocator
 	t        *testing.T
@@ -23,7 +23,7 @@
 	return &reserveFixture{Allocator: a, t: t, now: testStart}
 }
 
-// ask has the proxy ask for requests without taking a lease, and returns the grant.
+// ask sends a renewal that presents no lease and asks for grants for need requests, and returns the grant.
 func (f *reserveFixture) ask(need int) Grant {
 	f.t.Helper()
 	f.sequence++
@@ -112,8 +112,8 @@
 	}
 }
 
-// The reserve of a bucket that runs low is recorded as spent before requests wait for that, and kept again only after
-// reserveKeepDelay.
+// The reserve of a bucket that runs low is recorded as spent before any request has to wait for the record, and kept again
+// only after reserveKeepDelay.
 func TestReserveIsSpentAheadAndKeptAfterADelay(t *testing.T) {
 	f := newReserveFixture(t)
 	f.keepReserve()
--- a/internal/quota/simulation_proxy_test.go
+++ b/internal/quota/simulation_proxy_test.go
@@ -189,7 +189,7 @@
 	})
 }
 
-// freeze delays everything that a proxy does between two times until the second.
+// freeze suspends a proxy between two times: what it would do in between, it does at the second one.
 func (p *simulatedProxy) freeze(from, to time.Duration) {
 	p.s.clock.At(from, p.process.Freeze)
 	p.s.clock.At(to, p.process.Thaw)
