--- a/internal/discovery/publish.go
+++ b/internal/discovery/publish.go
@@ -36,7 +36,8 @@
 
 // publishDraining marks those backends of the current list that a page shows as draining, publishes the list, and
 // returns its version. It returns false if nothing was published. Draining backends are about to shut down, so
-// publishDraining does not wait for the rest of a long listing. The proof of the new version is as old as that of the previous one.
+// publishDraining does not wait for the rest of a long listing. The proof of the new version is as old as that of the
+// previous one.
 func (p *Poller) publishDraining(page []Backend) (uint64, bool) {
 	sequence, data, known := p.distribution.Current()
 	if !known || !p.decodeCurrent(sequence, data) {
