--- a/internal/chain/acknowledge.go
+++ b/internal/chain/acknowledge.go
@@ -1,8 +1,9 @@
 package chain
 
-// acknowledge reports the progress of this replica and all after it to the upstream replica, if it has changed. A
-// member whose completeness is not recorded on its disk acknowledges no entries as synced: what is committed in a view
-// is on the disks of all its members, and each of them may become the head of the next view.
+// acknowledge reports the progress of this replica and all after it to the upstream replica, if the progress has
+// changed. A member whose completeness is not recorded on its disk acknowledges no entries as synced: what is committed
+// in a view is on the disks of all its members, and each of them must then be able to become the head of the next view,
+// which only a complete member can.
 func (r *Replica) acknowledge() {
 	u := &r.upstream
 	if u.session == (Session{}) || (!u.started && u.snapshot == nil) {
--- a/internal/chain/barrier.go
+++ b/internal/chain/barrier.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// beginBarrier passes a barrier to the state machine and registers its caller.
+// beginBarrier passes a barrier to the Replica and registers its caller.
 func (n *Node) beginBarrier() (uint64, chan BarrierResult, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/chain/barrier_rounds.go
+++ b/internal/chain/barrier_rounds.go
@@ -17,7 +17,8 @@
 	next    *barrierRound // to be run once the running one is over; nil if nobody waits for it
 }
 
-// barrierRound is one barrier request to the head, with the callers that share its answer.
+// barrierRound is one barrier request to the head, with the callers that share its answer. It is not one of the
+// numbered rounds of headBarriers, which travel along the chain.
 type barrierRound struct {
 	done     chan struct{}
 	sequence uint64
--- a/internal/chain/candidates.go
+++ b/internal/chain/candidates.go
@@ -41,8 +41,8 @@
 	return candidates
 }
 
-// memberCandidateLocked returns what is known about one member. If a reachable candidate has its address under another
-// replica identity, the member has lost its disk. The mutex is held.
+// memberCandidateLocked returns what is known about one member. The member has lost its disk if a reachable candidate has
+// the member's address and another replica identity. The mutex is held.
 func (r *Reconfigurer) memberCandidateLocked(member view.Member) view.Candidate {
 	if member.Replica == r.self().Replica {
 		return view.Candidate{Member: member, Reachable: true, Leaving: r.leaving}
--- a/internal/chain/discovery.go
+++ b/internal/chain/discovery.go
@@ -20,8 +20,8 @@
 	return discoveryPeriod
 }
 
-// checkView asks another replica for its view every few seconds, as a member that was dropped may have missed the new
-// view.
+// checkView asks another replica for its view every few seconds, because this member may have been dropped by a view that
+// it has missed.
 func (r *Reconfigurer) checkView(ctx context.Context) {
 	now := r.now()
 	if now-r.viewCheckedAt < viewCheckPeriod/2 {
--- a/internal/chain/doc.go
+++ b/internal/chain/doc.go
@@ -36,7 +36,8 @@
 //   - Entries are applied in the same order everywhere, at a replica only once they are on its own disk.
 //   - None of this depends on clocks. Messages of another epoch are refused, and a view comes into force at a replica
 //     only once it is on its disk: a replica that has left an epoch never acts in it again, even after a restart. Every
-//     view keeps a member of the one before, so that the old epoch cannot commit once the new one has begun.
+//     view keeps a member of the previous one. As a commit needs all members of its view, nothing can be committed in the
+//     old epoch once that member has entered the new one.
 //
 // Within an epoch the log on a replica's disk always contains the log on its successor's disk. The guarantees rest on this
 // and on the order of events: an acknowledgement is sent only after DiskDone has been called for what it covers.
--- a/internal/chain/downstream_snapshot.go
+++ b/internal/chain/downstream_snapshot.go
@@ -6,8 +6,9 @@
 	"nickelline/internal/segment"
 )
 
-// SnapshotTaken handles a snapshot that the driver took as Output.SnapshotRequested asked, of the state at a committed
-// entry. It is sent to all receivers that wait for one.
+// SnapshotTaken handles the snapshot that the driver took in response to Output.SnapshotRequested: the state at a
+// committed entry. The snapshot is sent to all receivers that wait for one, unless the history no longer reaches back to
+// that entry.
 func (r *Replica) SnapshotTaken(now time.Duration, snapshot segment.Snapshot) {
 	position := Position{Epoch: snapshot.Epoch, Sequence: snapshot.Sequence}
 	if held, ok := r.history.position(snapshot.Sequence); ok && held == position {
--- a/internal/chain/durable_log.go
+++ b/internal/chain/durable_log.go
@@ -9,12 +9,12 @@
 // pendingOperation is a disk operation that is not done yet.
 type pendingOperation struct {
 	id     uint64
-	synced uint64 // sequence up to which the log is on disk once the operation is done, 0 if it appends nothing
+	synced uint64 // sequence up to which the log is on disk once the operation is done, 0 if it adds nothing to the log
 	record *Record
 }
 
-// write queues a disk operation. Once it is done the log is on disk up to synced, which is 0 if the operation appends
-// nothing.
+// write queues a disk operation. Once it is done the log is on disk up to synced, which is 0 if the operation adds
+// nothing to the log.
 func (r *Replica) write(operation DiskOperation, synced uint64) {
 	r.lastDiskID++
 	operation.ID = r.lastDiskID
--- a/internal/chain/handover.go
+++ b/internal/chain/handover.go
@@ -11,7 +11,8 @@
 
 // HandOver has the voters agree on a view without this replica. It returns nil once that view, or a later one, is on the
 // disks of a majority of its voters, not counting this replica, so that the disk of this replica is no longer needed. It
-// fails with fault.NotReady if too few members would remain. The replica does not join again. Run must be running.
+// also returns nil if this replica is not a member and can no longer become one. It fails with fault.NotReady if too few
+// members would remain. The replica does not join again. Run must be running.
 func (r *Reconfigurer) HandOver(ctx context.Context) error {
 	r.mutex.Lock()
 	r.leaving = true
--- a/internal/chain/history.go
+++ b/internal/chain/history.go
@@ -52,7 +52,8 @@
 // bytes returns the total size of the entries that are held.
 func (h *history) bytes() uint64 { return h.totalBytes() - h.baseBytes }
 
-// firstWithin returns the lowest sequence after which the entries up to upTo have at most the given number of bytes.
+// firstWithin returns the lowest sequence such that the entries after it, up to upTo, come to at most the given number of
+// bytes.
 func (h *history) firstWithin(upTo, bytes uint64) uint64 {
 	end := h.bytesUpTo(upTo)
 	count := sort.Search(int(upTo-h.base.Sequence), func(i int) bool {
--- a/internal/chain/install_view.go
+++ b/internal/chain/install_view.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// enterView puts a view that is on disk into force. All sessions of the epoch before end.
+// enterView puts a view that is on disk into force. It ends all sessions of the previous epoch.
 func (r *Replica) enterView(now time.Duration, v view.View) {
 	r.notifyLearners(v)
 	formerTerm := r.term
--- a/internal/chain/link.go
+++ b/internal/chain/link.go
@@ -29,7 +29,7 @@
 	generation uint64 // of the receiver, from its History
 	next       uint64 // sequence of the next entry to send
 	stored     uint64 // sequence up to which the log is on the receiver's disk
-	acked      uint64 // sequence up to which it is on the disks of the receiver and of all after it
+	acked      uint64 // sequence up to which the log is on the disks of the receiver and of all after it
 	ready      bool   // the chain is connected from the receiver to the tail
 
 	committedSent uint64 // committed sequence that was sent last
--- a/internal/chain/long_outage_test.go
+++ b/internal/chain/long_outage_test.go
@@ -13,15 +13,15 @@
 )
 
 // Histories of hundreds of commands in which one replica is down for some time, while the others take snapshots and drop
-// segments. It restarts with what its disk had, at times with its newest snapshot damaged, and may be killed while it
-// catches up.
+// segments. The replica restarts with what its disk had, at times with its newest snapshot damaged, and may be killed
+// while it catches up.
 const (
 	outageAt              = 2500 * time.Millisecond
 	longestOutage         = 18 * time.Second
 	outageDuration        = 24 * time.Second
 	outageCommandInterval = 60 * time.Millisecond // mean time between groups of operations
 	maxRestarts           = 4                     // exclusive
-	maxRestartPauseMs     = 400                   // exclusive, between the kills and restarts while it catches up
+	maxRestartPauseMs     = 400                   // exclusive, between the kills and restarts while the replica catches up
 
 	// caughtUpWithin bounds the time from the last start of a replica until it has applied all that is committed.
 	caughtUpWithin = 3 * time.Second
--- a/internal/chain/message.go
+++ b/internal/chain/message.go
@@ -57,8 +57,8 @@
 	Runs       []Run
 }
 
-// Start tells the receiver to truncate its log after Match, from where entries follow. A member of the view that has
-// synced Target is complete.
+// Start tells the receiver to truncate its log after Match; the entries that follow Match come in Append messages. A
+// member of the view that has synced Target is complete.
 type Start struct {
 	Session    Session
 	Generation uint64 // of the receiver, which ignores the message after a restart
--- a/internal/chain/node_views.go
+++ b/internal/chain/node_views.go
@@ -8,13 +8,13 @@
 	"nickelline/internal/view"
 )
 
-// Install passes a decided view to the replica. It comes into force once it is on disk. A view that is not newer than
+// Install passes a decided view to the replica. The view comes into force once it is on disk. A view that is not newer than
 // the newest known one is ignored.
 func (n *Node) Install(v view.View) {
 	n.step(func(time.Duration) { n.replica.Install(v) })
 }
 
-// sendNewerView sends the view in force to a replica if the given epoch, that of its view, is older.
+// sendNewerView sends the view in force to a replica whose own view has the given epoch, if that epoch is older.
 func (n *Node) sendNewerView(to netip.AddrPort, epoch uint64) {
 	n.step(func(time.Duration) {
 		if epoch < n.replica.View().Epoch {
@@ -30,9 +30,9 @@
 	return n.replica.View().Clone()
 }
 
-// Learn makes a replica that no view names receive from the member at an address: a snapshot if it lacks too much, then
-// all that is committed. It returns once the replica has caught up or is a member. A learner goes on receiving until a
-// view names it.
+// Learn makes this replica, if no view names it, receive from the member at an address: first a snapshot if it lacks more
+// than the member keeps in memory, then all committed entries. It returns once the replica has caught up or is a member.
+// A learner goes on receiving until a view names it.
 func (n *Node) Learn(ctx context.Context, from netip.AddrPort) error {
 	n.step(func(now time.Duration) { n.replica.Follow(now, from) })
 	return n.wait(ctx, func() bool { return n.replica.caughtUp() || n.replica.view.Has(n.options.Self.Replica) })
--- a/internal/chain/options.go
+++ b/internal/chain/options.go
@@ -23,8 +23,9 @@
 	// MinimumReplicas is the number of disks that must have an entry before it is committed. A view with fewer members
 	// commits nothing.
 	MinimumReplicas int
-	// SnapshotBytes is how many bytes of entries are logged before a snapshot replaces them; 0 means defaultSnapshotBytes.
-	// With a larger value snapshots are written less often, and recovery is slower.
+	// SnapshotBytes is how many bytes of entries are logged before a snapshot replaces them, unless the last snapshot was
+	// larger: then as many bytes as that. 0 means defaultSnapshotBytes. With a larger value snapshots are written less often,
+	// and recovery is slower.
 	SnapshotBytes int
 	// OnFailure, if set, is called once if the disk or the state machine fails. The replica takes no part in the protocol
 	// from then on.
--- a/internal/chain/output.go
+++ b/internal/chain/output.go
@@ -6,8 +6,8 @@
 )
 
 // Output is what a Replica asks of its driver. The driver carries out disk operations and apply operations, each kind in
-// order, and calls DiskDone when a disk operation is durable. Messages may be sent at once: what they say is on disk is
-// on disk already.
+// order, and calls DiskDone when a disk operation is durable. Messages may be sent at once: whatever they report as being
+// on disk is already durable.
 type Output struct {
 	Messages []Outgoing
 	Disk     []DiskOperation
@@ -50,7 +50,7 @@
 	Restore *segment.Snapshot
 }
 
-// Accepted reports the sequence under which a proposal was appended. It is not committed yet.
+// Accepted reports the sequence under which a proposal was appended. The proposal is not committed yet.
 type Accepted struct{ Proposal, Sequence uint64 }
 
 // Rejected reports that a proposal will get no result from this replica.
--- a/internal/chain/propose_view.go
+++ b/internal/chain/propose_view.go
@@ -136,7 +136,7 @@
 }
 
 // broadcastView installs a decided view and sends it to the other reachable replicas and to the members and voters of
-// the old and the new view. A replica that misses it gets it later from any other.
+// the old and the new view. A replica that misses the view gets it later from any other replica.
 func (r *Reconfigurer) broadcastView(v view.View) {
 	r.highestRound = 0
 	r.changeNeededSince = 0
--- a/internal/chain/reconfigurer.go
+++ b/internal/chain/reconfigurer.go
@@ -62,7 +62,7 @@
 	viewCheckedAt     time.Duration  // when checkView last asked another replica for its view
 	peerIndex         int            // counts the calls of nextPeer
 	source            netip.AddrPort // member that this learner receives from
-	sourceSince       time.Duration  // when source was chosen, or last known to have caught this learner up
+	sourceSince       time.Duration  // when source was chosen, or this learner was last known to have caught up
 }
 
 // joinRequest is the request of a learner that has caught up to join the view.
@@ -139,8 +139,8 @@
 	return r.discover(ctx)
 }
 
-// actAsMember proposes the next view if one is needed, after the members before it in the chain have had the time to do
-// so.
+// actAsMember proposes the next view if one is needed, or if this replica has accepted one that may not be decided yet.
+// It first gives the members before this one in the chain time to do so.
 func (r *Reconfigurer) actAsMember(ctx context.Context, v view.View) time.Duration {
 	_, needed := r.planNextView(v)
 	if !needed && !r.voter.hasAcceptedAfter(v.Epoch) {
--- a/internal/chain/simulation_terms_test.go
+++ b/internal/chain/simulation_terms_test.go
@@ -35,9 +35,9 @@
 	})
 }
 
-// checkTerms checks that each command that was proposed in a term is committed only while that term lasts: no other
-// replica is head of any view from the first of the term to that of the command. It returns the number of commands that
-// were committed.
+// checkTerms checks that each committed command that was proposed in a term was appended while that term lasted: no other
+// replica is head of any view from the first of the term to the one in which the command was appended. It returns the
+// number of these commands.
 func (s *simulation) checkTerms(proposed map[uint64]termProposal) (committed int) {
 	s.t.Helper()
 	for _, entry := range s.committed {
@@ -58,7 +58,7 @@
 }
 
 // TestTermsEndWithTheHead has heads propose in terms that may be over when they propose, and checks that commands are
-// committed only while their term lasts.
+// appended only while their term lasts.
 func TestTermsEndWithTheHead(t *testing.T) {
 	committed, refused := 0, 0
 	histories := environment(t, historiesVariable, termHistories)
--- a/internal/chain/simulation_test.go
+++ b/internal/chain/simulation_test.go
@@ -44,7 +44,7 @@
 	afterStep  func()
 
 	authority bool      // views are decided by an authority outside of the chain
-	careful   bool      // the authority drops no copy that may be needed, as the placement does
+	careful   bool      // the authority, like the placement, drops no copy that may be needed
 	decided   view.View // newest view that the authority decided
 
 	views     map[uint64]view.View      // views that came into force anywhere, by epoch
--- a/internal/chain/upstream_entries.go
+++ b/internal/chain/upstream_entries.go
@@ -30,7 +30,8 @@
 	u.ackDue = true
 }
 
-// receiveAppend appends entries that follow the last one here without a gap, and asks for a new session if there is one.
+// receiveAppend appends entries that follow the last one of this replica's log. It asks for a new session if entries are
+// missing between them.
 func (r *Replica) receiveAppend(sender view.ReplicaID, m Append) {
 	u := &r.upstream
 	if !r.checkSession(sender, m.Session) {
--- a/internal/chain/voter.go
+++ b/internal/chain/voter.go
@@ -67,7 +67,7 @@
 	return segment.SaveRecord(vt.node.options.FileSystem, vt.path(), data)
 }
 
-// votes reports whether this replica has a vote on the view after the given one. It need not be a member of it.
+// votes reports whether this replica has a vote on the view after the given one. A voter need not be a member of either.
 func (vt *voter) votes(v view.View) bool {
 	if v.Epoch == 0 {
 		return slices.Contains(vt.seeds, vt.node.options.Self.Address)
