--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -18,7 +18,7 @@
 	"nickelline/internal/fault"
 )
 
-// nodeParameter is the name of the node in the path of a retirement.
+// nodeParameter is the name of the path parameter that holds the node to retire.
 const nodeParameter = "node"
 
 // Bounds of the operator's HTTP calls.
--- a/internal/control/apply_retirement.go
+++ b/internal/control/apply_retirement.go
@@ -15,8 +15,8 @@
 	return Result{Outcome: Accepted}
 }
 
-// isSameRetirement reports whether a request to retire a store repeats an earlier retirement of that name. It does not if the
-// retirement was completed and the machine holds another replica since.
+// isSameRetirement reports whether a request to retire a store repeats an earlier retirement of that name. It asks for a new
+// retirement if the earlier one was completed and the machine now holds another replica.
 func isSameRetirement(present Retirement, store Store) bool {
 	return !present.Completed || store.Replica == 0 || present.Store.Replica == store.Replica
 }
--- a/internal/control/concurrent_writers_test.go
+++ b/internal/control/concurrent_writers_test.go
@@ -47,8 +47,8 @@
 	request *Command
 }
 
-// Two writers send changes of the same versions, repeat them, and have late duplicates delivered. After each step, at most one
-// change of a version is accepted, and no result contradicts an earlier one.
+// Two writers send changes that build on the same versions, repeat them, and have late duplicates delivered. At each step, at most
+// one of the changes that build on a version has been accepted, and no result contradicts an earlier one.
 func TestConcurrentWriters(t *testing.T) {
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 7))
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -129,8 +129,8 @@
 	s.expectVersion(other, 5)
 }
 
-// Several operators change the configuration at the same time through different nodes. Exactly one change of each version is
-// accepted, and the others are refused with status 412.
+// Several operators change the configuration at the same time through different nodes. Exactly one of the changes that build on a
+// version is accepted, and the others are refused with status 412.
 func TestConcurrentOperators(t *testing.T) {
 	s := newControlSystem(t)
 	s.startAll(true)
--- a/internal/control/headstatus_test.go
+++ b/internal/control/headstatus_test.go
@@ -11,7 +11,8 @@
 	"nickelline/internal/view"
 )
 
-// fakeProver confirms the view of a fake node, or returns err. after is called before ConfirmView returns.
+// fakeProver confirms the view of a fake node, or returns err. after is called between the reading of the view and the return of
+// ConfirmView.
 type fakeProver struct {
 	node  *fakeChainNode
 	err   error
--- a/internal/control/linearizability_test.go
+++ b/internal/control/linearizability_test.go
@@ -10,8 +10,8 @@
 	"nickelline/internal/fault"
 )
 
-// Bounds of the histories. In a history, operators send concurrent changes of the same version, and repeat them at any node
-// after lost responses. Meanwhile nodes lag, are killed and restart from snapshots, and copies of changes arrive late.
+// Bounds of the histories. In a history, operators send concurrent changes that build on the same version, and repeat them at any
+// node after lost responses. Meanwhile nodes lag, are killed and restart from snapshots, and copies of changes arrive late.
 const (
 	historyCount     = 150
 	historySteps     = 160
@@ -109,7 +109,7 @@
 	trial.sendChange(operator, node, step)
 }
 
-// newRequest creates a change of the version at a random node, which may be outdated, and sometimes of a later version.
+// newRequest creates a change that builds on the version at a random node, which may be outdated, or sometimes on a later version.
 func (trial *historyTrial) newRequest(operator *simulatedOperator, step int) {
 	match := trial.chain.nodes[trial.random.IntN(historyNodes)].machine.State().Version()
 	if trial.random.IntN(10) == 0 {
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -12,10 +12,10 @@
 const (
 	// controlChain is the identifier of the chain that replicates the control state.
 	controlChain = 0
-	// chainDirectory is the directory of its files, within the data directory of the process.
+	// chainDirectory is the directory of the chain's files, within the data directory of the process.
 	chainDirectory = "control"
-	// minimumChainMembers is the number of members of a full view, if there are that many replicas, even if no loss has to be
-	// tolerated.
+	// minimumChainMembers is the least number of members of a full view, even if no loss has to be tolerated. A view has fewer
+	// members while there are fewer replicas.
 	minimumChainMembers = 3
 )
 
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// chainPolicy returns the sizes of the views of the control chain for a number of disks that may be lost at once. The number
-// of voters on a view is that of the members of a full view.
+// chainPolicy returns the sizes of the views of the control chain for a number of disks that may be lost at once. A view has
+// as many voters as a full view has members.
 func chainPolicy(losses int) view.Policy {
 	full := max(minimumChainMembers, 2*losses+1)
 	return view.Policy{MinimumMembers: losses + 1, MaximumMembers: full, Voters: full}
