--- a/internal/store/appender.go
+++ b/internal/store/appender.go
@@ -24,8 +24,9 @@
 // together. It retries until they are committed or its context ends. A retry is safe when the outcome of an append is unknown: an
 // item is listed once, and a checkpoint is added once, however often they are appended.
 //
-// Results and checkpoints continue the checkpoints that the runner has read, so they are appended in the runner's term only:
-// otherwise they would cut off what another head has appended in the meantime.
+// Results and checkpoints continue the checkpoints that the runner has read, and the state machine drops all checkpoints after the
+// one that is continued. They are therefore appended in the runner's term only: later, they would remove the checkpoints that
+// another head has appended in the meantime.
 //
 // add starts a goroutine if none is running. The goroutine ends with the context or when nothing is pending; close waits for it.
 type appender struct {
--- a/internal/store/cluster_test.go
+++ b/internal/store/cluster_test.go
@@ -70,7 +70,7 @@
 	return table.Partitions[0].View, true
 }
 
-// open starts a store, on the data directory that it had before if it was open.
+// open starts a store on its data directory, with the files of its earlier runs.
 func (c *cluster) open(i int, address netip.AddrPort) {
 	c.t.Helper()
 	if err := c.tryOpen(i, address); err != nil {
--- a/internal/store/dispatch.go
+++ b/internal/store/dispatch.go
@@ -10,8 +10,8 @@
 	"nickelline/internal/store/scheduler"
 )
 
-// unroutablePause is how long a route is paused that exists but does not match its item's path as a batch route, or that has no
-// service.
+// unroutablePause is how long a route is paused if its item cannot be sent although the route exists: no batch route matches the
+// item's host and path, or the matching route has no service.
 const unroutablePause = time.Second
 
 // dispatch sends waiting items until none is left that may be sent now.
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -13,10 +13,11 @@
 //     items of an ended job must stop, and with a configuration that is confirmed to be current (runner.dispatch). The confirmation
 //     is a commit or a barrier of the chain, which succeeds in the newest view only. Its age counts from the request (confirmation).
 //   - Running items are cancelled when the last confirmation is older than the whole cancellation bound (runner.cancelAttempts).
-//   - A runner ends with the view in which this store is the head. On this store the next runner of the partition starts only after the
-//     previous one has ended, with all of its appends (hostedPartition.viewChanged, appender.close). An append of a former head on
-//     another store may still be committed; the state machine lists an item once, and adds a checkpoint only where the previous
-//     checkpoints end.
+//   - A runner ends with the term in which this store is the head: a sequence of views that all name it as head. On this store the
+//     next runner of the partition starts only after the previous one has ended, with all of its appends
+//     (hostedPartition.viewChanged, appender.close). An append of a former head on another store may still be committed, but only if
+//     it was in the log when the term of that head ended (partition.proposeInTerm). The state machine lists an item once, and adds a
+//     checkpoint only at the start of the item's text or where one of its checkpoints ends.
 //   - A new head runs no items before a barrier has succeeded, so that it has applied all that former heads committed (runner.run).
 //
 // Package scheduler decides which item runs next, and when; the runner drives it. Package itemtext assembles the text of an item from
--- a/internal/store/former_head_test.go
+++ b/internal/store/former_head_test.go
@@ -25,13 +25,14 @@
 	return hosted
 }
 
-// testCheckpoint returns a checkpoint of the first item of a job. It extends a text of from events to the given number of events.
+// testCheckpoint returns a checkpoint of the first item of a job. The text has from events before the checkpoint, and the given
+// number of events with it.
 func testCheckpoint(key batch.Key, from, events uint32) batch.Result {
 	return batch.Result{Key: key, From: from, Events: events, LastEvent: "e", Content: deflated.Compress([]byte("text"))}
 }
 
-// A checkpoint that a former head took must not be committed once the next head runs the item: it would cut off the checkpoints
-// of the next head, whose result would then be ignored, so that the item would never be listed.
+// A checkpoint that a former head took must not be committed once the next head runs the item: it would replace the checkpoints
+// of the next head. The state machine would then ignore the next head's result, and the item would never be listed.
 func TestLateCheckpointOfFormerHeadIsRefused(t *testing.T) {
 	c := newCluster(t, 3)
 	c.setRefused(true)
--- a/internal/store/hosted_partition.go
+++ b/internal/store/hosted_partition.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// startRunner starts the runner of a term, which begins when the previous runner has ended. The caller holds the mutex.
+// startRunner starts the runner of a term. The runner waits until the previous one has ended. The caller holds the mutex.
 func (h *hostedPartition) startRunner(term uint64) {
 	ctx, cancel := context.WithCancel(h.service.ctx)
 	previous, ended := h.runnerEnded, make(chan struct{})
--- a/internal/store/learner.go
+++ b/internal/store/learner.go
@@ -83,7 +83,8 @@
 	}, true
 }
 
-// sameZoneLast returns the members with those of a zone moved to the end, and otherwise in the same order.
+// sameZoneLast returns the members with those of a zone moved to the end, where nextLearnSource begins, and otherwise in the same
+// order.
 func sameZoneLast(members []view.Member, zone string) []view.Member {
 	inZone := func(m view.Member) bool { return m.Zone == zone }
 	notInZone := func(m view.Member) bool { return m.Zone != zone }
--- a/internal/store/retry_queue.go
+++ b/internal/store/retry_queue.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// endUnqueuedPauses ends the pauses whose time has passed, except those of routes for which the runner is in the retry queue. It
-// returns these routes.
+// endUnqueuedPauses ends the pauses whose time has passed, except those of routes for which the runner is in the retry queue: it
+// returns these routes, whose pauses go on.
 func (r *runner) endUnqueuedPauses(now time.Time) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/store/retry_queue_test.go
+++ b/internal/store/retry_queue_test.go
@@ -82,7 +82,8 @@
 		urgentJob.Items[i].Tokens = 100_000 // urgent because of its tenant's queued tokens
 	}
 	urgent := f.newUrgentRunner(urgentJob)
-	// The first event of a response also offers capacity, which removes the urgent runner from the queue until it is refused again.
+	// An item may end only when the urgent runner is in the queue; otherwise the other runner would get the capacity. The first
+	// event of a response offers capacity too, and thereby removes the urgent runner from the queue until it is refused again.
 	f.config.admission = singleItemAdmission{f.admission, func() { f.awaitBothQueued(urgent) }}
 	f.backends[0].before = func(http.ResponseWriter, *http.Request) bool {
 		f.awaitBothQueued(urgent)
@@ -94,7 +95,6 @@
 	f.run(urgent)
 	f.results(otherJob.Key, 40)
 	sent, before := f.countSent(urgentJob)
-	// If an item ended before the urgent runner is in the queue again, the other runner would get the capacity.
 	if want := len(urgentJob.Items); sent < want {
 		t.Errorf("urgent items sent: got %d, want %d", sent, want)
 	}
--- a/internal/store/runner_config.go
+++ b/internal/store/runner_config.go
@@ -40,8 +40,8 @@
 	sendConfirmationAge time.Duration
 	// stepDownAfter is the age of the confirmation at which running items are cancelled, because another store may be the head.
 	stepDownAfter time.Duration
-	// statusInterval is how long a job is kept after its submission. A job that is closed later is dropped
-	// soon after that.
+	// statusInterval is how long a job is kept after its submission. A job that is still open then is dropped soon after it has
+	// been closed.
 	statusInterval time.Duration
 	// checkpointInterval is how often the text of a running item is replicated. No more than that is lost with a head.
 	checkpointInterval time.Duration
