--- a/internal/view/acceptor.go
+++ b/internal/view/acceptor.go
@@ -1,6 +1,7 @@
 package view
 
-// AcceptorState is the durable state of an acceptor. It must be on disk before the answer that it results from is sent.
+// AcceptorState is the durable state of an acceptor. A change must be on disk before the answer to the request that made it is
+// sent.
 type AcceptorState struct {
 	// Epoch is the epoch whose view is being decided.
 	Epoch uint64
