--- a/internal/placement/balance_heads.go
+++ b/internal/placement/balance_heads.go
@@ -15,7 +15,8 @@
 	partition int
 	// position is that of the new head in the current view, noMember for no move.
 	position int
-	// difference is how many more partitions the store of the current head is the head of than the store of the new one.
+	// difference is the number of partitions whose head is on the store of the current head, minus the number of those whose
+	// head is on the store of the new head.
 	difference int
 	// running is how many items run at the current head.
 	running uint32
@@ -68,7 +69,7 @@
 	return best
 }
 
-// headDifference returns how many more partitions the store of a partition's head is the head of than the store of a member.
+// headDifference returns headMove.difference for a move of a partition's head to a member.
 func (p *plan) headDifference(partition int, member view.Member) int {
 	return p.heads[p.headStore(partition)] - p.heads[p.storeOf(member)]
 }
--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -21,8 +21,8 @@
 	MayInterrupt bool
 }
 
-// PolicyFor returns the policy for a number of machines that may be lost at the same time. An entry is on one disk more than
-// that number, and views have one member more than that, so that the loss of one machine does not stop a partition.
+// PolicyFor returns the policy for a number of machines that may be lost at the same time. A committed entry is on at least
+// faultTolerance+1 disks, and views have faultTolerance+2 members, so that the loss of one machine does not stop a partition.
 func PolicyFor(faultTolerance int) Policy {
 	return Policy{MinimumReplicas: faultTolerance + 1, ReplicationFactor: faultTolerance + 2}
 }
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -9,7 +9,8 @@
 
 // Table is the placement of all partitions. It must not be changed once it is published.
 type Table struct {
-	// Version is 1 for the table that Create returns and rises by 1 with each change. 0 is that of the empty table before.
+	// Version is 1 for the table that Create returns and rises by 1 with each change. It is 0 for the empty table before the
+	// first placement.
 	Version    uint64
 	Partitions []Partition
 }
