--- a/internal/chain/commit.go
+++ b/internal/chain/commit.go
@@ -14,8 +14,8 @@
 	r.committed = sequence
 }
 
-// trimHistory drops committed entries from memory once the history exceeds the limit by a quarter. A receiver that lacks
-// a dropped entry is sent a snapshot.
+// trimHistory drops committed entries from memory once the history exceeds limits.retained by a quarter. A receiver that
+// lacks a dropped entry is sent a snapshot.
 func (r *Replica) trimHistory() {
 	if r.history.bytes() > r.limits.retained+r.limits.retained/4 {
 		r.history.trim(r.trimPoint())
--- a/internal/chain/history.go
+++ b/internal/chain/history.go
@@ -70,7 +70,7 @@
 	return h.ends[min(sequence-h.base.Sequence, uint64(len(h.ends)))-1]
 }
 
-// position returns the position with a sequence, and whether the history reaches back to it.
+// position returns the position with a sequence, and whether it is the base or that of an entry in the history.
 func (h *history) position(sequence uint64) (Position, bool) {
 	if sequence == h.base.Sequence {
 		return h.base, true
--- a/internal/chain/upstream_session.go
+++ b/internal/chain/upstream_session.go
@@ -12,7 +12,7 @@
 	from      netip.AddrPort // invalid if there is no replica to receive from
 	session   Session
 	sender    view.ReplicaID
-	started   bool   // the position from which entries follow is known
+	started   bool   // Start was received, so the position after which entries follow is known
 	target    uint64 // a member is complete once its log is on disk up to this sequence
 	committed uint64 // sequence up to which the sender knows entries to be committed
 	barrier   uint64 // newest barrier round that came from the head
