--- a/internal/segment/files.go
+++ b/internal/segment/files.go
@@ -16,8 +16,8 @@
 	snapshots []snapshotName
 	// nextSnapshot is the index of the next snapshot.
 	nextSnapshot uint64
-	// segments are the segments from the first one that Open would read after the newest snapshot to the current one. There is
-	// always at least one.
+	// segments are the segments that Open would read in addition to the newest snapshot. The last one is the current segment.
+	// There is always at least one.
 	segments []segmentState
 	// oldestSegment is the index of the first segment that has not been removed.
 	oldestSegment uint64
--- a/internal/segment/recovery.go
+++ b/internal/segment/recovery.go
@@ -15,7 +15,7 @@
 
 	// snapshots are the retained snapshots. The last of them is the one that was read.
 	snapshots []snapshotName
-	// snapshotOrdinal is the ordinal of the last frame that was synced when the snapshot that was read was begun.
+	// snapshotOrdinal is storedSnapshot.ordinal of the snapshot that was read, 0 if there is none.
 	snapshotOrdinal uint64
 	// segments are the segments that were read.
 	segments []segmentState
