--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -17,7 +17,7 @@
 	// replicas are spread over zones.
 	Concentrated bool
 	// MayInterrupt allows Next to move one head at which items run, in order to balance heads. The cost of such a move is that
-	// the new head has to read the prompts of these items again.
+	// the new head sends these items to backends again, and their prompts have to be read again.
 	MayInterrupt bool
 }
 
