--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -17,12 +17,12 @@
 	// replicas are spread over zones.
 	Concentrated bool
 	// MayInterrupt allows Next to move one head at which items run, in order to balance heads. The cost of such a move is that
-	// the new head has to read the prompts of these items again.
+	// the new head sends these items to backends again, and their prompts have to be read again.
 	MayInterrupt bool
 }
 
-// PolicyFor returns the policy for a number of machines that may be lost at the same time. An entry is on one disk more than
-// that number, and views have one member more than that, so that the loss of one machine does not stop a partition.
+// PolicyFor returns the policy for a number of machines that may be lost at the same time. A committed entry is on at least
+// faultTolerance+1 disks, and views have faultTolerance+2 members, so that the loss of one machine does not stop a partition.
 func PolicyFor(faultTolerance int) Policy {
 	return Policy{MinimumReplicas: faultTolerance + 1, ReplicationFactor: faultTolerance + 2}
 }
