--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -11,8 +11,8 @@
 const (
 	// minIdleTime is the minimum time for which a connection without an open request is kept.
 	minIdleTime = 2 * time.Second
-	// minFreshTime is the same for a connection that has had no request yet. It is shorter because clients send at
-	// once.
+	// minFreshTime is the same for a connection that has had no request yet. It is shorter because clients send their
+	// request right after connecting.
 	minFreshTime = 250 * time.Millisecond
 	// minReadAhead and maxReadAhead bound the number of bytes that are buffered if a client sends data while its
 	// request is open. The buffer holds one whole request at most.
@@ -100,7 +100,7 @@
 }
 
 // evictionCandidate returns the connection to evict, after closing it for reading, or nil if none may be evicted. It
-// prefers connections of which nothing has been read. begun reports that part of a request has arrived on the
+// prefers connections from which nothing has been read. begun reports that part of a request has arrived on the
 // connection, so that the node has to answer it.
 func (cl *clientListener) evictionCandidate() (c *clientConn, begun bool) {
 	for _, from := range []struct {
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -56,8 +56,8 @@
 	})
 }
 
-// exchange returns the exchange for the latest attempt, which starts now. A timeout of 0 means none besides the
-// request's deadline.
+// exchange returns the exchange for the latest attempt, which starts now. With a timeout of 0, only the request's
+// deadline applies.
 func (r *request) exchange(now time.Time, timeout time.Duration) *exchange {
 	x := &exchange{method: r.method, url: r.url, header: r.header, body: r.body, deadline: r.deadline, client: r.client}
 	if timeout != 0 && now.Add(timeout).Before(r.deadline) {
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -19,11 +19,11 @@
 	listener      *clientListener
 	closeOnce     sync.Once
 	requestOpen   atomic.Bool // a request is open, or its response has just been written
-	refused       atomic.Bool // the node has refused it without a complete request
+	refused       atomic.Bool // the node has refused the connection, on which no complete request had arrived
 	bufferedAhead []byte      // read while a request was open; only one goroutine reads at a time
 
 	// Guarded by listener.mu.
-	waitQueue    *queue.List // the list of the listener that contains it, or nil
+	waitQueue    *queue.List // the list of the listener that contains this connection, or nil
 	element      *queue.Element
 	waitingSince time.Time
 	evicted      bool
@@ -41,8 +41,8 @@
 
 // Read reads for net/http. While a request is open, net/http reads a single byte to detect that the client disconnects,
 // and receiving a byte would end that detection. Read therefore buffers the data that arrives until the request is
-// answered. A client sends one request at a time: the connection of a client that sends more than fits the buffer is
-// closed, because a disconnect after unread data would not be detected.
+// answered. A client sends one request at a time: a connection with more data than fits into the buffer is closed, because
+// a disconnect after unread data would not be detected.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if len(c.bufferedAhead) > 0 && !(len(p) == 1 && c.requestOpen.Load()) {
 		n := copy(p, c.bufferedAhead)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -51,7 +51,7 @@
 	}
 	c.reload = func() (*Config, error) {
 		return readConfig(func(name string) string {
-			if name == "GW_DISCOVERY" { // it still has the address from the start; a new one is in the file
+			if name == "GW_DISCOVERY" { // this variable still has the address from the start; a new address is in the file
 				return ""
 			}
 			return getenv(name)
--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -157,7 +157,7 @@
 	case <-time.After(3 * testTimeout):
 		t.Fatal("no call after the failed ones")
 	}
-	// Half of the minimum time with pauses of up to 5 s and calls of up to 3 s.
+	// With pauses of up to 5 s and calls of up to 3 s, the failed calls would take at least twice this time.
 	if took := time.Since(began); took > failing*time.Second {
 		t.Errorf("%d failed calls took %v, want at most 1 s each with a grace of %v", failing, took, c.Settings.DrainGrace)
 	}
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -56,8 +56,8 @@
 func (d *discovery) call(ctx context.Context, query string, timeout time.Duration) (backendList, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	// A body that cannot be rewound, although empty, prevents net/http from retrying by itself a call whose connection
-	// is reset: all nodes would retry at once, within the remaining time of the old call.
+	// The body is empty but cannot be rewound, so net/http does not retry a call whose connection is reset. If it did,
+	// all nodes would retry at once, within the remaining time of the old call.
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.address.String()+registryPath+query, io.NopCloser(http.NoBody))
 	if err != nil {
 		return backendList{}, err
@@ -127,8 +127,8 @@
 
 // follow keeps a watch open until ctx ends. It is used if lists are pushed, so that the module does not request them.
 // A list then counts as delivered once discovery has it, even while there is no watch. After discovery recovers, the
-// node has the drain grace to learn of a change, which covers one call that hangs, one pause and the call that
-// succeeds.
+// node must learn of a change within the drain grace. The slack of a call and the pauses are therefore so short that one
+// call that hangs, one pause and the call that succeeds fit into the grace.
 func (d *discovery) follow(ctx context.Context, since *uint64, grace time.Duration, handle func(backendList)) {
 	slack, maxRetry := callTimeout, maxRetryWait
 	if grace > 0 {
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -72,7 +72,7 @@
 		n := startNode(t, c)
 		n.waitReady(t, 503)
 		n.waitReady(t, 200)
-		// An order is sent only once, however slow the machine is.
+		// Only a refused order is sent again, and it has not run: the backend gets one order, however slow the machine is.
 		if resp, _ := n.sendUntilServed(t, requestText("order", "9.5", "b")); resp.StatusCode != 200 {
 			t.Errorf("with a ready backend: got status %d, want 200", resp.StatusCode)
 		}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -3,18 +3,18 @@
 import "time"
 
 // New connections arrive for up to 0.4 s after SIGTERM; the rest of drainAcceptTime is for the accept queue. Clients
-// keep using the connections that they have. SIGKILL follows killDelay after the longest deadline of a class, or after
-// maxDrainDeadline if that is shorter.
+// keep using the connections that they have. The time from SIGTERM to SIGKILL is the longest deadline of a class, at
+// most maxDrainDeadline, plus killDelay.
 const (
 	drainAcceptTime  = 600 * time.Millisecond
 	maxDrainDeadline = 3 * time.Second
 	killDelay        = 700 * time.Millisecond
-	// killMargin is the safety margin before SIGKILL, by which the last responses have been sent.
+	// killMargin is the time from the end of draining to SIGKILL, within which the last responses are sent.
 	killMargin = 200 * time.Millisecond
 	// requestCutoff is how long before the end of draining the node stops accepting requests.
 	requestCutoff = 300 * time.Millisecond
-	// drainResponseTime is the time after the end of draining for responses by the module, and then again for responses
-	// by the node itself.
+	// drainResponseTime is the time after the end of draining in which the module may still respond. After it, the node
+	// itself has the same time to respond to the remaining requests.
 	drainResponseTime = 50 * time.Millisecond
 	// drainPollInterval is the time between two checks whether clients are still connected.
 	drainPollInterval = 20 * time.Millisecond
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -25,7 +25,8 @@
 	// response.
 	lingerTimeout = 200 * time.Millisecond
 	// idleTimeout is the time after which an idle client connection is closed. Clients may rely on 2 s. It is not
-	// longer because many clients send one request and then keep the connection open, which leaves fewer for others.
+	// longer because many clients send one request and then keep the connection open, which leaves fewer connections
+	// for others.
 	idleTimeout = 2100 * time.Millisecond
 	// maxRequestHeader bounds the number of bytes of a request's header.
 	maxRequestHeader = 16 << 10
--- a/internal/node/left_test.go
+++ b/internal/node/left_test.go
@@ -188,7 +188,7 @@
 }
 
 // checkKeptConns checks that the wanted number of connections were dialed and kept, and that each of them serves
-// another request, as the first one on it.
+// another request, which is the first one that is written to it.
 func checkKeptConns(t *testing.T, tr *transport, want int) {
 	t.Helper()
 	var idle []*upstream.Backend
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -13,18 +13,18 @@
 const (
 	// reservedDescriptors is the number of file descriptors that the process needs for itself.
 	reservedDescriptors = 24
-	// clientShare is the fraction of the other descriptors that client connections get; backend connections get the
-	// rest.
+	// clientShare is the fraction of the remaining descriptors that client connections get; backend connections get
+	// the rest.
 	clientShare = 0.6
 	// bodyMemoryShare is the fraction of the memory for request bodies that are being read or held.
 	bodyMemoryShare = 1.0 / 8
-	// readAheadDivisor is the divisor that gives the part of the memory for data that clients send while a request is
-	// open.
+	// readAheadDivisor sets the part of the memory, 1/readAheadDivisor, for data that clients send while a request is
+	// open. Each client connection gets an equal part of it, within minReadAhead and maxReadAhead.
 	readAheadDivisor = 16
 )
 
-// Run serves clients until ctx ends, then drains: it returns once the requests accepted by then are answered. On each
-// signal from reload it reads the configuration again. It returns an error if the node cannot listen, or if the server
+// Run serves clients until ctx ends, then drains: it returns once all accepted requests are answered. On each signal
+// from reload it reads the configuration again. It returns an error if the node cannot listen, or if the server
 // fails before ctx ends.
 func Run(ctx context.Context, c *Config, reload <-chan os.Signal, log *slog.Logger) error {
 	tcp, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(c.Listen))
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -153,7 +153,7 @@
 	t.Cleanup(func() { kept.Close() })
 	kept.SetDeadline(time.Now().Add(testTimeout))
 	r := bufio.NewReader(kept)
-	for { // beyond the time in which connections are accepted, until a response closes the connection
+	for { // continues after the listener is closed, until a response closes the connection
 		io.WriteString(kept, requestText("read", "9.5", ""))
 		resp, err := http.ReadResponse(r, nil)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/node/numbers.go
+++ b/internal/node/numbers.go
@@ -8,7 +8,7 @@
 	"nickelline/decide"
 )
 
-// backendID returns the module's ID for the name of a backend. It is the same at every node, because the module orders
+// backendID returns the module's ID for the name of a backend. Every node derives the same ID, because the module orders
 // backends by ID. A name of the form "prefix-xxxxxxxx" with eight hex digits contains the ID; for any other name the
 // ID is a hash.
 func backendID(name string) decide.BackendID {
--- a/internal/node/refusal.go
+++ b/internal/node/refusal.go
@@ -19,9 +19,9 @@
 	_ = closeAfterResponse(tcp) // nothing depends on how it closes
 }
 
-// writeRefusal writes the refusal to a connection with no response under way: its send buffer is empty and accepts the
-// refusal at once. There is no write deadline, because it would pass before the write if the process is not scheduled
-// for a while.
+// writeRefusal writes the refusal to a connection with no response under way. The send buffer is therefore empty and
+// accepts the refusal at once. writeRefusal sets no write deadline: if the process were not scheduled for a while, the
+// deadline would pass before the write.
 func writeRefusal(tcp *net.TCPConn) {
 	raw, err := tcp.SyscallConn()
 	if err != nil {
--- a/internal/node/roundtrip.go
+++ b/internal/node/roundtrip.go
@@ -50,8 +50,8 @@
 	}
 	more, open := conn.Unread()
 	if more != "" && !strings.HasPrefix(responsePrefix, more) {
-		// A second response after this one leaves this one valid. Any other data may belong to this one, if its length
-		// is wrong.
+		// A second response may follow this one, which is valid all the same. Any other data may belong to the body of
+		// this response, because its stated length may be wrong.
 		return result{code: decide.Reset, err: errTrailingBytes}, false
 	}
 	return classifyResponse(resp, body), open && more == "" && !resp.Close
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -84,7 +84,7 @@
 	body        []byte
 	deadline    time.Time       // when the exchange times out
 	writeBefore time.Time       // if set, the request is not written from then on
-	client      context.Context // if set, the request is not written once it has ended
+	client      context.Context // if set, the request is not written once this context has ended
 }
 
 var (
@@ -122,8 +122,8 @@
 	if err != nil {
 		return x.acquireFailure(ctx, err)
 	}
-	// Connecting takes time, so the conditions for this attempt may no longer hold. It can still be dropped safely,
-	// because the backend cannot run the request before the last byte is written.
+	// Connecting takes time, so the conditions for this attempt may no longer hold. The attempt can still be dropped
+	// safely, because the backend cannot run the request before the last byte is written.
 	now := time.Now()
 	if unsent, reusable := t.checkSend(ctx, backend, x, now); unsent != nil {
 		t.Release(conn, reusable)
