--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -175,7 +175,7 @@
 	}
 }
 
-// testProxy is a proxy with its backends, which it tries in their order.
+// testProxy is a proxy with its backends, which it tries in the order of the list.
 type testProxy struct {
 	*Proxy
 	address   string
@@ -351,7 +351,7 @@
 	return s.roundTrip(t, requestText(path, "", "body"))
 }
 
-// counts returns how many requests each backend has received.
+// requestCounts returns how many requests each backend has received.
 func (s *testProxy) requestCounts() []int {
 	var counts []int
 	for _, b := range s.backends {
--- a/internal/proxy/retry.go
+++ b/internal/proxy/retry.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// maxRefusals is how many full backends may refuse one request. Refusals do not count against the route's maximum
-	// number of attempts, which bounds how many backends execute a request; but each refusal costs time.
+	// maxRefusals is how many full backends may refuse one request. The route's maximum number of attempts does not limit
+	// refusals, because it only bounds how many backends execute a request. Each refusal costs time, however.
 	maxRefusals = 2
 	// maxUnreached is how many attempts per request may find a backend unreachable, or another instance at its address.
 	maxUnreached = 3
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -16,7 +16,8 @@
 	responseMargin = 5 * time.Millisecond
 
 	// quotaWaitFraction is the fraction of a route's target latency for which a request may wait for the quota of its
-	// tenant: a rejection within a quarter of the target latency costs less than a later one.
+	// tenant. It is below a quarter, because a rejection within a quarter of the target latency costs less than a later
+	// one.
 	quotaWaitFraction = 0.2
 )
 
--- a/internal/proxy/streaming.go
+++ b/internal/proxy/streaming.go
@@ -11,7 +11,7 @@
 	"nickelline/internal/forward"
 )
 
-// maxEventBatchBytes is the size from which on collected events are written, even if more have already arrived.
+// maxEventBatchBytes is the size at which collected events are written, even if further events have already arrived.
 const maxEventBatchBytes = 32 << 10
 
 var errUnsealedStream = errors.New("stream has no response seal of the backend")
