--- a/internal/forward/roundtrip.go
+++ b/internal/forward/roundtrip.go
@@ -131,8 +131,8 @@
 	return f
 }
 
-// release gives the connection back. It is kept only if the context has not ended, which would have changed the deadline of
-// the connection, and if nothing unread is buffered.
+// release gives the connection back. The connection is kept only if nothing unread is buffered and the context has not ended,
+// because the end of the context changes the deadline of the connection.
 func (rt *roundTrip) release(keep bool) {
 	active := rt.stopAfterFunc()
 	keep = keep && active && rt.conn.Reader.Buffered() == 0
