--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -65,8 +65,8 @@
 }
 
 // choosePartner returns the partner of the next exchange, and whether there is one. In one exchange of each round this is
-// any member, in the others a control process, preferably of the same zone. After an unsuccessful exchange it is another
-// control process than before. If there is no control process to choose, it is any member.
+// any member, in the others a control process, preferably of the same zone. After an unsuccessful exchange it is a
+// different control process than before. If there is no control process to choose, it is any member.
 func (d *disseminator) choosePartner() (netip.AddrPort, bool) {
 	table := d.members()
 	controls := table.ByRole(ControlRole)
@@ -140,7 +140,7 @@
 	d.Advance(now)
 }
 
-// applyDigestAnswer stores the updates and proofs of an answer.
+// applyDigestAnswer stores the updates and proofs of an answer, and schedules fetches of the newer versions in it.
 func (d *disseminator) applyDigestAnswer(now, sentAt time.Duration, from netip.AddrPort, answer *digestAnswer) {
 	for i := range answer.updates {
 		d.applyUpdate(now, &answer.updates[i])
@@ -151,8 +151,8 @@
 	d.noteVersions(now, from, answer.summaries)
 }
 
-// exchangeEnded schedules the next exchange: after a heartbeat, or sooner and with another partner if this process is
-// still stale.
+// exchangeEnded schedules the next exchange: after the regular interval, or sooner and with another partner if this
+// process is still stale.
 func (d *disseminator) exchangeEnded(now time.Duration) {
 	if d.isStale(now) {
 		d.exchangeFailed(now)
--- a/internal/gossip/service.go
+++ b/internal/gossip/service.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// Certify records the proof that no version of the topic was newer at asOf, which must have a monotonic clock reading.
+// Certify records the proof that the version was the newest of the topic at asOf, which must have a monotonic clock reading.
 func (s *Service) Certify(topic Topic, version Version, asOf time.Time) {
 	s.driver.Inspect(func(time.Duration) { s.disseminator.certify(topic, version, s.driver.TimeOf(asOf)) })
 }
