--- a/internal/member/antientropy.go
+++ b/internal/member/antientropy.go
@@ -99,7 +99,7 @@
 	return m.pickRandom(1, netip.AddrPort{})[0]
 }
 
-// handleExchangeRequest returns the list for a member that requests it.
+// handleExchangeRequest applies the record of the requester. It returns the local list, unless the digests are equal.
 func (m *membership) handleExchangeRequest(now time.Duration, request *exchangeRequest) exchangeResponse {
 	m.detectPause(now)
 	response := exchangeResponse{}
@@ -160,7 +160,8 @@
 }
 
 // verifyDeath is called when the exchange partner considers a member dead that runs according to the local list: the
-// member is suspected until it answers. If it is alive it refutes, and its refutation also reaches the partner.
+// member is suspected until it answers. If it is alive, it refutes the suspicion, and the refutation also reaches the
+// partner.
 func (m *membership) verifyDeath(now time.Duration, known *entry, theirs assertion) {
 	if known.member.State != Alive || !theirs.supersedes(known.member.assertion()) {
 		return
