--- a/internal/peer/dial_test.go
+++ b/internal/peer/dial_test.go
@@ -88,7 +88,7 @@
 	_ = socket.Close()
 }
 
-// A dial to a peer that sends again and again but cannot be reached must fail, not restart for ever.
+// A dial to a peer that keeps sending but cannot be reached must fail after a limited number of restarts.
 func TestDialToAnUnreachablePeerThatIsHeardEnds(t *testing.T) {
 	attempts := 0
 	peerUp := make(chan struct{}, 1)
