--- a/internal/batch/machine.go
+++ b/internal/batch/machine.go
@@ -96,7 +96,7 @@
 	m.queued[owner] = sum
 }
 
-// append records results in order, and notifies the observer once for each run of results of the same job.
+// append records results in order, and notifies the observer once for each sequence of results of the same job.
 func (m *Machine) append(results []Result) {
 	listed := false
 	for i := range results {
@@ -110,8 +110,9 @@
 	}
 }
 
-// record adds a result or a checkpoint, unless the job is ended, the item is listed, or the text does not continue a checkpoint
-// of the item. It reports whether it listed the item.
+// record adds a result or a checkpoint, unless the job is ended, the item is listed, or the text neither begins anew nor
+// continues a checkpoint of the item. Checkpoints after the one that the text continues are removed. It reports whether it
+// listed the item.
 func (m *Machine) record(r *Result) bool {
 	target := m.jobs[r.Key]
 	if target == nil || !target.submitted || target.ended || int(r.Index) >= len(target.items) {
--- a/internal/batch/read.go
+++ b/internal/batch/read.go
@@ -43,7 +43,8 @@
 	return page, true
 }
 
-// Body returns the body of an item that is not listed yet, of a job that is not ended. It must not be changed.
+// Body returns the body of an item that is not listed yet, of a job that is not ended. The body must not be changed. It reports
+// false if there is no such item.
 func (m *Machine) Body(key Key, identifier string) ([]byte, bool) {
 	found := m.jobs[key]
 	if found == nil || found.ended {
@@ -72,7 +73,8 @@
 	Items       []PendingItem
 }
 
-// PendingItem is an item that is neither listed nor ended, with its index in its job. Its body must not be changed.
+// PendingItem is an item that is not listed yet, of a job that is not ended, with its index in the job. Its body must not be
+// changed.
 type PendingItem struct {
 	Index uint32
 	Item
