--- a/internal/batchapi/client.go
+++ b/internal/batchapi/client.go
@@ -51,8 +51,8 @@
 }
 
 // Submit submits a job, whose body is as the client sent it. It returns nil once the job is stored durably. It first asks the
-// head whether it would accept the job. A job that exceeds the quota is therefore not sent, nor is one to a head that does not
-// respond, after which it would be unknown whether the job was accepted.
+// head whether it would accept the job, and sends the job only if so. A job that exceeds the quota is therefore not sent. Nor is
+// a job sent to a head that does not respond, because it would then be unknown whether the job was accepted.
 func (c *Client) Submit(ctx context.Context, tenant string, route *configuration.Route, job string, body []byte) error {
 	if !isToken(job) {
 		return fault.New(fault.BadRequest, "identifier %q of a batch job is not a token", job)
--- a/internal/batchapi/client_test.go
+++ b/internal/batchapi/client_test.go
@@ -151,8 +151,8 @@
 	}
 }
 
-// A job is sent only to a head that has accepted its offer. Without that, it is certain that the job was not accepted, even if
-// the head did not answer.
+// A job is sent only to a head that has accepted its offer. As long as no offer is accepted, it is certain that the job was not
+// accepted, even if the head did not answer.
 func TestOfferPrecedesSubmission(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/batchapi/read.go
+++ b/internal/batchapi/read.go
@@ -14,7 +14,7 @@
 // readTimeout limits one call that reads, in addition to the time that the store may wait for a result.
 const readTimeout = 700 * time.Millisecond
 
-// read calls replicas of a tenant's partition until one of them returns a reply or NotFound.
+// read calls replicas of a tenant's partition until one of them returns a reply or NotFound, maxCalls times at most.
 func (c *Client) read(ctx context.Context, tenant string, wait time.Duration, encode encodeFunc) (*batchcall.Reply, error) {
 	deadline := time.Now().Add(wait)
 	failure := fault.New(fault.NotReady, "no store serves the jobs of tenant %q", tenant)
--- a/internal/batchapi/write.go
+++ b/internal/batchapi/write.go
@@ -17,8 +17,8 @@
 	totalOfferTimeout = 800 * time.Millisecond
 )
 
-// callHead calls the head of a tenant's partition until the head has carried out the request or rejected it. All requests are
-// idempotent: a job is accepted once and ended once, however often that is requested.
+// callHead calls the head of a tenant's partition until the head has carried out the request or rejected it, maxCalls times at
+// most. All requests are idempotent: a job is accepted once and ended once, however often that is requested.
 func (c *Client) callHead(ctx context.Context, tenant string, timeout time.Duration, encode encodeFunc) error {
 	var unclear error
 	refusal := fault.New(fault.NotReady, "no store serves the jobs of tenant %q", tenant)
