--- a/internal/simnet/disk.go
+++ b/internal/simnet/disk.go
@@ -102,8 +102,8 @@
 	d.capacity = bytes
 }
 
-// FailSyncs makes the given number of next syncs fail. After a failed sync of a file, each of its unsynced writes is
-// present, torn or missing.
+// FailSyncs makes the next count syncs fail. After a failed sync of a file, each of its unsynced writes is present,
+// torn or missing.
 func (d *Disk) FailSyncs(count int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
