--- a/cmd/nickelline/config.go
+++ b/cmd/nickelline/config.go
@@ -173,7 +173,7 @@
 	return nil
 }
 
-// listProblems returns an error that lists the problems of a document, one a line. It returns err itself if there is only one.
+// listProblems returns an error that lists the problems of a document, one per line. It returns err itself if there is only one.
 func listProblems(err error) error {
 	problems := configuration.Problems(err)
 	if len(problems) < 2 {
