--- a/internal/batch/batchcall/batchcallwire/batchcallwire.capnp
+++ b/internal/batch/batchcall/batchcallwire/batchcallwire.capnp
@@ -4,6 +4,9 @@
 $Go.package("batchcallwire");
 $Go.import("nickelline/internal/batch/batchcall/batchcallwire");
 
+# Requests to the head of a batch partition, and the reply to them. messages.go of package batchcall, and batch.go and
+# read.go of package batch document the fields.
+
 struct SubmitRequest {
   partition @0 :UInt32;
   job @1 :Batch.Job;
--- a/internal/batch/batchwire/batchwire.capnp
+++ b/internal/batch/batchwire/batchwire.capnp
@@ -3,6 +3,10 @@
 $Go.package("batchwire");
 $Go.import("nickelline/internal/batch/batchwire");
 
+# Commands of the state machine of a batch partition, and its snapshots. batch.go, job.go, checkpoint.go and clock.go
+# of package batch document the fields. A snapshot is a SnapshotHeader and one JobState for each job, each in a frame as
+# snapshot.go describes it.
+
 struct Header {
   name @0 :Text;
   value @1 :Text;
--- a/internal/chain/chainwire/chain.capnp
+++ b/internal/chain/chainwire/chain.capnp
@@ -3,6 +3,10 @@
 $Go.package("chainwire");
 $Go.import("nickelline/internal/chain/chainwire");
 
+# Messages between the replicas of a chain and requests to its head, and the Record that a replica stores on its disk.
+# message.go, call_messages.go, agreement_message.go and output.go of package chain document the fields. Fields of type
+# Data that hold views and messages of the agreement on views are encoded by package view.
+
 struct Envelope {
   chain @0 :UInt32;
   epoch @1 :UInt64;
@@ -119,7 +123,8 @@
     join @4 :Void;
     view @5 :Void;
     confirm @6 :UInt64;
-    # Whether the replica knows and has accepted no view above this epoch.
+    # Asks whether the replica's view is the one of this epoch, the replica has a vote on the next view, and it has
+    # accepted no later view.
   }
 }
 
--- a/internal/control/controlwire/control.capnp
+++ b/internal/control/controlwire/control.capnp
@@ -3,6 +3,9 @@
 $Go.package("controlwire");
 $Go.import("nickelline/internal/control/controlwire");
 
+# Commands, results and the state of the control chain, and the reports of stores. command.go, result.go, state.go,
+# digest.go and report.go of package control document the fields.
+
 struct Configure {
   patch @0 :Bool;
   match @1 :UInt64;
@@ -35,7 +38,7 @@
 
 struct Leaseholder {
   ip @0 :UInt32;
-  # The IPv4 number, its first byte highest.
+  # IPv4 address as a number; the first octet is the most significant byte.
   port @1 :UInt16;
   generation @2 :UInt64;
 }
@@ -46,11 +49,11 @@
   add @2 :List(Leaseholder);
   remove @3 :List(Leaseholder);
   keep @4 :List(Text);
-  # Tenants whose reserves are recorded as kept.
+  # Tenants whose reserves are recorded as kept, after spendAll and spend.
   spend @5 :List(Text);
   # Tenants whose reserves are recorded as spent.
   spendAll @6 :Bool;
-  # All reserves are recorded as spent.
+  # The reserves of all tenants are recorded as spent, before spend and keep apply.
 }
 
 struct LeaseholderSet {
@@ -58,9 +61,9 @@
   revision @1 :UInt64;
   members @2 :List(Leaseholder);
   reserves @3 :List(Text);
-  # Tenants whose reserves are kept.
+  # Tenants whose reserves are kept for the next allocator.
   former @4 :List(Leaseholder);
-  # Processes that were replaced by others at their addresses, the oldest first.
+  # Ended processes that were replaced by others at their addresses, the oldest first.
 }
 
 struct Command {
--- a/internal/discovery/discoverywire/discovery.capnp
+++ b/internal/discovery/discoverywire/discovery.capnp
@@ -3,13 +3,13 @@
 $Go.package("discoverywire");
 $Go.import("nickelline/internal/discovery/discoverywire");
 
-# One complete reading of the platform's listing. Names that many backends share stand once, in `names`, and are
-# referred to by their place there.
+# One complete listing of the platform's backends (discovery.List). Each service, zone and version is listed once in
+# `names`, and backends refer to it by its index there.
 struct Reading {
   names @0 :List(Text);
   backends @1 :List(Backend);
   pages @2 :UInt16;
-  # Calls that the reading took, 0 if not known.
+  # Number of calls of the poll that produced the listing, 0 if unknown.
 }
 
 struct Backend {
@@ -18,6 +18,7 @@
   zone @2 :UInt32;
   version @3 :UInt32;
   address @4 :UInt32;
+  # IPv4 address as a number; the first octet is the most significant byte.
   port @5 :UInt16;
   draining @6 :Bool;
   slots @7 :UInt32;
--- a/internal/gossip/gossipwire/gossip.capnp
+++ b/internal/gossip/gossipwire/gossip.capnp
@@ -3,26 +3,26 @@
 $Go.package("gossipwire");
 $Go.import("nickelline/internal/gossip/gossipwire");
 
-# What a process holds of one topic.
+# The version that a member has of one topic, with the age of its proof.
 struct Summary {
   topic @0 :UInt8;
   epoch @1 :UInt64;
   sequence @2 :UInt64;
   ageMicros @3 :UInt64;
-  # Age of the proof that the version is the newest; the highest number: no proof.
+  # Age of the proof that the version is the newest, in microseconds; the maximum value: no proof.
 }
 
-# A version of a value, whole or as steps from one that the asker holds.
+# A version of a topic, as the whole value or as steps from the version that the receiver has.
 struct Update {
   topic @0 :UInt8;
   epoch @1 :UInt64;
   sequence @2 :UInt64;
   packed @3 :Data;
-  # The whole value, compressed, where there are no steps.
+  # The whole value, compressed; empty if there are steps.
   steps @4 :List(Step);
 }
 
-# Leads from one version of a value to a later one.
+# The difference from one version of a value to a later one.
 struct Step {
   fromEpoch @0 :UInt64;
   fromSequence @1 :UInt64;
@@ -31,7 +31,7 @@
   difference @4 :Data;
 }
 
-# Tells of new versions.
+# Announces new versions.
 struct Announcement {
   summaries @0 :List(Summary);
 }
@@ -43,13 +43,13 @@
 struct DigestAnswer {
   summaries @0 :List(Summary);
   updates @1 :List(Update);
-  # Those that are newer than the asker's and not long.
+  # Versions that are newer than the requester's, as far as they fit into the size limit of an answer.
 }
 
 struct FetchRequest {
   topic @0 :UInt8;
   hasBase @1 :Bool;
-  # Whether the asker holds the version below, and takes steps from it.
+  # The requester has the base version below and can apply steps from it.
   baseEpoch @2 :UInt64;
   baseSequence @3 :UInt64;
 }
--- a/internal/load/loadwire/load.capnp
+++ b/internal/load/loadwire/load.capnp
@@ -3,46 +3,48 @@
 $Go.package("loadwire");
 $Go.import("nickelline/internal/load/loadwire");
 
-# What some nodes have at one backend.
+# Load that one or several nodes cause at one backend. A number that exceeds the range of its field is sent as the
+# maximum of the field.
 struct Load {
   inFlight @0 :UInt16;
-  # Requests without a complete answer.
+  # Requests without a complete response.
   batch @1 :UInt16;
-  # Of those, items of batch jobs.
+  # Those of the requests in flight that are items of batch jobs.
   unanswered @2 :UInt8;
-  # Of those in flight, requests without a first part of an answer; the greatest number: as many or more.
+  # Those of the requests in flight without the first byte of a response.
   pending @3 :UInt16;
-  # Size of the unanswered requests, in hundredths of a mean one.
+  # Total size of the unanswered requests, in hundredths of the size of a mean request.
 }
 
-# A node tells its collector what it has at the backends of a service.
+# A node reports the loads that it causes at the backends of a service to the collector of its zone.
 struct Report {
   service @0 :Text;
   backends @1 :List(UInt32);
   # Hashes of the backends' identifiers.
   loads @2 :List(Load);
-  # In the order of the backends. Those at which the node has nothing may be left out.
+  # In the order of `backends`. Unless the report is complete, backends without requests of the node are left out.
   complete @3 :Bool;
-  # The report names all backends that the node uses: answers are to tell of these in this order from now on.
+  # The report lists all backends that the node uses. From now on, responses hold the loads of these backends in this
+  # order.
   unasking @4 :Bool;
-  # No answer is wanted.
+  # The node expects no response.
 }
 
-# The collector answers with what all nodes have at the backends that the node uses.
+# The collector responds with the loads that all nodes cause at the backends that the receiver uses.
 struct Answer {
   service @0 :Text;
   table @1 :UInt32;
-  # Hash of the backends of the node's last complete report; 0: there is none, and the collector needs one.
+  # Hash of the backends in the receiver's last complete report; 0: the collector has no complete report and needs one.
   loads @2 :List(Load);
-  # In the order of these backends.
+  # In the order of the backends in that report.
 }
 
-# The collector of a zone tells those of other zones what the nodes of its zone have.
+# The collector of a zone sends the loads that the nodes of its zone cause to the collectors of the other zones.
 struct Summary {
   service @0 :Text;
   zone @1 :Text;
   backends @2 :List(UInt32);
   loads @3 :List(Load);
   part @4 :UInt16;
-  # Long summaries come in several datagrams, numbered from 0.
+  # Number of the chunk: a long summary is split into several datagrams, numbered from 0.
 }
--- a/internal/member/memberwire/member.capnp
+++ b/internal/member/memberwire/member.capnp
@@ -3,7 +3,7 @@
 $Go.package("memberwire");
 $Go.import("nickelline/internal/member/memberwire");
 
-# Addresses are the IPv4 number in bits 16 to 47 and the port in the lowest 16; 0: none.
+# An address is a number: the IPv4 address in bits 16 to 47, the port in bits 0 to 15. 0 means no address.
 
 enum State {
   alive @0;
@@ -12,7 +12,7 @@
   left @3;
 }
 
-# All that is known of a member.
+# The whole record of a member.
 struct Record {
   name @0 :Text;
   role @1 :Text;
@@ -27,7 +27,8 @@
   leaving @10 :Bool;
 }
 
-# A change of state of a member whose record is known.
+# An assertion about the state of a member, as of a generation and an incarnation. A receiver that does not have the
+# member's record ignores it.
 struct Claim {
   address @0 :UInt64;
   generation @1 :UInt64;
@@ -39,9 +40,9 @@
   records @0 :List(Record);
   claims @1 :List(Claim);
   running @8 :UInt32;
-  # Members that the sender holds to be alive, itself included.
+  # Number of members that the sender considers running (alive or suspect), itself included.
   digest @9 :UInt64;
-  # Stands for those members.
+  # Hash over the running members.
   union {
     ping :group {
       sequence @2 :UInt64;
@@ -49,7 +50,7 @@
     ack :group {
       sequence @3 :UInt64;
       generation @4 :UInt64;
-      # Of the process that was probed.
+      # Generation of the process that was pinged.
     }
     indirectPing :group {
       sequence @5 :UInt64;
@@ -61,12 +62,12 @@
 
 struct ExchangeRequest {
   digest @0 :UInt64;
-  # Over the members that the asker holds to be alive.
+  # Hash over the members that the requester considers running.
   self @1 :Record;
 }
 
 struct ExchangeAnswer {
   equal @0 :Bool;
-  # The digests are the same, no records are sent.
+  # The digests are equal, and no records are sent.
   records @1 :List(Record);
 }
--- a/internal/peer/peerwire/peer.capnp
+++ b/internal/peer/peerwire/peer.capnp
@@ -3,24 +3,24 @@
 $Go.package("peerwire");
 $Go.import("nickelline/internal/peer/peerwire");
 
-# One frame of a connection, or the whole of a datagram.
+# A frame of a connection, or a whole datagram.
 struct Frame {
   kind @0 :UInt16;
-  # Tells the package that owns the body; 0 for frames of the transport itself.
+  # Type of the message, which determines the package that decodes the body; 0 for frames of the transport itself.
   body @1 :Data;
 
   union {
     hello :group {
-      # First frame in both directions.
+      # The first frame of a connection in each direction.
       address @2 :Data;
-      # Listening address of the sender: four bytes of the IPv4 number, two of the port, in network order.
+      # Listening address of the sender: four bytes of IPv4 address and two of port, in network byte order.
       generation @3 :UInt64;
-      # Random number of the sending process.
+      # Random number that identifies the sending process.
     }
     request :group {
       call @4 :UInt64;
       remainingMicros @5 :UInt64;
-      # What is left of the caller's time; 0: not limited.
+      # Time until the caller's deadline, in microseconds; 0: no deadline.
     }
     answer :group {
       call @6 :UInt64;
@@ -33,6 +33,6 @@
     oneWay @9 :Void;
     datagram @10 :Void;
     retire @11 :Void;
-    # The sender begins nothing new on this connection, and the receiver must not either.
+    # The sender starts no new requests or one-way messages on this connection, and the receiver must not either.
   }
 }
--- a/internal/placement/placementwire/placement.capnp
+++ b/internal/placement/placementwire/placement.capnp
@@ -3,7 +3,8 @@
 $Go.package("placementwire");
 $Go.import("nickelline/internal/placement/placementwire");
 
-# The placement of all partitions. Replicas stand once, in `replicas`, and are referred to by their place there.
+# The placement of all partitions. Each replica is listed once in `replicas`, and partitions refer to it by its index
+# there.
 struct Table {
   version @0 :UInt64;
   replicas @1 :List(Replica);
@@ -15,6 +16,7 @@
   name @1 :Text;
   zone @2 :Text;
   address @3 :UInt32;
+  # IPv4 address as a number; the first octet is the most significant byte.
   port @4 :UInt16;
 }
 
--- a/internal/view/viewwire/view.capnp
+++ b/internal/view/viewwire/view.capnp
@@ -3,6 +3,9 @@
 $Go.package("viewwire");
 $Go.import("nickelline/internal/view/viewwire");
 
+# Views, the messages of the consensus on them, and the state that an acceptor stores on its disk. view.go, messages.go,
+# acceptor.go and message_codec.go of package view document the fields.
+
 struct Member {
   replica @0 :UInt64;
   name @1 :Text;
