--- a/internal/chain/acknowledge.go
+++ b/internal/chain/acknowledge.go
@@ -37,7 +37,7 @@
 	if r.successor == nil || r.successor.state != linkStreaming {
 		return 0, false
 	}
-	return min(r.synced, r.successor.acked), r.successor.ready
+	return min(r.synced, r.successor.syncedToTail), r.successor.ready
 }
 
 // returnedBarrier returns the newest barrier round that has been at the tail and come back to this replica.
--- a/internal/chain/barrier.go
+++ b/internal/chain/barrier.go
@@ -35,10 +35,10 @@
 	case head.Replica == n.options.Self.Replica:
 		return n.barrierLocally(ctx)
 	}
-	round := n.joinRound()
+	shared := n.joinSharedBarrier()
 	select {
-	case <-round.done:
-		return round.sequence, round.err
+	case <-shared.done:
+		return shared.sequence, shared.err
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
--- a/internal/chain/barrier_rounds.go
+++ b/internal/chain/barrier_rounds.go
@@ -8,56 +8,57 @@
 	"nickelline/internal/peer"
 )
 
-// barrierRoundTimeout bounds the request to the head in a barrier round, which several callers share.
-const barrierRoundTimeout = 2 * time.Second
+// sharedBarrierTimeout bounds one barrier request to the head, whose answer several callers share.
+const sharedBarrierTimeout = 2 * time.Second
 
-// remoteBarriers shares barrier rounds among the callers at a replica that is not the head.
+// remoteBarriers shares barrier requests among the callers at a replica that is not the head.
 type remoteBarriers struct {
 	running bool
-	next    *barrierRound // to be run once the running one is over; nil if nobody waits for it
+	next    *sharedBarrier // to be requested once the running one is over; nil if nobody waits for it
 }
 
-// barrierRound is one barrier request to the head, with the callers that share its answer. It is not one of the
-// numbered rounds of headBarriers, which travel along the chain.
-type barrierRound struct {
+// sharedBarrier is one barrier request to the head and its answer, which several callers share. The head answers it by
+// one of the numbered rounds of headBarriers, which travel along the chain.
+type sharedBarrier struct {
 	done     chan struct{}
 	sequence uint64
 	err      error
 }
 
-// joinRound returns a round that had not begun before the call, so that it covers all that was committed by then.
-func (n *Node) joinRound() *barrierRound {
+// joinSharedBarrier returns a barrier that had not been requested before the call, so that it covers all that was
+// committed by then.
+func (n *Node) joinSharedBarrier() *sharedBarrier {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.barrierRounds.next == nil {
-		n.barrierRounds.next = &barrierRound{done: make(chan struct{})}
+	if n.sharedBarriers.next == nil {
+		n.sharedBarriers.next = &sharedBarrier{done: make(chan struct{})}
 	}
-	round := n.barrierRounds.next
-	if !n.barrierRounds.running {
-		n.barrierRounds.running = true
-		n.barrierRounds.next = nil
-		go n.runRounds(round)
+	shared := n.sharedBarriers.next
+	if !n.sharedBarriers.running {
+		n.sharedBarriers.running = true
+		n.sharedBarriers.next = nil
+		go n.runSharedBarriers(shared)
 	}
-	return round
+	return shared
 }
 
-// runRounds runs a round, and further ones as long as callers have joined meanwhile.
-func (n *Node) runRounds(round *barrierRound) {
-	for round != nil {
-		round.sequence, round.err = n.barrierAtHead()
-		close(round.done)
-		round = n.nextRound()
+// runSharedBarriers requests a barrier, and further ones as long as callers have joined meanwhile.
+func (n *Node) runSharedBarriers(shared *sharedBarrier) {
+	for shared != nil {
+		shared.sequence, shared.err = n.barrierAtHead()
+		close(shared.done)
+		shared = n.nextSharedBarrier()
 	}
 }
 
-// nextRound returns the round to run after one is over, nil if nobody waits.
-func (n *Node) nextRound() *barrierRound {
+// nextSharedBarrier returns the barrier to request after one is over, nil if nobody waits.
+func (n *Node) nextSharedBarrier() *sharedBarrier {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	round := n.barrierRounds.next
-	n.barrierRounds.next = nil
-	n.barrierRounds.running = round != nil
-	return round
+	shared := n.sharedBarriers.next
+	n.sharedBarriers.next = nil
+	n.sharedBarriers.running = shared != nil
+	return shared
 }
 
 // barrierAtHead asks the head of the view in force for a barrier.
@@ -70,7 +71,7 @@
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), barrierRoundTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), sharedBarrierTimeout)
 	defer cancel()
 	answer, err := n.callHead(ctx, head, peer.Message{Kind: kindBarrier, Body: body})
 	if err != nil {
--- a/internal/chain/completeness.go
+++ b/internal/chain/completeness.go
@@ -10,13 +10,13 @@
 // recordCompleteness writes a record to disk once the replica has synced what its predecessor had when their session
 // began. The replica is complete once the record is on disk.
 func (r *Replica) recordCompleteness() {
-	if r.complete() || r.completing == r.view.Epoch || !r.view.Has(r.self.Replica) {
+	if r.complete() || r.submittedCompleteEpoch == r.view.Epoch || !r.view.Has(r.self.Replica) {
 		return
 	}
 	if !r.upstream.started || r.synced < r.upstream.target {
 		return
 	}
-	r.completing = r.view.Epoch
+	r.submittedCompleteEpoch = r.view.Epoch
 	r.write(DiskOperation{Record: r.record(r.newestView())}, 0)
 }
 
--- a/internal/chain/discovery.go
+++ b/internal/chain/discovery.go
@@ -35,7 +35,7 @@
 
 // nextPeer returns the address of another replica, taking the replicas in turn. It reports false if there is none.
 func (r *Reconfigurer) nextPeer() (netip.AddrPort, bool) {
-	addresses := r.others()
+	addresses := r.otherAddresses()
 	if len(addresses) == 0 {
 		return netip.AddrPort{}, false
 	}
@@ -43,8 +43,8 @@
 	return addresses[r.peerIndex%len(addresses)], true
 }
 
-// others returns the addresses of the other replicas that may be up.
-func (r *Reconfigurer) others() []netip.AddrPort {
+// otherAddresses returns the addresses of the other replicas that may be up.
+func (r *Reconfigurer) otherAddresses() []netip.AddrPort {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var addresses []netip.AddrPort
--- a/internal/chain/downstream_entries.go
+++ b/internal/chain/downstream_entries.go
@@ -59,11 +59,11 @@
 
 // acknowledgeEntries records what a receiver, and all replicas after it, have on disk.
 func (r *Replica) acknowledgeEntries(now time.Duration, l *link, m Acknowledge) {
-	if m.Stored > l.stored || m.Synced > l.acked || m.Barrier > l.barrierAcked || m.Ready != l.ready {
+	if m.Stored > l.stored || m.Synced > l.syncedToTail || m.Barrier > l.barrierAcked || m.Ready != l.ready {
 		r.noteProgress(now, l)
 	}
 	l.stored = max(l.stored, min(m.Stored, l.next-1))
-	l.acked = max(l.acked, min(m.Synced, l.next-1))
+	l.syncedToTail = max(l.syncedToTail, min(m.Synced, l.next-1))
 	l.barrierAcked = max(l.barrierAcked, m.Barrier)
 	l.ready = m.Ready
 	if !l.outstanding() {
--- a/internal/chain/downstream_session.go
+++ b/internal/chain/downstream_session.go
@@ -24,7 +24,7 @@
 	l.state = linkConnecting
 	l.ready = false
 	l.stored = 0
-	l.acked = 0
+	l.syncedToTail = 0
 	l.snapshot = nil
 	l.committedSent = 0
 	l.barrierSent = 0
--- a/internal/chain/install_view.go
+++ b/internal/chain/install_view.go
@@ -56,7 +56,7 @@
 // record returns the record to store with a view. While a view is being installed, callers pass that view so that no
 // record replaces it with an older one.
 func (r *Replica) record(v view.View) *Record {
-	return &Record{View: v.Clone(), CompleteEpoch: max(r.completeEpoch, r.completing), Generation: r.generation}
+	return &Record{View: v.Clone(), CompleteEpoch: max(r.completeEpoch, r.submittedCompleteEpoch), Generation: r.generation}
 }
 
 // newestView returns the view that the record on disk holds, or will hold once it is written.
--- a/internal/chain/link.go
+++ b/internal/chain/link.go
@@ -24,13 +24,13 @@
 	to      view.Member
 	learner bool
 
-	session    Session
-	state      linkState
-	generation uint64 // of the receiver, from its History
-	next       uint64 // sequence of the next entry to send
-	stored     uint64 // sequence up to which the log is on the receiver's disk
-	acked      uint64 // sequence up to which the log is on the disks of the receiver and of all after it
-	ready      bool   // the chain is connected from the receiver to the tail
+	session      Session
+	state        linkState
+	generation   uint64 // of the receiver, from its History
+	next         uint64 // sequence of the next entry to send
+	stored       uint64 // sequence up to which the log is on the receiver's disk
+	syncedToTail uint64 // sequence up to which the log is on the disks of the receiver and of all after it
+	ready        bool   // the chain is connected from the receiver to the tail
 
 	committedSent uint64 // committed sequence that was sent last
 	barrierSent   uint64 // newest barrier round that was sent
@@ -60,7 +60,7 @@
 	if l.state != linkStreaming || l.stored < l.next-1 {
 		return true
 	}
-	return !l.learner && (!l.ready || l.acked < l.next-1 || l.barrierAcked < l.barrierSent)
+	return !l.learner && (!l.ready || l.syncedToTail < l.next-1 || l.barrierAcked < l.barrierSent)
 }
 
 // snapshotTotal returns the length of the snapshot in bytes, but at least 1 so that an empty one is acknowledged too.
--- a/internal/chain/node.go
+++ b/internal/chain/node.go
@@ -34,20 +34,20 @@
 	applier   *applier
 	closing   sync.Once
 
-	mutex         sync.Mutex
-	replica       *Replica
-	timer         *time.Timer
-	timerAt       time.Duration                 // when the timer fires, 0 if it is not set
-	failure       error                         // why the node no longer takes part in the protocol; nil while it does
-	lastID        uint64                        // newest identifier of a proposal, a barrier or a forwarded call
-	proposals     map[uint64]*proposalCall      // not appended yet, by identifier
-	accepted      map[uint64]*proposalCall      // appended and not applied yet, by sequence
-	barriers      map[uint64]chan BarrierResult // by identifier
-	barrierRounds remoteBarriers
-	forwarded     map[uint64]forwardedCall // calls to the head, by identifier
-	watchers      []*watcher
-	onCommit      []func(uint64)
-	onView        []func(view.View)
+	mutex          sync.Mutex
+	replica        *Replica
+	timer          *time.Timer
+	timerAt        time.Duration                 // when the timer fires, 0 if it is not set
+	failure        error                         // why the node no longer takes part in the protocol; nil while it does
+	lastID         uint64                        // newest identifier of a proposal, a barrier or a forwarded call
+	proposals      map[uint64]*proposalCall      // not appended yet, by identifier
+	accepted       map[uint64]*proposalCall      // appended and not applied yet, by sequence
+	barriers       map[uint64]chan BarrierResult // by identifier
+	sharedBarriers remoteBarriers
+	forwarded      map[uint64]forwardedCall // calls to the head, by identifier
+	watchers       []*watcher
+	onCommit       []func(uint64)
+	onView         []func(view.View)
 }
 
 // Open restores a replica from its directory, or creates an empty one, and takes part in the view that it has on disk.
--- a/internal/chain/propose_view.go
+++ b/internal/chain/propose_view.go
@@ -140,7 +140,7 @@
 func (r *Reconfigurer) broadcastView(v view.View) {
 	r.highestRound = 0
 	r.changeNeededSince = 0
-	addresses := r.others()
+	addresses := r.otherAddresses()
 	known := r.node.View()
 	for _, member := range slices.Concat(known.Members, known.Voters, v.Members, v.Voters) {
 		addresses = append(addresses, member.Address)
--- a/internal/chain/prover.go
+++ b/internal/chain/prover.go
@@ -40,7 +40,7 @@
 		return err
 	}
 	if status := p.reconfigurer.node.Status(); status.Epoch != v.Epoch || !status.Complete || status.Applied < status.LastAppended {
-		return fault.New(fault.NotReady, "%d entries of %d are applied here", status.Applied, status.LastAppended)
+		return fault.New(fault.NotReady, "applied up to entry %d of %d", status.Applied, status.LastAppended)
 	}
 	return nil
 }
--- a/internal/chain/replica.go
+++ b/internal/chain/replica.go
@@ -18,11 +18,11 @@
 	generation      uint64
 	limits          limits
 
-	view          view.View  // in force
-	term          uint64     // epoch of the first view of the term in which this replica is head, 0 if it is not
-	installing    *view.View // newer view that is being written to disk, nil if there is none
-	completeEpoch uint64     // latest epoch in which the replica was complete, 0 if it never was
-	completing    uint64     // epoch of the last record of completeness that was passed to the disk, 0 if there was none
+	view                   view.View  // in force
+	term                   uint64     // epoch of the first view of the term in which this replica is head, 0 if it is not
+	installing             *view.View // newer view that is being written to disk, nil if there is none
+	completeEpoch          uint64     // latest epoch in which the replica was complete, 0 if it never was
+	submittedCompleteEpoch uint64     // epoch of the last record of completeness passed to the disk, 0 if there was none
 
 	history   *history
 	synced    uint64 // the log is on this replica's disk up to this sequence
--- a/internal/chain/simulation_disk_losses_test.go
+++ b/internal/chain/simulation_disk_losses_test.go
@@ -41,7 +41,7 @@
 	}
 	for _, voter := range s.newest.Electorate() {
 		site := s.siteOf(voter)
-		if site == nil || !s.network.Up(site.address) || site.replica.View().Epoch != s.newest.Epoch || s.changing(site) {
+		if site == nil || !s.network.Up(site.address) || site.replica.View().Epoch != s.newest.Epoch || s.viewChangePending(site) {
 			return false
 		}
 		if s.newest.Has(voter.Replica) && !site.replica.complete() {
@@ -51,8 +51,8 @@
 	return true
 }
 
-// changing reports whether a site proposes a view, or has accepted one after the newest one.
-func (s *simulation) changing(site *site) bool {
+// viewChangePending reports whether a site proposes a view, or has accepted one after the newest one.
+func (s *simulation) viewChangePending(site *site) bool {
 	state := site.acceptor.State()
 	return site.proposer != nil || (state.Epoch > s.newest.Epoch && state.Accepted != nil)
 }
