--- a/internal/store/service.go
+++ b/internal/store/service.go
@@ -97,7 +97,7 @@
 	if !errors.Is(err, segment.ErrDamaged) {
 		return err
 	}
-	return errors.Join(merry.Prepend(err, "the replica is lost, the next start makes a new one"), s.discardAll())
+	return errors.Join(merry.Prepend(err, "replica files are damaged, the next start creates a new replica"), s.discardAll())
 }
 
 // partitionOfDirectory returns the number of the partition whose directory has the given name. It returns false if the name is not
