--- a/cmd/nickelline/operator_test.go
+++ b/cmd/nickelline/operator_test.go
@@ -211,11 +211,11 @@
 	n.bodies["GET /-/retire/s-1"] = `{"state":"completed"}`
 	output, err := runCommand(t, "retire", "s-1", "--node", address, "--duration", "10s")
 	if err != nil || !strings.Contains(output, "s-1 holds nothing any more") {
-		t.Errorf("%q, %v", output, err)
+		t.Errorf("retire: got output %q and error %v, want the message that s-1 holds nothing and no error", output, err)
 	}
 	output, err = runCommand(t, "retire", "s-1", "--node", address, "--no-wait", "--json")
 	if err != nil || !strings.Contains(output, `"completed": false`) {
-		t.Errorf("%q, %v", output, err)
+		t.Errorf("retire without waiting: got output %q and error %v, want completed to be false and no error", output, err)
 	}
 	n.statuses["POST /-/retire/s-2"] = http.StatusNotFound
 	_, err = runCommand(t, "retire", "s-2", "--node", address)
