--- a/decide/behaviour_test.go
+++ b/decide/behaviour_test.go
@@ -11,9 +11,9 @@
 // A backend that stops answering gets few requests, and they are answered elsewhere, also while the list is
 // unavailable. When it answers again, its load rises slowly, as it may be cold.
 func TestUnresponsiveBackendWhileListIsDown(t *testing.T) {
-	s := rigSettings()
+	s := fixtureSettings()
 	s.ListOnRequest = true
-	r := newRig(t, s, 5)
+	r := newModuleFixture(t, s, 5)
 	r.run(5*time.Second, 100, "cheap")
 	quick := r.delay
 	r.delay = func(id decide.BackendID) (time.Duration, decide.OutcomeCode) {
@@ -44,7 +44,7 @@
 
 // An unsafe request at a backend that does not answer is failed at its deadline, never repeated and never refused.
 func TestUnsafeTimeOutFails(t *testing.T) {
-	r := newRig(t, rigSettings(), 3)
+	r := newModuleFixture(t, fixtureSettings(), 3)
 	r.delay = func(decide.BackendID) (time.Duration, decide.OutcomeCode) { return time.Hour, decide.TimedOut }
 	r.run(5*time.Millisecond, 200, "unsafe")
 	r.run(3*time.Second, 0, "unsafe")
@@ -62,7 +62,7 @@
 		again bool
 	}{{"cheap", decide.BackendError, true}, {"cheap", decide.ConnectFailed, true}, {"unsafe", decide.BackendError, false},
 		{"unsafe", decide.Reset, false}, {"unsafe", decide.ConnectFailed, true}, {"unsafe", decide.Full, true}} {
-		r := newRig(t, rigSettings(), 3)
+		r := newModuleFixture(t, fixtureSettings(), 3)
 		r.run(3*time.Second, 100, "cheap")
 		r.run(time.Second, 0, "cheap")
 		r.reset()
@@ -84,7 +84,7 @@
 
 // A backend that fails fast must not attract traffic by its short latency.
 func TestFastFailingBackendAttractsNoTraffic(t *testing.T) {
-	r := newRig(t, rigSettings(), 4)
+	r := newModuleFixture(t, fixtureSettings(), 4)
 	r.delay = func(id decide.BackendID) (time.Duration, decide.OutcomeCode) {
 		if id == 2 {
 			return time.Millisecond, decide.BackendError
@@ -99,7 +99,7 @@
 
 // When all backends slow down at once, none is made a suspect: each keeps as many requests in flight as before.
 func TestFleetWideSlowdownMakesNoSuspects(t *testing.T) {
-	r := newRig(t, rigSettings(), 4)
+	r := newModuleFixture(t, fixtureSettings(), 4)
 	r.run(5*time.Second, 80, "cheap")
 	r.delay = func(decide.BackendID) (time.Duration, decide.OutcomeCode) { return 150 * time.Millisecond, decide.OK }
 	r.reset()
@@ -118,8 +118,8 @@
 func TestNoUsableBackendOrOddSettings(t *testing.T) {
 	drained := []decide.Backend{{ID: 1, State: decide.Draining}}
 	for _, list := range [][]decide.Backend{nil, drained} {
-		for _, s := range []decide.Settings{{}, rigSettings()} {
-			r := newRig(t, s, 0)
+		for _, s := range []decide.Settings{{}, fixtureSettings()} {
+			r := newModuleFixture(t, s, 0)
 			r.feed(decide.ListUpdate{Kind: decide.ListFull, Entries: list})
 			r.feed(decide.RequestArrived{ID: "a", Class: "unknown", Patience: time.Second})
 			if _, ok := r.finalActions["a"].(decide.Refuse); !ok || len(r.sent) != 0 {
@@ -127,7 +127,7 @@
 			}
 		}
 	}
-	r := newRig(t, decide.Settings{}, 2) // no classes at all
+	r := newModuleFixture(t, decide.Settings{}, 2) // no classes at all
 	r.feed(decide.RequestArrived{ID: "a", Class: "x", Patience: 0})
 	if _, ok := r.finalActions["a"].(decide.Refuse); !ok {
 		t.Error("zero patience was not refused")
@@ -146,9 +146,9 @@
 // is late, and the backends come back as new processes. The remaining backends must not be overloaded, and the load on
 // those that return must rise slowly.
 func TestZoneLostWithItsNodesAndBackCold(t *testing.T) {
-	s := rigSettings()
+	s := fixtureSettings()
 	s.Nodes = 2
-	r := newRig(t, s, 8)
+	r := newModuleFixture(t, s, 8)
 	r.run(10*time.Second, 60, "cheap")
 	lost := func(id decide.BackendID) bool { return id > 4 }
 	up := r.delay
@@ -207,12 +207,12 @@
 // started.
 func TestManyNodesTogetherKeepColdBudget(t *testing.T) {
 	const nodes = 60
-	s := rigSettings()
+	s := fixtureSettings()
 	s.Nodes = nodes
 	total := 0
 	for self := range nodes {
 		s.Self = self
-		r := newRig(t, s, 10)
+		r := newModuleFixture(t, s, 10)
 		r.m = decide.New(s, int64(self))
 		var list []decide.Backend
 		for i := range 10 {
@@ -239,7 +239,7 @@
 
 // Log lines are limited even where a backend keeps failing and recovering.
 func TestLogIsLimited(t *testing.T) {
-	r := newRig(t, rigSettings(), 3)
+	r := newModuleFixture(t, fixtureSettings(), 3)
 	r.run(3*time.Second, 100, "cheap")
 	n := 0
 	r.delay = func(id decide.BackendID) (time.Duration, decide.OutcomeCode) {
@@ -261,7 +261,7 @@
 }
 
 func BenchmarkRequest(b *testing.B) {
-	m := decide.New(rigSettings(), 1)
+	m := decide.New(fixtureSettings(), 1)
 	var list []decide.Backend
 	for i := range 20 {
 		list = append(list, decide.Backend{ID: decide.BackendID(i + 1)})
--- a/decide/checker_test.go
+++ b/decide/checker_test.go
@@ -14,7 +14,7 @@
 }
 
 // checkSend records each rule that a Send breaks.
-func (w *world) checkSend(q *liveRequest, a decide.Send) {
+func (w *ruleSimulation) checkSend(q *liveRequest, a decide.Send) {
 	s := w.backends[a.Backend]
 	if s == nil {
 		w.violation("send to backend %d, which was never listed", a.Backend)
@@ -62,7 +62,7 @@
 }
 
 // final records the final answer of a request, and a violation if it is not the first.
-func (w *world) final(id decide.RequestID) *liveRequest {
+func (w *ruleSimulation) final(id decide.RequestID) *liveRequest {
 	q := w.requests[id]
 	if q == nil {
 		w.violation("answer to an unknown request")
--- a/decide/fault_test.go
+++ b/decide/fault_test.go
@@ -12,7 +12,7 @@
 // once they answer it.
 func TestBackendsThatFailOneClass(t *testing.T) {
 	const backends = 6
-	r := newRig(t, rigSettings(), backends)
+	r := newModuleFixture(t, fixtureSettings(), backends)
 	r.patience = 600 * time.Millisecond
 	r.delay = func(decide.BackendID) (time.Duration, decide.OutcomeCode) { return 150 * time.Millisecond, decide.OK }
 	failing := true
--- a/decide/golden_test.go
+++ b/decide/golden_test.go
@@ -38,7 +38,7 @@
 	var text strings.Builder
 	for seed := int64(1); seed <= 25; seed++ {
 		d := newDigest()
-		simulate(seed, 15*time.Second, func(w *world, actions []decide.Action) []decide.Action {
+		simulate(seed, 15*time.Second, func(w *ruleSimulation, actions []decide.Action) []decide.Action {
 			d.add(0, w.now, actions)
 			return actions
 		})
@@ -77,7 +77,7 @@
 	random   *rand.Rand
 	now      time.Duration
 	modules  []*decide.Module
-	held     []int // requests in flight, by backend
+	inFlight []int // requests in flight, by backend
 	attempts map[string]int
 	due      []goldenEvent
 	next     int
@@ -95,7 +95,7 @@
 
 func newGoldenFleet(nodes, backends int, rate float64, via decide.ReportVia) *goldenFleet {
 	f := &goldenFleet{rate: rate, random: rand.New(rand.NewSource(int64(nodes*1000 + backends))), now: time.Hour,
-		held: make([]int, backends), attempts: map[string]int{}, digest: newDigest()}
+		inFlight: make([]int, backends), attempts: map[string]int{}, digest: newDigest()}
 	ms := time.Millisecond
 	f.settings = decide.Settings{Nodes: nodes, Zone: "z0", MaxAttempts: 3, MayOverlap: true, MayCancel: true, MayMessage: true,
 		MayRetryAfter: true, MaxRetryAfter: time.Second, ConnectTimeout: 100 * ms, MinTick: goldenStep, ListOnRequest: true,
@@ -126,7 +126,7 @@
 	settings.Self = node
 	f.modules[node] = decide.New(settings, int64(node+f.next))
 	list := decide.ListUpdate{Kind: decide.ListCached, Version: 1}
-	for backend := range f.held {
+	for backend := range f.inFlight {
 		list.Entries = append(list.Entries, f.entry(backend, decide.Ready, 0))
 	}
 	f.feed(node, list)
@@ -162,13 +162,13 @@
 
 func (f *goldenFleet) attempt(node int, a decide.Send) {
 	backend := int(a.Backend) - 1
-	f.held[backend]++
-	took := time.Duration(float64(40*time.Millisecond) * (0.5 + f.random.ExpFloat64()) * (1 + float64(f.held[backend])/6))
+	f.inFlight[backend]++
+	took := time.Duration(float64(40*time.Millisecond) * (0.5 + f.random.ExpFloat64()) * (1 + float64(f.inFlight[backend])/6))
 	code := decide.OK
 	switch draw := f.random.Intn(100); {
 	case draw < 3:
 		code = []decide.OutcomeCode{decide.BackendError, decide.Reset, decide.ConnectFailed}[draw]
-	case f.held[backend] > 40 || draw == 3:
+	case f.inFlight[backend] > 40 || draw == 3:
 		code, took = decide.Full, goldenStep
 	case backend == 1 && f.now%(16*time.Second) > 11*time.Second: // it answers nothing for 5 s of 16 s
 		code, took = decide.TimedOut, time.Hour
@@ -181,8 +181,8 @@
 		NewConnection: f.random.Intn(4) == 0}
 	f.attempts[key]++
 	if f.settings.ReportVia == decide.ReportAnswers && code == decide.OK {
-		end.Report = &decide.Report{InFlight: float64(f.held[backend]), HasInFlight: true,
-			Utilisation: min(1, float64(f.held[backend])/6)}
+		end.Report = &decide.Report{InFlight: float64(f.inFlight[backend]), HasInFlight: true,
+			Utilisation: min(1, float64(f.inFlight[backend])/6)}
 	}
 	f.after(took, goldenEvent{node: node, backend: backend, event: end})
 }
@@ -213,7 +213,7 @@
 			continue
 		}
 		if e.backend >= 0 {
-			f.held[e.backend]--
+			f.inFlight[e.backend]--
 		}
 		f.feed(e.node, e.event)
 	}
@@ -230,7 +230,7 @@
 // changeList notifies all nodes that one backend has restarted, drains or is gone, or sends them the full list.
 func (f *goldenFleet) changeList() {
 	list := decide.ListUpdate{Kind: decide.ListChanges, Version: uint64(f.next)}
-	backend := f.random.Intn(len(f.held))
+	backend := f.random.Intn(len(f.inFlight))
 	switch f.random.Intn(4) {
 	case 0:
 		list.Entries = []decide.Backend{f.entry(backend, decide.Draining, 0)}
@@ -240,7 +240,7 @@
 		list.Entries = []decide.Backend{f.entry(backend, decide.Ready, f.now)}
 	default:
 		list.Kind = decide.ListFull
-		for backend := range f.held {
+		for backend := range f.inFlight {
 			list.Entries = append(list.Entries, f.entry(backend, decide.Ready, 0))
 		}
 	}
--- a/decide/many_test.go
+++ b/decide/many_test.go
@@ -26,9 +26,9 @@
 	return l
 }
 
-// drive simulates seconds of traffic at one node, four requests per second, each answered after took. It returns how
-// many of each class were sent, and the time of the last step.
-func drive(m *Module, from Time, seconds int, took time.Duration, report *Report) (map[string]int, Time) {
+// simulateTraffic simulates seconds of traffic at one node, four requests per second, each answered after took. It
+// returns how many of each class were sent, and the time of the last step.
+func simulateTraffic(m *Module, from Time, seconds int, took time.Duration, report *Report) (map[string]int, Time) {
 	sent, id := map[string]int{}, 0
 	now := from
 	type due struct {
@@ -68,7 +68,7 @@
 		s.Self = self
 		m := New(s, int64(self))
 		m.Handle(time.Hour, readyList(backends))
-		drive(m, time.Hour, 3, 100*time.Millisecond, nil)
+		simulateTraffic(m, time.Hour, 3, 100*time.Millisecond, nil)
 		if len(m.subset) < 8 || len(m.subset) > 16 {
 			t.Fatalf("node %d uses %d of %d backends, want 8 to 16", self, len(m.subset), backends)
 		}
@@ -103,20 +103,20 @@
 func TestPartialViewShedsByLatencyAndRecovers(t *testing.T) {
 	m := New(largeFleetSettings(600), 3)
 	m.Handle(time.Hour, readyList(180))
-	light, now := drive(m, time.Hour, 20, 60*time.Millisecond, nil)
+	light, now := simulateTraffic(m, time.Hour, 20, 60*time.Millisecond, nil)
 	if light["valuable"] < 39 || light["cheap"] < 39 {
 		t.Errorf("light load: %v sent of 40 each", light)
 	}
-	high, now := drive(m, now, 10, 240*time.Millisecond, nil)
+	high, now := simulateTraffic(m, now, 10, 240*time.Millisecond, nil)
 	if high["cheap"] > 15 || high["valuable"] < 6 || m.otherDrop == 0 {
 		t.Errorf("high load: %v sent of 20 each, q2 %v", high, m.otherDrop)
 	}
-	overloaded, now := drive(m, now, 10, 700*time.Millisecond, nil)
+	overloaded, now := simulateTraffic(m, now, 10, 700*time.Millisecond, nil)
 	if overloaded["cheap"] > 10 || overloaded["valuable"] > 15 || m.priorityDrop == 0 {
 		t.Errorf("overload: %v sent of 20 each, q1 %v", overloaded, m.priorityDrop)
 	}
-	_, now = drive(m, now, 15, 60*time.Millisecond, nil)
-	if after, _ := drive(m, now, 10, 60*time.Millisecond, nil); after["cheap"] < 18 || after["valuable"] < 18 {
+	_, now = simulateTraffic(m, now, 15, 60*time.Millisecond, nil)
+	if after, _ := simulateTraffic(m, now, 10, 60*time.Millisecond, nil); after["cheap"] < 18 || after["valuable"] < 18 {
 		t.Errorf("light load again: %v sent of 20 each", after)
 	}
 }
@@ -131,7 +131,7 @@
 	}{{0, Normal}, {10, Normal}, {16, Normal}, {45, Overloaded}, {120, Blocking}} {
 		m := New(largeFleetSettings(600), 3)
 		m.Handle(time.Hour, readyList(8))
-		_, now := drive(m, time.Hour, 10, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
+		_, now := simulateTraffic(m, time.Hour, 10, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
 		m.now = now
 		b := m.subset[0]
 		m.recordReport(b, &Report{InFlight: c.inFlight, HasInFlight: true})
@@ -162,9 +162,9 @@
 	for _, v := range []float64{math.NaN(), math.Inf(1), -5, 1e300} {
 		m := New(largeFleetSettings(600), 3)
 		m.Handle(time.Hour, readyList(8))
-		_, now := drive(m, time.Hour, 5, 60*time.Millisecond, &Report{InFlight: v, HasInFlight: true})
-		_, now = drive(m, now, 30, 60*time.Millisecond, nil)
-		if sent, _ := drive(m, now, 10, 60*time.Millisecond, nil); sent["valuable"]+sent["cheap"] < 36 {
+		_, now := simulateTraffic(m, time.Hour, 5, 60*time.Millisecond, &Report{InFlight: v, HasInFlight: true})
+		_, now = simulateTraffic(m, now, 30, 60*time.Millisecond, nil)
+		if sent, _ := simulateTraffic(m, now, 10, 60*time.Millisecond, nil); sent["valuable"]+sent["cheap"] < 36 {
 			t.Errorf("35 s after reports of %v: %v sent of 20 each", v, sent)
 		}
 	}
@@ -175,11 +175,11 @@
 func TestOverloadDoesNotRaiseSaturation(t *testing.T) {
 	m := New(largeFleetSettings(600), 3)
 	m.Handle(time.Hour, readyList(8))
-	_, now := drive(m, time.Hour, 20, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
+	_, now := simulateTraffic(m, time.Hour, 20, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
 	if saturation := m.saturationInFlight(); saturation < 18 || saturation > 25 {
 		t.Fatalf("with 10 requests in flight at a utilisation of 0.5: got saturation %.1f, want 18 to 25", saturation)
 	}
-	drive(m, now, 20, 60*time.Millisecond, &Report{InFlight: 80, HasInFlight: true, Utilisation: 1})
+	simulateTraffic(m, now, 20, 60*time.Millisecond, &Report{InFlight: 80, HasInFlight: true, Utilisation: 1})
 	if saturation := m.saturationInFlight(); saturation < 18 || saturation > 25 {
 		t.Errorf("in an overload: got saturation %.1f, want 18 to 25", saturation)
 	}
@@ -190,7 +190,7 @@
 func TestTimeOutsShowOverload(t *testing.T) {
 	m := New(largeFleetSettings(600), 3)
 	m.Handle(time.Hour, readyList(8))
-	_, now := drive(m, time.Hour, 20, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
+	_, now := simulateTraffic(m, time.Hour, 20, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
 	now += 20 * time.Second
 	var b *backend
 	for _, a := range m.Handle(now, RequestArrived{ID: "late", Class: "valuable", Patience: 500 * time.Millisecond}) {
@@ -220,7 +220,7 @@
 	const took = 250 * time.Millisecond // of a target of 600 ms
 	m := New(largeFleetSettings(600), 3)
 	m.Handle(time.Hour, readyList(40))
-	_, now := drive(m, time.Hour, 20, took, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
+	_, now := simulateTraffic(m, time.Hour, 20, took, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
 	for _, b := range m.backends {
 		m.markSuspect(b, "test")
 	}
@@ -263,7 +263,7 @@
 func TestBackendsWithoutReportsDoNotLookEmpty(t *testing.T) {
 	m := New(largeFleetSettings(300), 3)
 	m.Handle(time.Hour, readyList(40))
-	_, now := drive(m, time.Hour, 20, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
+	_, now := simulateTraffic(m, time.Hour, 20, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
 	now += 10 * time.Second
 	if mode := m.modeOf(m.subset[0]); mode != Normal {
 		t.Fatalf("got mode %v under ordinary load, want normal", mode)
@@ -286,7 +286,7 @@
 func TestOwnRequestsCountByShare(t *testing.T) {
 	m := New(largeFleetSettings(300), 3)
 	m.Handle(time.Hour, readyList(40))
-	_, now := drive(m, time.Hour, 20, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
+	_, now := simulateTraffic(m, time.Hour, 20, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
 	m.now = now + time.Second
 	b := m.subset[0]
 	for _, c := range []struct {
@@ -305,12 +305,12 @@
 func TestFirstAnswerDoesNotSetMinLatency(t *testing.T) {
 	m := New(largeFleetSettings(600), 3)
 	m.Handle(time.Hour, readyList(180))
-	_, now := drive(m, time.Hour, 1, 5*time.Millisecond, nil)
-	light, now := drive(m, now, 20, 60*time.Millisecond, nil)
+	_, now := simulateTraffic(m, time.Hour, 1, 5*time.Millisecond, nil)
+	light, now := simulateTraffic(m, now, 20, 60*time.Millisecond, nil)
 	if light["valuable"] < 39 || light["cheap"] < 39 {
 		t.Errorf("after fast first answers: %v sent of 40 each", light)
 	}
-	if overloaded, _ := drive(m, now, 10, 700*time.Millisecond, nil); overloaded["cheap"] > 10 {
+	if overloaded, _ := simulateTraffic(m, now, 10, 700*time.Millisecond, nil); overloaded["cheap"] > 10 {
 		t.Errorf("overload: %v sent of 20 each", overloaded)
 	}
 }
--- a/decide/overload_test.go
+++ b/decide/overload_test.go
@@ -11,9 +11,9 @@
 
 // Light traffic is not refused, also with many backends and few requests.
 func TestLightTrafficIsServed(t *testing.T) {
-	s := rigSettings()
+	s := fixtureSettings()
 	s.Nodes = 6
-	r := newRig(t, s, 15)
+	r := newModuleFixture(t, s, 15)
 	r.run(4*time.Second, 30, "cheap")
 	r.reset()
 	r.run(20*time.Second, 30, "cheap")
@@ -36,7 +36,7 @@
 		{"cores all busy", 400 * time.Millisecond, 1, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, rigSettings(), 4)
+			r := newModuleFixture(t, fixtureSettings(), 4)
 			r.delay = func(decide.BackendID) (time.Duration, decide.OutcomeCode) { return c.took, decide.OK }
 			r.report = func(decide.BackendID) *decide.Report { return &decide.Report{Utilisation: c.busy} }
 			r.run(5*time.Second, 20, "valuable") // the module learns the latency
@@ -55,7 +55,7 @@
 
 // Under overload the class of low value is shed first.
 func TestOverloadShedsByValue(t *testing.T) {
-	r := newRig(t, rigSettings(), 3)
+	r := newModuleFixture(t, fixtureSettings(), 3)
 	busy := map[decide.BackendID]time.Duration{}
 	r.delay = func(id decide.BackendID) (time.Duration, decide.OutcomeCode) { // one request at a time, 20 ms each
 		busy[id] = max(busy[id], r.now) + 20*time.Millisecond
@@ -78,7 +78,7 @@
 
 // A backend that rejects a request is blocked for one validity period only.
 func TestBlockAfterRejectionLapses(t *testing.T) {
-	r := newRig(t, rigSettings(), 1)
+	r := newModuleFixture(t, fixtureSettings(), 1)
 	r.delay = func(decide.BackendID) (time.Duration, decide.OutcomeCode) { return time.Millisecond, decide.Full }
 	r.run(5*time.Millisecond, 200, "cheap")
 	r.run(100*time.Millisecond, 0, "cheap")
@@ -97,7 +97,7 @@
 // Consecutive rejections back off: many nodes that each come back after one validity period would keep an overload
 // going.
 func TestConsecutiveRejectionsBackOff(t *testing.T) {
-	r := newRig(t, rigSettings(), 1)
+	r := newModuleFixture(t, fixtureSettings(), 1)
 	r.delay = func(decide.BackendID) (time.Duration, decide.OutcomeCode) { return time.Millisecond, decide.Full }
 	r.run(20*time.Second, 20, "cheap")
 	if r.sent[1] == 0 || r.sent[1] > 12 {
@@ -117,7 +117,7 @@
 // fleet happens to have in flight (without minWindow 60 of 300 were served in time). The requests that are still
 // refused here are the price of not knowing that backends could do more.
 func TestOneClassSuddenlyExpensive(t *testing.T) {
-	r := newRig(t, rigSettings(), 6)
+	r := newModuleFixture(t, fixtureSettings(), 6)
 	mixed := func(length time.Duration) {
 		for end := r.now + length; r.now < end; {
 			r.run(50*time.Millisecond, 61, "cheap")
@@ -152,7 +152,7 @@
 // Overload in which each refused client retries twice: the valuable class is still served, the backends' queues stay
 // short, and clients are not all asked to wait for the same time.
 func TestOverloadWithClientRetries(t *testing.T) {
-	r := newRig(t, rigSettings(), 4)
+	r := newModuleFixture(t, fixtureSettings(), 4)
 	r.retries, r.patience = 2, 1200*time.Millisecond
 	free := map[decide.BackendID]time.Duration{}
 	longest := time.Duration(0)
@@ -193,9 +193,9 @@
 // Guards against forgetting the baseline latency: in an overload of a minute, the queues that it causes must not come
 // to look normal, or they grow until backends become slow.
 func TestLongOverloadDoesNotLengthenQueues(t *testing.T) {
-	s := rigSettings()
+	s := fixtureSettings()
 	s.Classes[1].Target = 10 * time.Second // so long that only the baseline latency bounds the queue
-	r := newRig(t, s, 4)
+	r := newModuleFixture(t, s, 4)
 	free := map[decide.BackendID]time.Duration{}
 	var latencySum, answers time.Duration
 	r.delay = func(id decide.BackendID) (time.Duration, decide.OutcomeCode) { // one request at a time, 20 ms each
--- a/decide/peers_test.go
+++ b/decide/peers_test.go
@@ -45,19 +45,19 @@
 func TestRestartedNodeAdoptsEstimates(t *testing.T) {
 	ordinary, overload := &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5}, &Report{InFlight: 80, HasInFlight: true, Utilisation: 1}
 	old, _ := newAskingNode(t, 7, time.Hour)
-	_, now := drive(old, time.Hour, 20, 60*time.Millisecond, ordinary)
+	_, now := simulateTraffic(old, time.Hour, 20, 60*time.Millisecond, ordinary)
 	fresh, asked := newAskingNode(t, 8, now)
 	answers := messages(old.Handle(now, MessageReceived{From: 8, Data: asked[0].Data}))
 	if len(answers) != 1 || answers[0].To != 8 || len(answers[0].Data) > 256 {
 		t.Fatalf("answers %+v", answers)
 	}
 	fresh.Handle(now+30*time.Millisecond, MessageReceived{From: 7, Data: answers[0].Data})
-	sent, later := drive(fresh, now+50*time.Millisecond, 20, 500*time.Millisecond, overload)
+	sent, later := simulateTraffic(fresh, now+50*time.Millisecond, 20, 500*time.Millisecond, overload)
 	if saturation := fresh.saturationInFlight(); saturation < 18 || saturation > 25 || sent["cheap"] > 20 {
 		t.Errorf("started in an overload: got saturation %.1f, want 18 to 25; %v sent of 40 each", saturation, sent)
 	}
 	alone, _ := newAskingNode(t, 9, now)
-	drive(alone, now+50*time.Millisecond, 20, 500*time.Millisecond, overload)
+	simulateTraffic(alone, now+50*time.Millisecond, 20, 500*time.Millisecond, overload)
 	if saturation := alone.saturationInFlight(); saturation < 40 {
 		t.Errorf("without estimates from others: got saturation %.1f, want at least 40 for this test to be meaningful", saturation)
 	}
@@ -105,7 +105,7 @@
 // No malformed message has a harmful effect.
 func TestMalformedMessages(t *testing.T) {
 	old, asked := newAskingNode(t, 7, time.Hour)
-	_, now := drive(old, time.Hour, 20, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
+	_, now := simulateTraffic(old, time.Hour, 20, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
 	good := messages(old.Handle(now, MessageReceived{From: 8, Data: asked[0].Data}))[0].Data
 	random := rand.New(rand.NewPCG(1, 2))
 	for i := range 2000 {
@@ -127,7 +127,7 @@
 				t.Fatalf("%x: adopts %v", data, *s)
 			}
 		}
-		drive(m, now+50*time.Millisecond, 1, 60*time.Millisecond, nil)
+		simulateTraffic(m, now+50*time.Millisecond, 1, 60*time.Millisecond, nil)
 		if n, h := m.load(m.subset[0]); n != n || h != h {
 			t.Fatalf("%x: n %v, H %v", data, n, h)
 		}
--- a/decide/rig_test.go
+++ b/decide/rig_test.go
@@ -9,13 +9,13 @@
 	"nickelline/decide"
 )
 
-// rig feeds one module with the events of a simulated fleet whose latencies the test sets.
-type rig struct {
+// moduleFixture feeds one module with the events of a simulated fleet whose latencies the test sets.
+type moduleFixture struct {
 	t            *testing.T
 	m            *decide.Module
 	now          time.Duration
 	delay        func(b decide.BackendID) (time.Duration, decide.OutcomeCode)
-	due          []rigEvent
+	due          []fixtureEvent
 	sent         map[decide.BackendID]int
 	finalActions map[decide.RequestID]decide.Action
 	attempts     map[decide.RequestID]int
@@ -33,12 +33,12 @@
 	subscriptions, next, backendLines, suspects, statusLines int
 }
 
-type rigEvent struct {
+type fixtureEvent struct {
 	at time.Duration
 	e  decide.Event
 }
 
-func rigSettings() decide.Settings {
+func fixtureSettings() decide.Settings {
 	return decide.Settings{Nodes: 1, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond, MaxListAge: 10 * time.Second,
 		ConnectTimeout: 100 * time.Millisecond, ColdStartShare: 0.3, WarmUpTime: 8 * time.Second, OverloadFactor: 2.5,
 		OverloadTime: time.Second, MayRetryAfter: true, MaxRetryAfter: time.Second,
@@ -48,8 +48,8 @@
 			{Name: "unsafe", Value: 1, Target: 1500 * time.Millisecond, Deadline: 2 * time.Second, Effect: decide.Unsafe}}}
 }
 
-func newRig(t *testing.T, s decide.Settings, backends int) *rig {
-	r := &rig{t: t, m: decide.New(s, 5), now: time.Hour, sent: map[decide.BackendID]int{}, answered: map[decide.RequestID]bool{},
+func newModuleFixture(t *testing.T, s decide.Settings, backends int) *moduleFixture {
+	r := &moduleFixture{t: t, m: decide.New(s, 5), now: time.Hour, sent: map[decide.BackendID]int{}, answered: map[decide.RequestID]bool{},
 		finalActions: map[decide.RequestID]decide.Action{}, attempts: map[decide.RequestID]int{}, patience: 2 * time.Second,
 		inTime: map[string]int{}, arrivedAt: map[decide.RequestID]time.Duration{}}
 	r.work = func(decide.RequestID) time.Duration { return 0 }
@@ -62,7 +62,7 @@
 	return r
 }
 
-func (r *rig) feed(e decide.Event) {
+func (r *moduleFixture) feed(e decide.Event) {
 	for _, a := range r.m.Handle(r.now, e) {
 		switch a := a.(type) {
 		case decide.Send:
@@ -81,9 +81,9 @@
 			if r.report != nil {
 				end.Report = r.report(a.Backend)
 			}
-			r.due = append(r.due, rigEvent{r.now + d, end})
+			r.due = append(r.due, fixtureEvent{r.now + d, end})
 		case decide.CancelAttempt:
-			r.due = append(r.due, rigEvent{r.now + time.Millisecond, decide.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: decide.Cancelled}})
+			r.due = append(r.due, fixtureEvent{r.now + time.Millisecond, decide.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: decide.Cancelled}})
 		case decide.Refuse:
 			r.refused++
 			r.answered[a.ID], r.finalActions[a.ID] = true, a
@@ -91,14 +91,14 @@
 			class, try, _ := strings.Cut(string(a.ID), "/")
 			if left := r.patience - (r.now + a.RetryAfter - r.arrivedAt[decide.RequestID(class)]); len(try) < r.retries && left > 0 {
 				id := decide.RequestID(class + "/" + try + "x")
-				r.due = append(r.due, rigEvent{r.now + a.RetryAfter, decide.RequestArrived{ID: id, Class: strings.TrimRight(class,
+				r.due = append(r.due, fixtureEvent{r.now + a.RetryAfter, decide.RequestArrived{ID: id, Class: strings.TrimRight(class,
 					"0123456789"), Patience: left}})
 			}
 		case decide.Fail:
 			r.failed++
 			r.answered[a.ID], r.finalActions[a.ID] = true, a
 		case decide.SetTimer:
-			r.due = append(r.due, rigEvent{r.now + a.After, decide.TimerFired{Token: a.Token}})
+			r.due = append(r.due, fixtureEvent{r.now + a.After, decide.TimerFired{Token: a.Token}})
 		case decide.Log:
 			if strings.HasPrefix(a.Line, "server ") {
 				r.backendLines++
@@ -110,16 +110,16 @@
 			}
 		case decide.Subscribe:
 			r.subscriptions++
-			r.due = append(r.due, rigEvent{r.now + time.Second, decide.ListUpdate{Kind: decide.ListFailed}})
+			r.due = append(r.due, fixtureEvent{r.now + time.Second, decide.ListUpdate{Kind: decide.ListFailed}})
 		}
 	}
 }
 
 // run simulates a stretch of time with rate arrivals per second of a class.
-func (r *rig) run(length time.Duration, rate float64, class string) {
+func (r *moduleFixture) run(length time.Duration, rate float64, class string) {
 	arrived := 0.0
 	for end := r.now + length; r.now < end; r.now += 5 * time.Millisecond {
-		var rest, now []rigEvent
+		var rest, now []fixtureEvent
 		for _, d := range r.due {
 			if d.at <= r.now {
 				now = append(now, d)
@@ -149,4 +149,4 @@
 	}
 }
 
-func (r *rig) reset() { r.sent, r.refused, r.failed = map[decide.BackendID]int{}, 0, 0 }
+func (r *moduleFixture) reset() { r.sent, r.refused, r.failed = map[decide.BackendID]int{}, 0, 0 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -11,8 +11,8 @@
 
 const testRate = 60 // arrivals per second
 
-func simulate(seed int64, length time.Duration, mutate func(*world, []decide.Action) []decide.Action) *world {
-	w := newWorld(seed)
+func simulate(seed int64, length time.Duration, mutate func(*ruleSimulation, []decide.Action) []decide.Action) *ruleSimulation {
+	w := newRuleSimulation(seed)
 	w.capacity, w.mutate = testRate/3, mutate
 	w.run(length, testRate, true)
 	w.run(12*time.Second, 0, false) // let all deadlines pass
@@ -42,9 +42,9 @@
 
 // TestSameEventsSameActions runs the same seed twice and compares the actions.
 func TestSameEventsSameActions(t *testing.T) {
-	w := newWorld(7)
+	w := newRuleSimulation(7)
 	w.run(10*time.Second, testRate, false)
-	again := newWorld(7)
+	again := newRuleSimulation(7)
 	again.run(10*time.Second, testRate, false)
 	if len(w.actions) < 500 || len(w.actions) != len(again.actions) {
 		t.Fatalf("got %d and %d steps, want the same number, 500 at least", len(w.actions), len(again.actions))
@@ -57,11 +57,11 @@
 }
 
 // mutation is a simulated defect of a module: it returns the actions that replace one action.
-type mutation func(w *world, a decide.Action) []decide.Action
+type mutation func(w *ruleSimulation, a decide.Action) []decide.Action
 
 // onSends returns a mutation that replaces Sends.
-func onSends(replace func(w *world, s decide.Send) []decide.Action) mutation {
-	return func(w *world, a decide.Action) []decide.Action {
+func onSends(replace func(w *ruleSimulation, s decide.Send) []decide.Action) mutation {
+	return func(w *ruleSimulation, a decide.Action) []decide.Action {
 		if s, ok := a.(decide.Send); ok {
 			return replace(w, s)
 		}
@@ -70,7 +70,7 @@
 }
 
 // redirect returns s with another backend, if one is ready.
-func redirect(w *world, s decide.Send) decide.Send {
+func redirect(w *ruleSimulation, s decide.Send) decide.Send {
 	for _, id := range w.ids {
 		if l := w.backends[id]; id != s.Backend && l.drainNotified == 0 {
 			s.Backend = id
@@ -81,7 +81,7 @@
 }
 
 // redirectToLast returns s with the last backend for which matches is true.
-func redirectToLast(w *world, s decide.Send, matches func(*listed) bool) []decide.Action {
+func redirectToLast(w *ruleSimulation, s decide.Send, matches func(*listed) bool) []decide.Action {
 	for _, id := range w.ids {
 		if matches(w.backends[id]) {
 			s.Backend = id
@@ -90,32 +90,34 @@
 	return []decide.Action{s}
 }
 
-func sendTwice(w *world, s decide.Send) []decide.Action { return []decide.Action{s, redirect(w, s)} }
+func sendTwice(w *ruleSimulation, s decide.Send) []decide.Action {
+	return []decide.Action{s, redirect(w, s)}
+}
 
-func sendToUnlisted(_ *world, s decide.Send) []decide.Action {
+func sendToUnlisted(_ *ruleSimulation, s decide.Send) []decide.Action {
 	s.Backend = 12345
 	return []decide.Action{s}
 }
 
-func sendToDraining(w *world, s decide.Send) []decide.Action {
+func sendToDraining(w *ruleSimulation, s decide.Send) []decide.Action {
 	return redirectToLast(w, s, func(l *listed) bool { return l.drainNotified > 0 })
 }
 
-func sendToCold(w *world, s decide.Send) []decide.Action {
+func sendToCold(w *ruleSimulation, s decide.Send) []decide.Action {
 	return redirectToLast(w, s, func(l *listed) bool {
 		return l.startNotified && l.drainNotified == 0 && w.now-l.StartedAt < 2*time.Second
 	})
 }
 
-func sendTooOften(_ *world, s decide.Send) []decide.Action {
+func sendTooOften(_ *ruleSimulation, s decide.Send) []decide.Action {
 	return []decide.Action{s, s, s, s, s, s}
 }
 
-func cancelUnknown(_ *world, s decide.Send) []decide.Action {
+func cancelUnknown(_ *ruleSimulation, s decide.Send) []decide.Action {
 	return []decide.Action{s, decide.CancelAttempt{ID: s.ID, Attempt: 9}}
 }
 
-func answerNothing(_ *world, a decide.Action) []decide.Action {
+func answerNothing(_ *ruleSimulation, a decide.Action) []decide.Action {
 	switch a.(type) {
 	case decide.Fail, decide.Refuse:
 		return nil
@@ -123,38 +125,38 @@
 	return []decide.Action{a}
 }
 
-func failTwice(_ *world, a decide.Action) []decide.Action {
+func failTwice(_ *ruleSimulation, a decide.Action) []decide.Action {
 	if f, ok := a.(decide.Fail); ok {
 		return []decide.Action{a, f}
 	}
 	return []decide.Action{a}
 }
 
-func sendRefused(w *world, a decide.Action) []decide.Action {
+func sendRefused(w *ruleSimulation, a decide.Action) []decide.Action {
 	if r, ok := a.(decide.Refuse); ok {
 		return []decide.Action{a, decide.Send{ID: r.ID, Backend: w.ids[0]}}
 	}
 	return []decide.Action{a}
 }
 
-func refuseFailed(_ *world, a decide.Action) []decide.Action {
+func refuseFailed(_ *ruleSimulation, a decide.Action) []decide.Action {
 	if f, ok := a.(decide.Fail); ok {
 		return []decide.Action{decide.Refuse{ID: f.ID}}
 	}
 	return []decide.Action{a}
 }
 
-func probe(w *world, a decide.Action) []decide.Action {
+func probe(w *ruleSimulation, a decide.Action) []decide.Action {
 	return []decide.Action{a, decide.Probe{Backend: w.ids[0]}}
 }
 
-func sendMessage(_ *world, a decide.Action) []decide.Action {
+func sendMessage(_ *ruleSimulation, a decide.Action) []decide.Action {
 	return []decide.Action{a, decide.SendMessage{ToAll: true}}
 }
 
 // mutateAll applies a mutation to all actions.
-func mutateAll(c mutation) func(*world, []decide.Action) []decide.Action {
-	return func(w *world, in []decide.Action) (out []decide.Action) {
+func mutateAll(c mutation) func(*ruleSimulation, []decide.Action) []decide.Action {
+	return func(w *ruleSimulation, in []decide.Action) (out []decide.Action) {
 		for _, a := range in {
 			out = append(out, c(w, a)...)
 		}
--- a/decide/surge_test.go
+++ b/decide/surge_test.go
@@ -12,7 +12,7 @@
 	for _, how := range []BackendState{Draining, Gone} {
 		m := New(largeFleetSettings(300), 3)
 		m.Handle(time.Hour, readyList(40))
-		_, now := drive(m, time.Hour, 20, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
+		_, now := simulateTraffic(m, time.Hour, 20, 60*time.Millisecond, &Report{InFlight: 10, HasInFlight: true, Utilisation: 0.5})
 		if n, h := m.load(m.subset[0]); n > h/2 {
 			t.Fatalf("got n %.1f, H %.1f under ordinary load, want n at most H/2", n, h)
 		}
--- a/decide/suspect_test.go
+++ b/decide/suspect_test.go
@@ -25,7 +25,7 @@
 		{"one backend breaks all, and a tenth of the rest", 10, 2, 1, 6},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, rigSettings(), 6)
+			r := newModuleFixture(t, fixtureSettings(), 6)
 			n := 0
 			r.delay = func(b decide.BackendID) (time.Duration, decide.OutcomeCode) {
 				h := fnv.New32a()
--- a/decide/threshold_test.go
+++ b/decide/threshold_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// flow feeds a module 200 requests per second. A backend has all its cores just busy with 8 requests, fewer while it is
-// cold; with more requests its latency grows.
-type flow struct {
+// trafficFixture feeds a module 200 requests per second. A backend has all its cores just busy with 8 requests, fewer
+// while it is cold; with more requests its latency grows.
+type trafficFixture struct {
 	m          *Module
 	now        Time
-	due        []flowEnd
+	due        []attemptEnd
 	sent       map[BackendID]int
 	inFlight   map[BackendID]float64
 	started    map[BackendID]Time
@@ -21,21 +21,21 @@
 	next       int
 }
 
-type flowEnd struct {
+type attemptEnd struct {
 	at Time
 	e  AttemptEnded
 }
 
 const (
-	flowLatency    = 200 * time.Millisecond
-	flowSaturation = 8.0
-	flowRate       = flowSaturation / 0.2 // requests per second that one backend can do
+	backendLatency    = 200 * time.Millisecond
+	backendSaturation = 8.0
+	backendRate       = backendSaturation / 0.2 // requests per second that one backend can do
 )
 
-func newFlow(backends int) *flow {
+func newTrafficFixture(backends int) *trafficFixture {
 	s := Settings{Nodes: 1, MaxAttempts: 1, MinTick: 5 * time.Millisecond, ColdStartShare: 0.2, WarmUpTime: 20 * time.Second,
 		Classes: []Class{{Name: "c", Value: 1, Target: 400 * time.Millisecond, Deadline: time.Second, Effect: Safe}}}
-	f := &flow{m: New(s, 1), now: time.Hour, sent: map[BackendID]int{}, inFlight: map[BackendID]float64{},
+	f := &trafficFixture{m: New(s, 1), now: time.Hour, sent: map[BackendID]int{}, inFlight: map[BackendID]float64{},
 		started: map[BackendID]Time{}}
 	l := ListUpdate{Kind: ListCached}
 	for i := range backends {
@@ -46,15 +46,15 @@
 }
 
 // saturation returns how many requests keep a backend's cores just busy.
-func (f *flow) saturation(id BackendID) float64 {
+func (f *trafficFixture) saturation(id BackendID) float64 {
 	if at, ok := f.started[id]; ok {
-		return flowSaturation * min(1, 0.2+0.8*(f.now-at).Seconds()/20)
+		return backendSaturation * min(1, 0.2+0.8*(f.now-at).Seconds()/20)
 	}
-	return flowSaturation
+	return backendSaturation
 }
 
 // run simulates a stretch of time.
-func (f *flow) run(length time.Duration) {
+func (f *trafficFixture) run(length time.Duration) {
 	for end := f.now + length; f.now < end; f.now += 5 * time.Millisecond {
 		sort.SliceStable(f.due, func(i, j int) bool { return f.due[i].at < f.due[j].at })
 		for len(f.due) > 0 && f.due[0].at <= f.now {
@@ -72,8 +72,8 @@
 			if a, ok := a.(Send); ok {
 				f.sent[a.Backend]++
 				f.inFlight[a.Backend]++
-				took := time.Duration(float64(flowLatency) * max(1, f.inFlight[a.Backend]/f.saturation(a.Backend)))
-				f.due = append(f.due, flowEnd{f.now + took, AttemptEnded{ID: id, Backend: a.Backend, RequestAnswered: true, Elapsed: took}})
+				took := time.Duration(float64(backendLatency) * max(1, f.inFlight[a.Backend]/f.saturation(a.Backend)))
+				f.due = append(f.due, attemptEnd{f.now + took, AttemptEnded{ID: id, Backend: a.Backend, RequestAnswered: true, Elapsed: took}})
 			}
 		}
 		if f.next++; f.next%5 == 0 {
@@ -88,7 +88,7 @@
 		part float64 // of the requests that keep a backend's cores just busy
 		want Mode
 	}{{0.6, Normal}, {0.8, Normal}, {1.5, Overloaded}} {
-		f := newFlow(6)
+		f := newTrafficFixture(6)
 		f.run(30 * time.Second)
 		m, b := f.m, f.m.subset[0]
 		m.now = f.now
@@ -104,7 +104,7 @@
 // Cold backends get roughly what they can do (half of it to 1.3 times), whatever the demand, also when most backends are
 // cold and the warm ones refuse.
 func TestColdBackendsAreUsed(t *testing.T) {
-	f := newFlow(6)
+	f := newTrafficFixture(6)
 	f.run(30 * time.Second)
 	cold := ListUpdate{Kind: ListChanges, Version: 1}
 	for id := BackendID(1); id <= 4; id++ {
@@ -115,7 +115,7 @@
 	clear(f.sent)
 	const length = 10.0
 	f.run(length * time.Second)
-	can := flowRate * length * (0.2 + 0.8*length/2/20) // it warms evenly from 0.2 within 20 s
+	can := backendRate * length * (0.2 + 0.8*length/2/20) // it warms evenly from 0.2 within 20 s
 	for id := BackendID(1); id <= 4; id++ {
 		if got := float64(f.sent[id]); got < can/2 || got > 1.3*can {
 			t.Errorf("cold backend %d got %.0f requests in 10 s, it can do %.0f", id, got, can)
@@ -126,7 +126,7 @@
 // Before a cold backend has shown what it can do, it gets more than the minimum that the settings give, as most can do
 // more and the warm ones refuse, and far less than the load that makes it fall over.
 func TestColdBackendsGetHalfOfFatalLoad(t *testing.T) {
-	f := newFlow(6)
+	f := newTrafficFixture(6)
 	f.m.settings.OverloadFactor, f.m.settings.OverloadTime = 3, 2*time.Second
 	f.run(30 * time.Second)
 	cold := ListUpdate{Kind: ListChanges, Version: 1}
@@ -138,7 +138,7 @@
 	clear(f.sent)
 	const length = 3.0
 	f.run(length * time.Second)
-	least := flowRate * length * (0.2 + 0.8*length/2/20)
+	least := backendRate * length * (0.2 + 0.8*length/2/20)
 	for id := BackendID(1); id <= 4; id++ {
 		if got := float64(f.sent[id]); got < 1.2*least || got > 1.8*least {
 			t.Errorf("cold backend %d got %.0f requests in 3 s; it can do at least %.0f, and falls over at %.0f", id, got, least, 3*least)
@@ -148,7 +148,7 @@
 
 // The first reports of a new backend lag: they are of a process that had no load yet.
 func TestFirstReportsDoNotInflateCapacity(t *testing.T) {
-	f := newFlow(6)
+	f := newTrafficFixture(6)
 	f.run(30 * time.Second)
 	f.m.Handle(f.now, ListUpdate{Kind: ListChanges, Version: 1, Entries: []Backend{{ID: 7}}})
 	f.staleUntil = f.now + time.Second
@@ -158,18 +158,18 @@
 		if b.answerRate == 0 {
 			t.Fatal("the new backend has no requests")
 		}
-		if got := f.m.capacityOf(b); got > 2*flowRate {
-			t.Errorf("%v after its start: got capacity %.0f requests per second, it can do %.0f", f.now-b.firstSeen, got, flowRate)
+		if got := f.m.capacityOf(b); got > 2*backendRate {
+			t.Errorf("%v after its start: got capacity %.0f requests per second, it can do %.0f", f.now-b.firstSeen, got, backendRate)
 		}
-		if got := f.m.meanCapacity; got > 1.5*flowRate {
-			t.Errorf("%v after its start: got capacity %.0f requests per second of the mean backend, it can do %.0f", f.now-b.firstSeen, got, flowRate)
+		if got := f.m.meanCapacity; got > 1.5*backendRate {
+			t.Errorf("%v after its start: got capacity %.0f requests per second of the mean backend, it can do %.0f", f.now-b.firstSeen, got, backendRate)
 		}
 	}
 }
 
 // A node that starts during a release has no warm backend to compare with: it must go by the reports of the cold ones.
 func TestAllColdBackendsAreUsedAsTheyWarm(t *testing.T) {
-	f := newFlow(6)
+	f := newTrafficFixture(6)
 	l := ListUpdate{Kind: ListFull, Version: 1}
 	for id := BackendID(1); id <= 6; id++ {
 		l.Entries = append(l.Entries, Backend{ID: id, StartedAt: f.now})
@@ -179,7 +179,7 @@
 	f.run(10 * time.Second)
 	clear(f.sent)
 	f.run(5 * time.Second)
-	can := 5 * flowRate * (0.2 + 0.8*12.5/20)
+	can := 5 * backendRate * (0.2 + 0.8*12.5/20)
 	for id := BackendID(1); id <= 6; id++ {
 		if got := float64(f.sent[id]); got < can/2 || got > 1.3*can {
 			t.Errorf("backend %d got %.0f requests from 10 s to 15 s after its start, it can do %.0f", id, got, can)
--- a/decide/world_test.go
+++ b/decide/world_test.go
@@ -40,7 +40,7 @@
 	id    decide.RequestID
 }
 
-type world struct {
+type ruleSimulation struct {
 	settings   decide.Settings
 	r          *rand.Rand
 	now        time.Duration
@@ -52,7 +52,7 @@
 	sends      map[decide.BackendID][]time.Duration
 	capacity   float64 // requests per second; this node's share of what a warm backend can do
 	module     *decide.Module
-	mutate     func(w *world, a []decide.Action) []decide.Action
+	mutate     func(w *ruleSimulation, a []decide.Action) []decide.Action
 	events     []decide.Event
 	times      []time.Duration
 	actions    []string
@@ -60,17 +60,17 @@
 	next       int
 }
 
-func (w *world) violation(format string, args ...any) {
+func (w *ruleSimulation) violation(format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
 }
 
-func (w *world) schedule(d time.Duration, p scheduledEvent) {
+func (w *ruleSimulation) schedule(d time.Duration, p scheduledEvent) {
 	w.order++
 	p.at, p.order = w.now+max(d, w.settings.MinTick), w.order
 	w.queue = append(w.queue, p)
 }
 
-func (w *world) handle(e decide.Event) {
+func (w *ruleSimulation) handle(e decide.Event) {
 	w.events, w.times = append(w.events, e), append(w.times, w.now)
 	actions := w.module.Handle(w.now, e)
 	w.actions = append(w.actions, fmt.Sprintf("%#v", actions))
@@ -82,7 +82,7 @@
 	}
 }
 
-func (w *world) carryOut(a decide.Action) {
+func (w *ruleSimulation) carryOut(a decide.Action) {
 	switch a := a.(type) {
 	case decide.Send:
 		q := w.requests[a.ID]
@@ -142,7 +142,7 @@
 }
 
 // outcome schedules the end of an attempt.
-func (w *world) outcome(a decide.Send, q *liveRequest, n int) {
+func (w *ruleSimulation) outcome(a decide.Send, q *liveRequest, n int) {
 	limit := q.deadline - w.now
 	if a.Timeout != 0 {
 		limit = min(limit, a.Timeout)
@@ -169,7 +169,7 @@
 
 // deliver passes an event to the module as the wire would: one outcome for each attempt, and no events about requests
 // that the node has forgotten.
-func (w *world) deliver(p scheduledEvent) {
+func (w *ruleSimulation) deliver(p scheduledEvent) {
 	switch e := p.event.(type) {
 	case decide.AttemptEnded:
 		q := w.requests[e.ID]
@@ -201,7 +201,7 @@
 }
 
 // arrive adds a request of a random class.
-func (w *world) arrive() {
+func (w *ruleSimulation) arrive() {
 	w.next++
 	id := decide.RequestID(fmt.Sprintf("%036d", w.next))
 	c := w.settings.Classes[w.r.Intn(len(w.settings.Classes))]
@@ -220,14 +220,14 @@
 	w.handle(e)
 }
 
-func (w *world) newBackend(started time.Duration) decide.Backend {
+func (w *ruleSimulation) newBackend(started time.Duration) decide.Backend {
 	w.next++
 	return decide.Backend{ID: decide.BackendID(w.next*2654435761 + 1), Zone: fmt.Sprint("z", w.r.Intn(2)),
 		Cell: w.r.Intn(3), Size: 1, StartedAt: started}
 }
 
 // publish records an update of the list and passes it to the module.
-func (w *world) publish(kind decide.ListKind, entries []decide.Backend) {
+func (w *ruleSimulation) publish(kind decide.ListKind, entries []decide.Backend) {
 	in := map[decide.BackendID]bool{}
 	for _, n := range entries {
 		s := w.backends[n.ID]
@@ -255,7 +255,7 @@
 	w.handle(decide.ListUpdate{Kind: kind, Entries: entries})
 }
 
-func (w *world) changeList() {
+func (w *ruleSimulation) changeList() {
 	b := w.backends[w.ids[w.r.Intn(len(w.ids))]].Backend
 	switch w.r.Intn(6) {
 	case 0:
@@ -284,7 +284,7 @@
 	w.publish(decide.ListChanges, []decide.Backend{b})
 }
 
-func (w *world) start() {
+func (w *ruleSimulation) start() {
 	w.module = decide.New(w.settings, w.r.Int63())
 	w.requests, w.queue = map[decide.RequestID]*liveRequest{}, nil
 	var all []decide.Backend
@@ -301,7 +301,7 @@
 }
 
 // run simulates a stretch of time; restarts says whether the node may restart during it.
-func (w *world) run(length time.Duration, rate float64, restarts bool) {
+func (w *ruleSimulation) run(length time.Duration, rate float64, restarts bool) {
 	const step = 5 * time.Millisecond
 	for end := w.now + length; w.now < end; w.now += step {
 		sort.SliceStable(w.queue, func(i, j int) bool {
@@ -332,9 +332,9 @@
 	}
 }
 
-func newWorld(seed int64) *world {
+func newRuleSimulation(seed int64) *ruleSimulation {
 	r := rand.New(rand.NewSource(seed))
-	w := &world{r: r, now: time.Hour, backends: map[decide.BackendID]*listed{}, sends: map[decide.BackendID][]time.Duration{}}
+	w := &ruleSimulation{r: r, now: time.Hour, backends: map[decide.BackendID]*listed{}, sends: map[decide.BackendID][]time.Duration{}}
 	ms := func(lo, hi int) time.Duration { return time.Duration(lo+r.Intn(hi-lo)) * time.Millisecond }
 	w.settings = decide.Settings{Nodes: 1 + r.Intn(6), Zone: "z0", MaxAttempts: 1 + r.Intn(5), MayOverlap: r.Intn(2) == 0,
 		MayCancel: r.Intn(3) > 0, MayProbe: r.Intn(2) == 0, MayMessage: r.Intn(2) == 0, MayRetryAfter: r.Intn(2) == 0,
