--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -106,7 +106,7 @@
 			answer.updates = append(answer.updates, u)
 		}
 	}
-	d.noteVersions(now, from, theirs)
+	d.recordVersions(now, from, theirs)
 	d.Advance(now)
 	return answer
 }
@@ -148,7 +148,7 @@
 	for _, s := range answer.summaries {
 		d.certifyAge(s.topic, s.version, sentAt, s.age)
 	}
-	d.noteVersions(now, from, answer.summaries)
+	d.recordVersions(now, from, answer.summaries)
 }
 
 // exchangeEnded schedules the next exchange: after the regular interval, or sooner and with another partner if this
--- a/internal/gossip/disseminator.go
+++ b/internal/gossip/disseminator.go
@@ -132,17 +132,18 @@
 
 // receiveAnnouncement handles the announcement of a member.
 func (d *disseminator) receiveAnnouncement(now time.Duration, from netip.AddrPort, summaries []summary) {
-	d.noteVersions(now, from, summaries)
+	d.recordVersions(now, from, summaries)
 	d.Advance(now)
 }
 
-// noteVersions records the versions that a member has, and schedules fetches of those that are newer than the local ones.
-func (d *disseminator) noteVersions(now time.Duration, from netip.AddrPort, summaries []summary) {
+// recordVersions records the versions that a member has, and schedules fetches of those that are newer than the local
+// ones.
+func (d *disseminator) recordVersions(now time.Duration, from netip.AddrPort, summaries []summary) {
 	due := now
 	if sender, known := d.members().Get(from); known && sender.Zone != d.self.Zone {
 		due += otherZoneDelay
 	}
 	for _, s := range summaries {
-		d.entries[s.topic].noteVersion(s.version, from, due)
+		d.entries[s.topic].recordVersion(s.version, from, due)
 	}
 }
--- a/internal/gossip/fetch.go
+++ b/internal/gossip/fetch.go
@@ -23,9 +23,9 @@
 	whole bool
 }
 
-// noteVersion records that a member has a version. If the version is newer than the local one, it schedules a fetch at
-// the given time.
-func (e *entry) noteVersion(version Version, from netip.AddrPort, due time.Duration) {
+// recordVersion records that a member has a version. If the version is newer than the local one, it schedules a fetch
+// at the given time.
+func (e *entry) recordVersion(version Version, from netip.AddrPort, due time.Duration) {
 	if !e.lacks(version) {
 		return
 	}
