--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -47,7 +47,7 @@
 		l.attemptEnded(send, number, result{code: decide.NotSent})
 		return
 	}
-	x := r.exchange(now, send.Timeout)
+	x := r.newExchange(now, send.Timeout)
 	backend := l.transport.Find(send.Backend)
 	l.running.Go(func() {
 		defer cancel()
@@ -56,9 +56,9 @@
 	})
 }
 
-// exchange returns the exchange for the latest attempt, which starts now. With a timeout of 0, only the request's
+// newExchange returns the exchange for the latest attempt, which starts now. With a timeout of 0, only the request's
 // deadline applies.
-func (r *request) exchange(now time.Time, timeout time.Duration) *exchange {
+func (r *request) newExchange(now time.Time, timeout time.Duration) *exchange {
 	x := &exchange{method: r.method, url: r.url, header: r.header, body: r.body, deadline: r.deadline, client: r.client}
 	if timeout != 0 && now.Add(timeout).Before(r.deadline) {
 		x.deadline = now.Add(timeout)
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -37,7 +37,7 @@
 	registryPath = "/registry/instances"
 )
 
-var errNotFull = errors.New("list: want a full list, got changes")
+var errNotFull = errors.New("backend list: want a full list, got changes")
 
 // discovery is a client for the discovery service at one address, with its own connections.
 type discovery struct {
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -169,7 +169,7 @@
 
 // If a connection is closed because of the idle timeout, a request that arrives at that moment stays unread, so the
 // close sends a reset. Only the reset tells the client that it may send the request again.
-func TestIdleTimeOutCrossesRequest(t *testing.T) {
+func TestIdleTimeoutLeavesNewRequestUnread(t *testing.T) {
 	t.Parallel()
 	for _, first := range []string{"the request", "the deadline"} {
 		t.Run(first, func(t *testing.T) {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -169,7 +169,7 @@
 // sendRequest sends text on a new connection and returns the response and its body.
 func (n *testNode) sendRequest(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
-	resp, body, err := n.exchange(text)
+	resp, body, err := n.sendAndReceive(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -198,9 +198,9 @@
 func (n *testNode) sendAsync(t *testing.T, text string) <-chan *http.Response {
 	answered := make(chan *http.Response, 1)
 	go func() {
-		resp, _, err := n.exchange(text)
+		resp, _, err := n.sendAndReceive(text)
 		for tries := 1; tries < 10 && errors.Is(err, errSentLate); tries++ {
-			resp, _, err = n.exchange(text)
+			resp, _, err = n.sendAndReceive(text)
 		}
 		if err != nil {
 			t.Error(err)
@@ -214,8 +214,8 @@
 // errSentLate means that the machine was too slow: the node may close a connection that sends nothing for minFreshTime.
 var errSentLate = errors.New("the request was sent later than minFreshTime after connecting")
 
-// exchange sends text on a new connection and returns the response and its body.
-func (n *testNode) exchange(text string) (*http.Response, string, error) {
+// sendAndReceive sends text on a new connection and returns the response and its body.
+func (n *testNode) sendAndReceive(text string) (*http.Response, string, error) {
 	began := time.Now()
 	c, err := net.Dial("tcp", n.addr)
 	if err != nil {
--- a/internal/node/list.go
+++ b/internal/node/list.go
@@ -53,16 +53,16 @@
 func decodeList(raw []byte) (backendList, error) {
 	var in listJSON
 	if err := json.Unmarshal(raw, &in); err != nil {
-		return backendList{}, fmt.Errorf("list: %w", err)
+		return backendList{}, fmt.Errorf("backend list: %w", err)
 	}
 	if in.Version == nil {
-		return backendList{}, errors.New("list: version is missing")
+		return backendList{}, errors.New("backend list: version is missing")
 	}
 	decoded := backendList{version: *in.Version, full: in.Full}
 	for i, backend := range in.Backends {
 		e, err := backend.entry()
 		if err != nil {
-			return backendList{}, fmt.Errorf("list, entry %d: %w", i, err)
+			return backendList{}, fmt.Errorf("backend list, entry %d: %w", i, err)
 		}
 		decoded.entries = append(decoded.entries, e)
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -226,7 +226,7 @@
 }
 
 // At its limits a node refuses requests at once, and each accepted connection gets a response.
-func TestBounds(t *testing.T) {
+func TestRefusesRequestsAtItsLimits(t *testing.T) {
 	t.Parallel()
 	proceed := make(chan struct{})
 	addr := startBackend(t, respondWith(func(*http.Request, []byte) string { <-proceed; return okResponse("x") }))
--- a/internal/node/roundtrip.go
+++ b/internal/node/roundtrip.go
@@ -21,7 +21,7 @@
 )
 
 var (
-	errTruncated     = errors.New("cannot tell whether the response is complete")
+	errTruncated     = errors.New("response body ends without a length or a final chunk")
 	errTooLarge      = errors.New("response too large")
 	errOtherProtocol = errors.New("backend switched to another protocol")
 	errTrailingBytes = errors.New("unexpected data after the response")
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -129,7 +129,7 @@
 		t.Release(conn, reusable)
 		return *unsent
 	}
-	res := t.exchange(ctx, backend, conn, x, now)
+	res := t.exchangeOn(ctx, backend, conn, x, now)
 	if res.code == decide.TimedOut {
 		t.CloseUnresponsive(backend, began)
 	}
@@ -167,8 +167,8 @@
 	return nil, true
 }
 
-// exchange writes the request to a connection, reads the response, and releases the connection.
-func (t *transport) exchange(ctx context.Context, backend *upstream.Backend, conn *upstream.Conn, x *exchange, now time.Time) result {
+// exchangeOn writes the request to a connection, reads the response, and releases the connection.
+func (t *transport) exchangeOn(ctx context.Context, backend *upstream.Backend, conn *upstream.Conn, x *exchange, now time.Time) result {
 	history := conn.RecordRequest(now)
 	conn.SetDeadline(x.deadline)
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
--- a/internal/node/transport_test.go
+++ b/internal/node/transport_test.go
@@ -193,7 +193,7 @@
 }
 
 // A load report is accepted only if all of it is valid.
-func TestReport(t *testing.T) {
+func TestInvalidLoadReportIsIgnored(t *testing.T) {
 	t.Parallel()
 	if r := parseLoadReport("inflight=7,queue=2"); r == nil || r.InFlight != 7 || r.Queue != 2 {
 		t.Errorf("valid report: got %+v, want InFlight 7 and Queue 2", r)
