--- a/internal/peer/dial_test.go
+++ b/internal/peer/dial_test.go
@@ -69,7 +69,7 @@
 
 // An attempt that began before the peer was up restarts on a signal that the peer is up, instead of waiting for its
 // timeout.
-func TestDialBeginsAnewWhenThePeerIsHeard(t *testing.T) {
+func TestDialRestartsWhenThePeerIsUp(t *testing.T) {
 	attempts := 0
 	near, far := net.Pipe()
 	defer func() { _ = far.Close() }()
@@ -89,7 +89,7 @@
 }
 
 // A dial to a peer that keeps sending but cannot be reached must fail after a limited number of restarts.
-func TestDialToAnUnreachablePeerThatIsHeardEnds(t *testing.T) {
+func TestDialRestartsAreLimited(t *testing.T) {
 	attempts := 0
 	peerUp := make(chan struct{}, 1)
 	_, err := dialWithRetries(t.Context(), []time.Duration{time.Millisecond}, peerUp, func(ctx context.Context) (net.Conn, error) {
@@ -125,7 +125,7 @@
 
 // A message that waits for a dial to a machine that is down is sent as soon as that machine connects or sends a
 // datagram.
-func TestQueuedMessageGoesOutWhenThePeerIsHeard(t *testing.T) {
+func TestQueuedMessageIsSentWhenThePeerIsUp(t *testing.T) {
 	for name, announce := range map[string]func(from *Transport, to *Transport){
 		"connection": func(from, to *Transport) { from.Send(to.Address(), Message{Kind: otherKind}) },
 		"datagram":   func(from, to *Transport) { from.SendDatagram(to.Address(), Message{Kind: otherKind}) },
