--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -26,7 +26,7 @@
 	tried        []string // ids of the backends that the request was sent to
 	executed     int      // attempts that were or may have been executed
 	refusals     int      // attempts that backends refused without executing them
-	unreached    int      // attempts that did not reach the intended backend
+	unreachable  int      // attempts that did not reach the intended backend
 	lastTimedOut bool     // whether the last attempt timed out
 	// resumedAfter is the id of the event after which the current attempt resumes the stream; empty: it starts from the
 	// beginning.
--- a/internal/proxy/retry.go
+++ b/internal/proxy/retry.go
@@ -16,8 +16,8 @@
 	// maxRefusals is how many full backends may refuse one request. The route's maximum number of attempts does not limit
 	// refusals, because it only bounds how many backends execute a request. Each refusal costs time, however.
 	maxRefusals = 2
-	// maxUnreached is how many attempts per request may find a backend unreachable, or another instance at its address.
-	maxUnreached = 3
+	// maxUnreachable is how many attempts per request may find a backend unreachable, or another instance at its address.
+	maxUnreachable = 3
 	// minAttemptTime is the minimum time until the deadline that an attempt needs.
 	minAttemptTime = 5 * time.Millisecond
 	// retryLatencyFraction is the fraction of the route's target latency that must remain until the deadline for a retry
@@ -35,7 +35,7 @@
 	case time.Until(e.request.Deadline) < e.minTimeLeft():
 		e.lastTimedOut = true
 		return e.exhaustedError()
-	case e.refusals >= maxRefusals, e.unreached >= maxUnreached:
+	case e.refusals >= maxRefusals, e.unreachable >= maxUnreachable:
 		return e.exhaustedError()
 	case !e.requiresProof:
 		return nil
@@ -67,7 +67,7 @@
 	e.lastTimedOut = f.TimedOut
 	switch {
 	case f.Outcome == forward.NotSent, f.Status == http.StatusMisdirectedRequest:
-		e.unreached++
+		e.unreachable++
 	case f.Outcome == forward.NotExecuted:
 		e.refusals++
 	default:
