--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -40,15 +40,15 @@
 	if from.Before(a.graceEndsAt) {
 		from = a.graceEndsAt
 	}
-	free := a.free(now, account, limit)
-	account.tokens += max(0, free.Rate) * now.Sub(from).Seconds()
+	leasable := a.leasable(now, account, limit)
+	account.tokens += max(0, leasable.Rate) * now.Sub(from).Seconds()
 	capacity := a.policy.capacity(limit)
 	account.tokens = min(account.tokens, (1-depthFraction)*capacity, max(0, capacity-account.leased.Depth))
 }
 
-// free returns the share that may be leased in addition: during the grace period only the share that leaseholders have
-// released.
-func (a *Allocator) free(now time.Time, account *tenantAccount, limit Limit) Share {
+// leasable returns the share that may be leased in addition: during the grace period only the share that leaseholders
+// have released.
+func (a *Allocator) leasable(now time.Time, account *tenantAccount, limit Limit) Share {
 	if !a.graceEnded(now) {
 		return account.released
 	}
@@ -106,12 +106,12 @@
 }
 
 // resize moves a lease towards its target and returns the share that the leaseholder may use from now on. A lease grows
-// by at most the free share. A reduction stays outstanding until the leaseholder has confirmed it.
+// by at most the leasable share. A reduction stays outstanding until the leaseholder has confirmed it.
 func (a *Allocator) resize(now time.Time, account *tenantAccount, lease *leaseRecord, target Share, limit Limit) Share {
-	free := a.free(now, account, limit)
+	leasable := a.leasable(now, account, limit)
 	given := Share{
-		Rate:  min(target.Rate, lease.outstanding.Rate+max(0, free.Rate)),
-		Depth: min(target.Depth, lease.outstanding.Depth+max(0, free.Depth)),
+		Rate:  min(target.Rate, lease.outstanding.Rate+max(0, leasable.Rate)),
+		Depth: min(target.Depth, lease.outstanding.Depth+max(0, leasable.Depth)),
 	}
 	a.setOutstanding(now, account, lease, maxShare(lease.outstanding, given))
 	return given
@@ -120,7 +120,7 @@
 // retryAfter returns the time until the bucket is expected to hold enough tokens for the given number of requests that
 // were not granted, at most maxRetryAfter.
 func (a *Allocator) retryAfter(now time.Time, account *tenantAccount, limit Limit, shortfall int) time.Duration {
-	rate := a.free(now, account, limit).Rate
+	rate := a.leasable(now, account, limit).Rate
 	if !a.graceEnded(now) {
 		return graceRetryAfter
 	}
--- a/internal/quota/registry.go
+++ b/internal/quota/registry.go
@@ -58,7 +58,7 @@
 	registry  Registry
 	running   bool
 	waiting   map[netip.AddrPort]uint64 // processes to register, by address
-	finished  chan struct{}             // closed after the next change, and replaced
+	changed   chan struct{}             // closed after the next change, and replaced
 	inherited *inheritedReserves        // reserves for the allocator that the latest change with startsAllocator was to start
 }
 
@@ -79,7 +79,7 @@
 		r.running = true
 		go r.run()
 	}
-	return r.finished
+	return r.changed
 }
 
 // plannedChange is a change that is due.
@@ -159,8 +159,8 @@
 
 // notifyWaiting wakes all renewals that wait for a change. The caller holds the mutex.
 func (r *registryUpdater) notifyWaiting() {
-	close(r.finished)
-	r.finished = make(chan struct{})
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
 // finish applies the outcome of a change to the service and wakes the waiting renewals.
--- a/internal/quota/service.go
+++ b/internal/quota/service.go
@@ -47,7 +47,7 @@
 	t *peer.Transport, log *zap.Logger,
 ) *Service {
 	s := &Service{policy: p, headStatus: h, limits: limits, isDown: isDown, transport: t, log: log}
-	s.updater = registryUpdater{service: s, registry: r, finished: make(chan struct{})}
+	s.updater = registryUpdater{service: s, registry: r, changed: make(chan struct{})}
 	t.Handle(kindRenew, s.renew)
 	s.activateSoon()
 	return s
--- a/internal/quota/service_test.go
+++ b/internal/quota/service_test.go
@@ -195,7 +195,7 @@
 // activateOnce makes a service look once for a proof that its node is the head, and waits for the outcome.
 func activateOnce(s *Service) {
 	s.mutex.Lock()
-	changed := s.updater.finished
+	changed := s.updater.changed
 	s.mutex.Unlock()
 	s.activate(1)
 	<-changed
