--- a/cmd/nickelline/operator_test.go
+++ b/cmd/nickelline/operator_test.go
@@ -15,6 +15,7 @@
 	"github.com/alecthomas/kong"
 
 	"nickelline/internal/control/controlapi"
+	"nickelline/internal/golden"
 	"nickelline/internal/operator"
 )
 
@@ -278,6 +279,7 @@
 	if err != nil || !strings.Contains(output, `"NodeName": "storage-1"`) {
 		t.Errorf("%q, %v", output, err)
 	}
+	golden.Text(t, "settings.json", output)
 	_, err = runCommand(t, "settings", "check", writeFile(t, "nodeName = 5"))
 	wantExitCode(t, err, exitInvalid)
 	if _, err = runCommand(t, "settings", "check", "/nowhere/settings.toml"); err == nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -48,7 +48,7 @@
 	InternalPorts   []uint16          `toml:"internalPorts"`
 	SeedNodes       []netip.AddrPort  `toml:"seedNodes"`
 	InitialStart    bool              `toml:"initialStart"`
-	CountsForQuorum bool              `toml:"countsForQuorum"`
+	CountsForQuorum bool              `toml:"countsForQuorum" json:"CountsForLoss"`
 	DataDirectory   string            `toml:"dataDirectory"`
 	HeartbeatMs     int               `toml:"heartbeatIntervalMs"`
 	Zones           map[string]string `toml:"zones"`
